--- /dev/null
+++ b/internal/storage/golden_test.go
@@ -0,0 +1,144 @@
+package storage
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/quota"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew: only where stored bytes change on purpose")
+
+// sentRequest is one request to the state service as it went out.
+type sentRequest struct {
+	Method string `json:"method"`
+	Path   string `json:"path"`
+	Body   string `json:"body"` // in hexadecimal
+}
+
+// recorder notes every request on its way to a state service.
+type recorder struct {
+	Caller
+	sent []sentRequest
+}
+
+func (r *recorder) Call(method, path string, body []byte, timeout time.Duration, done func(Result)) {
+	r.sent = append(r.sent, sentRequest{Method: method, Path: path, Body: hex.EncodeToString(body)})
+	r.Caller.Call(method, path, body, timeout, done)
+}
+
+// Every kind of record has the bytes, and every request the form and place, that
+// they had when testdata/golden/requests.json was written: whoever runs the version
+// before reads them.
+func TestStoredBytesStayAsTheyAre(t *testing.T) {
+	s, store := newScripted(t)
+	s.stamps = make(map[string]uint64)
+	store.limits.TxnOps = 16
+	r := &recorder{Caller: s}
+	store.caller = r
+	step := func() {
+		s.now += 5 * time.Second
+		store.Poll()
+	}
+	me := Holder{Member: "n", Nonce: "x", Records: RecordsNow}
+	other := Holder{Member: "n", Nonce: "y", Records: RecordsQuota}
+	put := func(key string, value any) {
+		s.rev++
+		s.keys[key], s.stamps[key] = s.codec.Encode(value), s.rev
+	}
+	for _, h := range []Holder{{Member: "old", Nonce: "o"}, me, other} {
+		store.Txn(Urgent, protocol.Txn{
+			If:   []protocol.Condition{{Key: SelfKey(h.Member), Stamp: s.stamps[SelfKey(h.Member)]}},
+			Then: []protocol.Change{{Put: SelfKey(h.Member), Value: s.codec.Encode(h), Lease: 7}},
+		}, func(TxnResult) {})
+	}
+	put(LedgerKey("n"), me)
+	l := NewLedger(store, "n", me, 7, s.rev, func() { t.Fatal("lost") })
+	first := &protocol.Job{ID: "wk-000001", Class: "photo-verify", Team: "vogeluni", Tasks: 20, CPUs: 0.25, GPUs: 1, MemoryGB: 0.9,
+		Priority: protocol.PriorityHigh, Image: "img-04", ImageGB: 0.5, Types: []string{"a", "b"}, Zone: "z", OneZone: true, Spread: true,
+		Spot: true, EstimateS: 150, SaveS: 3, CheckpointS: 60, HasDeadline: true, DeadlineS: 600}
+	second := &protocol.Job{ID: "wk-000002", Class: "web", Team: "vogeluni", Tasks: 2, CPUs: 2, MemoryGB: 4,
+		Priority: protocol.PriorityProduction, Image: "img-05", AnyType: true, Service: true}
+	created := func(c CreateResult) {
+		if c != Created {
+			t.Fatalf("a job was not created: %v", c)
+		}
+	}
+	l.Create(first, 1000, "c1", 0, created)
+	step()
+	for _, task := range []int{0, 7, 8, 19} {
+		l.TaskDone(first, task, func() {})
+	}
+	l.Flush()
+	step()
+	l.End(first, "c1", protocol.StatusDone, func() {})
+	step()
+	l.Create(second, 2000, "c2", 0, created)
+	step()
+	l.End(second, "c2", protocol.StatusWithdrawn, func() {})
+	step()
+	l.Flush()
+	step()
+	put(LeaderKey, me)
+	leader := s.rev
+	store.RecordMachines(leader, 3, []string{"m-1", "m-2"}, func(key string, _ TxnResult) {
+		store.RewriteRecord(leader, key, []string{"m-2"}, func(TxnResult) {})
+	})
+	step()
+	store.TransferQuota(&quota.Transfer{
+		Fences: map[string]uint64{"n": l.Stamp()},
+		Teams: []quota.TeamTransfer{{Team: "vogel uni", Stamp: 0, Record: quota.Record{Shares: map[string]quota.Share{
+			"n": {Allocation: quota.Amount{CPUs: 1500, GPUs: 2000}, Limit: quota.Amount{CPUs: 3000, GPUs: 4000}}}}}},
+	}, func(TxnResult) {})
+	step()
+	store.Job("wk-000001", KnownRecord{}, 0, func(KnownRecord, bool, bool) {})
+	store.OpenLease(8*time.Second, func(uint64) {})
+	store.Touch(7, time.Second, func(_, _ bool) {})
+	l.Recover(func([]RecoveredJob) {})
+	store.RecordedMachines(func(map[string][]string, uint64, bool) {})
+	step()
+	l.Release(func(TxnResult) {})
+	// Two jobs in one record stand in the order of a map there, one does not.
+	record := s.codec.Encode(descriptionsRecord{Jobs: []DescriptionRecord{{Job: *first, AtMs: 1}, {Job: *second, AtMs: 2}}, Over: []string{"wk-3", "wk-4"}})
+	r.sent = append(r.sent, sentRequest{Method: "record", Path: "own/", Body: hex.EncodeToString(record)})
+	compareRequests(t, filepath.Join("testdata", "golden", "requests.json"), r.sent)
+}
+
+func compareRequests(t *testing.T, file string, got []sentRequest) {
+	t.Helper()
+	if *update {
+		b, err := json.MarshalIndent(got, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(file, append(b, '\n'), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want []sentRequest
+	if err := json.Unmarshal(b, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) == 0 {
+		t.Fatalf("%s is empty", file)
+	}
+	for i := range min(len(got), len(want)) {
+		if got[i] != want[i] {
+			t.Fatalf("request %d is\n%+v, was\n%+v", i, got[i], want[i])
+		}
+	}
+	if !slices.Equal(got, want) {
+		t.Fatalf("%d requests, were %d", len(got), len(want))
+	}
+}
