--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -294,8 +294,8 @@
 	a.demandSeq++
 	f := &meshpb.QuotaDemands{Seq: a.demandSeq}
 	for _, d := range demands {
-		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Ledger: d.Ledger, Team: d.Team, Target: amountFrame(d.Target),
-			Least: amountFrame(d.Least), WaitedUs: d.Waited.Microseconds()})
+		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Shard: d.Ledger, Team: d.Team, Target: amountFrame(d.Target),
+			SmallestPending: amountFrame(d.Least), PendingUs: d.Waited.Microseconds()})
 	}
 	for _, p := range a.c.peers {
 		p.send(&meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
@@ -322,13 +322,13 @@
 	}
 	p.quotaSeq = f.Seq
 	for _, d := range f.Demands {
-		k := a.c.session.ledgers[d.Ledger]
+		k := a.c.session.ledgers[d.Shard]
 		if k == nil || !k.present || k.holder.Member != p.member {
 			a.drop("not the holder's", p.member)
 			continue
 		}
-		demand := quota.Demand{Ledger: d.Ledger, Team: d.Team, Target: amountOf(d.Target), Least: amountOf(d.Least),
-			Waited: time.Duration(d.WaitedUs) * time.Microsecond}
+		demand := quota.Demand{Ledger: d.Shard, Team: d.Team, Target: amountOf(d.Target), Least: amountOf(d.SmallestPending),
+			Waited: time.Duration(d.PendingUs) * time.Microsecond}
 		if !a.manager.Hear(demand, a.c.now()) {
 			a.drop("malformed", p.member)
 		}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -516,10 +516,10 @@
 	p := c.peers["b"]
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for what, f := range map[string]*meshpb.QuotaDemands{
-		"another's ledger": {Seq: 1000, Demands: []*meshpb.QuotaDemand{{Ledger: "c", Team: "red", Target: amount, Least: amount}}},
-		"no ledger":        {Seq: 1001, Demands: []*meshpb.QuotaDemand{{Ledger: "x", Team: "red", Target: amount, Least: amount}}},
-		"no team":          {Seq: 1002, Demands: []*meshpb.QuotaDemand{{Ledger: "b", Team: "x", Target: amount, Least: amount}}},
-		"negative":         {Seq: 1003, Demands: []*meshpb.QuotaDemand{{Ledger: "b", Team: "red", Target: &meshpb.QuotaAmount{Cpus: -1}}}},
+		"another's ledger": {Seq: 1000, Demands: []*meshpb.QuotaDemand{{Shard: "c", Team: "red", Target: amount, SmallestPending: amount}}},
+		"no ledger":        {Seq: 1001, Demands: []*meshpb.QuotaDemand{{Shard: "x", Team: "red", Target: amount, SmallestPending: amount}}},
+		"no team":          {Seq: 1002, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "x", Target: amount, SmallestPending: amount}}},
+		"negative":         {Seq: 1003, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "red", Target: &meshpb.QuotaAmount{Cpus: -1}}}},
 		"old":              {Seq: 0},
 	} {
 		p.quotaSeq = 0
--- a/internal/coordination/answers.go
+++ b/internal/coordination/answers.go
@@ -22,7 +22,7 @@
 
 type pickFrom struct {
 	from *leaderLedger
-	pick *meshpb.Pick
+	pick *meshpb.Binding
 }
 
 // finish sends a report's answer with the starts that were picked for it.
@@ -49,8 +49,8 @@
 			continue
 		}
 		a.commands = append(a.commands, protocol.Command{Op: protocol.VerbStart,
-			Task: protocol.TaskName(p.pick.Job, int(p.pick.Task)), Attempt: p.pick.Attempt})
-		m.sent = append(m.sent, placed{key: taskKey{p.pick.Job, p.pick.Task, p.pick.Attempt}, state: protocol.TaskFetching,
+			Task: protocol.TaskName(p.pick.Job, int(p.pick.Task)), Attempt: p.pick.Replica})
+		m.sent = append(m.sent, placed{key: taskKey{p.pick.Job, p.pick.Task, p.pick.Replica}, state: protocol.TaskFetching,
 			job: j, since: now, owed: j.owed > 0 || (j.prio == protocol.PriorityLow && !j.first)})
 		j.owed, j.first = max(0, j.owed-1), true
 		if m.listing {
@@ -99,7 +99,7 @@
 func (l *leader) returnPicks(a *answer) {
 	for len(a.picks) > 0 {
 		to := a.picks[0].from.from
-		var picks []*meshpb.Pick
+		var picks []*meshpb.Binding
 		kept := a.picks[:0]
 		for _, p := range a.picks {
 			if p.from.from == to {
@@ -114,8 +114,8 @@
 	}
 }
 
-func (l *leader) unplace(p *peer, picks []*meshpb.Pick) {
+func (l *leader) unplace(p *peer, picks []*meshpb.Binding) {
 	if len(picks) > 0 && p != nil {
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_Unplaced{Unplaced: &meshpb.Unplaced{Picks: picks}}})
+		p.send(&meshpb.Frame{Body: &meshpb.Frame_ReturnedBindings{ReturnedBindings: &meshpb.ReturnedBindings{Bindings: picks}}})
 	}
 }
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -39,7 +39,7 @@
 		case k.present && mine:
 			if p := s.c.peers[k.holder.Member]; p != nil && p.link != nil && now >= s.handoverAt {
 				s.handoverAt = now + handoverEvery
-				p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Ledger: name}}})
+				p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Shard: name}}})
 			}
 		case !k.present && mine && s.extensions.freeToClaimOwn(s.c, now):
 			s.claim(name, 0)
@@ -180,12 +180,12 @@
 
 // onHandover gives a ledger back to the member whose name it bears.
 func (s *session) onHandover(p *peer, h *meshpb.Handover) {
-	l := s.c.owner.ledgers[h.Ledger]
-	if l == nil || h.Ledger != p.member {
+	l := s.c.owner.ledgers[h.Shard]
+	if l == nil || h.Shard != p.member {
 		return
 	}
-	s.c.log.Info().Str("ledger", h.Ledger).Msg("handing ledger back")
-	s.giveUp(h.Ledger)
+	s.c.log.Info().Str("ledger", h.Shard).Msg("handing ledger back")
+	s.giveUp(h.Shard)
 }
 
 // giveUp releases a ledger's key and forgets the ledger.
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -106,13 +106,13 @@
 // link that loops back.
 type peer struct {
 	member      string
-	index       int             // dense; this member's own is 0
-	ups         uint64          // streams so far
-	link        Link            // nil while down
-	reports     *meshpb.Reports // gathered for it, see flush
-	listed      int             // tasks in them
-	checkins    []*meshpb.Checkin
-	answers     []*meshpb.CheckinAnswer
+	index       int                     // dense; this member's own is 0
+	ups         uint64                  // streams so far
+	link        Link                    // nil while down
+	reports     *meshpb.MachineStatuses // gathered for it, see flush
+	listed      int                     // tasks in them
+	checkins    []*meshpb.ForwardedHeartbeat
+	answers     []*meshpb.HeartbeatResponse
 	askedUptime time.Duration // first, on this stream
 	asked       int           // for its uptime, on this stream
 	answered    int           // of these
@@ -130,7 +130,7 @@
 	if p.asked++; p.asked == 1 {
 		p.askedUptime = now
 	}
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeAsk{UptimeAsk: &meshpb.UptimeAsk{}}})
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeRequest{UptimeRequest: &meshpb.UptimeRequest{}}})
 }
 
 // send sends a frame after all reports that have gathered.
@@ -143,9 +143,9 @@
 
 // gathered returns the reports that go out together, to add one to. Their
 // clock is that of the last.
-func (p *peer) gathered(now time.Duration) *meshpb.Reports {
+func (p *peer) gathered(now time.Duration) *meshpb.MachineStatuses {
 	if p.reports == nil {
-		p.reports = &meshpb.Reports{}
+		p.reports = &meshpb.MachineStatuses{}
 	}
 	p.reports.ClockUs = now.Microseconds()
 	return p.reports
@@ -159,13 +159,13 @@
 		return
 	}
 	if r != nil {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_Reports{Reports: r}})
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineStatuses{MachineStatuses: r}})
 	}
 	for ; len(k) > 0; k = k[min(len(k), checkinChunk):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_Checkins{Checkins: &meshpb.Checkins{Checkins: k[:min(len(k), checkinChunk)]}}})
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_ForwardedHeartbeats{ForwardedHeartbeats: &meshpb.ForwardedHeartbeats{Heartbeats: k[:min(len(k), checkinChunk)]}}})
 	}
 	for ; len(a) > 0; a = a[min(len(a), checkinChunk):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_CheckinAnswers{CheckinAnswers: &meshpb.CheckinAnswers{Answers: a[:min(len(a), checkinChunk)]}}})
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_HeartbeatResponses{HeartbeatResponses: &meshpb.HeartbeatResponses{Responses: a[:min(len(a), checkinChunk)]}}})
 	}
 }
 
@@ -305,11 +305,11 @@
 func (c *Core) sendHeartbeat(now time.Duration) {
 	c.relay.balance(now)
 	c.store.Share(c.stateShare(c.active()))
-	b := &meshpb.Heartbeat{StateOk: c.session.leaseHolds(now), Load: c.relay.load()}
+	b := &meshpb.PeerHeartbeat{StateOk: c.session.leaseHolds(now), Load: c.relay.load()}
 	if c.leader != nil && c.session.mayAct(now) {
-		b.Token, b.ClockUs, b.LeaderOk = c.leader.token, now.Microseconds(), true
+		b.FencingToken, b.ClockUs, b.LeaderOk = c.leader.token, now.Microseconds(), true
 	}
-	f := &meshpb.Frame{Body: &meshpb.Frame_Heartbeat{Heartbeat: b}}
+	f := &meshpb.Frame{Body: &meshpb.Frame_PeerHeartbeat{PeerHeartbeat: b}}
 	for _, p := range c.peers {
 		p.send(f)
 	}
@@ -363,64 +363,64 @@
 
 func (c *Core) onFrame(p *peer, f *meshpb.Frame) {
 	switch b := f.Body.(type) {
-	case *meshpb.Frame_Heartbeat:
-		p.stateOK = b.Heartbeat.StateOk
+	case *meshpb.Frame_PeerHeartbeat:
+		p.stateOK = b.PeerHeartbeat.StateOk
 		if p != c.self {
-			c.relay.peerLoad[p] = b.Heartbeat.Load
+			c.relay.peerLoad[p] = b.PeerHeartbeat.Load
 		}
-		if b.Heartbeat.LeaderOk {
-			c.session.leads(p, b.Heartbeat.Token)
-			c.subscription.onHeartbeat(p, b.Heartbeat)
+		if b.PeerHeartbeat.LeaderOk {
+			c.session.leads(p, b.PeerHeartbeat.FencingToken)
+			c.subscription.onHeartbeat(p, b.PeerHeartbeat)
 		}
-	case *meshpb.Frame_Joined:
-		c.subscription.onJoined(p, b.Joined)
-	case *meshpb.Frame_Reports:
-		c.subscription.onReports(p, b.Reports)
+	case *meshpb.Frame_ShardRegistered:
+		c.subscription.onJoined(p, b.ShardRegistered)
+	case *meshpb.Frame_MachineStatuses:
+		c.subscription.onReports(p, b.MachineStatuses)
 	case *meshpb.Frame_Offer:
 		c.subscription.onOffer(p, b.Offer)
-	case *meshpb.Frame_Unplaced:
-		c.subscription.onUnplaced(p, b.Unplaced)
-	case *meshpb.Frame_Gone:
-		c.subscription.onGone(p, b.Gone)
-	case *meshpb.Frame_Settled:
-		c.subscription.onSettled(p, b.Settled)
-	case *meshpb.Frame_Join:
+	case *meshpb.Frame_ReturnedBindings:
+		c.subscription.onUnplaced(p, b.ReturnedBindings)
+	case *meshpb.Frame_MachineTerminated:
+		c.subscription.onGone(p, b.MachineTerminated)
+	case *meshpb.Frame_Reconciled:
+		c.subscription.onSettled(p, b.Reconciled)
+	case *meshpb.Frame_RegisterShard:
 		if c.leader != nil {
-			c.leader.onJoin(p, b.Join)
+			c.leader.onJoin(p, b.RegisterShard)
 		}
-	case *meshpb.Frame_Demand:
+	case *meshpb.Frame_JobSummaries:
 		if c.leader != nil {
-			c.leader.onDemand(p, b.Demand)
+			c.leader.onDemand(p, b.JobSummaries)
 		}
-	case *meshpb.Frame_Picks:
+	case *meshpb.Frame_Bindings:
 		if c.leader != nil {
-			c.leader.onPicks(p, b.Picks)
+			c.leader.onPicks(p, b.Bindings)
 		}
-	case *meshpb.Frame_Orders:
+	case *meshpb.Frame_MachineCommands:
 		if c.leader != nil {
-			c.leader.onOrders(p, b.Orders)
+			c.leader.onOrders(p, b.MachineCommands)
 		}
-	case *meshpb.Frame_Ask:
-		c.users.onAsk(p, b.Ask)
-	case *meshpb.Frame_Answer:
-		c.users.onAnswer(p, b.Answer)
+	case *meshpb.Frame_JobQuery:
+		c.users.onAsk(p, b.JobQuery)
+	case *meshpb.Frame_JobQueryResult:
+		c.users.onAnswer(p, b.JobQueryResult)
 	case *meshpb.Frame_Handover:
 		c.session.onHandover(p, b.Handover)
-	case *meshpb.Frame_UptimeAsk:
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_Uptime{Uptime: &meshpb.Uptime{Us: (c.now() - c.started).Microseconds()}}})
-	case *meshpb.Frame_Uptime:
+	case *meshpb.Frame_UptimeRequest:
+		p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeResponse{UptimeResponse: &meshpb.UptimeResponse{UptimeUs: (c.now() - c.started).Microseconds()}}})
+	case *meshpb.Frame_UptimeResponse:
 		// It was measured after the question went out, however late either
 		// was on its way.
 		if p.answered++; p.answered == 1 {
-			p.younger = time.Duration(b.Uptime.Us)*time.Microsecond+extensionDrift < p.askedUptime-c.started
+			p.younger = time.Duration(b.UptimeResponse.UptimeUs)*time.Microsecond+extensionDrift < p.askedUptime-c.started
 		}
 		p.yielded = p.yielded || (p.yieldsWith > 0 && p.answered >= p.yieldsWith)
 	case *meshpb.Frame_LeaseExtensionRequest:
 		c.session.onExtensionRequest(p, b.LeaseExtensionRequest)
-	case *meshpb.Frame_Checkins:
-		c.onCheckins(p, b.Checkins)
-	case *meshpb.Frame_CheckinAnswers:
-		c.relay.onAnswers(p, b.CheckinAnswers)
+	case *meshpb.Frame_ForwardedHeartbeats:
+		c.onCheckins(p, b.ForwardedHeartbeats)
+	case *meshpb.Frame_HeartbeatResponses:
+		c.relay.onAnswers(p, b.HeartbeatResponses)
 	case *meshpb.Frame_QuotaDemands:
 		c.admission.onDemands(p, b.QuotaDemands)
 	case *meshpb.Frame_LeaseExtension:
--- a/internal/coordination/demand.go
+++ b/internal/coordination/demand.go
@@ -80,7 +80,7 @@
 // nextAim is the soonest time by which the users would still count a job that
 // has missed its deadline, if that is no sooner than the given one: a multiple
 // of the deadline, or a time from its submission. 0: there is none.
-func (l *leader) nextAim(s *meshpb.JobDemand, soonest float64) float64 {
+func (l *leader) nextAim(s *meshpb.JobSummary, soonest float64) float64 {
 	best := 0.0
 	from := float64(s.SubmittedMs) / 1000
 	for _, o := range l.c.cfg.Settings.Objectives {
--- a/internal/coordination/evidence.go
+++ b/internal/coordination/evidence.go
@@ -21,11 +21,11 @@
 
 // absence tells what a report proves by what it does not list of a ledger. Nothing
 // else concludes from a list that lacks a copy.
-func (s *subscription) absence(m int32, r *meshpb.Report, l *ownedLedger) absence {
+func (s *subscription) absence(m int32, r *meshpb.MachineStatus, l *ownedLedger) absence {
 	switch {
 	case !r.Current || !s.complete(m, r, l):
 		return absenceProvesNothing
-	case r.Same:
+	case r.Unchanged:
 		return absenceProvesNoArrival
 	}
 	return absenceProvesEnd
@@ -36,12 +36,12 @@
 // it did not know when the machine reported. It knows those of a ledger once that
 // has joined, so a list of its is complete if the machine has reported since; what
 // it tells of a machine first may be from before the join, see reportedSince.
-func (s *subscription) complete(m int32, r *meshpb.Report, l *ownedLedger) bool {
+func (s *subscription) complete(m int32, r *meshpb.MachineStatus, l *ownedLedger) bool {
 	if s.start[l.name] <= 0 {
 		return false
 	}
 	if l.number != 0 {
-		return slices.Contains(r.CompleteFor, l.number)
+		return slices.Contains(r.CompleteForShards, l.number)
 	}
 	return s.reportedSince(m)
 }
@@ -97,22 +97,22 @@
 
 // judge tells whether a report proves that the copy of a task which it does not
 // list is gone, and why.
-func (o *owner) judge(m int32, r *meshpb.Report, ref taskRef) (gone bool, why lossReason) {
+func (o *owner) judge(m int32, r *meshpb.MachineStatus, ref taskRef) (gone bool, why lossReason) {
 	t := &ref.job.tasks[ref.task]
-	if r.Session > t.session {
+	if r.Epoch > t.session {
 		return true, lossLaterSession
 	}
-	if !r.Current || (r.Same && t.place == onMachine) {
+	if !r.Current || (r.Unchanged && t.place == onMachine) {
 		return false, lossNotListed // listed as it was before
 	}
 	if o.c.subscription.absence(m, r, ref.job.ledger) == absenceProvesNothing {
-		if !r.Same {
+		if !r.Unchanged {
 			o.losses.add(int(unprovenAbsence))
 			o.c.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.attempt).Msg("a list that may be incomplete lacks a task")
 		}
 		return false, lossNotListed
 	}
 	// Of a start on its way only a report that was sent after it says anything.
-	sentBefore := r.Session < t.session || r.Seq <= t.seq
+	sentBefore := r.Epoch < t.session || r.Seq <= t.seq
 	return t.place == onMachine || !sentBefore, lossNotListed
 }
--- a/internal/coordination/fanout.go
+++ b/internal/coordination/fanout.go
@@ -90,38 +90,38 @@
 	}
 	out := s.p.gathered(now)
 	fresh := m.told[s.p.index] != s.stream
-	r := &meshpb.Report{Machine: m.index, Session: m.session, Seq: m.seq, Current: current}
+	r := &meshpb.MachineStatus{MachineIndex: m.index, Epoch: m.session, Seq: m.seq, Current: current}
 	if fresh {
-		out.Names = append(out.Names, &meshpb.MachineName{Machine: m.index, Name: m.name, Zone: m.zone})
+		out.Names = append(out.Names, &meshpb.MachineName{MachineIndex: m.index, Name: m.name, Zone: m.zone})
 	}
 	if (fresh && current) || m.cachedAnew {
-		r.Cached, r.Images = true, m.imagesToTell()
+		r.ImagesIncluded, r.Images = true, m.imagesToTell()
 	}
 	if current {
-		r.Same = !fresh && !whole
-		r.CompleteFor = s.completeFor
+		r.Unchanged = !fresh && !whole
+		r.CompleteForShards = s.completeFor
 		m.told[s.p.index] = s.stream
 	}
-	if current && !r.Same {
+	if current && !r.Unchanged {
 		r.Tasks = m.tasksFor(s.p)
 	}
-	out.Reports = append(out.Reports, r)
+	out.Statuses = append(out.Statuses, r)
 	// However long workers' lists are, a frame stays within its size.
-	if s.p.listed += len(r.Tasks) + len(r.Images); s.p.listed >= maxListed || len(out.Reports) >= tellChunk {
+	if s.p.listed += len(r.Tasks) + len(r.Images); s.p.listed >= maxListed || len(out.Statuses) >= tellChunk {
 		s.p.flush()
 	}
 }
 
 // tasksFor returns what a machine lists and is not surely another member's.
-func (m *machine) tasksFor(p *peer) []*meshpb.TaskState {
-	var tasks []*meshpb.TaskState
+func (m *machine) tasksFor(p *peer) []*meshpb.TaskStatus {
+	var tasks []*meshpb.TaskStatus
 	for i := range m.tasks {
 		t := &m.tasks[i]
 		if t.heldByAnother(p) {
 			continue
 		}
-		tasks = append(tasks, &meshpb.TaskState{Job: t.key.job, Task: t.key.task, Attempt: t.key.attempt,
-			State: uint32(t.state), Why: uint32(t.why)})
+		tasks = append(tasks, &meshpb.TaskStatus{Job: t.key.job, Task: t.key.task, Replica: t.key.attempt,
+			State: uint32(t.state), ExitReason: uint32(t.why)})
 	}
 	return tasks
 }
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -448,7 +448,7 @@
 	share, within := l.forecast.startObjective("d")
 	want(t, "the aim that leaves least", [2]float64{share, within}, [2]float64{0.98, 12})
 	const sent = int64(1e12)
-	job := &leaderJob{spec: &meshpb.JobDemand{Class: "d", EstimateS: 30, SubmittedMs: sent, DeadlineMs: sent + 100_000}, begun: true}
+	job := &leaderJob{spec: &meshpb.JobSummary{Class: "d", EstimateS: 30, SubmittedMs: sent, DeadlineMs: sent + 100_000}, begun: true}
 	for _, test := range []struct {
 		after int64 // seconds
 		start float64
--- a/internal/coordination/forecast.go
+++ b/internal/coordination/forecast.go
@@ -32,7 +32,7 @@
 	at       time.Duration
 	typ      string
 	machines float64 // that its tasks fill
-	job      *meshpb.JobDemand
+	job      *meshpb.JobSummary
 	fetch    float64 // seconds
 	share    float64 // of starts that the users want in time
 }
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -102,7 +102,7 @@
 		return
 	}
 	for _, im := range l.c.subscription.imagesOf(m.name) {
-		m.useImage(l.images.of(im.Name, im.Gb), typ.CacheGB, l.since)
+		m.useImage(l.images.of(im.Name, im.SizeGb), typ.CacheGB, l.since)
 	}
 }
 
@@ -222,10 +222,10 @@
 }
 
 // imagesToTell lists what a machine has cached.
-func (m *machine) imagesToTell() []*meshpb.Image {
-	out := make([]*meshpb.Image, 0, len(m.images))
+func (m *machine) imagesToTell() []*meshpb.CachedImage {
+	out := make([]*meshpb.CachedImage, 0, len(m.images))
 	for i := range m.images {
-		out = append(out, &meshpb.Image{Name: m.images[i].name, Gb: m.images[i].gb})
+		out = append(out, &meshpb.CachedImage{Name: m.images[i].name, SizeGb: m.images[i].gb})
 	}
 	return out
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -14,7 +14,7 @@
 
 // leaderJob is a job as its owner describes it.
 type leaderJob struct {
-	spec      *meshpb.JobDemand
+	spec      *meshpb.JobSummary
 	id        string
 	ledger    *leaderLedger
 	team      *teamState
@@ -60,7 +60,7 @@
 	counted  bool // its unfinished jobs are known, from its owner or by reading
 	reads    int  // how often they were asked for
 	jobs     map[string]*leaderJob
-	arriving map[string]*meshpb.JobDemand
+	arriving map[string]*meshpb.JobSummary
 }
 
 // teamState is a team with what it uses: what its owners have located, what is
@@ -133,8 +133,8 @@
 		}
 		for i := range jobs {
 			s := &jobs[i].Job
-			l.putJob(g, &meshpb.JobDemand{Job: s.ID, Team: s.Team, Cpus: s.CPUs, Gpus: s.GPUs, MemoryGb: s.MemoryGB,
-				Priority: uint32(s.Priority), Class: s.Class, Located: uint32(s.Tasks), Spec: true})
+			l.putJob(g, &meshpb.JobSummary{Job: s.ID, Team: s.Team, Cpus: s.CPUs, Gpus: s.GPUs, MemoryGb: s.MemoryGB,
+				Priority: uint32(s.Priority), Class: s.Class, Assigned: uint32(s.Tasks), HasSpec: true})
 		}
 		g.counted = true
 		l.c.log.Info().Str("ledger", g.name).Int("jobs", len(jobs)).Uint64("revision", revision).Int("reads", g.reads).
@@ -142,11 +142,11 @@
 	})
 }
 
-func (l *leader) putJob(g *leaderLedger, d *meshpb.JobDemand) {
+func (l *leader) putJob(g *leaderLedger, d *meshpb.JobSummary) {
 	j := l.jobs[d.Job]
 	if j == nil {
-		if !d.Spec || d.Closed {
-			if d.Closed {
+		if !d.HasSpec || d.Ended {
+			if d.Ended {
 				l.jobs[d.Job] = &leaderJob{id: d.Job, ledger: g, closed: true, closedAt: l.c.now(), team: l.teams[d.Team]}
 			}
 			return
@@ -155,12 +155,12 @@
 		l.jobs[d.Job] = j
 	}
 	j.ledger = g
-	if j.omitted && d.Spec && !d.Closed {
+	if j.omitted && d.HasSpec && !d.Ended {
 		// It was being created: this leader had read its record already when the
 		// owner, which had no answer yet, joined. Closed for good it never ran.
 		j.closed, j.omitted = false, false
 	}
-	if d.Spec && !j.closed {
+	if d.HasSpec && !j.closed {
 		told := j.spec != nil && j.spec.SubmittedMs > 0
 		l.describe(j, d)
 		if !told && d.SubmittedMs > 0 {
@@ -172,13 +172,13 @@
 	}
 	g.jobs[d.Job] = j
 	l.setNumbers(j, d)
-	if d.Closed {
+	if d.Ended {
 		l.closeJob(j)
 	}
 }
 
 // describe takes a job's description.
-func (l *leader) describe(j *leaderJob, d *meshpb.JobDemand) {
+func (l *leader) describe(j *leaderJob, d *meshpb.JobSummary) {
 	used := j.used
 	if j.spec != nil && j.team != nil { // what is counted for it was of the old size
 		j.team.cpus -= float64(used) * j.spec.Cpus
@@ -193,11 +193,11 @@
 
 // setNumbers takes what the owner says of a job: how many tasks wait, and how
 // many may be on machines.
-func (l *leader) setNumbers(j *leaderJob, d *meshpb.JobDemand) {
-	if int(d.Waiting) > j.waiting {
+func (l *leader) setNumbers(j *leaderJob, d *meshpb.JobSummary) {
+	if int(d.Pending) > j.waiting {
 		l.demand.stale = true
 	}
-	j.waiting, j.located, j.ending = int(d.Waiting), int(d.Located), d.Ending
+	j.waiting, j.located, j.ending = int(d.Pending), int(d.Assigned), d.Cancelling
 	j.begun = j.begun || j.located > 0
 	l.recount(j)
 }
@@ -210,19 +210,19 @@
 }
 
 // onJoin takes up an owner's ledger with all its unfinished jobs.
-func (l *leader) onJoin(p *peer, f *meshpb.Join) {
-	if f.Token != l.token {
+func (l *leader) onJoin(p *peer, f *meshpb.RegisterShard) {
+	if f.FencingToken != l.token {
 		return
 	}
-	g := l.ledgers[f.Ledger]
+	g := l.ledgers[f.Shard]
 	if g == nil {
-		g = l.addLedger(f.Ledger)
+		g = l.addLedger(f.Shard)
 	}
-	if f.Stamp < g.stamp {
+	if f.Version < g.stamp {
 		return
 	}
 	if g.arriving == nil {
-		g.arriving = make(map[string]*meshpb.JobDemand)
+		g.arriving = make(map[string]*meshpb.JobSummary)
 	}
 	for _, d := range f.Jobs {
 		g.arriving[d.Job] = d
@@ -239,21 +239,21 @@
 		}
 	}
 	l.setHolder(g, p)
-	g.stamp, g.joinedAt, g.settled, g.clean, g.counted = f.Stamp, now, false, false, true
+	g.stamp, g.joinedAt, g.settled, g.clean, g.counted = f.Version, now, false, false, true
 	for _, d := range g.arriving {
 		l.putJob(g, d)
 	}
 	g.arriving = nil
 	l.demand.stale = true
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_Joined{Joined: &meshpb.Joined{
-		Ledger: f.Ledger, Token: l.token, ClockUs: now.Microseconds(), Number: g.number}}})
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
+		Shard: f.Shard, FencingToken: l.token, ClockUs: now.Microseconds(), ShardNumber: g.number}}})
 	machines, unknown := l.tellAll(p)
 	l.c.log.Info().Str("ledger", g.name).Str("owner", p.member).Uint64("stamp", g.stamp).Int("jobs", len(g.jobs)).
 		Int("machines_told", machines).Int("unknown_tasks", unknown).Bool("jobs_read", read).Int("reads", g.reads).Msg("ledger joined")
 }
 
-func (l *leader) onDemand(p *peer, f *meshpb.Demand) {
-	g := l.ledgers[f.Ledger]
+func (l *leader) onDemand(p *peer, f *meshpb.JobSummaries) {
+	g := l.ledgers[f.Shard]
 	if g == nil || g.from != p {
 		return
 	}
@@ -299,7 +299,7 @@
 }
 
 // allows tells whether a job may run on a machine.
-func allows(s *meshpb.JobDemand, v variant) bool {
+func allows(s *meshpb.JobSummary, v variant) bool {
 	if (v.spot && !s.Spot) || (s.Zone != "" && s.Zone != v.zone) {
 		return false
 	}
@@ -353,7 +353,7 @@
 )
 
 // runTime is the expected run time of a task, by what tasks of its class took.
-func (l *leader) runTime(s *meshpb.JobDemand) time.Duration {
+func (l *leader) runTime(s *meshpb.JobSummary) time.Duration {
 	if s.Service {
 		return noEnd
 	}
@@ -371,7 +371,7 @@
 
 // usualTime is how long a task of a class runs on average, or what is expected
 // of the given job while that is not known.
-func (l *leader) usualTime(s *meshpb.JobDemand) time.Duration {
+func (l *leader) usualTime(s *meshpb.JobSummary) time.Duration {
 	if s.Service {
 		return noEnd
 	}
@@ -381,7 +381,7 @@
 	return l.runTime(s)
 }
 
-func (l *leader) learn(s *meshpb.JobDemand, took time.Duration) {
+func (l *leader) learn(s *meshpb.JobSummary, took time.Duration) {
 	if s.EstimateS <= 0 || took <= 0 {
 		return
 	}
--- a/internal/coordination/lease_extension.go
+++ b/internal/coordination/lease_extension.go
@@ -86,7 +86,7 @@
 	}
 	s.handoverAt = now + handoverEvery
 	for _, p := range s.c.peers {
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Ledger: s.c.cfg.Member}}})
+		p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Shard: s.c.cfg.Member}}})
 		p.askUptime(now)
 		p.yieldsWith = p.asked
 	}
@@ -124,10 +124,10 @@
 	delete(p.rounds, p.round-maxExtensionRounds)
 	f := &meshpb.LeaseExtensionRequest{Round: p.round}
 	for name, l := range s.c.owner.ledgers {
-		f.Keys = append(f.Keys, &meshpb.HeldKey{Key: storage.LedgerKey(name), Stamp: l.records.Stamp()})
+		f.Keys = append(f.Keys, &meshpb.HeldKey{Key: storage.LedgerKey(name), Version: l.records.Stamp()})
 	}
 	if s.c.leader != nil {
-		f.Keys = append(f.Keys, &meshpb.HeldKey{Key: storage.LeaderKey, Stamp: s.c.leader.token})
+		f.Keys = append(f.Keys, &meshpb.HeldKey{Key: storage.LeaderKey, Version: s.c.leader.token})
 	}
 	if len(f.Keys) == 0 {
 		return
@@ -143,7 +143,7 @@
 	granted := s.viewOK && s.self != 0 && len(f.Keys) > 0
 	for _, k := range f.Keys {
 		if k.Key == storage.LeaderKey && granted {
-			s.leads(from, k.Stamp)
+			s.leads(from, k.Version)
 		}
 		held := &s.leaderK
 		name := storage.LeaderKey
@@ -154,7 +154,7 @@
 		switch {
 		case held == nil || s.claiming[name]:
 			granted = false
-		case k.Stamp > held.stamp:
+		case k.Version > held.stamp:
 			// The asker took the key after what this member last saw of it, which
 			// may be long ago if the state service refuses it. It knows of no
 			// newer claim, and whoever made one refuses by himself.
--- a/internal/coordination/lingering.go
+++ b/internal/coordination/lingering.go
@@ -112,21 +112,21 @@
 }
 
 // reported judges by a machine's report what is left on it, see owner.reported.
-func (g *lingering) reported(m int32, r *meshpb.Report) {
+func (g *lingering) reported(m int32, r *meshpb.MachineStatus) {
 	if !g.on(m) {
 		return
 	}
 	live := make(map[taskKey]bool, len(r.Tasks))
 	for _, s := range r.Tasks {
 		if protocol.TaskState(s.State) != protocol.TaskExited {
-			live[taskKey{s.Job, s.Task, s.Attempt}] = true
+			live[taskKey{s.Job, s.Task, s.Replica}] = true
 		}
 	}
 	g.release(m, func(k *lingeringCopy) bool {
 		switch {
-		case r.Session > k.session:
+		case r.Epoch > k.session:
 			return true
-		case !r.Current || !k.attached || r.Session < k.session:
+		case !r.Current || !k.attached || r.Epoch < k.session:
 			return false
 		case live[taskKey{k.job, k.task, k.attempt}]:
 			k.inTransit = false
@@ -160,10 +160,10 @@
 }
 
 // unplaced releases a copy whose start was never sent.
-func (g *lingering) unplaced(p *meshpb.Pick) {
+func (g *lingering) unplaced(p *meshpb.Binding) {
 	for m := range g.copies {
 		g.release(m, func(k *lingeringCopy) bool {
-			return k.inTransit && k.job == p.Job && k.task == p.Task && k.attempt == p.Attempt
+			return k.inTransit && k.job == p.Job && k.task == p.Task && k.attempt == p.Replica
 		})
 	}
 }
--- a/internal/coordination/list_check_test.go
+++ b/internal/coordination/list_check_test.go
@@ -12,16 +12,16 @@
 // leaves out the tasks of jobs that the leader did not know when the machine
 // reported, and those of ledgers that the receiver has not joined for.
 func withoutUnknownTasks(l *leader, to string, f *meshpb.Frame) *meshpb.Frame {
-	if l == nil || f.GetReports() == nil {
+	if l == nil || f.GetMachineStatuses() == nil {
 		return f
 	}
 	f = proto.Clone(f).(*meshpb.Frame)
-	for _, r := range f.GetReports().Reports {
-		m := l.machines.at(r.Machine)
+	for _, r := range f.GetMachineStatuses().Statuses {
+		m := l.machines.at(r.MachineIndex)
 		if m == nil {
 			continue
 		}
-		var kept []*meshpb.TaskState
+		var kept []*meshpb.TaskStatus
 		for _, t := range r.Tasks {
 			if p := m.listed(t); p != nil && p.job != nil && p.job.ledger != nil && p.job.ledger.from == l.c.peers[to] {
 				kept = append(kept, t)
@@ -33,9 +33,9 @@
 }
 
 // listed finds a task in what a machine last listed.
-func (m *machine) listed(t *meshpb.TaskState) *placed {
+func (m *machine) listed(t *meshpb.TaskStatus) *placed {
 	for i := range m.tasks {
-		if p := &m.tasks[i]; p.key == (taskKey{t.Job, t.Task, t.Attempt}) {
+		if p := &m.tasks[i]; p.key == (taskKey{t.Job, t.Task, t.Replica}) {
 			return p
 		}
 	}
@@ -46,21 +46,21 @@
 // machine last listed of the jobs that the receiver owns, unless another member
 // has joined for them. The version before takes each list for that much.
 func (w *world) checkLists(l *leader, to *node, f *meshpb.Frame) {
-	if _, bench := w.t.(*testing.B); bench || l == nil || f.GetReports() == nil {
+	if _, bench := w.t.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
 	}
-	last := make(map[uint32]*meshpb.Report)
-	for _, r := range f.GetReports().Reports {
-		last[r.Machine] = r
+	last := make(map[uint32]*meshpb.MachineStatus)
+	for _, r := range f.GetMachineStatuses().Statuses {
+		last[r.MachineIndex] = r
 	}
 	for index, r := range last {
 		m := l.machines.at(index)
-		if m == nil || !r.Current || r.Same || r.Seq != m.seq {
+		if m == nil || !r.Current || r.Unchanged || r.Seq != m.seq {
 			continue
 		}
 		has := make(map[taskKey]bool, len(r.Tasks))
 		for _, t := range r.Tasks {
-			has[taskKey{t.Job, t.Task, t.Attempt}] = true
+			has[taskKey{t.Job, t.Task, t.Replica}] = true
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -57,7 +57,7 @@
 	sent         []placed // starts in the last answer, not yet listed
 	listing      bool     // its copies are counted as listed, see enlist
 	free         room     // what tasks and sent leave
-	orders       map[taskKey]*meshpb.Order
+	orders       map[taskKey]*meshpb.MachineCommand
 	idleSince    time.Duration
 	rentedAt     time.Duration // 0: not known
 	record       string        // state key that names it; without one it gets no starts
@@ -153,18 +153,18 @@
 // room is what a machine has free.
 type room struct{ cpus, gpus, memory float64 }
 
-func (r room) fits(s *meshpb.JobDemand) bool {
+func (r room) fits(s *meshpb.JobSummary) bool {
 	const slack = 1e-9
 	return s.Cpus <= r.cpus+slack && s.Gpus <= r.gpus+slack && s.MemoryGb <= r.memory+slack
 }
 
-func (r *room) take(s *meshpb.JobDemand) {
+func (r *room) take(s *meshpb.JobSummary) {
 	r.cpus -= s.Cpus
 	r.gpus -= s.Gpus
 	r.memory -= s.MemoryGb
 }
 
-func (r *room) give(s *meshpb.JobDemand) {
+func (r *room) give(s *meshpb.JobSummary) {
 	r.cpus += s.Cpus
 	r.gpus += s.Gpus
 	r.memory += s.MemoryGb
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -329,19 +329,19 @@
 func (o *owner) admissible(j *ownedJob) int { return min(j.startable(), o.c.admission.fits(j)) }
 
 // demandOf is what the leader has to know of a job.
-func (o *owner) demandOf(j *ownedJob, spec bool) *meshpb.JobDemand {
+func (o *owner) demandOf(j *ownedJob, spec bool) *meshpb.JobSummary {
 	j.told = o.admissible(j)
-	d := &meshpb.JobDemand{Job: j.id, Waiting: uint32(j.told), Located: uint32(j.nLoc), Closed: j.final,
-		Ending: j.ending == protocol.StatusWithdrawn}
+	d := &meshpb.JobSummary{Job: j.id, Pending: uint32(j.told), Assigned: uint32(j.nLoc), Ended: j.final,
+		Cancelling: j.ending == protocol.StatusWithdrawn}
 	if !spec {
 		return d
 	}
 	s := j.spec
-	d.Spec, d.Team, d.Priority, d.Class = true, s.Team, uint32(s.Priority), s.Class
+	d.HasSpec, d.Team, d.Priority, d.Class = true, s.Team, uint32(s.Priority), s.Class
 	d.Cpus, d.Gpus, d.MemoryGb = s.CPUs, s.GPUs, s.MemoryGB
 	d.Image, d.ImageGb, d.Types, d.AnyType = s.Image, s.ImageGB, s.Types, s.AnyType
-	d.Zone, d.Together, d.Apart, d.Spot = s.Zone, s.OneZone, s.Spread, s.Spot
-	d.EstimateS, d.SaveS, d.CheckpointS = s.EstimateS, s.SaveS, s.CheckpointS
+	d.Zone, d.SingleZone, d.SpreadZones, d.Spot = s.Zone, s.OneZone, s.Spread, s.Spot
+	d.EstimateS, d.CheckpointDurationS, d.CheckpointIntervalS = s.EstimateS, s.SaveS, s.CheckpointS
 	d.SubmittedMs, d.Tasks, d.Service = j.atMs, uint32(s.Tasks), s.Service
 	if s.HasDeadline {
 		d.DeadlineMs = j.atMs + int64(s.DeadlineS*1000)
@@ -354,7 +354,7 @@
 	if len(o.changed) == 0 {
 		return
 	}
-	by := make(map[*ownedLedger][]*meshpb.JobDemand)
+	by := make(map[*ownedLedger][]*meshpb.JobSummary)
 	for _, j := range o.changed {
 		j.dirty = false
 		if o.ledgers[j.ledger.name] != j.ledger {
@@ -372,7 +372,7 @@
 	for l, jobs := range by {
 		for len(jobs) > 0 {
 			n := firstChunk(jobs)
-			o.c.subscription.from.send(&meshpb.Frame{Body: &meshpb.Frame_Demand{Demand: &meshpb.Demand{Ledger: l.name, Jobs: jobs[:n]}}})
+			o.c.subscription.from.send(&meshpb.Frame{Body: &meshpb.Frame_JobSummaries{JobSummaries: &meshpb.JobSummaries{Shard: l.name, Jobs: jobs[:n]}}})
 			jobs = jobs[n:]
 		}
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -105,7 +105,7 @@
 	}
 	for _, o := range a.open {
 		l.offers[o.id] = o
-		f := &meshpb.Offer{Id: o.id, Machine: m.index, Session: a.session, Seq: a.seq}
+		f := &meshpb.Offer{Id: o.id, MachineIndex: m.index, Epoch: a.session, Seq: a.seq}
 		for _, it := range o.items {
 			f.Items = append(f.Items, &meshpb.OfferItem{Job: it.job.id, Count: uint32(it.n)})
 		}
@@ -173,11 +173,11 @@
 }
 
 // onPicks takes an owner's answer to an offer.
-func (l *leader) onPicks(p *peer, f *meshpb.Picks) {
-	o := l.offers[f.Id]
+func (l *leader) onPicks(p *peer, f *meshpb.Bindings) {
+	o := l.offers[f.OfferId]
 	if o == nil || o.link != p.link {
 		// Too late: the answer has gone out without them.
-		l.unplace(p, f.Picks)
+		l.unplace(p, f.Bindings)
 		return
 	}
 	l.closeOffer(o)
@@ -187,7 +187,7 @@
 		}
 	}
 	a := o.ans
-	for _, k := range f.Picks {
+	for _, k := range f.Bindings {
 		j := l.jobs[k.Job]
 		if j == nil || j.ledger == nil || j.ledger.from != p {
 			continue // its owner was replaced, the new one knows nothing of it
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -158,7 +158,7 @@
 // made room as often as it has tasks, unless they save what they did: they would
 // give way for ever.
 func (l *leader) stoppable(m *machine, t *placed, now time.Duration) bool {
-	if t.stopped || !t.known() || t.job.closed || m.orders[t.key] != nil || t.owed || (t.job.stops >= int(t.job.spec.Tasks) && t.job.spec.CheckpointS <= 0) {
+	if t.stopped || !t.known() || t.job.closed || m.orders[t.key] != nil || t.owed || (t.job.stops >= int(t.job.spec.Tasks) && t.job.spec.CheckpointIntervalS <= 0) {
 		return false
 	}
 	return t.state == protocol.TaskFetching || (t.state == protocol.TaskRunning && !l.endsSoon(t, now))
@@ -175,20 +175,20 @@
 			}
 		}
 	}
-	if lost := now - t.since; t.job.spec.CheckpointS <= 0 {
+	if lost := now - t.since; t.job.spec.CheckpointIntervalS <= 0 {
 		return lost
 	} else {
-		return min(lost, seconds(t.job.spec.SaveS+1)) // it saves first
+		return min(lost, seconds(t.job.spec.CheckpointDurationS+1)) // it saves first
 	}
 }
 
 // stopTask orders a task to save if it can and to stop.
 func (l *leader) stopTask(m *machine, a *answer, t *placed) {
 	grace := 0.0
-	if t.job.spec.CheckpointS > 0 {
-		grace = t.job.spec.SaveS + saveSpare
+	if t.job.spec.CheckpointIntervalS > 0 {
+		grace = t.job.spec.CheckpointDurationS + saveSpare
 	}
-	l.order(m, &meshpb.Order{Machine: m.index, Job: t.key.job, Task: t.key.task, Attempt: t.key.attempt, GraceS: grace})
+	l.order(m, &meshpb.MachineCommand{MachineIndex: m.index, Job: t.key.job, Task: t.key.task, Replica: t.key.attempt, GraceS: grace})
 	a.commands = append(a.commands, protocol.Command{Op: protocol.VerbStop,
 		Task: protocol.TaskName(t.key.job, int(t.key.task)), Attempt: t.key.attempt, GraceS: &grace})
 }
--- a/internal/coordination/relay.go
+++ b/internal/coordination/relay.go
@@ -63,16 +63,16 @@
 	}
 	r.seq++
 	r.waiting[r.seq] = relayed{reply, to, r.c.now()}
-	to.checkins = append(to.checkins, &meshpb.Checkin{Id: r.seq, Conn: req.Conn, Body: req.Body})
+	to.checkins = append(to.checkins, &meshpb.ForwardedHeartbeat{Id: r.seq, ConnectionId: req.Conn, Body: req.Body})
 }
 
 // onCheckins decides, as the leader, on reports that a member passes on.
-func (c *Core) onCheckins(p *peer, f *meshpb.Checkins) {
+func (c *Core) onCheckins(p *peer, f *meshpb.ForwardedHeartbeats) {
 	link := p.link
-	for _, k := range f.Checkins {
-		c.decide(k.Body, p.connOf(k.Conn), func(r Response) {
+	for _, k := range f.Heartbeats {
+		c.decide(k.Body, p.connOf(k.ConnectionId), func(r Response) {
 			if p.link == link {
-				p.answers = append(p.answers, &meshpb.CheckinAnswer{Id: k.Id, Status: uint32(r.Status), Body: r.Body, RetryS: uint32(r.RetryAfterS)})
+				p.answers = append(p.answers, &meshpb.HeartbeatResponse{Id: k.Id, HttpStatus: uint32(r.Status), Body: r.Body, RetryAfterS: uint32(r.RetryAfterS)})
 			}
 		})
 	}
@@ -87,11 +87,11 @@
 	return uint64(p.index)<<56 | (p.ups&0xffff)<<40 | conn&(1<<40-1)
 }
 
-func (r *relay) onAnswers(p *peer, f *meshpb.CheckinAnswers) {
-	for _, a := range f.Answers {
+func (r *relay) onAnswers(p *peer, f *meshpb.HeartbeatResponses) {
+	for _, a := range f.Responses {
 		if w, ok := r.waiting[a.Id]; ok && w.to == p {
 			delete(r.waiting, a.Id)
-			w.reply(Response{Status: int(a.Status), Body: a.Body, RetryAfterS: int(a.RetryS), Until: w.at + relayTimeout})
+			w.reply(Response{Status: int(a.HttpStatus), Body: a.Body, RetryAfterS: int(a.RetryAfterS), Until: w.at + relayTimeout})
 		}
 	}
 }
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -225,9 +225,9 @@
 }
 
 // onOrders takes an owner's requests to stop or forget copies.
-func (l *leader) onOrders(p *peer, f *meshpb.Orders) {
-	for _, o := range f.Orders {
-		m, j := l.machines.at(o.Machine), l.jobs[o.Job]
+func (l *leader) onOrders(p *peer, f *meshpb.MachineCommands) {
+	for _, o := range f.Commands {
+		m, j := l.machines.at(o.MachineIndex), l.jobs[o.Job]
 		if m == nil || j == nil || j.ledger == nil || j.ledger.from != p {
 			continue
 		}
@@ -235,13 +235,13 @@
 	}
 }
 
-func (l *leader) order(m *machine, o *meshpb.Order) {
-	key := taskKey{o.Job, o.Task, o.Attempt}
+func (l *leader) order(m *machine, o *meshpb.MachineCommand) {
+	key := taskKey{o.Job, o.Task, o.Replica}
 	if !m.lists(key) {
 		return
 	}
 	if m.orders == nil {
-		m.orders = make(map[taskKey]*meshpb.Order)
+		m.orders = make(map[taskKey]*meshpb.MachineCommand)
 	}
 	m.orders[key] = o
 }
@@ -260,7 +260,7 @@
 	m.free = room{}
 	m.heard = l.c.now()
 	l.countUnaccounted(m, m.heard)
-	f := &meshpb.Frame{Body: &meshpb.Frame_Gone{Gone: &meshpb.Gone{Name: m.name}}}
+	f := &meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}}
 	for _, s := range l.listeners {
 		s.p.send(f)
 	}
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -273,8 +273,8 @@
 	if err := proto.Unmarshal(raw, &f); err != nil {
 		t.Fatal(err)
 	}
-	j := f.GetJoin().GetJobs()[0]
-	want(t, "read of a join", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetEnding(), j.GetService()), "wk-000003 700 true false")
+	j := f.GetRegisterShard().GetJobs()[0]
+	want(t, "read of a join", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(&f)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/coordination/settlement.go
+++ b/internal/coordination/settlement.go
@@ -31,7 +31,7 @@
 		if machines, all := l.accountForAll(g, now, span); all {
 			g.settled = true
 			l.logSettled(g, &machines, now)
-			g.from.send(&meshpb.Frame{Body: &meshpb.Frame_Settled{Settled: &meshpb.Settled{Ledger: g.name, Token: l.token}}})
+			g.from.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{Shard: g.name, FencingToken: l.token}}})
 		}
 	}
 }
@@ -105,7 +105,7 @@
 		}
 	}
 	g.clean = true
-	g.from.send(&meshpb.Frame{Body: &meshpb.Frame_Settled{Settled: &meshpb.Settled{Ledger: g.name, Token: l.token, Clean: true}}})
+	g.from.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{Shard: g.name, FencingToken: l.token, NoUnknownReplicas: true}}})
 }
 
 // holdsOver tells whether a list has live copies of unknown jobs, or of jobs of a
--- a/internal/coordination/sizing.go
+++ b/internal/coordination/sizing.go
@@ -21,7 +21,7 @@
 }
 
 // onlyType is the one type that a task fits on, or none if there are several.
-func (r *renting) onlyType(s *meshpb.JobDemand) string {
+func (r *renting) onlyType(s *meshpb.JobSummary) string {
 	only := ""
 	for name, t := range r.l.c.fleet.types {
 		if !capacityOf(t).fits(s) || !(s.AnyType || allows(s, variant{name, s.Zone, s.Spot})) {
@@ -358,7 +358,7 @@
 }
 
 // partOf is the part of a machine that a task takes.
-func partOf(t *protocol.MachineType, s *meshpb.JobDemand) float64 {
+func partOf(t *protocol.MachineType, s *meshpb.JobSummary) float64 {
 	part := math.Max(s.Cpus/math.Max(t.CPUs, 1e-9), s.MemoryGb/math.Max(t.MemoryGB, 1e-9))
 	if t.GPUs > 0 {
 		part = math.Max(part, s.Gpus/t.GPUs)
--- a/internal/coordination/standby.go
+++ b/internal/coordination/standby.go
@@ -47,7 +47,7 @@
 
 // serviceLoad is what came of a kind lately.
 type serviceLoad struct {
-	spec  *meshpb.JobDemand
+	spec  *meshpb.JobSummary
 	image *image // of the latest
 	at    []serviceArrival
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -20,7 +20,7 @@
 )
 
 // firstChunk is how many of the jobs go into one frame.
-func firstChunk(jobs []*meshpb.JobDemand) int {
+func firstChunk(jobs []*meshpb.JobSummary) int {
 	size := 0
 	for i, d := range jobs {
 		size += demandBytes + len(d.Job) + len(d.Team) + len(d.Class) + len(d.Image) + len(d.Zone)
@@ -41,10 +41,10 @@
 	c       *Core
 	from    *peer
 	token   uint64
-	names   []int32             // this process's index of a machine, by the leader's
-	heard   []subscribedMachine // by this process's index
-	start   map[string]int64    // per ledger, on the leader's clock
-	orders  []*meshpb.Order     // gathered for the leader
+	names   []int32                  // this process's index of a machine, by the leader's
+	heard   []subscribedMachine      // by this process's index
+	start   map[string]int64         // per ledger, on the leader's clock
+	orders  []*meshpb.MachineCommand // gathered for the leader
 	sweepAt time.Duration
 
 	lastStart int64 // the latest of start
@@ -59,7 +59,7 @@
 	at     int64 // on the leader's clock, of the last report on this stream
 	before int64 // the same, of the last one that came earlier than that
 	seen   time.Duration
-	images []*meshpb.Image
+	images []*meshpb.CachedImage
 }
 
 const nobody = int32(-1)
@@ -97,16 +97,16 @@
 }
 
 func (s *subscription) name(n *meshpb.MachineName) {
-	if n.Machine >= maxMachines {
+	if n.MachineIndex >= maxMachines {
 		return
 	}
-	for int(n.Machine) >= len(s.names) {
+	for int(n.MachineIndex) >= len(s.names) {
 		s.names = append(s.names, nobody)
 	}
 	m := s.c.owner.machines.index(n.Name)
-	s.names[n.Machine] = m
+	s.names[n.MachineIndex] = m
 	h := s.machine(m)
-	h.named, h.remote, h.zone = true, n.Machine, n.Zone
+	h.named, h.remote, h.zone = true, n.MachineIndex, n.Zone
 }
 
 func (s *subscription) zoneOf(m int32) string { return s.machine(m).zone }
@@ -123,7 +123,7 @@
 }
 
 // imagesOf is what the last leader knew to be cached on a machine.
-func (s *subscription) imagesOf(name string) []*meshpb.Image {
+func (s *subscription) imagesOf(name string) []*meshpb.CachedImage {
 	if i, ok := s.c.owner.machines.byName[name]; ok {
 		return s.machine(i).images
 	}
@@ -164,7 +164,7 @@
 func (s *subscription) joinLedger(l *ownedLedger) {
 	s.start[l.name] = -1 // asked for
 	l.number, l.settledUnchecked = 0, false
-	jobs := make([]*meshpb.JobDemand, 0, len(l.jobs))
+	jobs := make([]*meshpb.JobSummary, 0, len(l.jobs))
 	for _, j := range l.jobs {
 		jobs = append(jobs, s.c.owner.demandOf(j, true))
 		j.fresh = false
@@ -172,8 +172,8 @@
 	l.joined = true
 	for {
 		n := firstChunk(jobs)
-		s.from.send(&meshpb.Frame{Body: &meshpb.Frame_Join{Join: &meshpb.Join{
-			Ledger: l.name, Stamp: l.records.Stamp(), Token: s.token, Jobs: jobs[:n], More: n < len(jobs)}}})
+		s.from.send(&meshpb.Frame{Body: &meshpb.Frame_RegisterShard{RegisterShard: &meshpb.RegisterShard{
+			Shard: l.name, Version: l.records.Stamp(), FencingToken: s.token, Jobs: jobs[:n], More: n < len(jobs)}}})
 		jobs = jobs[n:]
 		if len(jobs) == 0 {
 			return
@@ -181,19 +181,19 @@
 	}
 }
 
-func (s *subscription) onJoined(p *peer, j *meshpb.Joined) {
-	if p != s.from || j.Token != s.token || s.start[j.Ledger] == 0 {
+func (s *subscription) onJoined(p *peer, j *meshpb.ShardRegistered) {
+	if p != s.from || j.FencingToken != s.token || s.start[j.Shard] == 0 {
 		return
 	}
-	s.start[j.Ledger] = j.ClockUs
+	s.start[j.Shard] = j.ClockUs
 	s.lastStart = max(s.lastStart, j.ClockUs)
-	if l := s.c.owner.ledgers[j.Ledger]; l != nil {
-		l.number = j.Number
+	if l := s.c.owner.ledgers[j.Shard]; l != nil {
+		l.number = j.ShardNumber
 	}
 }
 
 // onReports takes what the leader passes on of machines.
-func (s *subscription) onReports(p *peer, f *meshpb.Reports) {
+func (s *subscription) onReports(p *peer, f *meshpb.MachineStatuses) {
 	if p != s.from {
 		return
 	}
@@ -201,8 +201,8 @@
 		s.name(n)
 	}
 	now := s.c.now()
-	for _, r := range f.Reports {
-		m := s.local(r.Machine)
+	for _, r := range f.Statuses {
+		m := s.local(r.MachineIndex)
 		if m == nobody {
 			continue
 		}
@@ -211,7 +211,7 @@
 			h.at, h.before = f.ClockUs, h.at
 		}
 		h.seen = now
-		if r.Cached {
+		if r.ImagesIncluded {
 			h.images = r.Images
 		}
 		s.c.owner.reported(m, r)
@@ -221,14 +221,14 @@
 // order asks the leader to stop or forget a copy.
 func (s *subscription) order(m int32, job string, task uint32, attempt uint64, reap bool) {
 	if h := s.machine(m); s.from != nil && h.named {
-		s.orders = append(s.orders, &meshpb.Order{Machine: h.remote, Job: job, Task: task, Attempt: attempt, Reap: reap})
+		s.orders = append(s.orders, &meshpb.MachineCommand{MachineIndex: h.remote, Job: job, Task: task, Replica: attempt, Reap: reap})
 	}
 }
 
 // flushOrders sends what has gathered.
 func (s *subscription) flushOrders() {
 	for rest := s.orders; len(rest) > 0 && s.from != nil; rest = rest[min(len(rest), orderChunk):] {
-		s.from.send(&meshpb.Frame{Body: &meshpb.Frame_Orders{Orders: &meshpb.Orders{Orders: rest[:min(len(rest), orderChunk)]}}})
+		s.from.send(&meshpb.Frame{Body: &meshpb.Frame_MachineCommands{MachineCommands: &meshpb.MachineCommands{Commands: rest[:min(len(rest), orderChunk)]}}})
 	}
 	s.orders = nil
 }
@@ -236,8 +236,8 @@
 // onHeartbeat judges losses: a heartbeat tells that every report which the leader
 // answered before it has been passed on already. A machine whose last report
 // on this stream lies more than a lease before it has lost its lease.
-func (s *subscription) onHeartbeat(p *peer, b *meshpb.Heartbeat) {
-	if p != s.from || b.Token != s.token {
+func (s *subscription) onHeartbeat(p *peer, b *meshpb.PeerHeartbeat) {
+	if p != s.from || b.FencingToken != s.token {
 		return
 	}
 	for _, l := range s.c.owner.ledgers {
@@ -293,7 +293,7 @@
 	}
 }
 
-func (s *subscription) onGone(p *peer, g *meshpb.Gone) {
+func (s *subscription) onGone(p *peer, g *meshpb.MachineTerminated) {
 	if p != s.from {
 		return
 	}
@@ -309,24 +309,24 @@
 	s.c.owner.machines.release(g.Name)
 }
 
-func (s *subscription) onSettled(p *peer, st *meshpb.Settled) {
-	if p != s.from || st.Token != s.token || s.start[st.Ledger] <= 0 {
+func (s *subscription) onSettled(p *peer, st *meshpb.Reconciled) {
+	if p != s.from || st.FencingToken != s.token || s.start[st.Shard] <= 0 {
 		return
 	}
-	if l := s.c.owner.ledgers[st.Ledger]; l != nil {
+	if l := s.c.owner.ledgers[st.Shard]; l != nil {
 		l.settledUnchecked = l.number == 0
 		if !l.settled && !l.settledUnchecked {
 			s.c.owner.settled(l)
 		}
-		if st.Clean {
+		if st.NoUnknownReplicas {
 			s.c.admission.complete(l)
 		}
 	}
 }
 
-func (s *subscription) onUnplaced(p *peer, u *meshpb.Unplaced) {
+func (s *subscription) onUnplaced(p *peer, u *meshpb.ReturnedBindings) {
 	if p == s.from {
-		s.c.owner.putBack(u.Picks)
+		s.c.owner.putBack(u.Bindings)
 	}
 }
 
@@ -337,18 +337,18 @@
 		return
 	}
 	c := s.c
-	picks := &meshpb.Picks{Id: f.Id}
-	m := s.local(f.Machine)
+	picks := &meshpb.Bindings{OfferId: f.Id}
+	m := s.local(f.MachineIndex)
 	may := m != nobody && c.session.mayAct(c.now())
 	for _, it := range f.Items {
 		j := c.owner.jobs[it.Job]
 		if j == nil || !may {
 			continue
 		}
-		picks.Picks = append(picks.Picks, c.owner.pick(j, int(it.Count), m, s.zoneOf(m), f.Session, f.Seq)...)
+		picks.Bindings = append(picks.Bindings, c.owner.pick(j, int(it.Count), m, s.zoneOf(m), f.Epoch, f.Seq)...)
 		picks.Jobs = append(picks.Jobs, c.owner.demandOf(j, false))
 	}
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_Picks{Picks: picks}})
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_Bindings{Bindings: picks}})
 }
 
 // silenceAfter is how long a machine may say nothing before it gets no more
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -173,8 +173,8 @@
 // tells what is on it, as it was sent by a worker that follows the present leader;
 // what its absence proves is told by absence. One of a later session, however old,
 // proves that all that the machine held before is gone.
-func (o *owner) reported(m int32, r *meshpb.Report) {
-	whole := r.Current && !r.Same
+func (o *owner) reported(m int32, r *meshpb.MachineStatus) {
+	whole := r.Current && !r.Unchanged
 	var listed map[taskRef]bool
 	if whole && len(r.Tasks) > 0 {
 		listed = make(map[taskRef]bool, len(r.Tasks))
@@ -183,14 +183,14 @@
 			if _, over := o.c.users.finals[s.Job]; j == nil && over {
 				// The leader should know that the job is over; in case it does
 				// not, what is left of it must still go (ran_cancelled).
-				o.c.subscription.order(m, s.Job, s.Task, s.Attempt, protocol.TaskState(s.State) == protocol.TaskExited)
+				o.c.subscription.order(m, s.Job, s.Task, s.Replica, protocol.TaskState(s.State) == protocol.TaskExited)
 			}
 			if j == nil || int(s.Task) >= len(j.tasks) {
 				continue
 			}
 			i := int32(s.Task)
-			o.listed(&listing{task: taskRef{j, i}, machine: m, session: r.Session, state: s})
-			if s.Attempt == j.tasks[i].attempt {
+			o.listed(&listing{task: taskRef{j, i}, machine: m, session: r.Epoch, state: s})
+			if s.Replica == j.tasks[i].attempt {
 				listed[taskRef{j, i}] = true
 			}
 		}
@@ -199,7 +199,7 @@
 	refs := o.held[m]
 	for k := len(refs) - 1; k >= 0; k-- {
 		ref := refs[k]
-		if r.Session <= ref.job.tasks[ref.task].session && listed[ref] {
+		if r.Epoch <= ref.job.tasks[ref.task].session && listed[ref] {
 			continue
 		}
 		if gone, why := o.judge(m, r, ref); gone {
@@ -213,16 +213,16 @@
 	task    taskRef
 	machine int32
 	session uint64
-	state   *meshpb.TaskState
+	state   *meshpb.TaskStatus
 }
 
 func (s *listing) exited() bool { return protocol.TaskState(s.state.State) == protocol.TaskExited }
 
-func (s *listing) why() protocol.Why { return protocol.Why(s.state.Why) }
+func (s *listing) why() protocol.Why { return protocol.Why(s.state.ExitReason) }
 
 // clear has the machine stop or forget the copy that it lists.
 func (o *owner) clear(s *listing) {
-	o.c.subscription.order(s.machine, s.task.job.id, s.state.Task, s.state.Attempt, s.exited())
+	o.c.subscription.order(s.machine, s.task.job.id, s.state.Task, s.state.Replica, s.exited())
 }
 
 // listed takes one listed task.
@@ -247,7 +247,7 @@
 // start never arrived, and the copy's use given to others while it still runs.
 func (o *owner) arrived(s *listing) {
 	t := &s.task.job.tasks[s.task.task]
-	if t.place == inTransit && t.machine == s.machine && t.attempt == s.state.Attempt && !s.exited() {
+	if t.place == inTransit && t.machine == s.machine && t.attempt == s.state.Replica && !s.exited() {
 		t.place, t.session = onMachine, s.session
 	}
 }
@@ -256,7 +256,7 @@
 // that counts.
 func (o *owner) acknowledge(s *listing) bool {
 	j, i := s.task.job, s.task.task
-	t, attempt := &j.tasks[i], s.state.Attempt
+	t, attempt := &j.tasks[i], s.state.Replica
 	switch t.place {
 	case written, waiting, cooling:
 		// Its result is written, or every copy was proven gone and this is a late
@@ -386,8 +386,8 @@
 }
 
 // pick chooses up to n waiting tasks of a job for a machine.
-func (o *owner) pick(j *ownedJob, n int, m int32, zone string, session, seq uint64) []*meshpb.Pick {
-	var picks []*meshpb.Pick
+func (o *owner) pick(j *ownedJob, n int, m int32, zone string, session, seq uint64) []*meshpb.Binding {
+	var picks []*meshpb.Binding
 	if !j.ledger.joined {
 		return nil
 	}
@@ -406,7 +406,7 @@
 		j.ledger.lastAttempt++
 		t.attempt, t.session, t.seq = j.ledger.lastAttempt, session, seq
 		o.locate(j, i, m, inTransit)
-		picks = append(picks, &meshpb.Pick{Job: j.id, Task: uint32(i), Attempt: t.attempt})
+		picks = append(picks, &meshpb.Binding{Job: j.id, Task: uint32(i), Replica: t.attempt})
 	}
 	return picks
 }
@@ -431,14 +431,14 @@
 }
 
 // putBack returns picks that were never sent.
-func (o *owner) putBack(picks []*meshpb.Pick) {
+func (o *owner) putBack(picks []*meshpb.Binding) {
 	for _, p := range picks {
 		j := o.jobs[p.Job]
 		if j == nil || int(p.Task) >= len(j.tasks) {
 			o.c.admission.lingering.unplaced(p)
 			continue
 		}
-		if t := &j.tasks[p.Task]; t.place == inTransit && t.attempt == p.Attempt {
+		if t := &j.tasks[p.Task]; t.place == inTransit && t.attempt == p.Replica {
 			o.lost(j, int32(p.Task), lossNotSent)
 		}
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -43,7 +43,7 @@
 type ask struct {
 	to   *peer
 	at   time.Duration
-	done func(a *meshpb.Answer)
+	done func(a *meshpb.JobQueryResult)
 }
 
 type timer struct {
@@ -239,15 +239,15 @@
 // ask answers with what a job's owner says, or calls silent.
 func (u *users) ask(id string, code int, ledger string, reply func(Response), silent func()) {
 	asked := u.c.now()
-	u.askOwner(id, ledger, false, func(a *meshpb.Answer) {
-		if a == nil || a.Status != 200 {
+	u.askOwner(id, ledger, false, func(a *meshpb.JobQueryResult) {
+		if a == nil || a.HttpStatus != 200 {
 			silent()
 			return
 		}
-		if a.State == protocol.StatusDone || a.State == protocol.StatusWithdrawn {
-			u.remember(id, a.State, int(a.Done))
+		if a.JobStatus == protocol.StatusDone || a.JobStatus == protocol.StatusWithdrawn {
+			u.remember(id, a.JobStatus, int(a.Done))
 		}
-		r := u.c.status(code, id, a.State, int(a.Done), int(a.Running))
+		r := u.c.status(code, id, a.JobStatus, int(a.Done), int(a.Running))
 		r.Until = asked + statusTimeout // what another member has said is older by then
 		reply(r)
 	})
@@ -306,13 +306,13 @@
 				u.withdraw(j, reply)
 				return
 			}
-			u.askOwner(id, rec.Ledger, true, func(a *meshpb.Answer) {
-				if a == nil || a.Status != 200 || (a.State != protocol.StatusDone && a.State != protocol.StatusWithdrawn) {
+			u.askOwner(id, rec.Ledger, true, func(a *meshpb.JobQueryResult) {
+				if a == nil || a.HttpStatus != 200 || (a.JobStatus != protocol.StatusDone && a.JobStatus != protocol.StatusWithdrawn) {
 					reply(c.refusal(503, "the job's owner does not answer", 1))
 					return
 				}
-				u.remember(id, a.State, rec.Tasks)
-				reply(c.status(200, id, a.State, int(a.Done), 0))
+				u.remember(id, a.JobStatus, rec.Tasks)
+				reply(c.status(200, id, a.JobStatus, int(a.Done), 0))
 			})
 		}
 	})
@@ -330,7 +330,7 @@
 
 // askOwner asks the member that holds a ledger; done gets nil if it does not
 // answer.
-func (u *users) askOwner(id, ledger string, abort bool, done func(*meshpb.Answer)) {
+func (u *users) askOwner(id, ledger string, abort bool, done func(*meshpb.JobQueryResult)) {
 	k := u.c.session.ledgers[ledger]
 	var p *peer
 	if k != nil && k.present {
@@ -342,16 +342,16 @@
 	}
 	u.askSeq++
 	u.asks[u.askSeq] = &ask{to: p, at: u.c.now(), done: done}
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_Ask{Ask: &meshpb.Ask{Id: u.askSeq, Job: id, Abort: abort}}})
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: &meshpb.JobQuery{Id: u.askSeq, Job: id, Cancel: abort}}})
 }
 
 // onAsk answers another member from what this one owns.
-func (u *users) onAsk(p *peer, f *meshpb.Ask) {
+func (u *users) onAsk(p *peer, f *meshpb.JobQuery) {
 	link := p.link
-	answer := func(a *meshpb.Answer) {
+	answer := func(a *meshpb.JobQueryResult) {
 		if p.link == link { // on another stream the number may be another question's
 			a.Id = f.Id
-			p.send(&meshpb.Frame{Body: &meshpb.Frame_Answer{Answer: a}})
+			p.send(&meshpb.Frame{Body: &meshpb.Frame_JobQueryResult{JobQueryResult: a}})
 		}
 	}
 	if e, ok := u.finals[f.Job]; ok {
@@ -359,32 +359,32 @@
 		if e.status == protocol.StatusDone {
 			done = e.tasks
 		}
-		answer(&meshpb.Answer{Status: 200, State: e.status, Done: uint32(done)})
+		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: e.status, Done: uint32(done)})
 		return
 	}
 	j := u.c.owner.jobs[f.Job]
 	if j == nil || !u.c.session.mayAct(u.c.now()) {
-		answer(&meshpb.Answer{Status: 503})
+		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
 	}
-	if !f.Abort && j.ending != "" {
-		answer(&meshpb.Answer{Status: 503})
+	if !f.Cancel && j.ending != "" {
+		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
 	}
-	if !f.Abort {
-		answer(&meshpb.Answer{Status: 200, State: j.wireStatus(), Done: uint32(j.nDone), Running: uint32(j.nRun)})
+	if !f.Cancel {
+		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: j.wireStatus(), Done: uint32(j.nDone), Running: uint32(j.nRun)})
 		return
 	}
 	u.c.owner.withdraw(j, func(status string) {
 		if status == "" {
-			answer(&meshpb.Answer{Status: 503})
+			answer(&meshpb.JobQueryResult{HttpStatus: 503})
 			return
 		}
-		answer(&meshpb.Answer{Status: 200, State: status, Done: uint32(j.nDone)})
+		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: status, Done: uint32(j.nDone)})
 	})
 }
 
-func (u *users) onAnswer(p *peer, f *meshpb.Answer) {
+func (u *users) onAnswer(p *peer, f *meshpb.JobQueryResult) {
 	if a := u.asks[f.Id]; a != nil && a.to == p {
 		delete(u.asks, f.Id)
 		a.done(f)
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -206,15 +206,15 @@
 	a, b := start("a", addrA, "b", addrB), start("b", addrB, "a", addrA)
 	la, lb := <-a.up, <-b.up
 	for i := range 500 {
-		la.Send(&meshpb.Frame{Body: &meshpb.Frame_Ask{Ask: &meshpb.Ask{Id: uint64(i), Job: strings.Repeat("j", i)}}})
+		la.Send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: &meshpb.JobQuery{Id: uint64(i), Job: strings.Repeat("j", i)}}})
 		if i%7 == 0 {
 			la.Flush()
 		}
 	}
 	la.Flush()
 	for i := range 500 {
-		if f := <-b.frames; f.GetAsk().GetId() != uint64(i) {
-			t.Fatalf("frame %d came as number %d", f.GetAsk().GetId(), i)
+		if f := <-b.frames; f.GetJobQuery().GetId() != uint64(i) {
+			t.Fatalf("frame %d came as number %d", f.GetJobQuery().GetId(), i)
 		}
 	}
 	lb.Close()
@@ -222,9 +222,9 @@
 		t.Fatal("another link went down")
 	}
 	la2, lb2 := <-a.up, <-b.up
-	lb2.Send(&meshpb.Frame{Body: &meshpb.Frame_Gone{Gone: &meshpb.Gone{Name: "m"}}})
+	lb2.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: "m"}}})
 	lb2.Flush()
-	if f := <-a.frames; f.GetGone().GetName() != "m" || la2 == la {
+	if f := <-a.frames; f.GetMachineTerminated().GetName() != "m" || la2 == la {
 		t.Fatal("the new link does not carry frames")
 	}
 }
