--- a/internal/storage/shard_test.go
+++ b/internal/storage/shard_test.go
@@ -50,24 +50,24 @@
 	}
 	if key, ok := strings.CutPrefix(path, "/kv/"); ok {
 		if v := s.keys[key]; v != nil {
-			done(Response{Status: 200, Body: s.codec.Encode(protocol.Pair{Key: key, Value: v, Stamp: s.versions[key]})})
+			done(Response{Status: 200, Body: s.codec.Encode(protocol.KeyValue{Key: key, Value: v, Version: s.versions[key]})})
 			return
 		}
-		done(Response{Status: 404, Body: s.codec.Encode(protocol.TxnAnswer{Revision: s.revision})})
+		done(Response{Status: 404, Body: s.codec.Encode(protocol.TransactionResponse{Revision: s.revision})})
 		return
 	}
 	if path != "/multi" {
-		out := protocol.Pairs{Items: []protocol.Pair{}}
+		out := protocol.KeyValuePage{Items: []protocol.KeyValue{}}
 		under, _, _ := strings.Cut(strings.TrimPrefix(path, "/kv?under="), "&")
 		for k, v := range s.keys {
 			if strings.HasPrefix(k, under) {
-				out.Items = append(out.Items, protocol.Pair{Key: k, Value: v})
+				out.Items = append(out.Items, protocol.KeyValue{Key: k, Value: v})
 			}
 		}
 		done(Response{Status: 200, Body: s.codec.Encode(out)})
 		return
 	}
-	var t protocol.Txn
+	var t protocol.Transaction
 	if err := s.codec.Decode(body, &t); err != nil {
 		s.t.Fatal(err)
 	}
@@ -78,16 +78,16 @@
 		return
 	}
 	if failed := s.apply(&t); len(failed) > 0 {
-		done(Response{Status: 409, Body: s.codec.Encode(protocol.TxnAnswer{Revision: s.revision, Failed: failed})})
+		done(Response{Status: 409, Body: s.codec.Encode(protocol.TransactionResponse{Revision: s.revision, Failed: failed})})
 		return
 	}
-	done(Response{Status: 200, Body: s.codec.Encode(protocol.TxnAnswer{Revision: s.revision})})
+	done(Response{Status: 200, Body: s.codec.Encode(protocol.TransactionResponse{Revision: s.revision})})
 }
 
 // apply carries a transaction out if its conditions are met.
-func (s *fakeStateService) apply(t *protocol.Txn) (failed []string) {
+func (s *fakeStateService) apply(t *protocol.Transaction) (failed []string) {
 	for _, c := range t.If {
-		if s.versions != nil && s.versions[c.Key] != c.Stamp {
+		if s.versions != nil && s.versions[c.Key] != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -190,7 +190,7 @@
 	_, store := newFakeStateService(t)
 	refused := 0
 	for range 2000 {
-		store.Txn(Foreground, protocol.Txn{Then: []protocol.Change{{Delete: "k"}}}, func(r TxnResult) {
+		store.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(r TxnResult) {
 			if r.Outcome == Refused {
 				refused++
 			}
@@ -274,7 +274,7 @@
 	s, store := newFakeStateService(t)
 	var got []string
 	put := func(class Class, key string, until time.Duration) {
-		store.txnWithDeadline(class, until, protocol.Txn{Then: []protocol.Change{{Delete: key}}}, func(r TxnResult) {
+		store.txnWithDeadline(class, until, protocol.Transaction{Then: []protocol.Change{{Delete: key}}}, func(r TxnResult) {
 			got = append(got, fmt.Sprint(key, r.Outcome == Applied))
 		})
 	}
@@ -285,7 +285,7 @@
 	put(Background, "later", 0)
 	put(Foreground, "stale", s.now+50*time.Millisecond)
 	put(Foreground, "user", 0)
-	store.Get(Read, "k", func(protocol.Pair, bool, bool) { got = append(got, "read") })
+	store.Get(Read, "k", func(protocol.KeyValue, bool, bool) { got = append(got, "read") })
 	for range 20 {
 		s.now += 100 * time.Millisecond
 		store.Poll()
@@ -316,7 +316,7 @@
 	write := func(n int) {
 		for range n {
 			s.now += time.Second
-			store.Txn(Foreground, protocol.Txn{Then: []protocol.Change{{Delete: "k"}}}, func(TxnResult) {})
+			store.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(TxnResult) {})
 		}
 	}
 	expect := func(when string, least, most time.Duration) {
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -325,12 +325,12 @@
 }
 
 // Txn sends a transaction.
-func (s *Store) Txn(class Class, t protocol.Txn, done func(TxnResult)) {
+func (s *Store) Txn(class Class, t protocol.Transaction, done func(TxnResult)) {
 	s.txnWithDeadline(class, 0, t, done)
 }
 
 // txnWithDeadline sends a transaction unless it still waits at the given time.
-func (s *Store) txnWithDeadline(class Class, deadline time.Duration, t protocol.Txn, done func(TxnResult)) {
+func (s *Store) txnWithDeadline(class Class, deadline time.Duration, t protocol.Transaction, done func(TxnResult)) {
 	if t.If == nil {
 		t.If = []protocol.Condition{}
 	}
@@ -348,7 +348,7 @@
 	case r.Status == 0:
 		return TxnResult{Outcome: Unknown}
 	}
-	var a protocol.TxnAnswer
+	var a protocol.TransactionResponse
 	if err := s.codec.Decode(r.Body, &a); err != nil && (r.Status == 200 || r.Status == 409) {
 		return TxnResult{Outcome: Unknown}
 	}
@@ -369,13 +369,13 @@
 }
 
 // Get reads one key. ok is false when the service gave no usable answer.
-func (s *Store) Get(class Class, key string, done func(p protocol.Pair, found, ok bool)) {
+func (s *Store) Get(class Class, key string, done func(p protocol.KeyValue, found, ok bool)) {
 	s.getWithDeadline(class, 0, key, done)
 }
 
-func (s *Store) getWithDeadline(class Class, deadline time.Duration, key string, done func(p protocol.Pair, found, ok bool)) {
+func (s *Store) getWithDeadline(class Class, deadline time.Duration, key string, done func(p protocol.KeyValue, found, ok bool)) {
 	s.enqueue(request{class: class, deadline: deadline, method: "GET", path: "/kv/" + key, done: func(r Response) {
-		var p protocol.Pair
+		var p protocol.KeyValue
 		switch {
 		case r.Status == 404:
 			done(p, false, true)
@@ -389,17 +389,17 @@
 
 // List reads all keys with a prefix, page by page. ok is false when a page
 // could not be had.
-func (s *Store) List(prefix string, done func(items []protocol.Pair, revision uint64, ok bool)) {
+func (s *Store) List(prefix string, done func(items []protocol.KeyValue, revision uint64, ok bool)) {
 	s.list(prefix, "", nil, 0, done)
 }
 
-func (s *Store) list(prefix, from string, got []protocol.Pair, rev uint64, done func([]protocol.Pair, uint64, bool)) {
+func (s *Store) list(prefix, from string, got []protocol.KeyValue, rev uint64, done func([]protocol.KeyValue, uint64, bool)) {
 	path := "/kv?under=" + prefix + "&limit=500"
 	if from != "" {
 		path += "&from=" + from
 	}
 	s.enqueue(request{class: Read, method: "GET", path: path, timeout: 3 * s.limits.Timeout, done: func(r Response) {
-		var page protocol.Pairs
+		var page protocol.KeyValuePage
 		if r.Status != 200 || s.codec.Decode(r.Body, &page) != nil {
 			done(nil, 0, false)
 			return
@@ -418,10 +418,10 @@
 
 // Watch waits for changes under a prefix. gone says that the revision is too
 // old and everything must be read again.
-func (s *Store) Watch(prefix string, from uint64, hold time.Duration, done func(ev protocol.Events, gone, ok bool)) {
+func (s *Store) Watch(prefix string, from uint64, hold time.Duration, done func(ev protocol.WatchResponse, gone, ok bool)) {
 	path := "/watch?under=" + prefix + "&from=" + strconv.FormatUint(from, 10) + "&holdMs=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	s.enqueue(request{class: Urgent, method: "GET", path: path, timeout: hold + 2*s.limits.Timeout, done: func(r Response) {
-		var ev protocol.Events
+		var ev protocol.WatchResponse
 		switch {
 		case r.Status == 410:
 			done(ev, true, false)
@@ -437,7 +437,7 @@
 func (s *Store) OpenLease(ttl time.Duration, done func(lease uint64)) {
 	s.enqueue(request{class: Urgent, method: "POST", path: "/leases", body: s.codec.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()}),
 		done: func(r Response) {
-			var a protocol.LeaseAnswer
+			var a protocol.LeaseResponse
 			if r.Status != 200 || s.codec.Decode(r.Body, &a) != nil {
 				done(0)
 				return
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,25 +36,25 @@
 	idle    []*httpConn
 	open    int
 	dialing int
-	queue   []*call
+	queue   []*pendingCall
 }
 
-type call struct {
+type pendingCall struct {
 	method, path string
 	body         []byte
 	done         func(HTTPResult)
-	until        time.Time
+	deadline     time.Time
 	timer        *time.Timer
 	conn         *httpConn
 	sent         bool
-	over         bool
+	finished     bool
 }
 
 type httpConn struct {
-	client *HTTPClient
-	c      gnet.Conn
-	cur    *call
-	dead   bool
+	client  *HTTPClient
+	conn    gnet.Conn
+	current *pendingCall
+	closed  bool
 }
 
 // NewHTTPClient prepares a client for one address.
@@ -64,31 +64,31 @@
 
 // Do sends one request; done is called once, on another goroutine.
 func (h *HTTPClient) Do(method, path string, body []byte, timeout time.Duration, done func(HTTPResult)) {
-	k := &call{method: method, path: path, body: body, done: done, until: time.Now().Add(timeout)}
+	call := &pendingCall{method: method, path: path, body: body, done: done, deadline: time.Now().Add(timeout)}
 	h.mu.Lock()
 	if len(h.queue) >= h.maxQueue {
 		h.mu.Unlock()
 		go done(HTTPResult{Err: fmt.Errorf("queue is full: %w", ErrNotSent)})
 		return
 	}
-	k.timer = time.AfterFunc(timeout, func() { h.expire(k) })
-	h.queue = append(h.queue, k)
-	h.pump()
+	call.timer = time.AfterFunc(timeout, func() { h.expire(call) })
+	h.queue = append(h.queue, call)
+	h.dispatch()
 	h.mu.Unlock()
 }
 
-// pump hands queued calls to idle connections and dials for the rest. A call
+// dispatch hands queued calls to idle connections and dials for the rest. A call
 // whose time is up is not sent any more: after a standstill of the process its
 // timer may be later than the connection that it has waited for. The lock is
 // held.
-func (h *HTTPClient) pump() {
-	if now := time.Now(); len(h.queue) > 0 && now.After(h.queue[0].until) {
+func (h *HTTPClient) dispatch() {
+	if now := time.Now(); len(h.queue) > 0 && now.After(h.queue[0].deadline) {
 		kept := h.queue[:0]
-		for _, k := range h.queue {
-			if now.After(k.until) {
-				go h.finish(k, HTTPResult{Err: fmt.Errorf("timed out: %w", ErrNotSent)})
+		for _, call := range h.queue {
+			if now.After(call.deadline) {
+				go h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", ErrNotSent)})
 			} else {
-				kept = append(kept, k)
+				kept = append(kept, call)
 			}
 		}
 		clear(h.queue[len(kept):])
@@ -97,17 +97,17 @@
 	for len(h.queue) > 0 && len(h.idle) > 0 {
 		hc := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if hc.dead {
+		if hc.closed {
 			continue
 		}
-		k := h.queue[0]
+		call := h.queue[0]
 		h.queue = h.queue[1:]
-		hc.cur, k.conn, k.sent = k, hc, true
-		out := appendRequest(make([]byte, 0, 160+len(k.body)), k.method, k.path, h.addr, k.body)
-		if err := hc.c.AsyncWrite(out, nil); err != nil {
-			hc.dead = true
+		hc.current, call.conn, call.sent = call, hc, true
+		out := appendRequest(make([]byte, 0, 160+len(call.body)), call.method, call.path, h.addr, call.body)
+		if err := hc.conn.AsyncWrite(out, nil); err != nil {
+			hc.closed = true
 			h.open--
-			go h.finish(k, HTTPResult{Err: fmt.Errorf("writing: %w", ErrNoAnswer)})
+			go h.finish(call, HTTPResult{Err: fmt.Errorf("writing: %w", ErrNoAnswer)})
 		}
 	}
 	for h.dialing < len(h.queue) && h.open+h.dialing < h.maxConns {
@@ -124,56 +124,56 @@
 	h.dialing--
 	if err != nil {
 		if len(h.queue) > 0 && h.open == 0 && h.dialing == 0 {
-			for _, k := range h.queue {
-				go h.finish(k, HTTPResult{Err: fmt.Errorf("%w: %w", err, ErrNotSent)})
+			for _, call := range h.queue {
+				go h.finish(call, HTTPResult{Err: fmt.Errorf("%w: %w", err, ErrNotSent)})
 			}
 			h.queue = nil
 		}
 		return
 	}
-	hc.c = c
-	if hc.dead {
+	hc.conn = c
+	if hc.closed {
 		return
 	}
 	h.open++
 	h.idle = append(h.idle, hc)
-	h.pump()
+	h.dispatch()
 }
 
-func (h *HTTPClient) finish(k *call, r HTTPResult) {
+func (h *HTTPClient) finish(call *pendingCall, r HTTPResult) {
 	h.mu.Lock()
-	if k.over {
+	if call.finished {
 		h.mu.Unlock()
 		return
 	}
-	k.over = true
-	k.timer.Stop()
+	call.finished = true
+	call.timer.Stop()
 	h.mu.Unlock()
-	k.done(r)
+	call.done(r)
 }
 
-func (h *HTTPClient) expire(k *call) {
+func (h *HTTPClient) expire(call *pendingCall) {
 	h.mu.Lock()
 	err := fmt.Errorf("timed out: %w", ErrNoAnswer)
-	if k.conn != nil {
-		if !k.over && k.conn.cur == k && !k.conn.dead {
-			k.conn.dead = true
+	if call.conn != nil {
+		if !call.finished && call.conn.current == call && !call.conn.closed {
+			call.conn.closed = true
 			h.open--
 			// An error means that it is closed already.
-			_ = k.conn.c.Close()
+			_ = call.conn.conn.Close()
 		}
-	} else if !k.over {
+	} else if !call.finished {
 		err = fmt.Errorf("timed out: %w", ErrNotSent)
-		for i, q := range h.queue {
-			if q == k {
+		for i, queued := range h.queue {
+			if queued == call {
 				h.queue = append(h.queue[:i], h.queue[i+1:]...)
 				break
 			}
 		}
 	}
-	h.pump()
+	h.dispatch()
 	h.mu.Unlock()
-	h.finish(k, HTTPResult{Err: err})
+	h.finish(call, HTTPResult{Err: err})
 }
 
 func (hc *httpConn) onTraffic(c gnet.Conn) gnet.Action {
@@ -191,34 +191,34 @@
 	if _, err := c.Discard(m.size); err != nil {
 		return gnet.Close
 	}
-	status, err := strconv.Atoi(m.first[1])
+	status, err := strconv.Atoi(m.startLine[1])
 	if err != nil {
 		return gnet.Close
 	}
 	if status == 100 {
 		return gnet.None
 	}
-	retry, err := strconv.Atoi(m.retry)
+	retry, err := strconv.Atoi(m.retryAfter)
 	if err != nil {
 		retry = 0
 	}
 	h := hc.client
 	h.mu.Lock()
-	k := hc.cur
-	hc.cur = nil
-	if k == nil || m.close {
-		if !hc.dead {
-			hc.dead = true
+	call := hc.current
+	hc.current = nil
+	if call == nil || m.close {
+		if !hc.closed {
+			hc.closed = true
 			h.open--
 		}
-	} else if !hc.dead {
+	} else if !hc.closed {
 		h.idle = append(h.idle, hc)
 	}
-	closing := hc.dead
-	h.pump()
+	closing := hc.closed
+	h.dispatch()
 	h.mu.Unlock()
-	if k != nil {
-		h.finish(k, HTTPResult{Status: status, Body: m.body, RetryAfterS: retry})
+	if call != nil {
+		h.finish(call, HTTPResult{Status: status, Body: m.body, RetryAfterS: retry})
 	}
 	if closing {
 		return gnet.Close
@@ -229,23 +229,23 @@
 func (hc *httpConn) onClose(gnet.Conn) {
 	h := hc.client
 	h.mu.Lock()
-	if !hc.dead {
-		hc.dead = true
-		if hc.c != nil {
+	if !hc.closed {
+		hc.closed = true
+		if hc.conn != nil {
 			h.open--
 		}
 	}
-	k := hc.cur
-	hc.cur = nil
+	call := hc.current
+	hc.current = nil
 	for i, x := range h.idle {
 		if x == hc {
 			h.idle = append(h.idle[:i], h.idle[i+1:]...)
 			break
 		}
 	}
-	h.pump()
+	h.dispatch()
 	h.mu.Unlock()
-	if k != nil {
-		h.finish(k, HTTPResult{Err: fmt.Errorf("connection closed: %w", ErrNoAnswer)})
+	if call != nil {
+		h.finish(call, HTTPResult{Err: fmt.Errorf("connection closed: %w", ErrNoAnswer)})
 	}
 }
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -16,7 +16,7 @@
 	maxHead     = 8 << 10
 	maxBody     = 64 << 10
 	maxResponse = 4 << 20
-	maxSkip     = 4 << 20 // of a body above the limit that is read and thrown away
+	maxDiscard  = 4 << 20 // of a body above the limit that is read and thrown away
 )
 
 var (
@@ -27,12 +27,12 @@
 
 // message is a parsed request or response.
 type message struct {
-	first  [3]string // the words of the start line
-	body   []byte
-	close  bool
-	retry  string
-	size   int // bytes that it takes; known also of a body above the limit
-	expect bool
+	startLine      [3]string // the words of the start line
+	body           []byte
+	close          bool
+	retryAfter     string
+	size           int // bytes that it takes; known also of a body above the limit
+	expectContinue bool
 }
 
 // parseMessage reads one HTTP/1.1 message from the start of buf. Bodies are
@@ -85,7 +85,7 @@
 // readHead reads the first line and the headers, and tells how the body is sent.
 func (m *message) readHead(head string, response bool) (length int, chunked bool, err error) {
 	lines := strings.Split(head, "\r\n")
-	if err := m.readFirstLine(lines[0], response); err != nil {
+	if err := m.readStartLine(lines[0], response); err != nil {
 		return 0, false, err
 	}
 	seenLength := false
@@ -113,9 +113,9 @@
 		case "connection":
 			m.readConnection(value)
 		case "retry-after":
-			m.retry = value
+			m.retryAfter = value
 		case "expect":
-			m.expect = strings.EqualFold(value, "100-continue")
+			m.expectContinue = strings.EqualFold(value, "100-continue")
 		}
 	}
 	if chunked && seenLength {
@@ -124,16 +124,16 @@
 	return length, chunked, nil
 }
 
-// readFirstLine reads a request line, or the status line of a response.
-func (m *message) readFirstLine(line string, response bool) error {
+// readStartLine reads a request line, or the status line of a response.
+func (m *message) readStartLine(line string, response bool) error {
 	words := strings.SplitN(line, " ", 3)
 	if len(words) < 3 && !(response && len(words) == 2) {
 		return errMalformed
 	}
-	copy(m.first[:], words)
-	version := m.first[2]
+	copy(m.startLine[:], words)
+	version := m.startLine[2]
 	if response {
-		version = m.first[0]
+		version = m.startLine[0]
 	}
 	switch version {
 	case "HTTP/1.1":
@@ -142,7 +142,7 @@
 	default:
 		return errMalformed
 	}
-	if !response && (!isToken(m.first[0]) || !strings.HasPrefix(m.first[1], "/")) {
+	if !response && (!isToken(m.startLine[0]) || !strings.HasPrefix(m.startLine[1], "/")) {
 		return errMalformed
 	}
 	return nil
@@ -165,19 +165,19 @@
 	var body []byte
 	pos := 0
 	for {
-		nl := bytes.Index(b[pos:], []byte("\r\n"))
-		if nl < 0 {
+		lineEnd := bytes.Index(b[pos:], []byte("\r\n"))
+		if lineEnd < 0 {
 			if len(b)-pos > 1024 {
 				return nil, 0, errMalformed
 			}
 			return nil, 0, errIncomplete
 		}
-		digits, _, _ := strings.Cut(string(b[pos:pos+nl]), ";")
+		digits, _, _ := strings.Cut(string(b[pos:pos+lineEnd]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil {
 			return nil, 0, errMalformed
 		}
-		pos += nl + 2
+		pos += lineEnd + 2
 		if n == 0 {
 			break
 		}
@@ -195,15 +195,15 @@
 		pos += 2
 	}
 	for { // trailers, up to the empty line
-		nl := bytes.Index(b[pos:], []byte("\r\n"))
-		if nl < 0 {
+		lineEnd := bytes.Index(b[pos:], []byte("\r\n"))
+		if lineEnd < 0 {
 			if len(b)-pos > maxHead {
 				return nil, 0, errTooLarge
 			}
 			return nil, 0, errIncomplete
 		}
-		pos += nl + 2
-		if nl == 0 {
+		pos += lineEnd + 2
+		if lineEnd == 0 {
 			return body, pos, nil
 		}
 	}
@@ -230,7 +230,7 @@
 	Method string
 	Path   string
 	Body   []byte
-	Conn   uint64 // numbers the connection, from 1
+	ConnID uint64 // numbers the connection, from 1
 }
 
 // Response is what it answers with. RetryAfterS is sent when it is above 0. An
@@ -240,7 +240,7 @@
 	Body        []byte
 	RetryAfterS int
 	Close       bool
-	Until       time.Time
+	ValidUntil  time.Time
 }
 
 func statusText(code int) string {
--- a/internal/transport/http_test.go
+++ b/internal/transport/http_test.go
@@ -79,13 +79,13 @@
 		r := Response{Status: 503, Body: []byte(body), RetryAfterS: 7, Close: true}
 		out := appendResponse(nil, &r)
 		m, err := parseMessage(out, true, maxResponse)
-		if err != nil || string(m.body) != body || m.retry != "7" || !m.close || m.first[1] != "503" || m.size != len(out) {
-			t.Fatalf("response of %d bytes came back as %v, %v", len(body), m.first, err)
+		if err != nil || string(m.body) != body || m.retryAfter != "7" || !m.close || m.startLine[1] != "503" || m.size != len(out) {
+			t.Fatalf("response of %d bytes came back as %v, %v", len(body), m.startLine, err)
 		}
 		out = appendRequest(nil, "POST", "/multi", "10.0.0.1:1", []byte(body))
 		m, err = parseMessage(out, false, maxResponse)
-		if err != nil || string(m.body) != body || fmt.Sprint(m.first) != "[POST /multi HTTP/1.1]" || m.close {
-			t.Fatalf("request of %d bytes came back as %v, %v", len(body), m.first, err)
+		if err != nil || string(m.body) != body || fmt.Sprint(m.startLine) != "[POST /multi HTTP/1.1]" || m.close {
+			t.Fatalf("request of %d bytes came back as %v, %v", len(body), m.startLine, err)
 		}
 	}
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	dialTimeout = 1500 * time.Millisecond
-	tickEvery   = 500 * time.Millisecond
-	sameBatch   = time.Millisecond // how soon after one another what one wake-up brought is taken
+	dialTimeout  = 1500 * time.Millisecond
+	tickInterval = 500 * time.Millisecond
+	batchWindow  = time.Millisecond // how soon after one another what one wake-up brought is taken
 )
 
 // connection is what the loop drives: an HTTP connection of either side, or
@@ -41,44 +41,44 @@
 // while little arrives nothing waits.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	pace     time.Duration
-	services []service
-	eng      gnet.Engine
-	ready    chan struct{}
-	started  sync.Once
-	enrol    sync.Mutex
-	turn     time.Time // when it last began to take what had arrived
-	taken    time.Time // when it last took something
-	accepted time.Time // when a connection last came in
-	busy     bool      // it had little rest before that
-	el       gnet.EventLoop
+	interval    time.Duration
+	services    []service
+	engine      gnet.Engine
+	ready       chan struct{}
+	startOnce   sync.Once
+	registerMu  sync.Mutex
+	lastTurn    time.Time // when it last began to take what had arrived
+	lastTraffic time.Time // when it last took something
+	lastAccept  time.Time // when a connection last came in
+	busy        bool      // it had little rest before that
+	eventLoop   gnet.EventLoop
 }
 
 // NewLoop prepares a loop that takes what arrives once in a span at the most.
-func NewLoop(pace time.Duration) *Loop { return &Loop{pace: pace, ready: make(chan struct{})} }
+func NewLoop(pace time.Duration) *Loop { return &Loop{interval: pace, ready: make(chan struct{})} }
 
 // Run serves the services until Stop.
 func (l *Loop) Run(services ...service) error {
 	l.services = services
 	var addrs []string
 	for _, s := range services {
-		if err := l.vacant(s.address()); err != nil {
+		if err := l.checkVacant(s.address()); err != nil {
 			return err
 		}
 		addrs = append(addrs, "tcp://"+s.address())
 	}
 	// With reused ports a single loop accepts connections and drives them.
 	err := gnet.Rotate(l, addrs, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
-		gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(32<<10), gnet.WithLogger(quiet{}))
+		gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(32<<10), gnet.WithLogger(discardLogger{}))
 	if err != nil {
 		return fmt.Errorf("serving %v: %w", addrs, err)
 	}
 	return nil
 }
 
-// vacant tells whether nobody serves an address yet: a reused port would be
+// checkVacant tells whether nobody serves an address yet: a reused port would be
 // shared with another process without a word.
-func (l *Loop) vacant(addr string) error {
+func (l *Loop) checkVacant(addr string) error {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("serving %s: %w", addr, err)
@@ -94,7 +94,7 @@
 	<-l.ready
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if err := l.eng.Stop(ctx); err != nil {
+	if err := l.engine.Stop(ctx); err != nil {
 		return fmt.Errorf("stopping: %w", err)
 	}
 	return nil
@@ -108,9 +108,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("dialling: %w", err)
 	}
-	l.enrol.Lock()
-	got, err := l.eng.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), t), nc))
-	l.enrol.Unlock()
+	l.registerMu.Lock()
+	got, err := l.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), t), nc))
+	l.registerMu.Unlock()
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("enrolling connection: %w", err), nc.Close())
 	}
@@ -126,24 +126,24 @@
 
 // OnBoot implements gnet.EventHandler.
 func (l *Loop) OnBoot(e gnet.Engine) gnet.Action {
-	l.eng = e
+	l.engine = e
 	return gnet.None
 }
 
 // OnOpen implements gnet.EventHandler.
 func (l *Loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	l.enrol.Lock()
-	l.el = c.EventLoop()
-	l.enrol.Unlock()
+	l.registerMu.Lock()
+	l.eventLoop = c.EventLoop()
+	l.registerMu.Unlock()
 	if _, dialled := c.Context().(connection); dialled {
 		return nil, gnet.None
 	}
 	for _, s := range l.services {
-		if !serves(s.address(), c.LocalAddr()) {
+		if !listensOn(s.address(), c.LocalAddr()) {
 			continue
 		}
 		if t := s.accept(c); t != nil {
-			l.accepted = time.Now()
+			l.lastAccept = time.Now()
 			c.SetContext(t)
 			return nil, gnet.None
 		}
@@ -152,8 +152,8 @@
 	return nil, gnet.Close
 }
 
-// serves tells whether a connection to an address came in on a listener.
-func serves(listener string, to net.Addr) bool {
+// listensOn tells whether a connection to an address came in on a listener.
+func listensOn(listener string, to net.Addr) bool {
 	ln, err := net.ResolveTCPAddr("tcp4", listener)
 	a, ok := to.(*net.TCPAddr)
 	return err == nil && ok && ln.Port == a.Port && (ln.IP == nil || ln.IP.IsUnspecified() || ln.IP.Equal(a.IP))
@@ -165,29 +165,29 @@
 	if !ok {
 		return gnet.Close
 	}
-	l.gather()
+	l.coalesce()
 	action := t.onTraffic(c)
-	l.taken = time.Now()
+	l.lastTraffic = time.Now()
 	return action
 }
 
-// gather lets more arrive before the loop takes what has. While connections come in
+// coalesce lets more arrive before the loop takes what has. While connections come in
 // it does not: gnet accepts one at each waking up, so that thousands of workers that
 // came back at once were let in at fourteen a second.
-func (l *Loop) gather() {
+func (l *Loop) coalesce() {
 	now := time.Now()
-	if now.Sub(l.taken) < sameBatch || now.Sub(l.accepted) < sameBatch {
+	if now.Sub(l.lastTraffic) < batchWindow || now.Sub(l.lastAccept) < batchWindow {
 		return
 	}
-	l.busy = now.Sub(l.turn) < 2*l.pace
-	l.turn = l.nap(now)
+	l.busy = now.Sub(l.lastTurn) < 2*l.interval
+	l.lastTurn = l.sleepUntilTurn(now)
 }
 
-// nap sleeps until the next turn and returns when it is. The thread itself
+// sleepUntilTurn sleeps until the next turn and returns when it is. The thread itself
 // sleeps, which costs one waking up; a sleeping goroutine would cost the
 // runtime's threads several. That a signal may end it early does no harm.
-func (l *Loop) nap(now time.Time) time.Time {
-	left := l.pace - now.Sub(l.turn)
+func (l *Loop) sleepUntilTurn(now time.Time) time.Time {
+	left := l.interval - now.Sub(l.lastTurn)
 	if left <= 0 {
 		return now
 	}
@@ -196,24 +196,24 @@
 	return time.Now()
 }
 
-// Rest is called when all that the loop took has been dealt with. Under load
+// WaitTurn is called when all that the loop took has been dealt with. Under load
 // it sleeps until its next turn, instead of being woken up only to do so.
-func (l *Loop) Rest() { l.run(l.rest) }
+func (l *Loop) WaitTurn() { l.execute(l.waitTurn) }
 
-func (l *Loop) rest() {
-	if l.busy && !l.accepted.After(l.turn) {
-		l.nap(time.Now())
+func (l *Loop) waitTurn() {
+	if l.busy && !l.lastAccept.After(l.lastTurn) {
+		l.sleepUntilTurn(time.Now())
 	}
 }
 
-// run has the loop call fn, once it has a connection.
-func (l *Loop) run(fn func()) {
-	l.enrol.Lock()
-	el := l.el
-	l.enrol.Unlock()
-	if el != nil {
+// execute has the loop call fn, once it has a connection.
+func (l *Loop) execute(fn func()) {
+	l.registerMu.Lock()
+	eventLoop := l.eventLoop
+	l.registerMu.Unlock()
+	if eventLoop != nil {
 		// An error means that the loop has ended.
-		_ = el.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		_ = eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 			fn()
 			return nil
 		}))
@@ -231,10 +231,10 @@
 // OnTick implements gnet.EventHandler. Before the first tick there may be no
 // loop yet that could take a connection.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
-	l.started.Do(func() { close(l.ready) })
+	l.startOnce.Do(func() { close(l.ready) })
 	now := time.Now()
 	for _, s := range l.services {
 		s.tick(now)
 	}
-	return tickEvery, gnet.None
+	return tickInterval, gnet.None
 }
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -41,7 +41,7 @@
 func startServer(t *testing.T, h Handler, maxHeld int64) (*Loop, string) {
 	t.Helper()
 	addr, l := freeAddr(t), NewLoop(0)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeld: maxHeld, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l, h))
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeldBytes: maxHeld, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l, h))
 	return l, addr
 }
 
@@ -77,7 +77,7 @@
 
 func TestServerRefusesWhatItCannotTake(t *testing.T) {
 	hold := make(chan func(Response), 1)
-	_, addr := startServer(t, func(_ *Request, reply func(Response)) { hold <- reply }, requestBytes)
+	_, addr := startServer(t, func(_ *Request, reply func(Response)) { hold <- reply }, requestOverheadBytes)
 	talk := func(text string) string {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -123,7 +123,7 @@
 func TestServerEndsSlowRequests(t *testing.T) {
 	addr := freeAddr(t)
 	l := NewLoop(0)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeld: 1 << 20, IdleTimeout: time.Hour, ReadTimeout: 30 * time.Millisecond}, l, nil))
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeldBytes: 1 << 20, IdleTimeout: time.Hour, ReadTimeout: 30 * time.Millisecond}, l, nil))
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 // then others may have acted. Nor must a request.
 func TestNothingLateIsSent(t *testing.T) {
 	until := make(chan time.Time, 3)
-	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200, Until: <-until}) }, 1<<20)
+	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200, ValidUntil: <-until}) }, 1<<20)
 	c := NewHTTPClient(l, addr, 1, 10)
 	got := make(chan HTTPResult, 1)
 	for _, test := range []struct {
@@ -157,10 +157,10 @@
 			t.Fatalf("until %v: got %d, %v", test.until, r.Status, r.Err)
 		}
 	}
-	late := &call{method: "GET", path: "/", until: time.Now().Add(-time.Millisecond), timer: time.NewTimer(time.Hour), done: func(r HTTPResult) { got <- r }}
+	late := &pendingCall{method: "GET", path: "/", deadline: time.Now().Add(-time.Millisecond), timer: time.NewTimer(time.Hour), done: func(r HTTPResult) { got <- r }}
 	c.mu.Lock()
 	c.queue = append(c.queue, late)
-	c.pump()
+	c.dispatch()
 	c.mu.Unlock()
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) {
 		t.Fatalf("a late request: got %d, %v", r.Status, r.Err)
@@ -190,7 +190,7 @@
 	start := func(self, addr, other, otherAddr string) *meshLog {
 		log := newMeshLog()
 		l := NewLoop(0)
-		m := NewMesh(MeshConfig{Self: self, Addr: addr, Silence: time.Minute, MaxBacklog: 4 << 20,
+		m := NewMesh(MeshConfig{Self: self, Addr: addr, IdleTimeout: time.Minute, MaxBacklogBytes: 4 << 20,
 			Peers: []MeshPeer{{Member: other, Addr: otherAddr}}}, l, log)
 		done := make(chan error, 1)
 		go func() { done <- l.Run(m) }()
@@ -234,11 +234,11 @@
 func TestConnectionsAllAtOnce(t *testing.T) {
 	const clients, within = 800, 8 * time.Second // at one in each turn it took 17 s
 	addr, l := freeAddr(t), NewLoop(70*time.Millisecond)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxHeld: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxHeldBytes: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
 		func(_ *Request, reply func(Response)) {
 			go func() {
 				reply(Response{Status: 200})
-				l.Rest()
+				l.WaitTurn()
 			}()
 		}))
 	began := time.Now()
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -11,19 +11,19 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const maxFrame = 1 << 20
+const maxFrameBytes = 1 << 20
 
 // MeshLink is one connection to another member. Frames arrive in the order
 // in which they were sent, until the link is down; a new link is a new stream.
 type MeshLink struct {
-	mesh   *Mesh
-	member string
-	c      gnet.Conn
-	mu     sync.Mutex
-	up     bool
-	closed bool
-	heard  time.Time
-	out    []byte // framed, not yet written
+	mesh         *Mesh
+	member       string
+	conn         gnet.Conn
+	mu           sync.Mutex
+	up           bool
+	closed       bool
+	lastReceived time.Time
+	outbound     []byte // framed, not yet written
 }
 
 // MeshEvents takes what happens on the mesh. Calls come from event loops and
@@ -39,13 +39,13 @@
 
 // MeshConfig describes this member's side.
 type MeshConfig struct {
-	Self    string
-	Addr    string
-	Peers   []MeshPeer
-	Silence time.Duration // a link that says nothing for so long is cut
+	Self        string
+	Addr        string
+	Peers       []MeshPeer
+	IdleTimeout time.Duration // a link that says nothing for so long is cut
 	// MaxBacklog is how many bytes may wait to be written on a link; one that
 	// can't keep up is closed.
-	MaxBacklog int
+	MaxBacklogBytes int
 }
 
 // Mesh keeps one link to each other member. The member whose name sorts
@@ -57,14 +57,14 @@
 
 	mu    sync.Mutex
 	links map[string]*MeshLink
-	all   map[*MeshLink]struct{}
+	open  map[*MeshLink]struct{}
 	stop  chan struct{}
 }
 
 // NewMesh prepares the mesh.
 func NewMesh(cfg MeshConfig, l *Loop, ev MeshEvents) *Mesh {
 	return &Mesh{cfg: cfg, loop: l, events: ev, links: make(map[string]*MeshLink),
-		all: make(map[*MeshLink]struct{}), stop: make(chan struct{})}
+		open: make(map[*MeshLink]struct{}), stop: make(chan struct{})}
 }
 
 // Start dials the members that are this one's to dial; the others are served
@@ -72,7 +72,7 @@
 func (m *Mesh) Start() {
 	for _, p := range m.cfg.Peers {
 		if m.cfg.Self < p.Member {
-			go m.keepDialling(p)
+			go m.keepDialing(p)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // Stop ends the dialling.
 func (m *Mesh) Stop() { close(m.stop) }
 
-func (m *Mesh) keepDialling(p MeshPeer) {
+func (m *Mesh) keepDialing(peer MeshPeer) {
 	const pause = 400 * time.Millisecond
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -92,23 +92,23 @@
 		}
 		timer.Reset(pause)
 		m.mu.Lock()
-		_, have := m.links[p.Member]
+		_, have := m.links[peer.Member]
 		m.mu.Unlock()
 		if have {
 			continue
 		}
-		l := &MeshLink{mesh: m, member: p.Member, heard: time.Now()}
+		l := &MeshLink{mesh: m, member: peer.Member, lastReceived: time.Now()}
 		m.mu.Lock()
-		m.links[p.Member] = l
-		m.all[l] = struct{}{}
+		m.links[peer.Member] = l
+		m.open[l] = struct{}{}
 		m.mu.Unlock()
-		c, err := m.loop.dial(p.Addr, l)
+		c, err := m.loop.dial(peer.Addr, l)
 		if err != nil {
-			m.forget(l)
+			m.removeLink(l)
 			continue
 		}
 		l.mu.Lock()
-		l.c = c
+		l.conn = c
 		l.mu.Unlock()
 		l.Send(m.hello())
 		l.Flush()
@@ -119,10 +119,10 @@
 	return &meshpb.Frame{Body: &meshpb.Frame_Hello{Hello: &meshpb.Hello{Member: m.cfg.Self}}}
 }
 
-func (m *Mesh) forget(l *MeshLink) {
+func (m *Mesh) removeLink(l *MeshLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.all, l)
+	delete(m.open, l)
 	if m.links[l.member] == l {
 		delete(m.links, l.member)
 	}
@@ -131,13 +131,13 @@
 func (m *Mesh) address() string { return m.cfg.Addr }
 
 func (m *Mesh) accept(c gnet.Conn) connection {
-	l := &MeshLink{mesh: m, c: c, heard: time.Now()}
+	l := &MeshLink{mesh: m, conn: c, lastReceived: time.Now()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.all) > 4*len(m.cfg.Peers)+16 {
+	if len(m.open) > 4*len(m.cfg.Peers)+16 {
 		return nil
 	}
-	m.all[l] = struct{}{}
+	m.open[l] = struct{}{}
 	return l
 }
 
@@ -145,9 +145,9 @@
 func (m *Mesh) tick(now time.Time) {
 	m.mu.Lock()
 	var stale []*MeshLink
-	for l := range m.all {
+	for l := range m.open {
 		l.mu.Lock()
-		if l.c != nil && now.Sub(l.heard) > m.cfg.Silence {
+		if l.conn != nil && now.Sub(l.lastReceived) > m.cfg.IdleTimeout {
 			stale = append(stale, l)
 		}
 		l.mu.Unlock()
@@ -162,16 +162,16 @@
 // that no frame is ever missing in the middle of a stream.
 func (l *MeshLink) Send(f *meshpb.Frame) {
 	l.mu.Lock()
-	if l.c == nil || l.closed {
+	if l.conn == nil || l.closed {
 		l.mu.Unlock()
 		return
 	}
-	at := len(l.out)
-	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.out, 0, 0, 0, 0), f)
+	at := len(l.outbound)
+	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.outbound, 0, 0, 0, 0), f)
 	n := len(out) - at - 4
-	if err == nil && n <= maxFrame && len(out) <= l.mesh.cfg.MaxBacklog {
+	if err == nil && n <= maxFrameBytes && len(out) <= l.mesh.cfg.MaxBacklogBytes {
 		binary.BigEndian.PutUint32(out[at:], uint32(n))
-		l.out = out
+		l.outbound = out
 		l.mu.Unlock()
 		return
 	}
@@ -182,14 +182,14 @@
 // Flush writes what has been queued in one go.
 func (l *MeshLink) Flush() {
 	l.mu.Lock()
-	c, out := l.c, l.out
-	l.out = nil
+	c, out := l.conn, l.outbound
+	l.outbound = nil
 	l.mu.Unlock()
 	if c == nil || len(out) == 0 {
 		return
 	}
 	err := c.AsyncWrite(out, func(c gnet.Conn, err error) error {
-		if err == nil && c.OutboundBuffered() > l.mesh.cfg.MaxBacklog {
+		if err == nil && c.OutboundBuffered() > l.mesh.cfg.MaxBacklogBytes {
 			return c.Close()
 		}
 		return nil
@@ -202,7 +202,7 @@
 // Close ends the link.
 func (l *MeshLink) Close() {
 	l.mu.Lock()
-	c := l.c
+	c := l.conn
 	l.mu.Unlock()
 	if c != nil {
 		// An error means that it is closed already.
@@ -212,7 +212,7 @@
 
 func (l *MeshLink) onTraffic(c gnet.Conn) gnet.Action {
 	l.mu.Lock()
-	l.heard = time.Now()
+	l.lastReceived = time.Now()
 	up := l.up
 	l.mu.Unlock()
 	var frames []*meshpb.Frame
@@ -227,7 +227,7 @@
 		}
 		if up {
 			frames = append(frames, f)
-		} else if up = l.greet(c, f); !up {
+		} else if up = l.acceptHello(c, f); !up {
 			action = gnet.Close
 		}
 	}
@@ -244,7 +244,7 @@
 		return nil, true // fewer than four bytes so far
 	}
 	n := int(binary.BigEndian.Uint32(head))
-	if n > maxFrame {
+	if n > maxFrameBytes {
 		return nil, false
 	}
 	if c.InboundBuffered() < 4+n {
@@ -262,50 +262,50 @@
 	return f, true
 }
 
-// greet takes the first frame of a link, which must be the hello.
-func (l *MeshLink) greet(c gnet.Conn, f *meshpb.Frame) bool {
+// acceptHello takes the first frame of a link, which must be the hello.
+func (l *MeshLink) acceptHello(c gnet.Conn, f *meshpb.Frame) bool {
 	m := l.mesh
-	h := f.GetHello()
-	if h == nil || !m.knows(h.Member) {
+	hello := f.GetHello()
+	if hello == nil || !m.isPeer(hello.Member) {
 		return false
 	}
 	incoming := l.member == ""
 	m.mu.Lock()
-	old := m.links[h.Member]
+	previous := m.links[hello.Member]
 	if incoming {
-		l.member = h.Member
-		m.links[h.Member] = l
+		l.member = hello.Member
+		m.links[hello.Member] = l
 	}
 	m.mu.Unlock()
-	if l.member != h.Member {
+	if l.member != hello.Member {
 		return false
 	}
 	l.mu.Lock()
 	l.up = true
-	if l.c == nil {
-		l.c = c
+	if l.conn == nil {
+		l.conn = c
 	}
 	l.mu.Unlock()
 	if incoming {
-		if old != nil && old != l {
-			old.drop()
+		if previous != nil && previous != l {
+			previous.replace()
 		}
 		l.Send(m.hello())
 		l.Flush()
 	}
-	m.events.MeshUp(l, h.Member)
+	m.events.MeshUp(l, hello.Member)
 	return true
 }
 
-// drop ends a link that another replaces. It is reported as down before its
+// replace ends a link that another replaces. It is reported as down before its
 // connection has closed, so that the streams never overlap.
-func (l *MeshLink) drop() {
+func (l *MeshLink) replace() {
 	l.down()
 	l.Close()
 }
 
 func (l *MeshLink) onClose(gnet.Conn) {
-	l.mesh.forget(l)
+	l.mesh.removeLink(l)
 	l.down()
 }
 
@@ -320,9 +320,9 @@
 	}
 }
 
-func (m *Mesh) knows(member string) bool {
-	for _, p := range m.cfg.Peers {
-		if p.Member == member {
+func (m *Mesh) isPeer(member string) bool {
+	for _, peer := range m.cfg.Peers {
+		if peer.Member == member {
 			return true
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,43 +14,43 @@
 
 // ServerConfig bounds a server.
 type ServerConfig struct {
-	Addr        string
-	MaxConns    int
-	MaxHeld     int64         // bytes of requests that wait for their answers
-	IdleTimeout time.Duration // a connection without a request
-	ReadTimeout time.Duration // a request that does not become complete
+	Addr         string
+	MaxConns     int
+	MaxHeldBytes int64         // bytes of requests that wait for their answers
+	IdleTimeout  time.Duration // a connection without a request
+	ReadTimeout  time.Duration // a request that does not become complete
 }
 
 // Server answers HTTP requests on one address.
 type Server struct {
-	cfg     ServerConfig
-	loop    *Loop
-	handler Handler
-	held    atomic.Int64
-	mu      sync.Mutex
-	conns   map[gnet.Conn]*serverConn
-	opened  uint64 // connections so far
-	outMu   sync.Mutex
-	out     []answer // that the loop is to write
+	cfg       ServerConfig
+	loop      *Loop
+	handler   Handler
+	heldBytes atomic.Int64
+	mu        sync.Mutex
+	conns     map[gnet.Conn]*serverConn
+	opened    uint64 // connections so far
+	outboxMu  sync.Mutex
+	outbox    []queuedResponse // that the loop is to write
 }
 
-// answer is a response on its way to the loop.
-type answer struct {
-	c  gnet.Conn
-	sc *serverConn
-	r  Response
+// queuedResponse is a response on its way to the loop.
+type queuedResponse struct {
+	conn     gnet.Conn
+	state    *serverConn
+	response Response
 }
 
 type serverConn struct {
-	s     *Server
-	id    uint64
-	gone  bool // closed; known to the loop alone
-	busy  bool // a request is with the handler
-	since time.Time
-	part  time.Time // when the request that is arriving began; zero: none is
-	cont  bool      // "100 Continue" was sent for it
-	skip  int       // bytes of a request that is refused, still to come
-	mu    sync.Mutex
+	server       *Server
+	id           uint64
+	closed       bool // closed; known to the loop alone
+	busy         bool // a request is with the handler
+	lastActive   time.Time
+	partialSince time.Time // when the request that is arriving began; zero: none is
+	continueSent bool      // "100 Continue" was sent for it
+	discardLeft  int       // bytes of a request that is refused, still to come
+	mu           sync.Mutex
 }
 
 // NewServer prepares a server.
@@ -67,16 +67,16 @@
 		return nil
 	}
 	s.opened++
-	sc := &serverConn{s: s, id: s.opened, since: time.Now()}
+	sc := &serverConn{server: s, id: s.opened, lastActive: time.Now()}
 	s.conns[c] = sc
 	return sc
 }
 
 func (sc *serverConn) onClose(c gnet.Conn) {
-	sc.gone = true
-	sc.s.mu.Lock()
-	defer sc.s.mu.Unlock()
-	delete(sc.s.conns, c)
+	sc.closed = true
+	sc.server.mu.Lock()
+	defer sc.server.mu.Unlock()
+	delete(sc.server.conns, c)
 }
 
 // tick closes connections that sit idle or send a request too slowly.
@@ -85,8 +85,8 @@
 	var stale []gnet.Conn
 	for c, sc := range s.conns {
 		sc.mu.Lock()
-		slow := !sc.part.IsZero() && now.Sub(sc.part) > s.cfg.ReadTimeout
-		if !sc.busy && (slow || now.Sub(sc.since) > s.cfg.IdleTimeout) {
+		slow := !sc.partialSince.IsZero() && now.Sub(sc.partialSince) > s.cfg.ReadTimeout
+		if !sc.busy && (slow || now.Sub(sc.lastActive) > s.cfg.IdleTimeout) {
 			stale = append(stale, c)
 		}
 		sc.mu.Unlock()
@@ -99,7 +99,7 @@
 }
 
 func (sc *serverConn) onTraffic(c gnet.Conn) gnet.Action {
-	s := sc.s
+	s := sc.server
 	sc.mu.Lock()
 	busy := sc.busy
 	sc.mu.Unlock()
@@ -109,7 +109,7 @@
 		}
 		return gnet.None
 	}
-	if sc.skip > 0 {
+	if sc.discardLeft > 0 {
 		return s.refuse(c, sc, 0)
 	}
 	buf, err := c.Peek(-1)
@@ -118,11 +118,11 @@
 	}
 	m, err := parseMessage(buf, false, maxBody)
 	switch {
-	case errors.Is(err, errTooLarge) && m.size > 0 && m.size <= maxSkip && !m.expect:
+	case errors.Is(err, errTooLarge) && m.size > 0 && m.size <= maxDiscard && !m.expectContinue:
 		return s.refuse(c, sc, m.size)
 	case errors.Is(err, errIncomplete):
-		if m.expect && !sc.cont {
-			sc.cont = true
+		if m.expectContinue && !sc.continueSent {
+			sc.continueSent = true
 			if _, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return gnet.Close
 			}
@@ -131,8 +131,8 @@
 			return gnet.Close
 		}
 		sc.mu.Lock()
-		if sc.part.IsZero() {
-			sc.part = time.Now()
+		if sc.partialSince.IsZero() {
+			sc.partialSince = time.Now()
 		}
 		sc.mu.Unlock()
 		return gnet.None
@@ -143,12 +143,12 @@
 		return gnet.Close
 	}
 	sc.mu.Lock()
-	sc.busy, sc.cont, sc.since, sc.part = true, false, time.Now(), time.Time{}
+	sc.busy, sc.continueSent, sc.lastActive, sc.partialSince = true, false, time.Now(), time.Time{}
 	sc.mu.Unlock()
-	req := &Request{Method: m.first[0], Path: m.first[1], Body: m.body, Conn: sc.id}
-	size := requestBytes + int64(len(m.body))
+	req := &Request{Method: m.startLine[0], Path: m.startLine[1], Body: m.body, ConnID: sc.id}
+	size := requestOverheadBytes + int64(len(m.body))
 	reply := s.replier(c, sc, size, m.close)
-	if s.held.Add(size) > s.cfg.MaxHeld {
+	if s.heldBytes.Add(size) > s.cfg.MaxHeldBytes {
 		reply(Response{Status: 503, RetryAfterS: 1})
 		return gnet.None
 	}
@@ -160,15 +160,15 @@
 // on from here. What the peer has announced is read first: closing with unread
 // bytes would reset the connection and lose the answer.
 func (s *Server) refuse(c gnet.Conn, sc *serverConn, size int) gnet.Action {
-	sc.skip += size
-	n, err := c.Discard(min(sc.skip, c.InboundBuffered()))
+	sc.discardLeft += size
+	n, err := c.Discard(min(sc.discardLeft, c.InboundBuffered()))
 	if err != nil {
 		return gnet.Close
 	}
-	if sc.skip -= n; sc.skip > 0 {
+	if sc.discardLeft -= n; sc.discardLeft > 0 {
 		sc.mu.Lock()
-		if sc.part.IsZero() {
-			sc.part = time.Now()
+		if sc.partialSince.IsZero() {
+			sc.partialSince = time.Now()
 		}
 		sc.mu.Unlock()
 		return gnet.None
@@ -179,56 +179,56 @@
 	return gnet.Close
 }
 
-// requestBytes is what a request is counted as besides its body.
-const requestBytes = 1 << 10
+// requestOverheadBytes is what a request is counted as besides its body.
+const requestOverheadBytes = 1 << 10
 
 func (s *Server) replier(c gnet.Conn, sc *serverConn, size int64, closing bool) func(Response) {
 	var once sync.Once
 	return func(r Response) {
 		once.Do(func() {
-			s.held.Add(-size)
+			s.heldBytes.Add(-size)
 			r.Close = r.Close || closing
-			s.outMu.Lock()
-			s.out = append(s.out, answer{c, sc, r})
-			first := len(s.out) == 1
-			s.outMu.Unlock()
+			s.outboxMu.Lock()
+			s.outbox = append(s.outbox, queuedResponse{c, sc, r})
+			first := len(s.outbox) == 1
+			s.outboxMu.Unlock()
 			if first {
-				s.loop.run(s.write)
+				s.loop.execute(s.writeOutbox)
 			}
 		})
 	}
 }
 
-// write writes the answers that have gathered. How long each may be sent is
+// writeOutbox writes the answers that have gathered. How long each may be sent is
 // judged here, at the last moment: the process may have stood still since it
 // was made, and what entitled it to the answer may have ended.
-func (s *Server) write() {
-	s.outMu.Lock()
-	out := s.out
-	s.out = nil
-	s.outMu.Unlock()
+func (s *Server) writeOutbox() {
+	s.outboxMu.Lock()
+	out := s.outbox
+	s.outbox = nil
+	s.outboxMu.Unlock()
 	now := time.Now()
 	for i := range out {
 		a := &out[i]
-		if a.sc.gone {
+		if a.state.closed {
 			continue
 		}
-		r := a.r
-		if !r.Until.IsZero() && now.After(r.Until) {
+		r := a.response
+		if !r.ValidUntil.IsZero() && now.After(r.ValidUntil) {
 			r = Response{Status: 503, RetryAfterS: 1, Close: r.Close}
 		}
-		a.sc.mu.Lock()
-		a.sc.busy, a.sc.since = false, now
-		a.sc.mu.Unlock()
-		if _, err := a.c.Write(appendResponse(make([]byte, 0, 192+len(r.Body)), &r)); err != nil {
+		a.state.mu.Lock()
+		a.state.busy, a.state.lastActive = false, now
+		a.state.mu.Unlock()
+		if _, err := a.conn.Write(appendResponse(make([]byte, 0, 192+len(r.Body)), &r)); err != nil {
 			continue // the connection is gone; the peer asks again
 		}
 		if r.Close {
 			// An error means that it is closed already.
-			_ = a.c.Close()
-		} else if a.c.InboundBuffered() > 0 {
+			_ = a.conn.Close()
+		} else if a.conn.InboundBuffered() > 0 {
 			// As above.
-			_ = a.c.Wake(nil)
+			_ = a.conn.Wake(nil)
 		}
 	}
 }
