--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -37,7 +37,7 @@
 // httpCaller calls an outside service and brings the answer to the core's queue.
 type httpCaller struct {
 	client *transport.HTTPClient
-	queue  *coordination.Queue
+	queue  *coordination.EventLoop
 }
 
 func (c httpCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
@@ -50,8 +50,8 @@
 
 // meshEvents brings what happens on the mesh to the core's queue.
 type meshEvents struct {
-	core  *coordination.Core
-	queue *coordination.Queue
+	core  *coordination.Controller
+	queue *coordination.EventLoop
 }
 
 func (m meshEvents) MeshUp(l *transport.MeshLink, member string) {
@@ -97,7 +97,7 @@
 	defer func() { err = errors.Join(err, history.close()) }()
 	loop := transport.NewLoop(loopInterval)
 	stateConns := stateConnections(file, tune)
-	queue := coordination.NewQueue()
+	queue := coordination.NewEventLoop()
 	clock := monotonicClock{start}
 	core, err := coordination.New(file, tune, coordination.Env{
 		Clock: clock,
@@ -138,7 +138,7 @@
 }
 
 // newServer serves users, workers and health checks.
-func newServer(file *settings.File, loop *transport.Loop, queue *coordination.Queue, core *coordination.Core, clock monotonicClock, stateConns int) *transport.Server {
+func newServer(file *settings.File, loop *transport.Loop, queue *coordination.EventLoop, core *coordination.Controller, clock monotonicClock, stateConns int) *transport.Server {
 	sockets := file.Settings.Limits.Sockets
 	return transport.NewServer(transport.ServerConfig{
 		Addr:         file.APIAddr,
@@ -147,17 +147,17 @@
 		IdleTimeout:  2 * time.Minute,
 		ReadTimeout:  15 * time.Second,
 	}, loop, func(req *transport.Request, reply func(transport.Response)) {
-		r := &coordination.Request{Method: req.Method, Path: req.Path, Body: req.Body, Conn: req.ConnID, At: clock.Now()}
+		r := &coordination.Request{Method: req.Method, Path: req.Path, Body: req.Body, Conn: req.ConnID, ReceivedAt: clock.Now()}
 		handle := func() {
 			core.HandleHTTP(r, func(r coordination.Response) {
 				out := transport.Response{Status: r.Status, Body: r.Body, RetryAfterS: r.RetryAfterS}
-				if r.Until > 0 {
-					out.ValidUntil = clock.start.Add(r.Until)
+				if r.ValidUntil > 0 {
+					out.ValidUntil = clock.start.Add(r.ValidUntil)
 				}
 				reply(out)
 			})
 		}
-		if !queue.Offer(handle, r.IsReport()) {
+		if !queue.TryPost(handle, r.IsHeartbeat()) {
 			reply(transport.Response{Status: 503, RetryAfterS: 1})
 		}
 	})
--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -15,7 +15,7 @@
 	maxTeamsPerTransfer = 8
 	demandInterval      = 400 * time.Millisecond // between frames that tell others what is lacking
 	quotaReadRetry      = 300 * time.Millisecond
-	dropLogInterval     = 10 * time.Second
+	droppedLogInterval  = 10 * time.Second
 )
 
 // admission wires the division of teams' limits (package quota) to this process's
@@ -23,35 +23,35 @@
 // allocation, and released once its copy is proven gone. Without quota.escrow its
 // manager is nil, and nothing here does anything.
 type admission struct {
-	c         *Core
+	c         *Controller
 	manager   *quota.Manager
 	guarantee map[string]quota.Amount
-	lingering lingering
+	orphans   orphans
 
-	reading   bool          // the records are being read
-	unread    bool          // they have to be read (again) before anything is planned
-	readAt    time.Duration // not before
-	demandAt  time.Duration
-	demandSeq uint64
-	blocked   map[accountName]bool // told to the audit
+	readingRecords bool          // the records are being read
+	recordsStale   bool          // they have to be read (again) before anything is planned
+	nextReadAt     time.Duration // not before
+	nextDemandsAt  time.Duration
+	demandSequence uint64
+	blocked        map[accountName]bool // told to the audit
 
-	dropped uint64 // messages and records that made no sense
-	dropLog time.Duration
+	dropped         uint64 // messages and records that made no sense
+	droppedLoggedAt time.Duration
 }
 
 // accountName names a team at a ledger.
-type accountName struct{ ledger, team string }
+type accountName struct{ shard, team string }
 
-func (a *admission) init(c *Core) error {
+func (a *admission) init(c *Controller) error {
 	a.c = c
-	a.lingering.init(a)
-	if !c.tune.QuotaEscrow {
+	a.orphans.init(a)
+	if !c.tuning.QuotaEscrow {
 		return nil
 	}
-	c.me.RecordFormat = storage.QuotaRecordFormat
+	c.identity.RecordFormat = storage.QuotaRecordFormat
 	a.guarantee = make(map[string]quota.Amount)
 	a.blocked = make(map[accountName]bool)
-	config := quota.Config{Shards: []string{c.cfg.Member}, TransferInterval: c.tune.QuotaTransferInterval,
+	config := quota.Config{Shards: []string{c.cfg.Member}, TransferInterval: c.tuning.QuotaTransferInterval,
 		TeamsPerTransfer: min(maxTeamsPerTransfer, c.cfg.Settings.State.Effective().TxnOps)}
 	for _, p := range c.cfg.Peers {
 		config.Shards = append(config.Shards, p.Member)
@@ -70,66 +70,66 @@
 	return nil
 }
 
-func sizeOf(j *protocol.Job) quota.Amount { return quota.AmountOf(j.CPUs, j.GPUs) }
+func taskAmount(job *protocol.Job) quota.Amount { return quota.AmountOf(job.CPUs, job.GPUs) }
 
 // limited tells whether a job's tasks are counted at all.
-func (a *admission) limited(j *ownedJob) bool {
-	return a.manager != nil && a.manager.HasLimit(j.spec.Team)
+func (a *admission) limited(job *ownedJob) bool {
+	return a.manager != nil && a.manager.HasLimit(job.spec.Team)
 }
 
-// open notes that this process has taken a ledger.
-func (a *admission) open(l *ownedLedger, stamp uint64) {
+// openShard notes that this process has taken a ledger.
+func (a *admission) openShard(shard *ownedShard, version uint64) {
 	if a.manager != nil {
-		a.manager.AcquireShard(l.name, stamp)
-		a.unread = true
+		a.manager.AcquireShard(shard.name, version)
+		a.recordsStale = true
 	}
 }
 
-func (a *admission) close(ledger string) {
+func (a *admission) closeShard(shard string) {
 	if a.manager == nil {
 		return
 	}
-	a.manager.ReleaseShard(ledger)
-	a.lingering.drop(ledger)
+	a.manager.ReleaseShard(shard)
+	a.orphans.removeShard(shard)
 	for key := range a.blocked {
-		if key.ledger == ledger {
+		if key.shard == shard {
 			delete(a.blocked, key)
 		}
 	}
 }
 
-// complete notes that all that an earlier holder of a ledger admitted is counted or
+// onReconciled notes that all that an earlier holder of a ledger admitted is counted or
 // proven gone.
-func (a *admission) complete(l *ownedLedger) {
+func (a *admission) onReconciled(shard *ownedShard) {
 	if a.manager == nil {
 		return
 	}
-	if a.lingering.searched(l.name) {
-		a.c.subscription.joinLedger(l)
+	if a.orphans.detachUnreconciled(shard.name) {
+		a.c.subscription.registerShard(shard)
 		return
 	}
-	a.lingering.proven(l.name)
-	if l.complete {
+	a.orphans.releaseReconciled(shard.name)
+	if shard.admissionComplete {
 		return
 	}
-	l.complete = true
-	a.manager.MarkReconciled(l.name)
+	shard.admissionComplete = true
+	a.manager.MarkReconciled(shard.name)
 	for team := range a.guarantee {
-		a.record(audit.Record{Kind: audit.ShardReconciled, Shard: l.name, FencingToken: l.token, Team: team})
+		a.record(audit.Record{Kind: audit.ShardReconciled, Shard: shard.name, FencingToken: shard.fencingToken, Team: team})
 	}
 }
 
 // fits is how many more tasks of a job its team's allocation has room for.
-func (a *admission) fits(j *ownedJob) int {
-	if !a.limited(j) {
-		return len(j.tasks)
+func (a *admission) fits(job *ownedJob) int {
+	if !a.limited(job) {
+		return len(job.tasks)
 	}
-	return a.manager.AdmissibleCount(j.ledger.name, j.spec.Team, sizeOf(j.spec))
+	return a.manager.AdmissibleCount(job.shard.name, job.spec.Team, taskAmount(job.spec))
 }
 
 // admit has room spent for a task's next copy, or tells that there is none.
-func (a *admission) admit(j *ownedJob, i int32, attempt uint64) bool {
-	if !a.limited(j) {
+func (a *admission) admit(job *ownedJob, i int32, attempt uint64) bool {
+	if !a.limited(job) {
 		return true
 	}
 	kind := audit.AdmittedUnenforced
@@ -137,44 +137,44 @@
 		kind = audit.Admitted
 	}
 	ok := false
-	a.change(j, audit.Record{Kind: kind, Task: uint32(i), Replica: attempt}, func() bool {
-		ok = a.manager.Admit(j.ledger.name, j.spec.Team, sizeOf(j.spec))
+	a.recordChange(job, audit.Record{Kind: kind, Task: uint32(i), Replica: attempt}, func() bool {
+		ok = a.manager.Admit(job.shard.name, job.spec.Team, taskAmount(job.spec))
 		return ok
 	})
 	return ok
 }
 
 // release gives back what a task's copy used, which is proven gone.
-func (a *admission) release(j *ownedJob, i int32) {
-	if a.limited(j) {
-		a.change(j, audit.Record{Kind: audit.Released, Task: uint32(i), Replica: j.tasks[i].attempt}, func() bool {
-			a.manager.Release(j.ledger.name, j.spec.Team, sizeOf(j.spec))
+func (a *admission) release(job *ownedJob, i int32) {
+	if a.limited(job) {
+		a.recordChange(job, audit.Record{Kind: audit.Released, Task: uint32(i), Replica: job.tasks[i].replica}, func() bool {
+			a.manager.Release(job.shard.name, job.spec.Team, taskAmount(job.spec))
 			return true
 		})
 	}
 }
 
-// count adds tasks of a job of which a copy may run that an earlier holder admitted.
-func (a *admission) count(j *ownedJob, n int) {
-	if a.limited(j) && n > 0 {
-		a.change(j, audit.Record{Kind: audit.JobRecovered}, func() bool {
-			a.manager.Charge(j.ledger.name, j.spec.Team, sizeOf(j.spec).Mul(n))
+// countInherited adds tasks of a job of which a copy may run that an earlier holder admitted.
+func (a *admission) countInherited(job *ownedJob, n int) {
+	if a.limited(job) && n > 0 {
+		a.recordChange(job, audit.Record{Kind: audit.JobRecovered}, func() bool {
+			a.manager.Charge(job.shard.name, job.spec.Team, taskAmount(job.spec).Mul(n))
 			return true
 		})
 	}
 }
 
-// found notes that a counted task's copy is known now.
-func (a *admission) found(j *ownedJob, i int32) {
-	if a.limited(j) {
-		a.change(j, audit.Record{Kind: audit.ReplicaFound, Task: uint32(i), Replica: j.tasks[i].attempt}, func() bool { return true })
+// recordFound notes that a counted task's copy is known now.
+func (a *admission) recordFound(job *ownedJob, i int32) {
+	if a.limited(job) {
+		a.recordChange(job, audit.Record{Kind: audit.ReplicaFound, Task: uint32(i), Replica: job.tasks[i].replica}, func() bool { return true })
 	}
 }
 
-// change makes a change of what a job's team has spent, and records it.
-func (a *admission) change(j *ownedJob, r audit.Record, make func() bool) {
-	r.Shard, r.FencingToken, r.Team, r.Job = j.ledger.name, j.ledger.token, j.spec.Team, j.id
-	r.Amount = a.manager.LimitedPart(r.Team, sizeOf(j.spec))
+// recordChange makes a change of what a job's team has spent, and records it.
+func (a *admission) recordChange(job *ownedJob, r audit.Record, make func() bool) {
+	r.Shard, r.FencingToken, r.Team, r.Job = job.shard.name, job.shard.fencingToken, job.spec.Team, job.id
+	r.Amount = a.manager.LimitedPart(r.Team, taskAmount(job.spec))
 	r.SpentBefore = a.manager.Spent(r.Shard, r.Team)
 	if make() {
 		a.record(r)
@@ -197,11 +197,11 @@
 	a.c.env.Audit(r)
 }
 
-// drop counts what made no sense and was dropped, with a line now and then.
-func (a *admission) drop(why, from string) {
+// dropMessage counts what made no sense and was dropped, with a line now and then.
+func (a *admission) dropMessage(why, from string) {
 	a.dropped++
-	if now := a.c.now(); a.dropLog == 0 || now-a.dropLog >= dropLogInterval {
-		a.dropLog = now
+	if now := a.c.now(); a.droppedLoggedAt == 0 || now-a.droppedLoggedAt >= droppedLogInterval {
+		a.droppedLoggedAt = now
 		a.c.log.Error().Str("why", why).Str("from", from).Uint64("dropped", a.dropped).Msg("quota message dropped")
 	}
 }
@@ -211,102 +211,102 @@
 	if a.manager == nil {
 		return
 	}
-	a.rely(a.c.session.versions.divideLimits())
-	a.read(now)
-	a.want(now)
+	a.setBinding(a.c.election.recordFormats.allDivideLimits())
+	a.readRecords(now)
+	a.updateWaiting(now)
 	a.manager.Balance(now)
-	a.tellDemands(now)
+	a.broadcastDemands(now)
 	a.transfer(now)
 }
 
-// rely has admission go by allocations while every member divides limits.
-func (a *admission) rely(all bool) {
+// setBinding has admission go by allocations while every member divides limits.
+func (a *admission) setBinding(all bool) {
 	if all != a.manager.Enforced() {
 		a.c.log.Info().Bool("binding", all).Msg("allocations of team limits")
 	}
 	a.manager.SetEnforced(all)
 }
 
-// want tells the manager what waits, and the leader what has changed of that.
-func (a *admission) want(now time.Duration) {
+// updateWaiting tells the manager what waits, and the leader what has changed of that.
+func (a *admission) updateWaiting(now time.Duration) {
 	type waiting struct{ all, least quota.Amount }
 	sums := make(map[accountName]*waiting)
-	for _, j := range a.c.owner.jobs {
-		n := j.startable()
-		if n == 0 || !a.limited(j) {
+	for _, job := range a.c.owner.jobs {
+		n := job.startable()
+		if n == 0 || !a.limited(job) {
 			continue
 		}
-		key, size := accountName{j.ledger.name, j.spec.Team}, a.manager.LimitedPart(j.spec.Team, sizeOf(j.spec))
+		key, size := accountName{job.shard.name, job.spec.Team}, a.manager.LimitedPart(job.spec.Team, taskAmount(job.spec))
 		if w := sums[key]; w != nil {
 			w.all, w.least = w.all.Add(size.Mul(n)), w.least.Min(size)
 		} else {
 			sums[key] = &waiting{size.Mul(n), size}
 		}
 	}
-	for ledger := range a.c.owner.ledgers {
+	for shard := range a.c.owner.shards {
 		for team := range a.guarantee {
-			w := sums[accountName{ledger, team}]
+			w := sums[accountName{shard, team}]
 			if w == nil {
 				w = &waiting{}
 			}
-			a.manager.SetPending(ledger, team, w.all, w.least, now)
-			a.tellBlocked(ledger, team, w.least)
+			a.manager.SetPending(shard, team, w.all, w.least, now)
+			a.recordBlocked(shard, team, w.least)
 		}
 	}
-	a.refresh()
+	a.markChangedJobs()
 }
 
-// refresh has the leader told of jobs for which there is more or less room than it
+// markChangedJobs has the leader told of jobs for which there is more or less room than it
 // knows.
-func (a *admission) refresh() {
-	for _, j := range a.c.owner.jobs {
-		if a.limited(j) && j.told != a.c.owner.admissible(j) {
-			a.c.owner.touch(j)
+func (a *admission) markChangedJobs() {
+	for _, job := range a.c.owner.jobs {
+		if a.limited(job) && job.publishedPending != a.c.owner.admissible(job) {
+			a.c.owner.markChanged(job)
 		}
 	}
 }
 
-// tellBlocked records when a team begins to wait for an allocation, and when that
+// recordBlocked records when a team begins to wait for an allocation, and when that
 // is over.
-func (a *admission) tellBlocked(ledger, team string, least quota.Amount) {
-	key := accountName{ledger, team}
-	blocked := a.manager.Blocked(ledger, team)
+func (a *admission) recordBlocked(shard, team string, least quota.Amount) {
+	key := accountName{shard, team}
+	blocked := a.manager.Blocked(shard, team)
 	if blocked == a.blocked[key] {
 		return
 	}
-	r := audit.Record{Kind: audit.Unblocked, Shard: ledger, FencingToken: a.c.owner.ledgers[ledger].token, Team: team, Amount: least}
+	r := audit.Record{Kind: audit.Unblocked, Shard: shard, FencingToken: a.c.owner.shards[shard].fencingToken, Team: team, Amount: least}
 	if delete(a.blocked, key); blocked {
 		r.Kind, a.blocked[key] = audit.Blocked, true
 	}
 	a.record(r)
 }
 
-// tellDemands tells the other members what this one's ledgers lack.
-func (a *admission) tellDemands(now time.Duration) {
-	if now < a.demandAt || !a.c.session.mayAct(now) {
+// broadcastDemands tells the other members what this one's ledgers lack.
+func (a *admission) broadcastDemands(now time.Duration) {
+	if now < a.nextDemandsAt || !a.c.election.mayAct(now) {
 		return
 	}
-	a.demandAt = now + demandInterval
+	a.nextDemandsAt = now + demandInterval
 	demands := a.manager.Demands(now)
 	if len(demands) == 0 {
 		return
 	}
-	a.demandSeq++
-	f := &meshpb.QuotaDemands{Seq: a.demandSeq}
+	a.demandSequence++
+	f := &meshpb.QuotaDemands{Seq: a.demandSequence}
 	for _, d := range demands {
-		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Shard: d.Shard, Team: d.Team, Target: amountFrame(d.Target),
-			SmallestPending: amountFrame(d.SmallestPending), PendingUs: d.Waited.Microseconds()})
+		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Shard: d.Shard, Team: d.Team, Target: amountToProto(d.Target),
+			SmallestPending: amountToProto(d.SmallestPending), PendingUs: d.Waited.Microseconds()})
 	}
 	for _, p := range a.c.peers {
 		p.send(&meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
 	}
 }
 
-func amountFrame(a quota.Amount) *meshpb.QuotaAmount {
+func amountToProto(a quota.Amount) *meshpb.QuotaAmount {
 	return &meshpb.QuotaAmount{Cpus: a.CPUs, Gpus: a.GPUs}
 }
 
-func amountOf(f *meshpb.QuotaAmount) quota.Amount {
+func amountFromProto(f *meshpb.QuotaAmount) quota.Amount {
 	return quota.Amount{CPUs: f.GetCpus(), GPUs: f.GetGpus()}
 }
 
@@ -316,21 +316,21 @@
 	if a.manager == nil {
 		return
 	}
-	if f.Seq <= p.quotaSeq {
-		a.drop("older than one before", p.member)
+	if f.Seq <= p.quotaSequence {
+		a.dropMessage("older than one before", p.member)
 		return
 	}
-	p.quotaSeq = f.Seq
+	p.quotaSequence = f.Seq
 	for _, d := range f.Demands {
-		k := a.c.session.ledgers[d.Shard]
+		k := a.c.election.shardKeys[d.Shard]
 		if k == nil || !k.present || k.holder.Member != p.member {
-			a.drop("not the holder's", p.member)
+			a.dropMessage("not the holder's", p.member)
 			continue
 		}
-		demand := quota.Demand{Shard: d.Shard, Team: d.Team, Target: amountOf(d.Target), SmallestPending: amountOf(d.SmallestPending),
+		demand := quota.Demand{Shard: d.Shard, Team: d.Team, Target: amountFromProto(d.Target), SmallestPending: amountFromProto(d.SmallestPending),
 			Waited: time.Duration(d.PendingUs) * time.Microsecond}
 		if !a.manager.ObserveDemand(demand, a.c.now()) {
-			a.drop("malformed", p.member)
+			a.dropMessage("malformed", p.member)
 		}
 	}
 }
--- a/internal/coordination/admission_records.go
+++ b/internal/coordination/admission_records.go
@@ -8,28 +8,28 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// observe takes a team's record, or its absence, as the watch shows it.
-func (a *admission) observe(team string, value []byte, stamp uint64, present bool) {
+// observeRecord takes a team's record, or its absence, as the watch shows it.
+func (a *admission) observeRecord(team string, value []byte, version uint64, present bool) {
 	switch {
 	case a.manager == nil || !a.manager.HasLimit(team):
 		return
 	case !present:
 		// Nobody drops records; whoever did it by hand has to write it anew.
-		a.manager.ObserveUnreadable(team, stamp)
-		a.drop("a record was dropped", storage.QuotaKey(team))
+		a.manager.ObserveUnreadable(team, version)
+		a.dropMessage("a record was dropped", storage.QuotaKey(team))
 		return
 	}
 	var r quota.Record
 	if err := a.c.codec.Decode(value, &r); err != nil {
-		a.manager.ObserveUnreadable(team, stamp)
-		a.drop("a record can't be read: "+err.Error(), storage.QuotaKey(team))
+		a.manager.ObserveUnreadable(team, version)
+		a.dropMessage("a record can't be read: "+err.Error(), storage.QuotaKey(team))
 		return
 	}
-	a.manager.Observe(team, r, stamp)
+	a.manager.Observe(team, r, version)
 }
 
-// listed takes a listing that has every record that there is.
-func (a *admission) listed(items []protocol.KeyValue) {
+// observeAll takes a listing that has every record that there is.
+func (a *admission) observeAll(items []protocol.KeyValue) {
 	if a.manager == nil {
 		return
 	}
@@ -46,46 +46,46 @@
 	}
 }
 
-// read reads all records after a ledger was taken, or when it is not known what
+// readRecords reads all records after a ledger was taken, or when it is not known what
 // became of a transaction.
-func (a *admission) read(now time.Duration) {
-	if !a.unread || a.reading || now < a.readAt {
+func (a *admission) readRecords(now time.Duration) {
+	if !a.recordsStale || a.readingRecords || now < a.nextReadAt {
 		return
 	}
-	a.reading, a.unread = true, false
-	var ledgers []*ownedLedger // that were taken before this read
-	for _, l := range a.c.owner.ledgers {
-		ledgers = append(ledgers, l)
+	a.readingRecords, a.recordsStale = true, false
+	var ledgers []*ownedShard // that were taken before this read
+	for _, shard := range a.c.owner.shards {
+		ledgers = append(ledgers, shard)
 	}
 	a.c.store.QuotaRecords(func(items []protocol.KeyValue, ok bool) {
-		a.reading = false
+		a.readingRecords = false
 		if !ok {
-			a.unread, a.readAt = true, a.c.now()+quotaReadRetry
+			a.recordsStale, a.nextReadAt = true, a.c.now()+quotaReadRetry
 			return
 		}
 		for _, it := range items {
 			if team, known := storage.TeamOfQuotaKey(it.Key); known {
-				a.observe(team, it.Value, it.Version, true)
+				a.observeRecord(team, it.Value, it.Version, true)
 			}
 		}
-		a.listed(items)
-		for _, l := range ledgers {
-			if a.c.owner.ledgers[l.name] == l {
-				a.manager.MarkRecordsFresh(l.name)
+		a.observeAll(items)
+		for _, shard := range ledgers {
+			if a.c.owner.shards[shard.name] == shard {
+				a.manager.MarkRecordsFresh(shard.name)
 			}
 		}
-		a.refresh()
+		a.markChangedJobs()
 	})
 }
 
 // transfer has the manager's next change of allocations written. A holder whose
 // lease may have ended changes nothing.
 func (a *admission) transfer(now time.Duration) {
-	if a.reading || a.unread || !a.c.session.leaseHolds(now) {
+	if a.readingRecords || a.recordsStale || !a.c.election.leaseValid(now) {
 		return
 	}
-	for name, l := range a.c.owner.ledgers {
-		a.manager.UpdateFence(name, l.records.Version())
+	for name, shard := range a.c.owner.shards {
+		a.manager.UpdateFence(name, shard.records.Version())
 	}
 	x := a.manager.Plan(now)
 	if x == nil {
@@ -95,12 +95,12 @@
 		switch r.Outcome {
 		case storage.Applied:
 			a.manager.Applied(r.Revision)
-			a.refresh()
+			a.markChangedJobs()
 		case storage.Refused:
 			a.manager.NotApplied()
 		default:
 			a.manager.OutcomeUnknown()
-			a.unread = true
+			a.recordsStale = true
 		}
 	})
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -21,31 +21,31 @@
 		{"birds", 2060, 400, 60, "blue"},
 	} {
 		b.Run(size.name, func(b *testing.B) {
-			w := newWorld(b, "a", "b", "c")
+			sim := newSimulation(b, "a", "b", "c")
 			for i := range size.machines {
-				k := w.worker(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
-				k.takes, k.vary = 20*time.Second, 2*time.Second
+				agent := sim.addMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
+				agent.taskDuration, agent.durationSpread = 20*time.Second, 2*time.Second
 			}
-			w.run(3 * time.Second)
+			sim.run(3 * time.Second)
 			jobs := 0
 			submit := func() {
 				jobs++
-				n := w.nodes[w.names[jobs%3]]
-				f := form(fmt.Sprintf("wk-%d", jobs), size.tasks).with("crew", size.crew).with("plate", fmt.Sprint("img-", jobs%16))
-				if r := n.submit(f); r.Status != 201 && r.Status != 0 {
+				n := sim.nodes[sim.names[jobs%3]]
+				request := batchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).with("crew", size.crew).with("plate", fmt.Sprint("img-", jobs%16))
+				if r := n.submit(request); r.Status != 201 && r.Status != 0 {
 					b.Fatalf("submission was answered %d", r.Status)
 				}
 			}
 			for range size.jobs {
 				submit()
-				w.advance(50 * time.Millisecond)
+				sim.advance(50 * time.Millisecond)
 			}
-			w.run(2 * time.Second)
+			sim.run(2 * time.Second)
 			for b.Loop() {
 				for range 2 {
 					submit()
 				}
-				w.run(time.Second)
+				sim.run(time.Second)
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*size.machines), "µs/report")
 		})
--- /dev/null
+++ b/internal/coordination/cancellation_test.go
@@ -0,0 +1,168 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// The meeting before all others: the state service refuses the leader alone,
+// another member confirms a cancellation, then the state service is down for
+// everybody, for longer than a cancellation has, while workers report to whoever
+// answers them. Whoever answers a report must then know of the cancellation, or
+// cease to answer. day.check looks for what is left of it after cancel_s.
+
+// startLongJob starts a long job of an owner that doesn't lead, and returns both.
+func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *node, id string) {
+	t.Helper()
+	scenario = newFaultScenario(t, seed, 4)
+	lead, owner = scenario.leader(), scenario.follower()
+	id = scenario.submit(owner, 8)
+	scenario.submit(lead, 4)
+	scenario.play(4, func(int) {})
+	want(t, "running", scenario.runningTasks(), 12)
+	return scenario, lead, owner, id
+}
+
+// otherNode is the member that is neither.
+func (scenario *faultScenario) otherNode(a, b *node) *node {
+	for _, name := range scenario.names {
+		if n := scenario.nodes[name]; n != a && n != b {
+			return n
+		}
+	}
+	return nil
+}
+
+// outageAfterCancellation lets the state service be down for everybody for longer than a
+// cancellation has, and wants the cancelled job's tasks gone by then.
+func (scenario *faultScenario) outageAfterCancellation(id string) {
+	scenario.t.Helper()
+	if scenario.knownStatus[id] != protocol.StatusCancelled {
+		scenario.t.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
+	}
+	scenario.state.unavailable[""] = true
+	scenario.play(50, func(int) {}) // check fails the test if something runs on
+	scenario.recoverAndCheck()
+}
+
+// As on the page, at several lengths of the refusal, whoever owns the job and
+// whoever confirms.
+func TestCancellationBetweenLeaderRefusalAndOutage(t *testing.T) {
+	for _, refused := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
+		for _, owns := range []string{"leader", "confirming", "third"} {
+			t.Run(fmt.Sprint(refused, " before, owner ", owns), func(t *testing.T) {
+				t.Parallel()
+				for _, mesh := range []string{"whole", "cut from the owner", "cut from the third"} {
+					for _, service := range []bool{false, true} {
+						cancelBetweenRefusalAndOutage(t, refused, owns, mesh, service)
+					}
+				}
+			})
+		}
+	}
+}
+
+func cancelBetweenRefusalAndOutage(t *testing.T, refused time.Duration, owns, mesh string, service bool) {
+	t.Helper()
+	scenario := newFaultScenario(t, uint64(refused), 4)
+	lead := scenario.leader()
+	confirming := scenario.follower()
+	third := scenario.otherNode(lead, confirming)
+	owner := map[string]*node{"leader": lead, "confirming": confirming, "third": third}[owns]
+	submit := scenario.submit
+	if service {
+		submit = scenario.submitService
+	}
+	id := submit(owner, 8)
+	scenario.play(4, func(int) {})
+	want(t, "running", scenario.runningTasks(), 8)
+	scenario.state.unavailable[lead.name] = true
+	switch mesh {
+	case "cut from the owner":
+		scenario.disconnect(lead.name, confirming.name)
+	case "cut from the third":
+		scenario.disconnect(lead.name, third.name)
+	}
+	for end := scenario.now + refused; scenario.now < end; {
+		scenario.query(confirming, "ABORT", id)
+		scenario.advance(100 * time.Millisecond)
+	}
+	if owns == "third" {
+		scenario.restart(third.name) // it ends with what it knows
+	}
+	if refused >= 10*time.Second && owns != "third" && mesh == "whole" {
+		want(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
+	}
+	scenario.state.unavailable[""] = true
+	scenario.play(50, func(int) {})
+	scenario.recoverAndCheck()
+}
+
+// The end is written and read by others, who confirm it; its writer alone gets no
+// answer, and so does not know. Nothing may wait for that.
+func TestCancellationUnknownToItsOwner(t *testing.T) {
+	scenario, _, owner, id := startLongJob(t, 1)
+	scenario.state.onTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+		if from != owner.name {
+			return false
+		}
+		apply()
+		done(storage.Response{})
+		return true
+	}
+	scenario.query(owner, "ABORT", id)
+	scenario.deliverAll()
+	scenario.query(scenario.leader(), "ABORT", id) // reads what is written
+	scenario.deliverAll()
+	scenario.outageAfterCancellation(id)
+}
+
+// The owner confirms a cancellation and ends before the leader has heard of it;
+// it is back before the outage, but not with its ledger. Its process extends as
+// others do, and nobody is left who knows.
+func TestCancellationSurvivesOwnerCrash(t *testing.T) {
+	scenario, lead, owner, id := startLongJob(t, 2)
+	scenario.disconnect(lead.name, owner.name)
+	scenario.query(owner, "ABORT", id)
+	scenario.advance(400 * time.Millisecond)
+	scenario.crash(owner.name)
+	scenario.state.onTransaction = func(from string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
+		for _, c := range txn.Then {
+			if from == owner.name && c.Put == storage.ShardKey(owner.name) {
+				done(storage.Response{}) // lost
+				return true
+			}
+		}
+		return false
+	}
+	scenario.start(owner.name)
+	scenario.advance(300 * time.Millisecond)
+	want(t, "the owner's next process is known", owner.controller.election.memberKeyVersion != 0, true)
+	scenario.outageAfterCancellation(id)
+}
+
+// An owner has not seen that another member leads now, since its watch tells
+// nothing: it would tell the old leader what is cancelled. It believes the next
+// one, so that this one may go on in the outage; without that all leases would end.
+func TestOwnerUnawareOfTheNextLeader(t *testing.T) {
+	scenario, lead, owner, id := startLongJob(t, 3)
+	scenario.submit(owner, 2)
+	scenario.play(4, func(int) {})
+	scenario.state.stalledWatches[owner.name] = true
+	scenario.state.unavailable[lead.name] = true
+	scenario.play(9, func(int) {})
+	if scenario.leader() == lead || scenario.leader() == owner {
+		t.Fatal("the third member does not lead")
+	}
+	scenario.query(owner, "ABORT", id)
+	scenario.advance(400 * time.Millisecond)
+	started := scenario.startedTasks
+	scenario.state.unavailable[""] = true
+	scenario.play(50, func(int) {})
+	want(t, "running, started anew", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
+	scenario.outageAfterCancellation(id)
+}
--- a/internal/coordination/machine_list.go
+++ b/internal/coordination/cloud_machine_list.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	machinesPerPage  = 500 // the most that the cloud gives in one answer
-	maxPageFailures  = 5   // in a row, after which a listing begins anew
-	listShareOfCalls = 0.5 // of the leader's rate, that the pages of a long list may use
-	shortestListing  = 2 * time.Second
+	machinesPerPage = 500 // the most that the cloud gives in one answer
+	maxPageFailures = 5   // in a row, after which a listing begins anew
+	listCallShare   = 0.5 // of the leader's rate, that the pages of a long list may use
+	minListInterval = 2 * time.Second
 )
 
 // machineListing is one pass through the cloud's machine list, page by page.
@@ -24,12 +24,12 @@
 	nextPage time.Duration
 	after    string // the last machine that was read
 	machines []protocol.ListedMachine
-	asking   bool
+	inFlight bool
 	failures int // in a row
 }
 
-// readList asks for the next page of the machine list when it is due.
-func (f *fleet) readList(l *leader, now time.Duration) {
+// pollList asks for the next page of the machine list when it is due.
+func (f *cloudInventory) pollList(l *leader, now time.Duration) {
 	if f.listing != nil && f.listing.leader != l {
 		f.listing = nil // an answer that still comes belongs to nobody
 	}
@@ -40,12 +40,12 @@
 		f.listing = &machineListing{leader: l, began: now}
 	}
 	p := f.listing
-	if p.asking || now < p.nextPage || !f.allow(now) {
+	if p.inFlight || now < p.nextPage || !f.allowCall(now) {
 		return
 	}
-	p.asking = true
+	p.inFlight = true
 	p.nextPage = now + f.pageInterval()
-	f.c.env.Cloud.Call("GET", p.path(), nil, cloudTimeout, func(r storage.Response) {
+	f.c.env.Cloud.Call("GET", p.path(), nil, cloudCallTimeout, func(r storage.Response) {
 		if f.listing == p {
 			f.onPage(p, r)
 		}
@@ -54,8 +54,8 @@
 
 // pageInterval keeps the pages of a long list from taking the calls that rent
 // and return machines.
-func (f *fleet) pageInterval() time.Duration {
-	return seconds(1 / (f.c.cfg.Settings.Cloud.RPS * leaderShare * listShareOfCalls))
+func (f *cloudInventory) pageInterval() time.Duration {
+	return seconds(1 / (f.c.cfg.Settings.Cloud.RPS * leaderCallShare * listCallShare))
 }
 
 func (p *machineListing) path() string {
@@ -66,15 +66,15 @@
 	return path
 }
 
-func (f *fleet) onPage(p *machineListing, r storage.Response) {
+func (f *cloudInventory) onPage(p *machineListing, r storage.Response) {
 	now := f.c.now()
-	p.asking = false
+	p.inFlight = false
 	var page protocol.MachineList
 	if r.Status != 200 || f.c.codec.Decode(r.Body, &page) != nil {
 		p.failures++
-		p.nextPage = max(p.nextPage, now+cloudRetry)
+		p.nextPage = max(p.nextPage, now+cloudRetryDelay)
 		if p.failures >= maxPageFailures {
-			f.listing, f.nextList = nil, now+cloudRetry
+			f.listing, f.nextList = nil, now+cloudRetryDelay
 		}
 		return
 	}
@@ -85,6 +85,6 @@
 		return
 	}
 	f.listing = nil
-	f.nextList = now + max(shortestListing, seconds(f.c.cfg.Settings.Cloud.ListLagS/3))
-	f.take(p.leader, p.machines, p.began)
+	f.nextList = now + max(minListInterval, seconds(f.c.cfg.Settings.Cloud.ListLagS/3))
+	f.applyList(p.leader, p.machines, p.began)
 }
--- /dev/null
+++ b/internal/coordination/concurrent_faults_test.go
@@ -0,0 +1,239 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// The meetings of the operators' page that need no script of their own beyond
+// troubles at set times: day checks every rule all the while, and that everything
+// is known and done once the troubles are over.
+
+// busyMachines returns up to n machines that run tasks.
+func (scenario *faultScenario) busyMachines(n int) []*machineAgent {
+	var out []*machineAgent
+	for _, name := range scenario.agentNames() {
+		if agent := scenario.agents[name]; len(out) < n && len(agent.running()) > 0 {
+			out = append(out, agent)
+		}
+	}
+	return out
+}
+
+// restart ends a node and starts it again at once.
+func (scenario *faultScenario) restart(name string) {
+	scenario.crash(name)
+	scenario.start(name)
+}
+
+// activeLeader returns who leads, if anybody does.
+func (scenario *faultScenario) activeLeader() *node {
+	for _, name := range scenario.names {
+		if n := scenario.nodes[name]; n.up && n.controller.leader != nil && n.controller.election.mayAct(scenario.now) {
+			return n
+		}
+	}
+	return nil
+}
+
+// recordHeartbeats keeps what machines report, to be sent again later.
+func (scenario *faultScenario) recordHeartbeats() map[*machineAgent][]byte {
+	out := make(map[*machineAgent][]byte)
+	for _, agent := range scenario.agents {
+		out[agent] = append([]byte(nil), agent.lastHeartbeat...)
+	}
+	return out
+}
+
+// replayHeartbeats sends old reports to every node; their answers reach nobody.
+func (scenario *faultScenario) replayHeartbeats(old map[*machineAgent][]byte) {
+	for _, body := range old {
+		for _, name := range scenario.names {
+			if n := scenario.nodes[name]; n.up && !n.paused {
+				n.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: 1 << 30}, func(Response) {})
+			}
+		}
+	}
+	scenario.deliverAll()
+}
+
+func TestFaultScenarios(t *testing.T) {
+	for name, script := range map[string]func(scenario *faultScenario) func(second int){
+		"users ask everywhere as jobs begin, end and are cancelled":                       queryAllControllers,
+		"only the answers are lost, others read what was written":                         loseTransactionResponses,
+		"transactions are carried out late":                                               delayTransactions,
+		"teams at their limits, cancelled jobs on machines that hang, the leader changes": cancelAtTeamLimits,
+		"jobs are cancelled while a ledger changes hands":                                 cancelDuringHandover,
+		"machines up at once get work while writes lag, and the leader ends":              startOnNewMachinesWhileWritesLag,
+		"old reports reach every controller as a new leader begins":                       replayOldHeartbeats,
+		"one-task jobs come four a second, a quarter cancelled":                           submitOneTaskJobs,
+		"leaders change ten times, also in an outage":                                     changeLeaders,
+		"all controllers are away for longer than a lease":                                stopAllControllers,
+		"a zone with its workers and a controller is cut off":                             partitionZone,
+		"a leader keeps its workers and users alone":                                      isolateLeader,
+		"jobs of one zone lose machines":                                                  failMachinesOfOneZone,
+		"cancellations, questions and repeats meet the end of the last task":              cancelAsLastTaskEnds,
+		"machines can't reach any controller":                                             silenceMachines,
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(2) {
+				scenario := newFaultScenario(t, seed, 8)
+				scenario.play(45, script(scenario))
+				scenario.recoverAndCheck()
+				if scenario.submitted == 0 || len(scenario.knownStatus) < scenario.submitted/3 {
+					t.Fatalf("%d of %d jobs were accepted", len(scenario.knownStatus), scenario.submitted)
+				}
+			}
+		})
+	}
+}
+
+// setTaskDuration has the tasks of all machines take some time.
+func (scenario *faultScenario) setTaskDuration(takes time.Duration) {
+	for _, agent := range scenario.agents {
+		agent.taskDuration, agent.durationSpread = takes, takes/4
+	}
+}
+
+// failMachine ends a machine and all on it.
+func (scenario *faultScenario) failMachine(agent *machineAgent) {
+	delete(scenario.agents, agent.name)
+	for i := range scenario.cloud.machines {
+		if scenario.cloud.machines[i].name == agent.name {
+			scenario.cloud.machines[i].status = "failed"
+		}
+	}
+}
+
+// Two or three troubles at a time, whichever they are, for as long as they last
+// and at whatever time they begin.
+func TestConcurrentFaults(t *testing.T) {
+	for seed := range uint64(16) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			playConcurrentFaults(newFaultScenario(t, seed, 8))
+		})
+	}
+}
+
+func playConcurrentFaults(scenario *faultScenario) {
+	scenario.t.Helper()
+	scenario.setTaskDuration(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
+	r := scenario.rand
+	pause := func() int { return 1 + r.IntN(25) }
+	var lead *node
+	troubles := []func() (begin, end func()){
+		func() (func(), func()) {
+			return func() { scenario.state.unavailable[""] = true }, func() { scenario.state.unavailable[""] = false }
+		},
+		func() (func(), func()) { // the leader is refused alone
+			return func() {
+				if lead = scenario.activeLeader(); lead != nil {
+					scenario.state.unavailable[lead.name] = true
+				}
+			}, func() { clear(scenario.state.unavailable) }
+		},
+		func() (func(), func()) { // and cut from the other controllers
+			return func() {
+				if lead = scenario.activeLeader(); lead == nil {
+					return
+				}
+				scenario.state.unavailable[lead.name] = true
+				for _, other := range scenario.names {
+					if other != lead.name {
+						scenario.disconnect(lead.name, other)
+					}
+				}
+			}, func() { clear(scenario.state.unavailable); scenario.restoreAll() }
+		},
+		func() (func(), func()) {
+			a, b := r.IntN(3), r.IntN(3)
+			return func() {
+				if a != b {
+					scenario.disconnect(scenario.names[a], scenario.names[b])
+				}
+			}, scenario.restoreAll
+		},
+		func() (func(), func()) {
+			return func() { scenario.loseTransactions(0.3, true) }, func() { scenario.loseTransactions(0, true) }
+		},
+		func() (func(), func()) {
+			return func() { scenario.loseTransactions(0.2, false) }, func() { scenario.loseTransactions(0, true) }
+		},
+		func() (func(), func()) {
+			name := scenario.names[r.IntN(3)]
+			return func() { scenario.crash(name) }, scenario.restoreAll
+		},
+		func() (func(), func()) {
+			return func() { scenario.crashOnConfirm = true }, func() { scenario.crashOnConfirm = false; scenario.restoreAll() }
+		},
+		func() (func(), func()) { // all are back at once
+			return func() {
+				for _, name := range scenario.names {
+					scenario.crash(name)
+				}
+				scenario.restoreAll()
+			}, func() {}
+		},
+		func() (func(), func()) {
+			var agents []*machineAgent
+			return func() {
+					agents = scenario.busyMachines(1 + r.IntN(5))
+					for i, agent := range agents {
+						agent.silent, agent.losesResponses = i%2 == 0, i%2 == 1
+					}
+				}, func() {
+					for _, agent := range agents {
+						agent.silent, agent.losesResponses = false, false
+					}
+				}
+		},
+		func() (func(), func()) {
+			old := scenario.recordHeartbeats()
+			return func() { old = scenario.recordHeartbeats() }, func() { scenario.replayHeartbeats(old) }
+		},
+		func() (func(), func()) {
+			return func() { scenario.cancelRandomJobs(6) }, func() { scenario.cancelRandomJobs(6) }
+		},
+		func() (func(), func()) {
+			return func() { scenario.state.stalledWatches[scenario.names[r.IntN(3)]] = true }, func() { clear(scenario.state.stalledWatches) }
+		},
+		func() (func(), func()) {
+			return func() {
+				for _, agent := range scenario.busyMachines(2) {
+					scenario.failMachine(agent)
+				}
+			}, func() {}
+		},
+	}
+	at := make(map[int][]func())
+	for range 3 {
+		from := 4 + r.IntN(20)
+		for range 2 + r.IntN(2) {
+			begin, end := troubles[r.IntN(len(troubles))]()
+			s := from + r.IntN(4)
+			at[s] = append(at[s], begin)
+			s += pause()
+			at[s] = append(at[s], end)
+		}
+	}
+	scenario.play(60, func(s int) {
+		if s < 45 {
+			n := scenario.randomNode()
+			if s%5 == 4 {
+				scenario.submitService(n, 1+r.IntN(2), "crew", "blue", "apart", s%2 == 0)
+			} else {
+				scenario.submit(n, 1+r.IntN(4), "crew", []string{"red", "blue"}[s%2], "urgency", []string{"urgent", "standard"}[r.IntN(2)])
+			}
+		}
+		if s%4 == 0 {
+			scenario.cancelRandomJobs(1)
+		}
+		for _, fn := range at[s] {
+			fn()
+		}
+	})
+	scenario.recoverAndCheck()
+}
--- /dev/null
+++ b/internal/coordination/fault_pairs_test.go
@@ -0,0 +1,337 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// Meetings of two troubles, as the operators' hunt page names them. That no task
+// starts on one machine while it is on another is checked at every start, see
+// checkAlone.
+
+// finishTask ends one running task wherever it runs.
+func (sim *simulation) finishTask(name string) {
+	for _, agent := range sim.agents {
+		for _, task := range agent.tasks {
+			if task.name == name && task.state == "running" {
+				task.state, task.cause = "ended", "done"
+			}
+		}
+	}
+}
+
+func (sim *simulation) startCount() int {
+	n := 0
+	for _, agent := range sim.agents {
+		n += agent.starts
+	}
+	return n
+}
+
+// Tasks of short jobs end far apart across a change of leader: what had ended
+// stays so, what runs goes on, and the job is done once the last has ended.
+func TestShortJobEndsAcrossLeaderChange(t *testing.T) {
+	for _, at := range []string{"leader", "follower"} {
+		sim := newSimulation(t, "a", "b", "c")
+		sim.addMachine("vm-1", "z1")
+		sim.addMachine("vm-2", "z2")
+		sim.run(2 * time.Second)
+		lead := sim.leader()
+		n := lead
+		if at == "follower" {
+			n = sim.follower()
+		}
+		want(t, "submit", n.submit(batchJob("wk-1", 3)).Status, 201)
+		sim.run(3 * time.Second)
+		sim.finishTask("wk-1/0")
+		sim.run(300 * time.Millisecond) // reported, and perhaps not yet written
+		sim.crash(lead.name)
+		sim.run(time.Second)
+		sim.finishTask("wk-1/1")
+		sim.run(15 * time.Second)
+		next := sim.leader()
+		if code, s := next.status("wk-1"); code != 200 || s.Status == "done" {
+			t.Fatalf("%d %q while a task runs", code, s.Status)
+		}
+		want(t, "starts", sim.startCount(), 3)
+		sim.start(lead.name)
+		sim.run(10 * time.Second)
+		sim.finishTask("wk-1/2")
+		sim.run(5 * time.Second)
+		for _, name := range sim.names {
+			sim.wantStatus(sim.nodes[name], "wk-1", 200, "done")
+		}
+		want(t, "starts in all", sim.startCount(), 3)
+	}
+}
+
+// The leader ends while machines with long tasks are out of reach, or don't hear
+// the next leader's answers. Their tasks run on and are not started elsewhere
+// before their leases are over; those that are back within them keep them.
+func TestLeaderCrashWhileMachinesAreUnreachable(t *testing.T) {
+	for _, deaf := range []bool{false, true} {
+		for _, back := range []bool{false, true} {
+			sim := newSimulation(t, "a", "b", "c")
+			for i := range 10 {
+				sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+			}
+			sim.run(2 * time.Second)
+			lead := sim.leader()
+			want(t, "submit", lead.submit(batchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
+			sim.run(4 * time.Second)
+			want(t, "running", sim.runningTasks(), 20)
+			var lost []*machineAgent
+			for _, name := range sim.agentNames() {
+				if agent := sim.agents[name]; len(lost) < 3 && len(agent.running()) > 0 {
+					agent.silent, agent.losesResponses = !deaf, deaf
+					lost = append(lost, agent)
+				}
+			}
+			sim.crash(lead.name)
+			sim.run(10 * time.Second) // within their leases of 16 s
+			want(t, "starts before the leases are over", sim.startCount(), 20)
+			if back {
+				for _, agent := range lost {
+					agent.silent, agent.losesResponses = false, false
+				}
+				sim.run(15 * time.Second)
+				want(t, "starts of tasks whose machines are back", sim.startCount(), 20)
+				continue
+			}
+			for _, agent := range lost {
+				agent.expireLease()
+			}
+			sim.run(30 * time.Second)
+			want(t, "running again", sim.runningTasks(), 20)
+		}
+	}
+}
+
+// The state service refuses the leader alone and then everybody, for longer than
+// a cancellation has, while users cancel and ask. Nobody is told what is not
+// durable, and once it is back everything is answered and what was cancelled goes.
+func TestCancellationDuringLongOutage(t *testing.T) {
+	sim := newSimulation(t, "a", "b", "c")
+	sim.addMachine("vm-1", "z1")
+	sim.addMachine("vm-2", "z1")
+	sim.run(2 * time.Second)
+	first := sim.leader()
+	want(t, "submit", first.submit(batchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.follower().submit(batchJob("wk-2", 2)).Status, 201)
+	sim.run(3 * time.Second)
+	sim.state.unavailable[first.name] = true
+	sim.run(8 * time.Second)
+	sim.state.unavailable[""] = true
+	told := make(map[string]bool)
+	for i := range 50 { // cancel_s is 40
+		for _, name := range sim.names {
+			out := sim.nodes[name].send("POST", "/submissions/wk-1/abort")
+			ask := sim.nodes[name].send("GET", "/submissions/wk-2")
+			sim.run(time.Second)
+			if out.Status == 200 {
+				t.Fatal("a cancellation was told that nothing holds")
+			}
+			if ask.Status != 200 && ask.Status != 503 {
+				t.Fatalf("a job that runs was answered %d", ask.Status)
+			}
+			told[fmt.Sprint(ask.Status, i >= 40)] = true
+		}
+	}
+	want(t, "somebody answers to the end for the job that runs", told["200 true"], true)
+	clear(sim.state.unavailable)
+	sim.run(6 * time.Second)
+	code, status := sim.leader().cancel("wk-1")
+	want(t, "cancelled", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	sim.run(6 * time.Second)
+	want(t, "running", sim.runningTasks(), 2)
+	for _, name := range sim.names {
+		sim.wantStatus(sim.nodes[name], "wk-1", 200, "withdrawn")
+	}
+}
+
+// An answer is held up for seconds, its leader ends meanwhile, and the machine
+// then carries it out: the start counts, or is proven absent, before another.
+func TestDelayedResponseOfACrashedLeader(t *testing.T) {
+	for _, arrives := range []bool{true, false} {
+		sim := newSimulation(t, "a", "b", "c")
+		agent, other := sim.addMachine("vm-1", "z1"), sim.addMachine("vm-2", "z1")
+		sim.run(2 * time.Second)
+		lead := sim.leader()
+		want(t, "submit", lead.submit(batchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
+		if agent.connectedTo != lead.controller {
+			agent.heartbeatTo(lead)
+		}
+		held := &Response{}
+		lead.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.heartbeatBody(), Conn: agent.connection}, func(r Response) { *held = r })
+		sim.advance(400 * time.Millisecond)
+		want(t, "answer", held.Status, 200)
+		agent.silent = true // it waits for the answer
+		sim.crash(lead.name)
+		for range 3 {
+			sim.advance(time.Second)
+			other.heartbeat()
+		}
+		agent.silent = false
+		if arrives {
+			agent.execute(held.Body)
+		}
+		agent.connectedTo = nil
+		sim.run(20 * time.Second)
+		want(t, "running", sim.runningTasks(), 2)
+		want(t, "starts", sim.startCount(), 2)
+	}
+}
+
+// All end, and one is back within a second: it goes on alone, with all ledgers,
+// once nobody can hold a extension of its predecessor's.
+func TestOneMemberRecoversAfterAllCrash(t *testing.T) {
+	for _, name := range []string{"a", "b", "c"} {
+		sim := newSimulation(t, "a", "b", "c")
+		sim.addMachine("vm-1", "z1")
+		sim.addMachine("vm-2", "z1")
+		sim.run(2 * time.Second)
+		for i, n := range sim.names {
+			want(t, "submit", sim.nodes[n].submit(batchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+		}
+		sim.run(4 * time.Second)
+		for _, n := range sim.names {
+			sim.crash(n)
+		}
+		sim.advance(300 * time.Millisecond)
+		sim.start(name)
+		sim.run(14 * time.Second)
+		n := sim.nodes[name]
+		want(t, "leads", sim.leader(), n)
+		want(t, "running", sim.runningTasks(), 6)
+		for i := range sim.names {
+			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
+		}
+		for _, agent := range sim.agents {
+			agent.finishTasks("done")
+		}
+		sim.run(5 * time.Second)
+		for i := range sim.names {
+			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
+		}
+		want(t, "starts", sim.startCount(), 6)
+	}
+}
+
+// A transaction of each kind gets no answer and is carried out late, after newer
+// ones of the same controller, with a change of leader in between or without.
+// Whatever it holds is fenced or harmless: every job ends as it should.
+func TestLateTransactionOfEachKind(t *testing.T) {
+	kinds := map[string]func(c protocol.Change) bool{
+		"leader":    func(c protocol.Change) bool { return c.Put == storage.LeaderKey },
+		"ledger":    func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "m/ledger/") },
+		"member":    func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "m/member/") },
+		"machines":  func(c protocol.Change) bool { return strings.HasPrefix(c.Put+c.Delete, "fleet/") },
+		"finished":  func(c protocol.Change) bool { return strings.HasPrefix(c.Put+c.Delete, "done/") },
+		"book":      func(c protocol.Change) bool { return strings.HasPrefix(c.Put+c.Delete, "own/") },
+		"job":       func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "job/") },
+		"any":       func(protocol.Change) bool { return true },
+		"deletions": func(c protocol.Change) bool { return c.Delete != "" },
+	}
+	for kind, is := range kinds {
+		for variant := range 4 {
+			sim := newSimulation(t, "a", "b", "c")
+			type late struct {
+				at    time.Duration
+				apply func() storage.Response
+			}
+			var held []late
+			n, hits := 0, 0
+			sim.state.onTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+				hit := false
+				for _, c := range txn.Then {
+					hit = hit || is(c)
+				}
+				if !hit {
+					return false
+				}
+				if n++; n%3 != variant%3 { // one in three
+					return false
+				}
+				hits++
+				held = append(held, late{sim.now + time.Duration(2+n%11)*time.Second, apply})
+				done(storage.Response{})
+				return true
+			}
+			for i := range 6 {
+				agent := sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+				agent.taskDuration, agent.durationSpread = 2*time.Second, time.Second
+			}
+			second := func() {
+				sim.run(time.Second)
+				sim.bootMachines(2 * time.Second)
+				kept := held[:0]
+				for _, l := range held {
+					if sim.now < l.at {
+						kept = append(kept, l)
+						continue
+					}
+					l.apply()
+				}
+				held = kept
+			}
+			accepted, cancelled := make(map[string]bool), make(map[string]bool)
+			for i := range 40 {
+				second()
+				id := fmt.Sprint("wk-", i+1)
+				r := sim.nodes[sim.names[i%3]]
+				if r.up && r.submit(batchJob(id, 1+i%9)).Status == 201 {
+					accepted[id] = true
+				}
+				if i%7 == 6 && r.up && accepted[fmt.Sprint("wk-", i)] {
+					if code, s := r.cancel(fmt.Sprint("wk-", i)); code == 200 && s == "withdrawn" {
+						cancelled[fmt.Sprint("wk-", i)] = true
+					}
+				}
+				switch {
+				case variant == 3 && i == 15:
+					sim.crash(sim.leader().name)
+				case variant == 3 && i == 25:
+					for _, name := range sim.names {
+						if !sim.nodes[name].up {
+							sim.start(name)
+						}
+					}
+				case variant == 2 && i == 20:
+					name := sim.leader().name
+					sim.crash(name)
+					sim.start(name) // back at once
+				}
+			}
+			for range 60 {
+				second()
+			}
+			sim.state.onTransaction = nil
+			for len(held) > 0 {
+				second()
+			}
+			for range 40 {
+				second()
+			}
+			if hits == 0 && kind != "leader" && kind != "member" && kind != "ledger" {
+				t.Fatalf("%s %d: nothing was held", kind, variant)
+			}
+			if len(accepted) < 15 {
+				t.Fatalf("%s %d: %d of 40 jobs were accepted", kind, variant, len(accepted))
+			}
+			for id := range accepted {
+				end := "done"
+				if cancelled[id] {
+					end = "withdrawn"
+				}
+				if code, s := sim.leader().status(id); code != 200 || (s.Status != end && s.Status != "withdrawn") || (s.Status == "withdrawn") != (end == "withdrawn") {
+					t.Fatalf("%s %d: %s is answered %d %q, not %q", kind, variant, id, code, s.Status, end)
+				}
+			}
+		}
+	}
+}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -13,80 +13,80 @@
 // replaced twice meanwhile. More are refused at once.
 const maxMachines = 20000
 
-// taskKey names one copy of a task.
-type taskKey struct {
+// replicaKey names one copy of a task.
+type replicaKey struct {
 	job     string
 	task    uint32
-	attempt uint64
+	replica uint64
 }
 
-// placed is a copy that a machine lists, or that was sent there.
-type placed struct {
-	key     taskKey
-	state   protocol.TaskState
-	why     protocol.ExitReason
-	since   time.Duration // when it was first seen in its state
-	job     *leaderJob    // nil if no joined owner knows it
-	stopped bool          // told to stop, to make room
-	owed    bool          // it is not, see stoppable
+// replicaOnMachine is a copy that a machine lists, or that was sent there.
+type replicaOnMachine struct {
+	key              replicaKey
+	state            protocol.TaskState
+	exitReason       protocol.ExitReason
+	since            time.Duration // when it was first seen in its state
+	job              *trackedJob   // nil if no joined owner knows it
+	stopRequested    bool          // told to stop, to make room
+	preemptionExempt bool          // it is not, see stoppable
 }
 
-// known tells whether the size of a copy is known.
-func (p *placed) known() bool { return p.job != nil && p.job.spec != nil }
+// sizeKnown tells whether the size of a copy is known.
+func (p *replicaOnMachine) sizeKnown() bool { return p.job != nil && p.job.spec != nil }
 
-// variant is a kind of machine that can be rented.
-type variant struct {
-	typ, zone string
-	spot      bool
+// machineKind is a kind of machine that can be rented.
+type machineKind struct {
+	typeName, zone string
+	spot           bool
 }
 
 // machine is what the leader knows of one machine.
 type machine struct {
 	name  string
 	index uint32 // on this leader's streams
-	variant
-	session, seq uint64
-	reported     bool          // under this leader
-	heard        time.Duration // last report
-	currentAt    time.Duration // last report that carried this leader's token
-	conn         uint64        // the connection that the last answered report came on
-	reached      time.Duration // last report that showed that an answer had arrived
-	presumed     bool          // that one showed it only by how late it came
-	noticeAt     time.Duration // when the cloud takes it away; 0: no notice
-	tasks        []placed
-	sent         []placed // starts in the last answer, not yet listed
-	listing      bool     // its copies are counted as listed, see enlist
-	free         room     // what tasks and sent leave
-	orders       map[taskKey]*meshpb.MachineCommand
-	idleSince    time.Duration
-	rentedAt     time.Duration // 0: not known
-	record       string        // state key that names it; without one it gets no starts
-	recording    bool
-	inherited    bool // an earlier leader named it, and may have given it tasks
-	leaving      bool // being returned: no offers any more
-	releasing    bool
-	pending      *answer
-	images       []cachedImage
-	wanted       int            // of the images, how many have work waiting
-	errors       map[string]int // failures since the last success, by job
-	sick         bool
-	gone         bool
-	unaccounted  room       // what may run on it that no owner accounts for, see countUnaccounted
-	heldFor      *leaderJob // its room gathers for this job
-	kept         bool       // waiting tasks can use it, see match
-	standby      bool       // its room is kept for services
-	offering     *answer    // that offers are being made for
-	told         []uint64   // by member: the stream on which its last list was passed on
-	toldAt       time.Duration
-	cachedAnew   bool // its images have changed since they were passed on
+	machineKind
+	epoch, sequence      uint64
+	heartbeatSeen        bool          // under this leader
+	lastHeartbeat        time.Duration // last report
+	lastCurrentHeartbeat time.Duration // last report that carried this leader's token
+	connection           uint64        // the connection that the last answered report came on
+	lastReachable        time.Duration // last report that showed that an answer had arrived
+	reachPresumed        bool          // that one showed it only by how late it came
+	reclaimAt            time.Duration // when the cloud takes it away; 0: no notice
+	tasks                []replicaOnMachine
+	sentStarts           []replicaOnMachine // starts in the last answer, not yet listed
+	replicasCounted      bool               // its copies are counted as listed, see enlist
+	free                 resources          // what tasks and sent leave
+	commands             map[replicaKey]*meshpb.MachineCommand
+	idleSince            time.Duration
+	createdAt            time.Duration // 0: not known
+	recordKey            string        // state key that names it; without one it gets no starts
+	recordPending        bool
+	fromEarlierLeader    bool // an earlier leader named it, and may have given it tasks
+	terminating          bool // being returned: no offers any more
+	terminateInFlight    bool
+	pending              *pendingResponse
+	images               []cachedImage
+	wantedImages         int            // of the images, how many have work waiting
+	failuresByJob        map[string]int // failures since the last success, by job
+	quarantined          bool
+	terminated           bool
+	unreconciled         resources        // what may run on it that no owner accounts for, see countUnaccounted
+	reservedFor          *trackedJob      // its room gathers for this job
+	needed               bool             // waiting tasks can use it, see match
+	inWarmPool           bool             // its room is kept for services
+	offeringFor          *pendingResponse // that offers are being made for
+	statusStreams        []uint64         // by member: the stream on which its last list was passed on
+	lastFullStatus       time.Duration
+	imagesChanged        bool // its images have changed since they were passed on
 }
 
 // machineTable holds the leader's machines, by name and by dense index.
 type machineTable struct {
-	byName  map[string]*machine
-	byIndex []*machine // nil where an index is free
-	free    []uint32
-	cursor  int // of the work that goes through all machines in slices
+	byName      map[string]*machine
+	byIndex     []*machine // nil where an index is free
+	freeIndexes []uint32
+	cursor      int // of the work that goes through all machines in slices
 }
 
 func (t *machineTable) init() { t.byName = make(map[string]*machine) }
@@ -109,9 +109,9 @@
 		return nil
 	}
 	m := &machine{name: name}
-	if n := len(t.free); n > 0 {
-		m.index = t.free[n-1]
-		t.free = t.free[:n-1]
+	if n := len(t.freeIndexes); n > 0 {
+		m.index = t.freeIndexes[n-1]
+		t.freeIndexes = t.freeIndexes[:n-1]
 		t.byIndex[m.index] = m
 	} else {
 		m.index = uint32(len(t.byIndex))
@@ -124,7 +124,7 @@
 func (t *machineTable) remove(m *machine) {
 	delete(t.byName, m.name)
 	t.byIndex[m.index] = nil
-	t.free = append(t.free, m.index)
+	t.freeIndexes = append(t.freeIndexes, m.index)
 }
 
 // all yields every machine.
@@ -136,8 +136,8 @@
 	}
 }
 
-// slice yields the next part of all machines; parts calls go through them all.
-func (t *machineTable) slice(parts int, yield func(*machine)) {
+// nextSlice yields the next part of all machines; parts calls go through them all.
+func (t *machineTable) nextSlice(parts int, yield func(*machine)) {
 	n := len(t.byIndex)
 	for range (n + parts - 1) / parts {
 		t.cursor++
@@ -150,133 +150,133 @@
 	}
 }
 
-// room is what a machine has free.
-type room struct{ cpus, gpus, memory float64 }
+// resources is what a machine has free.
+type resources struct{ cpus, gpus, memory float64 }
 
-func (r room) fits(s *meshpb.JobSummary) bool {
+func (r resources) fits(s *meshpb.JobSummary) bool {
 	const slack = 1e-9
 	return s.Cpus <= r.cpus+slack && s.Gpus <= r.gpus+slack && s.MemoryGb <= r.memory+slack
 }
 
-func (r *room) take(s *meshpb.JobSummary) {
+func (r *resources) subtract(s *meshpb.JobSummary) {
 	r.cpus -= s.Cpus
 	r.gpus -= s.Gpus
 	r.memory -= s.MemoryGb
 }
 
-func (r *room) give(s *meshpb.JobSummary) {
+func (r *resources) add(s *meshpb.JobSummary) {
 	r.cpus += s.Cpus
 	r.gpus += s.Gpus
 	r.memory += s.MemoryGb
 }
 
-func capacityOf(t *protocol.MachineType) room { return room{t.CPUs, t.GPUs, t.MemoryGB} }
+func capacityOf(t *protocol.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// measure works out what a machine's reports and the starts on their way to
+// updateFree works out what a machine's reports and the starts on their way to
 // it leave free.
-func (l *leader) measure(m *machine) {
-	m.free = room{}
-	t := l.c.fleet.types[m.typ]
-	if t == nil {
+func (l *leader) updateFree(m *machine) {
+	m.free = resources{}
+	machineType := l.c.fleet.types[m.typeName]
+	if machineType == nil {
 		return
 	}
-	r := capacityOf(t)
+	free := capacityOf(machineType)
 	for i := range m.tasks {
-		p := &m.tasks[i]
-		if p.state == protocol.TaskExited {
+		replica := &m.tasks[i]
+		if replica.state == protocol.TaskExited {
 			continue
 		}
-		if !p.known() {
+		if !replica.sizeKnown() {
 			return // a task of unknown size
 		}
-		r.take(p.job.spec)
+		free.subtract(replica.job.spec)
 	}
-	for i := range m.sent {
-		r.take(m.sent[i].job.spec)
+	for i := range m.sentStarts {
+		free.subtract(m.sentStarts[i].job.spec)
 	}
-	m.free = r
+	m.free = free
 }
 
-// usable tells whether a machine may get starts at all. It may not while no
+// schedulable tells whether a machine may get starts at all. It may not while no
 // report shows that answers reach it: what it is sent might never arrive.
-func (l *leader) usable(m *machine, now time.Duration) bool {
-	return m.currentAt > 0 && m.record != "" && !m.gone && !m.leaving && !m.sick && m.noticeAt == 0 && now-m.reached <= l.c.silenceAfter()
+func (l *leader) schedulable(m *machine, now time.Duration) bool {
+	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.c.silenceAfter()
 }
 
-// enlist counts the live copies that a machine lists, or was sent, with their
+// countReplicas counts the live copies that a machine lists, or was sent, with their
 // jobs: of a job that is over, they are what its team still uses.
-func (l *leader) enlist(m *machine) {
-	if !m.listing {
-		m.listing = true
-		l.countListed(m, 1)
+func (l *leader) countReplicas(m *machine) {
+	if !m.replicasCounted {
+		m.replicasCounted = true
+		l.addLiveReplicas(m, 1)
 	}
 }
 
-// unlist takes them out again: before the list changes, or when the machine's
+// uncountReplicas takes them out again: before the list changes, or when the machine's
 // lease is surely over.
-func (l *leader) unlist(m *machine) {
-	if m.listing {
-		m.listing = false
-		l.countListed(m, -1)
+func (l *leader) uncountReplicas(m *machine) {
+	if m.replicasCounted {
+		m.replicasCounted = false
+		l.addLiveReplicas(m, -1)
 	}
 }
 
-func (l *leader) countListed(m *machine, by int) {
-	count := func(list []placed) {
+func (l *leader) addLiveReplicas(m *machine, by int) {
+	count := func(list []replicaOnMachine) {
 		for i := range list {
 			if p := &list[i]; p.job != nil && p.state != protocol.TaskExited {
-				p.job.listed += by
-				if p.job.closed {
-					l.recount(p.job)
+				p.job.liveReplicas += by
+				if p.job.ended {
+					l.updateUsage(p.job)
 				}
 			}
 		}
 	}
 	count(m.tasks)
-	count(m.sent)
+	count(m.sentStarts)
 }
 
-// leaseOver tells whether a machine's lease has surely ended, whoever answered
+// leaseExpired tells whether a machine's lease has surely ended, whoever answered
 // its worker.
-func (l *leader) leaseOver(m *machine, now time.Duration) bool {
-	return now-max(m.heard, l.since) > l.c.leaseSpan()
+func (l *leader) leaseExpired(m *machine, now time.Duration) bool {
+	return now-max(m.lastHeartbeat, l.electedAt) > l.c.workerLeaseTimeout()
 }
 
-// countUnaccounted notes how much may run on a machine that no owner accounts for:
+// updateUnreconciled notes how much may run on a machine that no owner accounts for:
 // copies of unknown jobs, or whatever is on a machine that has not yet
 // answered to this leader.
-func (l *leader) countUnaccounted(m *machine, now time.Duration) {
-	most := room{}
-	if !m.gone && !l.leaseOver(m, now) {
-		unknown := m.currentAt == 0 && m.inherited
+func (l *leader) updateUnreconciled(m *machine, now time.Duration) {
+	most := resources{}
+	if !m.terminated && !l.leaseExpired(m, now) {
+		unknown := m.lastCurrentHeartbeat == 0 && m.fromEarlierLeader
 		for i := range m.tasks {
 			unknown = unknown || (m.tasks[i].job == nil && m.tasks[i].state != protocol.TaskExited)
 		}
 		if unknown {
-			most = l.largest(m.typ)
+			most = l.largestCapacity(m.typeName)
 		}
 	} else {
-		l.unlist(m)
+		l.uncountReplicas(m)
 	}
-	l.unaccounted.cpus += most.cpus - m.unaccounted.cpus
-	l.unaccounted.gpus += most.gpus - m.unaccounted.gpus
-	m.unaccounted = most
+	l.unreconciled.cpus += most.cpus - m.unreconciled.cpus
+	l.unreconciled.gpus += most.gpus - m.unreconciled.gpus
+	m.unreconciled = most
 }
 
-// largest is the size of a type, or of the largest one while a machine's type
+// largestCapacity is the size of a type, or of the largest one while a machine's type
 // is not known.
-func (l *leader) largest(typ string) room {
+func (l *leader) largestCapacity(typ string) resources {
 	if t := l.c.fleet.types[typ]; t != nil {
 		return capacityOf(t)
 	}
-	var r room
+	var r resources
 	for _, t := range l.c.fleet.types {
 		r.cpus, r.gpus = math.Max(r.cpus, t.CPUs), math.Max(r.gpus, t.GPUs)
 	}
 	return r
 }
 
-func (m *machine) lists(key taskKey) bool {
+func (m *machine) listsReplica(key replicaKey) bool {
 	for i := range m.tasks {
 		if m.tasks[i].key == key {
 			return true
@@ -288,8 +288,8 @@
 // empty tells whether nothing is on the machine or on its way there. An
 // ended task counts: its result may not be written yet.
 func (m *machine) empty() bool {
-	return len(m.tasks)+len(m.sent) == 0 && m.pending == nil
+	return len(m.tasks)+len(m.sentStarts) == 0 && m.pending == nil
 }
 
-// comes tells whether a machine has not come so far that it may get starts.
-func (m *machine) comes() bool { return m.currentAt == 0 || m.record == "" }
+// starting tells whether a machine has not come so far that it may get starts.
+func (m *machine) starting() bool { return m.lastCurrentHeartbeat == 0 || m.recordKey == "" }
--- /dev/null
+++ b/internal/coordination/offers.go
@@ -0,0 +1,229 @@
+package coordination
+
+import (
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+const (
+	exclusiveNeedWindow = 3 * time.Minute // how long a type stays reserved for the jobs that need it
+	quarantineErrors    = 3
+	jobFaultMachines    = 3 // machines on which a job fails before the mistake is taken for its own
+)
+
+// offer is room offered to one owner for one answer.
+type offer struct {
+	id       uint64
+	response *pendingResponse
+	link     Link
+	owner    *peer
+	items    []offerItem
+}
+
+type offerItem struct {
+	job   *trackedJob
+	count int
+}
+
+// shouldAvoid tells whether a job has failed on a machine and should rather be
+// tried on others, of which there are enough.
+func (l *leader) shouldAvoid(j *trackedJob, m *machine) bool {
+	return j.failedOn[m.name] && !j.failsEverywhere(l.autoscaler.reportedMachines)
+}
+
+// reservedForOthers tells whether machines of a type are kept for jobs that can
+// run nowhere else, while this job can. Replicas of services are few and stay on
+// machines that were rented for them, whatever their type.
+func (l *leader) reservedForOthers(j *trackedJob, typ string) bool {
+	return !j.spec.Service && j.onlyType != typ && l.autoscaler.hasExclusiveNeed(typ, l.c.now())
+}
+
+// canOffer tells whether a task of a job may be offered a machine's room.
+func (l *leader) canOffer(j *trackedJob, m *machine, free resources) bool {
+	if j.unoffered() == 0 || !free.fits(j.spec) || l.shouldAvoid(j, m) || !l.withinTeamLimit(j) {
+		return false
+	}
+	if (m.reservedFor != nil && m.reservedFor != j) || (m.inWarmPool && !j.spec.Service) || l.exceedsSpread(j, m) || l.warmPool.shouldWaitForImage(j, m, l.c.now()) {
+		return false
+	}
+	if !m.spot && m.empty() && j.priority < protocol.PriorityUrgent && j.image.spotCapacityFits(j) {
+		return false // cheaper machines that have the image have room for all of it
+	}
+	return m.hasImage(j.image) || l.worthFetching(j, m)
+}
+
+// spotCapacityFits tells whether spot machines that have an image have room for all of a
+// job's waiting tasks, so that an empty ordinary machine can go back.
+func (im *image) spotCapacityFits(j *trackedJob) bool {
+	n := float64(j.unoffered())
+	return n*j.spec.Cpus <= im.spotFree.cpus && n*j.spec.Gpus <= im.spotFree.gpus && n*j.spec.MemoryGb <= im.spotFree.memory
+}
+
+// makeOffers offers a machine's free room to the owners of waiting tasks, one
+// task after another to whatever is served first.
+func (l *leader) makeOffers(m *machine, a *pendingResponse, now time.Duration) {
+	if !l.schedulable(m, now) {
+		return
+	}
+	l.warmPool.claimMachine(m, now)
+	l.rebuildPendingQueue(now)
+	k := l.pendingQueue.byKind[m.machineKind]
+	free := m.free
+	if k == nil || k.jobCount == 0 || free.cpus < k.smallestTask.cpus || free.memory < k.smallestTask.memory {
+		return
+	}
+	m.offeringFor = a
+	defer func() { m.offeringFor = nil }()
+	queues := l.candidateQueues(m, k)
+	heads := make([]*trackedJob, len(queues))
+	for i, q := range queues {
+		heads[i] = q.head(l, m, free)
+	}
+	for range l.c.tuning.StartsPerResponse {
+		best := -1
+		for i, j := range heads {
+			if j != nil && (best < 0 || j.servedBefore(heads[best])) {
+				best = i
+			}
+		}
+		if best < 0 {
+			break
+		}
+		j := heads[best]
+		free.subtract(j.spec)
+		if m.spot {
+			j.image.spotFree.subtract(j.spec)
+		}
+		l.addToOffer(a, j)
+		for i, q := range queues {
+			if heads[i] != nil && !l.canOffer(heads[i], m, free) {
+				heads[i] = q.head(l, m, free)
+			}
+		}
+	}
+	for _, o := range a.openOffers {
+		l.offers[o.id] = o
+		f := &meshpb.Offer{Id: o.id, MachineIndex: m.index, Epoch: a.epoch, Seq: a.sequence}
+		for _, it := range o.items {
+			f.Items = append(f.Items, &meshpb.OfferItem{Job: it.job.id, Count: uint32(it.count)})
+		}
+		o.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Offer{Offer: f}})
+	}
+}
+
+// servedBefore tells whether a job is served before another.
+func (j *trackedJob) servedBefore(o *trackedJob) bool {
+	if j.orderKey == o.orderKey && j.team == o.team {
+		return j.id < o.id
+	}
+	return j.orderKey.before(j.team.dominantShare(), o.orderKey, o.team.dominantShare())
+}
+
+// addToOffer offers room for one more task of a job.
+func (l *leader) addToOffer(a *pendingResponse, j *trackedJob) {
+	j.offered++
+	l.updateUsage(j)
+	if j.orderKey.overdue {
+		// Once a task of it is on offer it is served in its turn.
+		j.overdueStarts++
+		j.orderKey = l.orderKeyOf(&trackedJob{spec: j.spec, priority: j.priority, started: true}, l.c.env.Wall().UnixMilli())
+	}
+	for _, o := range a.openOffers {
+		if o.link == j.shard.link {
+			for i := range o.items {
+				if o.items[i].job == j {
+					o.items[i].count++
+					return
+				}
+			}
+			o.items = append(o.items, offerItem{j, 1})
+			return
+		}
+	}
+	l.lastOfferID++
+	a.openOffers = append(a.openOffers, &offer{id: l.lastOfferID, response: a, link: j.shard.link, owner: j.shard.owner, items: []offerItem{{j, 1}}})
+}
+
+func (l *leader) closeOffer(o *offer) {
+	delete(l.offers, o.id)
+	for _, it := range o.items {
+		it.job.offered -= it.count
+		l.updateUsage(it.job)
+	}
+}
+
+// closeOffers ends all offers of an answer.
+func (l *leader) closeOffers(a *pendingResponse) {
+	for _, o := range a.openOffers {
+		l.closeOffer(o)
+	}
+	a.openOffers = nil
+}
+
+// removeOffer takes an offer out of its answer.
+func (a *pendingResponse) removeOffer(o *offer) {
+	for i, x := range a.openOffers {
+		if x == o {
+			a.openOffers = append(a.openOffers[:i], a.openOffers[i+1:]...)
+			return
+		}
+	}
+}
+
+// onBindings takes an owner's answer to an offer.
+func (l *leader) onBindings(p *peer, f *meshpb.Bindings) {
+	o := l.offers[f.OfferId]
+	if o == nil || o.link != p.link {
+		// Too late: the answer has gone out without them.
+		l.sendReturnedBindings(p, f.Bindings)
+		return
+	}
+	l.closeOffer(o)
+	for _, d := range f.Jobs {
+		if j := l.jobs[d.Job]; j != nil && j.shard != nil && j.shard.owner == p && !j.ended {
+			l.setCounts(j, d)
+		}
+	}
+	a := o.response
+	for _, k := range f.Bindings {
+		j := l.jobs[k.Job]
+		if j == nil || j.shard == nil || j.shard.owner != p {
+			continue // its owner was replaced, the new one knows nothing of it
+		}
+		a.bindings = append(a.bindings, shardBinding{j.shard, k})
+	}
+	a.removeOffer(o)
+	if len(a.openOffers) == 0 {
+		l.sendResponse(a)
+	}
+}
+
+// rescindOffers withdraws the offers and unsent picks of a ledger whose owner
+// is being replaced: what it picked but was not sent yet never will be.
+func (l *leader) rescindOffers(g *shardState) {
+	for _, a := range l.pendingResponses {
+		if a.finished {
+			continue
+		}
+		kept := a.bindings[:0]
+		for _, p := range a.bindings {
+			if p.shard != g {
+				kept = append(kept, p)
+			}
+		}
+		a.bindings = kept
+		for i := 0; i < len(a.openOffers); {
+			if o := a.openOffers[i]; o.link == g.link && g.link != nil {
+				l.closeOffer(o)
+				a.removeOffer(o)
+				continue
+			}
+			i++
+		}
+		if len(a.openOffers) == 0 {
+			l.sendResponse(a)
+		}
+	}
+}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -11,92 +11,92 @@
 
 // ownedJob is an unfinished job of one of this process's ledgers.
 type ownedJob struct {
-	id      string
-	ledger  *ownedLedger
-	spec    *protocol.Job
-	atMs    int64
-	nonce   string
-	tasks   []task
-	queue   []int32 // waiting tasks, in order; may hold ones that wait no more
-	cool    []int32
-	zones   map[string]int // located tasks by zone, for together and apart
-	nWait   int
-	nLoc    int
-	nRun    int
-	nDone   int // completed or written
-	nWrit   int
-	ending  string // the final status that is being written
-	final   bool
-	fails   int // in a row
-	breaker circuitBreaker
-	dirty   bool
-	fresh   bool // its description has not been sent to the present leader
-	onFinal []func(status string)
-	told    int // waiting tasks that the leader was told of last
+	id                  string
+	shard               *ownedShard
+	spec                *protocol.Job
+	submittedMs         int64
+	nonce               string
+	tasks               []task
+	pendingOrder        []int32 // waiting tasks, in order; may hold ones that wait no more
+	backingOff          []int32
+	activeByZone        map[string]int // located tasks by zone, for together and apart
+	pending             int
+	active              int
+	running             int
+	finished            int // completed or written
+	durable             int
+	finalStatus         string // the final status that is being written
+	ended               bool
+	consecutiveFailures int // in a row
+	breaker             circuitBreaker
+	changed             bool
+	specUnsent          bool // its description has not been sent to the present leader
+	onEnd               []func(status string)
+	publishedPending    int // waiting tasks that the leader was told of last
 }
 
-// ownedLedger is a ledger that this process holds.
-type ownedLedger struct {
-	name          string
-	records       *storage.Shard
-	ready         bool   // recovered
-	joined        bool   // the present leader counts it
-	number        uint32 // in the present leader's lists, see Report.complete_for; 0: it gave none
-	jobs          map[string]*ownedJob
-	complete      bool   // all of earlier holders is counted or proven gone
-	token         uint64 // the stamp that it was taken with
-	lastAttempt   uint64 // the highest replica number of the ledger
-	lastInherited uint64 // copies up to this number were given out by earlier holders
-	settled       bool   // no copy of earlier holders is left that is not known of
+// ownedShard is a ledger that this process holds.
+type ownedShard struct {
+	name                 string
+	records              *storage.Shard
+	recovered            bool   // recovered
+	registered           bool   // the present leader counts it
+	leaderNumber         uint32 // in the present leader's lists, see Report.complete_for; 0: it gave none
+	jobs                 map[string]*ownedJob
+	admissionComplete    bool   // all of earlier holders is counted or proven gone
+	fencingToken         uint64 // the stamp that it was taken with
+	lastReplica          uint64 // the highest replica number of the ledger
+	lastInheritedReplica uint64 // copies up to this number were given out by earlier holders
+	reconciled           bool   // no copy of earlier holders is left that is not known of
 	// A leader that does not say which lists are complete has called it settled.
-	settledUnchecked bool
-	unlocated        int // recovered tasks that may be anywhere
-	creates          map[string]*creation
+	reconciledUnchecked bool
+	unreconciled        int // recovered tasks that may be anywhere
+	creations           map[string]*pendingCreation
 }
 
-type creation struct {
+type pendingCreation struct {
 	nonce   string
 	waiters []func(storage.CreateResult)
 }
 
 // owner holds what this process owns.
 type owner struct {
-	c        *Core
-	ledgers  map[string]*ownedLedger
-	jobs     map[string]*ownedJob
-	machines registry // names of machines, dense
-	held     map[int32][]taskRef
-	changed  []*ownedJob
-	nonces   uint64
-	losses   tally // by lossReason
-	bytes    int64 // what the unfinished jobs take, roughly
+	c           *Controller
+	shards      map[string]*ownedShard
+	jobs        map[string]*ownedJob
+	machines    nameIndex // names of machines, dense
+	replicas    map[int32][]taskRef
+	changed     []*ownedJob
+	lastNonce   uint64
+	losses      eventCounter // by lossReason
+	memoryBytes int64        // what the unfinished jobs take, roughly
 }
 
-// attemptBits is how many replica numbers a holder of a ledger has, as a power of
+// replicaBits is how many replica numbers a holder of a ledger has, as a power of
 // two. Each holder's begin at its stamp, so they go up from holder to holder.
-const attemptBits = 20
+const replicaBits = 20
 
 const (
-	jobBytes  = 4 << 10
-	taskBytes = 72
+	bytesPerJob  = 4 << 10
+	bytesPerTask = 72
 )
 
-func jobSize(spec *protocol.Job) int64 { return jobBytes + taskBytes*int64(spec.Tasks) }
+func estimatedBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
 
-// full tells whether one more job would take more than a quarter of this
+// memoryFull tells whether one more job would take more than a quarter of this
 // process's memory; ledgers that are taken over need room too.
-func (o *owner) full(spec *protocol.Job) bool {
-	return o.bytes+jobSize(spec) > int64(o.c.cfg.Settings.Limits.MemMB*float64(1<<20)/4)
+func (o *owner) memoryFull(spec *protocol.Job) bool {
+	return o.memoryBytes+estimatedBytes(spec) > int64(o.c.cfg.Settings.Limits.MemMB*float64(1<<20)/4)
 }
 
-// registry maps names to dense indices, which are used again once released.
-type registry struct {
+// nameIndex maps names to dense indices, which are used again once released.
+type nameIndex struct {
 	byName map[string]int32
 	names  []string
 	free   []int32
 }
 
-func (r *registry) index(name string) int32 {
+func (r *nameIndex) index(name string) int32 {
 	if r.byName == nil {
 		r.byName = make(map[string]int32)
 	}
@@ -116,133 +116,133 @@
 	return i
 }
 
-func (r *registry) release(name string) {
+func (r *nameIndex) release(name string) {
 	if i, ok := r.byName[name]; ok {
 		delete(r.byName, name)
 		r.free = append(r.free, i)
 	}
 }
 
-func (o *owner) init(c *Core) {
+func (o *owner) init(c *Controller) {
 	o.c = c
-	o.ledgers = make(map[string]*ownedLedger)
+	o.shards = make(map[string]*ownedShard)
 	o.jobs = make(map[string]*ownedJob)
-	o.held = make(map[int32][]taskRef)
-	o.losses = newLossTally()
+	o.replicas = make(map[int32][]taskRef)
+	o.losses = newLossCounter()
 }
 
-// adopt takes up a ledger whose key this process has just written, and reads
+// acquire takes up a ledger whose key this process has just written, and reads
 // what is unfinished in it.
-func (o *owner) adopt(name string, lease, stamp uint64) {
-	o.drop(name)
+func (o *owner) acquire(name string, lease, version uint64) {
+	o.removeShard(name)
 	claimed := o.c.now()
-	l := &ownedLedger{name: name, jobs: make(map[string]*ownedJob), creates: make(map[string]*creation)}
-	l.records = storage.NewShard(o.c.store, name, o.c.me, lease, stamp, func() {
+	shard := &ownedShard{name: name, jobs: make(map[string]*ownedJob), creations: make(map[string]*pendingCreation)}
+	shard.records = storage.NewShard(o.c.store, name, o.c.identity, lease, version, func() {
 		o.c.log.Error().Str("ledger", name).Msg("ledger lost")
-		o.drop(name)
+		o.removeShard(name)
 	})
-	l.token = stamp
-	l.lastAttempt = stamp << attemptBits
-	l.lastInherited = l.lastAttempt
-	o.ledgers[name] = l
-	o.c.admission.open(l, stamp)
-	l.records.Recover(func(jobs []storage.RecoveredJob) {
+	shard.fencingToken = version
+	shard.lastReplica = version << replicaBits
+	shard.lastInheritedReplica = shard.lastReplica
+	o.shards[name] = shard
+	o.c.admission.openShard(shard, version)
+	shard.records.Recover(func(jobs []storage.RecoveredJob) {
 		for i := range jobs {
-			o.recovered(l, &jobs[i])
+			o.restoreJob(shard, &jobs[i])
 		}
-		l.ready = true
-		if unread := l.records.Unreadable(); len(unread) > 0 {
+		shard.recovered = true
+		if unread := shard.records.Unreadable(); len(unread) > 0 {
 			o.c.log.Error().Strs("keys", unread).Msg("records of unknown shape are left alone")
 		}
-		o.c.log.Info().Str("ledger", name).Int("jobs", len(jobs)).Uint64("stamp", stamp).Int("reads", l.records.RecoveryReads()).
+		o.c.log.Info().Str("ledger", name).Int("jobs", len(jobs)).Uint64("stamp", version).Int("reads", shard.records.RecoveryReads()).
 			Int64("after_ms", (o.c.now() - claimed).Milliseconds()).Msg("ledger taken up")
-		for _, j := range l.jobs {
-			o.checkEnd(j)
+		for _, job := range shard.jobs {
+			o.endIfFinished(job)
 		}
-		o.c.subscription.join()
+		o.c.subscription.registerShards()
 	})
 }
 
-func (o *owner) recovered(l *ownedLedger, r *storage.RecoveredJob) {
-	j := o.newJob(l, &r.Job, r.SubmittedAtMs, "")
+func (o *owner) restoreJob(shard *ownedShard, r *storage.RecoveredJob) {
+	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
 	for i, done := range r.Done {
 		if done {
-			j.tasks[i].place = written
-			j.nDone++
-			j.nWrit++
+			job.tasks[i].state = taskDurable
+			job.finished++
+			job.durable++
 		} else {
-			j.tasks[i].place = unplaced
-			j.nLoc++
-			l.unlocated++
+			job.tasks[i].state = taskUnreconciled
+			job.active++
+			shard.unreconciled++
 		}
 	}
-	o.c.admission.count(j, j.nLoc)
-	j.nWait, j.queue = 0, nil
+	o.c.admission.countInherited(job, job.active)
+	job.pending, job.pendingOrder = 0, nil
 }
 
-// newJob adds a job whose tasks all wait.
-func (o *owner) newJob(l *ownedLedger, spec *protocol.Job, atMs int64, nonce string) *ownedJob {
-	j := &ownedJob{id: spec.ID, ledger: l, spec: spec, atMs: atMs, nonce: nonce, fresh: true,
-		tasks: make([]task, spec.Tasks), queue: make([]int32, spec.Tasks), nWait: spec.Tasks}
-	for i := range j.queue {
-		j.queue[i] = int32(i)
+// addJob adds a job whose tasks all wait.
+func (o *owner) addJob(shard *ownedShard, spec *protocol.Job, atMs int64, nonce string) *ownedJob {
+	job := &ownedJob{id: spec.ID, shard: shard, spec: spec, submittedMs: atMs, nonce: nonce, specUnsent: true,
+		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
+	for i := range job.pendingOrder {
+		job.pendingOrder[i] = int32(i)
 	}
 	if spec.SingleZone || spec.SpreadZones {
-		j.zones = make(map[string]int)
+		job.activeByZone = make(map[string]int)
 	}
-	l.jobs[j.id] = j
-	o.jobs[j.id] = j
-	o.bytes += jobSize(spec)
-	o.touch(j)
-	return j
+	shard.jobs[job.id] = job
+	o.jobs[job.id] = job
+	o.memoryBytes += estimatedBytes(spec)
+	o.markChanged(job)
+	return job
 }
 
-// drop forgets a ledger that is held no more.
-func (o *owner) drop(name string) {
-	l := o.ledgers[name]
-	if l == nil {
+// removeShard forgets a ledger that is held no more.
+func (o *owner) removeShard(name string) {
+	shard := o.shards[name]
+	if shard == nil {
 		return
 	}
-	l.records.Close()
-	delete(o.ledgers, name)
-	o.c.admission.close(name)
+	shard.records.Close()
+	delete(o.shards, name)
+	o.c.admission.closeShard(name)
 	// Taken up again under the same leader, it has to join again.
-	delete(o.c.subscription.start, name)
-	for _, j := range l.jobs {
-		j.final = true
-		delete(o.jobs, j.id)
-		o.bytes -= jobSize(j.spec)
-		for _, fn := range j.onFinal {
+	delete(o.c.subscription.registeredAtUs, name)
+	for _, job := range shard.jobs {
+		job.ended = true
+		delete(o.jobs, job.id)
+		o.memoryBytes -= estimatedBytes(job.spec)
+		for _, fn := range job.onEnd {
 			fn("")
 		}
-		j.onFinal = nil
+		job.onEnd = nil
 	}
-	for _, cr := range l.creates {
-		for _, fn := range cr.waiters {
+	for _, pending := range shard.creations {
+		for _, fn := range pending.waiters {
 			fn(storage.Unavailable)
 		}
 	}
-	for m, refs := range o.held {
+	for machine, refs := range o.replicas {
 		kept := refs[:0]
 		for _, r := range refs {
-			if r.job.ledger != l {
+			if r.job.shard != shard {
 				kept = append(kept, r)
 			}
 		}
-		o.setHeld(m, kept)
+		o.setReplicas(machine, kept)
 	}
 }
 
-func (o *owner) dropAll() {
-	for name := range o.ledgers {
-		o.drop(name)
+func (o *owner) removeAllShards() {
+	for name := range o.shards {
+		o.removeShard(name)
 	}
 }
 
-// create writes a new job to this member's own ledger.
-func (o *owner) create(spec *protocol.Job, atMs int64, until time.Duration, done func(storage.CreateResult)) {
-	l := o.ledgers[o.c.cfg.Member]
-	if l == nil || !l.ready {
+// createJob writes a new job to this member's own ledger.
+func (o *owner) createJob(spec *protocol.Job, atMs int64, until time.Duration, done func(storage.CreateResult)) {
+	shard := o.shards[o.c.cfg.Member]
+	if shard == nil || !shard.recovered {
 		done(storage.Unavailable)
 		return
 	}
@@ -252,101 +252,101 @@
 		done(storage.AlreadyExists)
 		return
 	}
-	if cr := l.creates[spec.ID]; cr != nil {
-		cr.waiters = append(cr.waiters, done)
+	if pending := shard.creations[spec.ID]; pending != nil {
+		pending.waiters = append(pending.waiters, done)
 		return
 	}
-	o.nonces++
-	cr := &creation{nonce: o.c.me.Nonce + "-" + strconv.FormatUint(o.nonces, 36), waiters: []func(storage.CreateResult){done}}
-	l.creates[spec.ID] = cr
-	l.records.CreateJob(spec, atMs, cr.nonce, until, func(r storage.CreateResult) {
-		delete(l.creates, spec.ID)
-		if r == storage.Created && l.jobs[spec.ID] == nil {
-			o.newJob(l, spec, atMs, cr.nonce)
+	o.lastNonce++
+	pending := &pendingCreation{nonce: o.c.identity.Nonce + "-" + strconv.FormatUint(o.lastNonce, 36), waiters: []func(storage.CreateResult){done}}
+	shard.creations[spec.ID] = pending
+	shard.records.CreateJob(spec, atMs, pending.nonce, until, func(result storage.CreateResult) {
+		delete(shard.creations, spec.ID)
+		if result == storage.Created && shard.jobs[spec.ID] == nil {
+			o.addJob(shard, spec, atMs, pending.nonce)
 		}
-		for _, fn := range cr.waiters {
-			fn(r)
+		for _, fn := range pending.waiters {
+			fn(result)
 		}
 	})
 }
 
-// withdraw ends a job as its user asks; done gets its final status, or none
+// cancel ends a job as its user asks; done gets its final status, or none
 // if that cannot be said here. The leader stops its tasks from now on: the end
 // may be written without this owner learning of it for as long as an outage
 // lasts, while others read it and tell the user (ran_cancelled).
-func (o *owner) withdraw(j *ownedJob, done func(status string)) {
-	j.onFinal = append(j.onFinal, done)
-	o.end(j, protocol.StatusCancelled)
+func (o *owner) cancel(job *ownedJob, done func(status string)) {
+	job.onEnd = append(job.onEnd, done)
+	o.endJob(job, protocol.StatusCancelled)
 }
 
-func (o *owner) end(j *ownedJob, status string) {
-	if j.ending != "" {
+func (o *owner) endJob(job *ownedJob, status string) {
+	if job.finalStatus != "" {
 		return
 	}
-	j.ending = status
-	o.touch(j)
-	j.ledger.records.EndJob(j.spec, j.nonce, status, func() {
-		if j.final {
+	job.finalStatus = status
+	o.markChanged(job)
+	job.shard.records.EndJob(job.spec, job.nonce, status, func() {
+		if job.ended {
 			return
 		}
-		j.final = true
-		o.touch(j)
-		o.forget(j)
-		o.c.users.remember(j.id, status, j.spec.Tasks)
-		for _, fn := range j.onFinal {
+		job.ended = true
+		o.markChanged(job)
+		o.removeJob(job)
+		o.c.userAPI.rememberFinal(job.id, status, job.spec.Tasks)
+		for _, fn := range job.onEnd {
 			fn(status)
 		}
-		j.onFinal = nil
+		job.onEnd = nil
 	})
 }
 
-// forget takes a finished job out of the tables. What is left of it on
+// removeJob takes a finished job out of the tables. What is left of it on
 // machines is the leader's to clear.
-func (o *owner) forget(j *ownedJob) {
-	o.c.admission.jobEnded(j)
-	for i := range j.tasks {
-		switch j.tasks[i].place {
-		case unplaced:
-			j.ledger.unlocated--
-		case inTransit, onMachine:
-			o.unhold(j, int32(i))
+func (o *owner) removeJob(job *ownedJob) {
+	o.c.admission.keepOrphans(job)
+	for i := range job.tasks {
+		switch job.tasks[i].state {
+		case taskUnreconciled:
+			job.shard.unreconciled--
+		case taskAssigned, taskPlaced:
+			o.removeReplica(job, int32(i))
 		}
 	}
-	delete(j.ledger.jobs, j.id)
-	delete(o.jobs, j.id)
-	o.bytes -= jobSize(j.spec)
+	delete(job.shard.jobs, job.id)
+	delete(o.jobs, job.id)
+	o.memoryBytes -= estimatedBytes(job.spec)
 }
 
-func (o *owner) touch(j *ownedJob) {
-	if !j.dirty {
-		j.dirty = true
-		o.changed = append(o.changed, j)
+func (o *owner) markChanged(job *ownedJob) {
+	if !job.changed {
+		job.changed = true
+		o.changed = append(o.changed, job)
 	}
 }
 
 // admissible is how many tasks may be started now, and find room in the allocation of
 // their team.
-func (o *owner) admissible(j *ownedJob) int { return min(j.startable(), o.c.admission.fits(j)) }
+func (o *owner) admissible(job *ownedJob) int { return min(job.startable(), o.c.admission.fits(job)) }
 
-// demandOf is what the leader has to know of a job.
-func (o *owner) demandOf(j *ownedJob, spec bool) *meshpb.JobSummary {
-	j.told = o.admissible(j)
-	d := &meshpb.JobSummary{Job: j.id, Pending: uint32(j.told), Assigned: uint32(j.nLoc), Ended: j.final,
-		Cancelling: j.ending == protocol.StatusCancelled}
+// jobSummary is what the leader has to know of a job.
+func (o *owner) jobSummary(job *ownedJob, spec bool) *meshpb.JobSummary {
+	job.publishedPending = o.admissible(job)
+	summary := &meshpb.JobSummary{Job: job.id, Pending: uint32(job.publishedPending), Assigned: uint32(job.active), Ended: job.ended,
+		Cancelling: job.finalStatus == protocol.StatusCancelled}
 	if !spec {
-		return d
+		return summary
 	}
-	s := j.spec
-	d.HasSpec, d.Team, d.Priority, d.Class = true, s.Team, uint32(s.Priority), s.Class
-	d.Cpus, d.Gpus, d.MemoryGb = s.CPUs, s.GPUs, s.MemoryGB
-	d.Image, d.ImageGb, d.Types, d.AnyType = s.Image, s.ImageGB, s.Types, s.AnyType
-	d.Zone, d.SingleZone, d.SpreadZones, d.Spot = s.Zone, s.SingleZone, s.SpreadZones, s.Spot
-	d.EstimateS, d.CheckpointDurationS, d.CheckpointIntervalS = s.EstimateS, s.CheckpointDurationS, s.CheckpointIntervalS
-	d.SubmittedMs, d.Tasks, d.Service = j.atMs, uint32(s.Tasks), s.Service
+	s := job.spec
+	summary.HasSpec, summary.Team, summary.Priority, summary.Class = true, s.Team, uint32(s.Priority), s.Class
+	summary.Cpus, summary.Gpus, summary.MemoryGb = s.CPUs, s.GPUs, s.MemoryGB
+	summary.Image, summary.ImageGb, summary.Types, summary.AnyType = s.Image, s.ImageGB, s.Types, s.AnyType
+	summary.Zone, summary.SingleZone, summary.SpreadZones, summary.Spot = s.Zone, s.SingleZone, s.SpreadZones, s.Spot
+	summary.EstimateS, summary.CheckpointDurationS, summary.CheckpointIntervalS = s.EstimateS, s.CheckpointDurationS, s.CheckpointIntervalS
+	summary.SubmittedMs, summary.Tasks, summary.Service = job.submittedMs, uint32(s.Tasks), s.Service
 	if s.HasDeadline {
-		d.DeadlineMs = j.atMs + int64(s.DeadlineS*1000)
+		summary.DeadlineMs = job.submittedMs + int64(s.DeadlineS*1000)
 	}
-	return d
+	return summary
 }
 
 // publish tells the leader what changed in this batch.
@@ -354,56 +354,56 @@
 	if len(o.changed) == 0 {
 		return
 	}
-	by := make(map[*ownedLedger][]*meshpb.JobSummary)
-	for _, j := range o.changed {
-		j.dirty = false
-		if o.ledgers[j.ledger.name] != j.ledger {
+	summaries := make(map[*ownedShard][]*meshpb.JobSummary)
+	for _, job := range o.changed {
+		job.changed = false
+		if o.shards[job.shard.name] != job.shard {
 			continue // dropped in this batch: the job goes on with the ledger's next holder
 		}
-		if j.ledger.joined {
-			by[j.ledger] = append(by[j.ledger], o.demandOf(j, j.fresh))
-			j.fresh = false
+		if job.shard.registered {
+			summaries[job.shard] = append(summaries[job.shard], o.jobSummary(job, job.specUnsent))
+			job.specUnsent = false
 		}
 	}
 	o.changed = o.changed[:0]
-	if o.c.subscription.from == nil || o.c.subscription.from.link == nil {
+	if o.c.subscription.leader == nil || o.c.subscription.leader.link == nil {
 		return
 	}
-	for l, jobs := range by {
+	for shard, jobs := range summaries {
 		for len(jobs) > 0 {
-			n := firstChunk(jobs)
-			o.c.subscription.from.send(&meshpb.Frame{Body: &meshpb.Frame_JobSummaries{JobSummaries: &meshpb.JobSummaries{Shard: l.name, Jobs: jobs[:n]}}})
+			n := summariesThatFit(jobs)
+			o.c.subscription.leader.send(&meshpb.Frame{Body: &meshpb.Frame_JobSummaries{JobSummaries: &meshpb.JobSummaries{Shard: shard.name, Jobs: jobs[:n]}}})
 			jobs = jobs[n:]
 		}
 	}
 }
 
-func (o *owner) flush() {
-	for _, l := range o.ledgers {
-		l.records.FlushFinishedTasks()
+func (o *owner) flushRecords() {
+	for _, shard := range o.shards {
+		shard.records.FlushFinishedTasks()
 	}
 }
 
 // tick writes what has gathered, and ends the pauses of failed tasks.
 func (o *owner) tick(now time.Duration) {
 	o.losses.log(now, &o.c.log)
-	for _, l := range o.ledgers {
-		l.records.FlushJobs()
+	for _, shard := range o.shards {
+		shard.records.FlushJobs()
 	}
-	for _, j := range o.jobs {
-		o.probe(j, now)
-		if len(j.cool) == 0 {
+	for _, job := range o.jobs {
+		o.probeBreaker(job, now)
+		if len(job.backingOff) == 0 {
 			continue
 		}
-		kept := j.cool[:0]
-		for _, i := range j.cool {
-			t := &j.tasks[i]
-			if t.place == cooling && t.readyAt > now {
+		kept := job.backingOff[:0]
+		for _, i := range job.backingOff {
+			t := &job.tasks[i]
+			if t.state == taskBackingOff && t.readyAt > now {
 				kept = append(kept, i)
-			} else if t.place == cooling {
-				o.requeue(j, i)
+			} else if t.state == taskBackingOff {
+				o.requeue(job, i)
 			}
 		}
-		j.cool = kept
+		job.backingOff = kept
 	}
 }
--- a/internal/coordination/production_test.go
+++ b/internal/coordination/previous_version_test.go
@@ -23,17 +23,17 @@
 // what this version does; the two programs themselves meet on the days of upgrades,
 // see docs/results.md.
 
-// schema is the mesh protocol of the version before.
-type schema struct {
+// meshSchema is the mesh protocol of the version before.
+type meshSchema struct {
 	once  sync.Once
 	found protoreflect.MessageDescriptor
 	err   error
 }
 
-var production schema
+var previousSchema meshSchema
 
-// frame is what a frame is in it.
-func (s *schema) frame(t testing.TB) protoreflect.MessageDescriptor {
+// descriptor is what a frame is in it.
+func (s *meshSchema) descriptor(t testing.TB) protoreflect.MessageDescriptor {
 	t.Helper()
 	s.once.Do(func() {
 		var b []byte
@@ -59,14 +59,14 @@
 	return s.found
 }
 
-// asRead is what is left of a frame where that version sends or reads it.
-func (s *schema) asRead(t testing.TB, f *meshpb.Frame) *meshpb.Frame {
+// filter is what is left of a frame where that version sends or reads it.
+func (s *meshSchema) filter(t testing.TB, f *meshpb.Frame) *meshpb.Frame {
 	t.Helper()
 	raw, err := proto.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := dynamicpb.NewMessage(s.frame(t))
+	old := dynamicpb.NewMessage(s.descriptor(t))
 	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(raw, old); err != nil {
 		t.Fatal(err)
 	}
@@ -84,25 +84,25 @@
 type stateLimits struct {
 	valueBytes, ops int
 	writeRPS        float64
-	level           float64 // changes that the rate allows now
-	at              time.Duration
-	refused         int // requests, for the rate
+	writeBudget     float64 // changes that the rate allows now
+	budgetAt        time.Duration
+	rateLimited     int // requests, for the rate
 }
 
-// beyondLimits is the status of a transaction that goes beyond the limits, or 0.
+// checkLimits is the status of a transaction that goes beyond the limits, or 0.
 // Only the version before may write what is too large.
-func (s *fakeState) beyondLimits(from string, t *protocol.Transaction) int {
+func (s *fakeState) checkLimits(from string, t *protocol.Transaction) int {
 	l := s.limits
 	if l == nil {
 		return 0
 	}
-	l.level = min(l.writeRPS, l.level+l.writeRPS*(s.w.now-l.at).Seconds())
-	l.at = s.w.now
-	if l.level < float64(len(t.Then)) {
-		l.refused++
+	l.writeBudget = min(l.writeRPS, l.writeBudget+l.writeRPS*(s.sim.now-l.budgetAt).Seconds())
+	l.budgetAt = s.sim.now
+	if l.writeBudget < float64(len(t.Then)) {
+		l.rateLimited++
 		return 429
 	}
-	l.level -= float64(len(t.Then))
+	l.writeBudget -= float64(len(t.Then))
 	large := len(t.Then) > l.ops
 	for _, c := range t.Then {
 		large = large || (c.Put != "" && s.jsonSize(c) > l.valueBytes)
@@ -110,8 +110,8 @@
 	if !large {
 		return 0
 	}
-	if !s.w.before[from] {
-		s.w.t.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
+	if !s.sim.previousVersion[from] {
+		s.sim.t.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
 	}
 	return 400
 }
@@ -119,12 +119,12 @@
 // jsonSize is what the value of a change counts as.
 func (s *fakeState) jsonSize(c protocol.Change) int {
 	var v map[string]any // a codec takes maps only
-	if err := s.w.codec.Decode(s.w.codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
-		s.w.t.Fatal(err)
+	if err := s.sim.codec.Decode(s.sim.codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
+		s.sim.t.Fatal(err)
 	}
 	b, err := json.Marshal(textKeys(v["v"]))
 	if err != nil {
-		s.w.t.Fatal(err)
+		s.sim.t.Fatal(err)
 	}
 	return len(b)
 }
--- a/internal/coordination/list_check_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -23,7 +23,7 @@
 		}
 		var kept []*meshpb.TaskStatus
 		for _, t := range r.Tasks {
-			if p := m.listed(t); p != nil && p.job != nil && p.job.ledger != nil && p.job.ledger.from == l.c.peers[to] {
+			if p := m.reportedTask(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == l.c.peers[to] {
 				kept = append(kept, t)
 			}
 		}
@@ -32,21 +32,21 @@
 	return f
 }
 
-// listed finds a task in what a machine last listed.
-func (m *machine) listed(t *meshpb.TaskStatus) *placed {
+// reportedTask finds a task in what a machine last listed.
+func (m *machine) reportedTask(t *meshpb.TaskStatus) *replicaOnMachine {
 	for i := range m.tasks {
-		if p := &m.tasks[i]; p.key == (taskKey{t.Job, t.Task, t.Replica}) {
+		if p := &m.tasks[i]; p.key == (replicaKey{t.Job, t.Task, t.Replica}) {
 			return p
 		}
 	}
 	return nil
 }
 
-// checkLists looks at every list that a leader passes on: it has whatever the
+// checkStatusesComplete looks at every list that a leader passes on: it has whatever the
 // machine last listed of the jobs that the receiver owns, unless another member
 // has joined for them. The version before takes each list for that much.
-func (w *world) checkLists(l *leader, to *node, f *meshpb.Frame) {
-	if _, bench := w.t.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
+func (sim *simulation) checkStatusesComplete(l *leader, to *node, f *meshpb.Frame) {
+	if _, bench := sim.t.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
 	}
 	last := make(map[uint32]*meshpb.MachineStatus)
@@ -55,21 +55,21 @@
 	}
 	for index, r := range last {
 		m := l.machines.at(index)
-		if m == nil || !r.Current || r.Unchanged || r.Seq != m.seq {
+		if m == nil || !r.Current || r.Unchanged || r.Seq != m.sequence {
 			continue
 		}
-		has := make(map[taskKey]bool, len(r.Tasks))
+		has := make(map[replicaKey]bool, len(r.Tasks))
 		for _, t := range r.Tasks {
-			has[taskKey{t.Job, t.Task, t.Replica}] = true
+			has[replicaKey{t.Job, t.Task, t.Replica}] = true
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
-			j := to.core.owner.jobs[key.job]
+			j := to.controller.owner.jobs[key.job]
 			if j == nil || has[key] {
 				continue
 			}
-			if g := l.ledgers[j.ledger.name]; g == nil || g.from == nil || g.from == l.c.peers[to.name] {
-				w.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
+			if g := l.shards[j.shard.name]; g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
+				sim.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
 			}
 		}
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -7,60 +7,60 @@
 
 // submit accepts a job. A known job's retry is answered before anything is
 // held against it.
-func (u *users) submit(body []byte, reply func(Response)) {
-	c := u.c
+func (api *userAPI) submit(body []byte, reply func(Response)) {
+	c := api.controller
 	var s protocol.Submission
 	if err := c.codec.Decode(body, &s); err != nil {
-		reply(c.refusal(400, err.Error(), 0))
+		reply(c.errorResponse(400, err.Error(), 0))
 		return
 	}
 	job, err := s.Validate()
 	if err != nil {
-		reply(c.refusal(400, err.Error(), 0))
+		reply(c.errorResponse(400, err.Error(), 0))
 		return
 	}
-	reply = u.within(submitTimeout, reply)
-	if u.known(job.ID, 200, reply) {
+	reply = api.withTimeout(submitTimeout, reply)
+	if api.answerFromMemory(job.ID, 200, reply) {
 		return
 	}
-	if refused, ok := u.judge(job); !ok {
+	if refused, ok := api.checkRunnable(job); !ok {
 		// It may be the retry of a job that was accepted when it could run.
-		u.lookUp(job.ID, 200, func() Response { return refused }, reply)
+		api.lookUp(job.ID, 200, func() Response { return refused }, reply)
 		return
 	}
-	if l := c.owner.ledgers[c.cfg.Member]; l == nil || !l.ready || !c.session.mayAct(c.now()) || c.store.Failing() {
+	if shard := c.owner.shards[c.cfg.Member]; shard == nil || !shard.recovered || !c.election.mayAct(c.now()) || c.store.Failing() {
 		if c.store.Failing() {
-			reply(c.refusal(503, "state service is away", 1))
+			reply(c.errorResponse(503, "state service is away", 1))
 			return
 		}
-		u.lookUp(job.ID, 200, func() Response { return c.refusal(503, "not ready to accept", 1) }, reply)
+		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "not ready to accept", 1) }, reply)
 		return
 	}
-	if c.owner.full(job) {
-		u.lookUp(job.ID, 200, func() Response { return c.refusal(503, "too much unfinished work", 10) }, reply)
+	if c.owner.memoryFull(job) {
+		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "too much unfinished work", 10) }, reply)
 		return
 	}
-	c.owner.create(job, c.env.Wall().UnixMilli(), c.now()+submitTimeout, func(r storage.CreateResult) {
+	c.owner.createJob(job, c.env.Wall().UnixMilli(), c.now()+submitTimeout, func(r storage.CreateResult) {
 		switch r {
 		case storage.Created:
-			reply(c.status(201, job.ID, protocol.StatusPending, 0, 0))
+			reply(c.statusResponse(201, job.ID, protocol.StatusPending, 0, 0))
 		case storage.AlreadyExists:
-			u.lookUp(job.ID, 200, func() Response { return c.refusal(503, "state is being read", 1) }, reply)
+			api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "state is being read", 1) }, reply)
 		default:
-			reply(c.refusal(503, "state service is away", 1))
+			reply(c.errorResponse(503, "state service is away", 1))
 		}
 	})
 }
 
-// judge says whether a job can ever run.
-func (u *users) judge(job *protocol.Job) (Response, bool) {
-	c := u.c
+// checkRunnable says whether a job can ever run.
+func (api *userAPI) checkRunnable(job *protocol.Job) (Response, bool) {
+	c := api.controller
 	t := c.team(job.Team)
 	if t == nil {
-		return c.refusal(422, "unknown crew", 0), false
+		return c.errorResponse(422, "unknown crew", 0), false
 	}
 	if len(c.fleet.types) == 0 {
-		return c.refusal(503, "machine types are not known yet", 1), false
+		return c.errorResponse(503, "machine types are not known yet", 1), false
 	}
 	fits := false
 	var known []string
@@ -71,39 +71,39 @@
 		}
 	}
 	if !fits {
-		return c.refusal(422, "a page fits no allowed machine type", 0), false
+		return c.errorResponse(422, "a page fits no allowed machine type", 0), false
 	}
 	if (t.CPUsMax > 0 && job.CPUs > t.CPUsMax) || (t.GPUsMax > 0 && job.GPUs > t.GPUsMax) {
-		return c.refusal(422, "a page needs more than the crew's limit", 0), false
+		return c.errorResponse(422, "a page needs more than the crew's limit", 0), false
 	}
 	if n := float64(job.Tasks); job.Service && ((t.CPUsMax > 0 && n*job.CPUs > t.CPUsMax) || (t.GPUsMax > 0 && n*job.GPUs > t.GPUsMax)) {
-		return c.refusal(422, "all pages of a service together need more than the crew's limit", 0), false
+		return c.errorResponse(422, "all pages of a service together need more than the crew's limit", 0), false
 	}
 	job.Types = known
 	if !c.store.Fits(job) {
-		return c.refusal(422, "its description does not fit the state service's limit of a value", 0), false
+		return c.errorResponse(422, "its description does not fit the state service's limit of a value", 0), false
 	}
-	if job.Service && !c.session.versions.readServices(c.now()) {
-		return c.refusal(503, "some controller can't run services yet", 1), false
+	if job.Service && !c.election.recordFormats.allReadServices(c.now()) {
+		return c.errorResponse(503, "some controller can't run services yet", 1), false
 	}
 	return Response{}, true
 }
 
-// known answers from what this node holds for certain.
-func (u *users) known(id string, code int, reply func(Response)) bool {
-	c := u.c
-	if e, ok := u.finals[id]; ok {
-		reply(c.finalStatus(code, id, e))
+// answerFromMemory answers from what this node holds for certain.
+func (api *userAPI) answerFromMemory(id string, code int, reply func(Response)) bool {
+	c := api.controller
+	if final, ok := api.finalStates[id]; ok {
+		reply(c.finalStatusResponse(code, id, final))
 		return true
 	}
 	j := c.owner.jobs[id]
-	if j == nil || j.ending != "" || !c.session.mayAct(c.now()) {
+	if j == nil || j.finalStatus != "" || !c.election.mayAct(c.now()) {
 		// While the end is being written, other nodes may read it already and
 		// tell it; only a fresh read is sure not to be older than that.
 		return false
 	}
-	r := c.status(code, id, j.wireStatus(), j.nDone, j.nRun)
-	r.Until = c.session.actsUntil()
+	r := c.statusResponse(code, id, j.wireStatus(), j.finished, j.running)
+	r.ValidUntil = c.election.mayActUntil()
 	reply(r)
 	return true
 }
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -7,29 +7,29 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// place is where the owner knows a task to be (the paper's OnNode and
+// taskState is where the owner knows a task to be (the paper's OnNode and
 // InTransition, section 4.2), with what lies before and after.
-type place uint8
+type taskState uint8
 
 const (
-	waiting   place = iota // no copy exists anywhere
-	unplaced               // recovered: a copy may be on any machine
-	inTransit              // a start was handed to a machine's answer
-	onMachine              // the machine's report lists it
-	cooling                // failed; waits for its pause to end
-	completed              // its result is there but not yet written
-	written                // its end is durable
+	taskPending      taskState = iota // no copy exists anywhere
+	taskUnreconciled                  // recovered: a copy may be on any machine
+	taskAssigned                      // a start was handed to a machine's answer
+	taskPlaced                        // the machine's report lists it
+	taskBackingOff                    // failed; waits for its pause to end
+	taskFinished                      // its result is there but not yet written
+	taskDurable                       // its end is durable
 )
 
 // task is one task's supervision state (the paper's SupervisedTaskState).
 type task struct {
-	place   place
-	running bool
-	machine int32
-	attempt uint64 // replica number of the copy that counts
-	session uint64 // of the report whose answer carried the start
-	seq     uint64
-	readyAt time.Duration // cooling: when it waits again; running: since when it is seen to
+	state    taskState
+	running  bool
+	machine  int32
+	replica  uint64 // replica number of the copy that counts
+	epoch    uint64 // of the report whose answer carried the start
+	sequence uint64
+	readyAt  time.Duration // cooling: when it waits again; running: since when it is seen to
 }
 
 type taskRef struct {
@@ -37,409 +37,411 @@
 	task int32
 }
 
-func (o *owner) setHeld(m int32, refs []taskRef) {
+func (o *owner) setReplicas(machine int32, refs []taskRef) {
 	if len(refs) == 0 {
-		delete(o.held, m)
+		delete(o.replicas, machine)
 		return
 	}
-	o.held[m] = refs
+	o.replicas[machine] = refs
 }
 
-// locate notes that a copy of a task is on its way to, or on, a machine.
-func (o *owner) locate(j *ownedJob, i int32, m int32, p place) {
-	t := &j.tasks[i]
-	switch t.place {
-	case waiting:
-		j.nWait--
-		j.nLoc++
-	case cooling:
-		j.nLoc++
-	case unplaced:
-		j.ledger.unlocated--
-	case inTransit, onMachine:
-		if t.machine == m {
-			t.place = p
+// place notes that a copy of a task is on its way to, or on, a machine.
+func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
+	t := &job.tasks[i]
+	switch t.state {
+	case taskPending:
+		job.pending--
+		job.active++
+	case taskBackingOff:
+		job.active++
+	case taskUnreconciled:
+		job.shard.unreconciled--
+	case taskAssigned, taskPlaced:
+		if t.machine == machine {
+			t.state = state
 			return
 		}
-		o.unhold(j, i)
+		o.removeReplica(job, i)
 	default:
 		return
 	}
-	t.place, t.machine = p, m
-	o.held[m] = append(o.held[m], taskRef{j, i})
-	if j.zones != nil {
-		j.zones[o.c.subscription.zoneOf(m)]++
+	t.state, t.machine = state, machine
+	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
+	if job.activeByZone != nil {
+		job.activeByZone[o.c.subscription.zoneOf(machine)]++
 	}
-	o.touch(j)
+	o.markChanged(job)
 }
 
-func (o *owner) unhold(j *ownedJob, i int32) {
-	t := &j.tasks[i]
-	refs := o.held[t.machine]
+func (o *owner) removeReplica(job *ownedJob, i int32) {
+	t := &job.tasks[i]
+	refs := o.replicas[t.machine]
 	for k, r := range refs {
-		if r.job == j && r.task == i {
+		if r.job == job && r.task == i {
 			refs[k] = refs[len(refs)-1]
-			o.setHeld(t.machine, refs[:len(refs)-1])
+			o.setReplicas(t.machine, refs[:len(refs)-1])
 			break
 		}
 	}
-	if j.zones != nil {
-		j.zones[o.c.subscription.zoneOf(t.machine)]--
+	if job.activeByZone != nil {
+		job.activeByZone[o.c.subscription.zoneOf(t.machine)]--
 	}
 }
 
-// lift takes a located task off wherever it was: the caller has proof that no
+// unassign takes a located task off wherever it was: the caller has proof that no
 // copy of it is left.
-func (o *owner) lift(j *ownedJob, i int32) {
-	t := &j.tasks[i]
-	switch t.place {
-	case unplaced:
-		j.ledger.unlocated--
-	case inTransit, onMachine:
-		o.unhold(j, i)
+func (o *owner) unassign(job *ownedJob, i int32) {
+	t := &job.tasks[i]
+	switch t.state {
+	case taskUnreconciled:
+		job.shard.unreconciled--
+	case taskAssigned, taskPlaced:
+		o.removeReplica(job, i)
 	default:
 		return
 	}
-	o.setRunning(j, i, false)
-	j.nLoc--
-	o.c.admission.release(j, i)
-	o.touch(j)
+	o.setRunning(job, i, false)
+	job.active--
+	o.c.admission.release(job, i)
+	o.markChanged(job)
 }
 
-func (o *owner) setRunning(j *ownedJob, i int32, running bool) {
-	t := &j.tasks[i]
+func (o *owner) setRunning(job *ownedJob, i int32, running bool) {
+	t := &job.tasks[i]
 	if t.running != running {
 		t.running = running
 		if running {
 			t.readyAt = o.c.now()
-			j.nRun++
+			job.running++
 		} else {
-			j.nRun--
+			job.running--
 		}
 	}
 }
 
 // requeue makes a task that has no copy left wait for its next replica.
-func (o *owner) requeue(j *ownedJob, i int32) {
-	j.tasks[i].place = waiting
-	j.nWait++
-	j.queue = append(j.queue, i)
-	o.touch(j)
+func (o *owner) requeue(job *ownedJob, i int32) {
+	job.tasks[i].state = taskPending
+	job.pending++
+	job.pendingOrder = append(job.pendingOrder, i)
+	o.markChanged(job)
 }
 
-// lost replicates a task whose copy is proven gone. Was it given out by an
+// replicaLost replicates a task whose copy is proven gone. Was it given out by an
 // earlier holder of the ledger, there may be a newer one somewhere, until every
 // machine is accounted for.
-func (o *owner) lost(j *ownedJob, i int32, why lossReason) {
-	t := &j.tasks[i]
-	o.losses.add(int(why))
-	o.c.log.Debug().Str("job", j.id).Int32("task", i).Uint64("attempt", t.attempt).Str("why", o.losses.kinds[why]).Msg("copy is gone")
-	o.lift(j, i)
-	if !j.ledger.settled && t.attempt <= j.ledger.lastInherited {
-		t.place = unplaced
-		j.nLoc++
-		j.ledger.unlocated++
-		o.c.admission.count(j, 1)
+func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
+	t := &job.tasks[i]
+	o.losses.add(int(reason))
+	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", o.losses.keys[reason]).Msg("copy is gone")
+	o.unassign(job, i)
+	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
+		t.state = taskUnreconciled
+		job.active++
+		job.shard.unreconciled++
+		o.c.admission.countInherited(job, 1)
 		return
 	}
-	o.requeue(j, i)
+	o.requeue(job, i)
 }
 
-func (o *owner) machineGone(m int32) {
-	o.c.admission.lingering.machineGone(m)
-	refs := append([]taskRef(nil), o.held[m]...)
+func (o *owner) machineTerminated(machine int32) {
+	o.c.admission.orphans.machineTerminated(machine)
+	refs := append([]taskRef(nil), o.replicas[machine]...)
 	for _, r := range refs {
-		o.lost(r.job, r.task, lossMachineGone)
+		o.replicaLost(r.job, r.task, lossMachineTerminated)
 	}
 }
 
-// settled puts every recovered task that no machine listed back in line.
-func (o *owner) settled(l *ownedLedger) {
-	l.settled = true
-	o.c.log.Info().Str("ledger", l.name).Int("unlisted", l.unlocated).Msg("ledger settled")
-	if l.unlocated == 0 {
+// reconciled puts every recovered task that no machine listed back in line.
+func (o *owner) reconciled(shard *ownedShard) {
+	shard.reconciled = true
+	o.c.log.Info().Str("ledger", shard.name).Int("unlisted", shard.unreconciled).Msg("ledger settled")
+	if shard.unreconciled == 0 {
 		return
 	}
-	for _, j := range l.jobs {
-		for i := range j.tasks {
-			if j.tasks[i].place == unplaced {
-				o.lost(j, int32(i), lossSettled)
+	for _, job := range shard.jobs {
+		for i := range job.tasks {
+			if job.tasks[i].state == taskUnreconciled {
+				o.replicaLost(job, int32(i), lossReconciled)
 			}
 		}
 	}
 }
 
-// reported takes what the leader passes on of a machine. Only a current report
+// onMachineStatus takes what the leader passes on of a machine. Only a current report
 // tells what is on it, as it was sent by a worker that follows the present leader;
 // what its absence proves is told by absence. One of a later session, however old,
 // proves that all that the machine held before is gone.
-func (o *owner) reported(m int32, r *meshpb.MachineStatus) {
+func (o *owner) onMachineStatus(machine int32, r *meshpb.MachineStatus) {
 	whole := r.Current && !r.Unchanged
 	var listed map[taskRef]bool
 	if whole && len(r.Tasks) > 0 {
 		listed = make(map[taskRef]bool, len(r.Tasks))
 		for _, s := range r.Tasks {
-			j := o.jobs[s.Job]
-			if _, over := o.c.users.finals[s.Job]; j == nil && over {
+			job := o.jobs[s.Job]
+			if _, over := o.c.userAPI.finalStates[s.Job]; job == nil && over {
 				// The leader should know that the job is over; in case it does
 				// not, what is left of it must still go (ran_cancelled).
-				o.c.subscription.order(m, s.Job, s.Task, s.Replica, protocol.TaskState(s.State) == protocol.TaskExited)
+				o.c.subscription.command(machine, s.Job, s.Task, s.Replica, protocol.TaskState(s.State) == protocol.TaskExited)
 			}
-			if j == nil || int(s.Task) >= len(j.tasks) {
+			if job == nil || int(s.Task) >= len(job.tasks) {
 				continue
 			}
 			i := int32(s.Task)
-			o.listed(&listing{task: taskRef{j, i}, machine: m, session: r.Epoch, state: s})
-			if s.Replica == j.tasks[i].attempt {
-				listed[taskRef{j, i}] = true
+			o.onTaskStatus(&taskStatus{ref: taskRef{job, i}, machine: machine, epoch: r.Epoch, status: s})
+			if s.Replica == job.tasks[i].replica {
+				listed[taskRef{job, i}] = true
 			}
 		}
 	}
-	o.c.admission.lingering.reported(m, r)
-	refs := o.held[m]
+	o.c.admission.orphans.onMachineStatus(machine, r)
+	refs := o.replicas[machine]
 	for k := len(refs) - 1; k >= 0; k-- {
 		ref := refs[k]
-		if r.Epoch <= ref.job.tasks[ref.task].session && listed[ref] {
+		if r.Epoch <= ref.job.tasks[ref.task].epoch && listed[ref] {
 			continue
 		}
-		if gone, why := o.judge(m, r, ref); gone {
-			o.lost(ref.job, ref.task, why)
+		if gone, why := o.proveLoss(machine, r, ref); gone {
+			o.replicaLost(ref.job, ref.task, why)
 		}
 	}
 }
 
-// listing is one task as a machine lists it.
-type listing struct {
-	task    taskRef
+// taskStatus is one task as a machine lists it.
+type taskStatus struct {
+	ref     taskRef
 	machine int32
-	session uint64
-	state   *meshpb.TaskStatus
+	epoch   uint64
+	status  *meshpb.TaskStatus
 }
 
-func (s *listing) exited() bool { return protocol.TaskState(s.state.State) == protocol.TaskExited }
+func (s *taskStatus) exited() bool { return protocol.TaskState(s.status.State) == protocol.TaskExited }
 
-func (s *listing) why() protocol.ExitReason { return protocol.ExitReason(s.state.ExitReason) }
+func (s *taskStatus) exitReason() protocol.ExitReason {
+	return protocol.ExitReason(s.status.ExitReason)
+}
 
-// clear has the machine stop or forget the copy that it lists.
-func (o *owner) clear(s *listing) {
-	o.c.subscription.order(s.machine, s.task.job.id, s.state.Task, s.state.Replica, s.exited())
+// clearReplica has the machine stop or forget the copy that it lists.
+func (o *owner) clearReplica(s *taskStatus) {
+	o.c.subscription.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, s.exited())
 }
 
-// listed takes one listed task.
-func (o *owner) listed(s *listing) {
-	j, i := s.task.job, s.task.task
-	if j.ending != "" && j.tasks[i].place != written {
-		o.arrived(s)
+// onTaskStatus takes one listed task.
+func (o *owner) onTaskStatus(s *taskStatus) {
+	job, i := s.ref.job, s.ref.task
+	if job.finalStatus != "" && job.tasks[i].state != taskDurable {
+		o.confirmPlacement(s)
 		return // the leader clears machines of jobs that are over
 	}
 	if !o.acknowledge(s) {
 		return
 	}
 	if !s.exited() {
-		o.setRunning(j, i, protocol.TaskState(s.state.State) != protocol.TaskFetching)
+		o.setRunning(job, i, protocol.TaskState(s.status.State) != protocol.TaskFetching)
 		return
 	}
-	o.exited(s)
+	o.onTaskExit(s)
 }
 
-// arrived notes that the copy of a job that is ending is on its machine. Without
+// confirmPlacement notes that the copy of a job that is ending is on its machine. Without
 // that the next report, whose list is the same, would be taken for proof that the
 // start never arrived, and the copy's use given to others while it still runs.
-func (o *owner) arrived(s *listing) {
-	t := &s.task.job.tasks[s.task.task]
-	if t.place == inTransit && t.machine == s.machine && t.attempt == s.state.Replica && !s.exited() {
-		t.place, t.session = onMachine, s.session
+func (o *owner) confirmPlacement(s *taskStatus) {
+	t := &s.ref.job.tasks[s.ref.task]
+	if t.state == taskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
+		t.state, t.epoch = taskPlaced, s.epoch
 	}
 }
 
 // acknowledge notes where a listed copy is, and tells whether it is the replica
 // that counts.
-func (o *owner) acknowledge(s *listing) bool {
-	j, i := s.task.job, s.task.task
-	t, attempt := &j.tasks[i], s.state.Replica
-	switch t.place {
-	case written, waiting, cooling:
+func (o *owner) acknowledge(s *taskStatus) bool {
+	job, i := s.ref.job, s.ref.task
+	t, attempt := &job.tasks[i], s.status.Replica
+	switch t.state {
+	case taskDurable, taskPending, taskBackingOff:
 		// Its result is written, or every copy was proven gone and this is a late
 		// list of one.
-		o.clear(s)
+		o.clearReplica(s)
 		return false
-	case completed:
+	case taskFinished:
 		// Its own copy stays listed until the result is written.
-		if attempt != t.attempt {
-			o.clear(s)
+		if attempt != t.replica {
+			o.clearReplica(s)
 		}
 		return false
-	case unplaced:
+	case taskUnreconciled:
 		// A newer copy was proven gone already; or an older one that ended says
 		// nothing of a newer one, which may run on a machine that has not been
 		// heard of yet.
-		if attempt < t.attempt || (s.exited() && s.why() != protocol.ExitReasonDone) {
-			o.clear(s)
+		if attempt < t.replica || (s.exited() && s.exitReason() != protocol.ExitReasonDone) {
+			o.clearReplica(s)
 			return false
 		}
-		t.attempt = attempt
-		j.ledger.lastAttempt = max(j.ledger.lastAttempt, attempt)
+		t.replica = attempt
+		job.shard.lastReplica = max(job.shard.lastReplica, attempt)
 		if !s.exited() {
-			o.c.admission.found(j, i)
+			o.c.admission.recordFound(job, i)
 		}
-	case inTransit, onMachine:
-		if attempt > t.attempt && (!s.exited() || s.why() == protocol.ExitReasonDone) {
+	case taskAssigned, taskPlaced:
+		if attempt > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone) {
 			// Of a recovered task an older copy was heard of first. Earlier
 			// holders gave this one out once that was proven gone.
-			o.setRunning(j, i, false)
-			t.attempt = attempt
-			j.ledger.lastAttempt = max(j.ledger.lastAttempt, attempt)
-		} else if attempt != t.attempt || t.machine != s.machine {
+			o.setRunning(job, i, false)
+			t.replica = attempt
+			job.shard.lastReplica = max(job.shard.lastReplica, attempt)
+		} else if attempt != t.replica || t.machine != s.machine {
 			// Not the replica that counts: its result is ignored.
-			if attempt < t.attempt || t.machine != s.machine {
-				o.clear(s)
+			if attempt < t.replica || t.machine != s.machine {
+				o.clearReplica(s)
 			}
 			return false
 		}
 	}
-	o.locate(j, i, s.machine, onMachine)
-	t.session = s.session
+	o.place(job, i, s.machine, taskPlaced)
+	t.epoch = s.epoch
 	return true
 }
 
-// exited takes the end of the replica that counts.
-func (o *owner) exited(s *listing) {
-	j, i, why := s.task.job, s.task.task, s.why()
-	if j.spec.Service && (why == protocol.ExitReasonDone || why == protocol.ExitReasonError) {
-		o.replicaEnded(j, i, s.machine)
-		o.clear(s)
+// onTaskExit takes the end of the replica that counts.
+func (o *owner) onTaskExit(s *taskStatus) {
+	job, i, why := s.ref.job, s.ref.task, s.exitReason()
+	if job.spec.Service && (why == protocol.ExitReasonDone || why == protocol.ExitReasonError) {
+		o.onServiceTaskExit(job, i, s.machine)
+		o.clearReplica(s)
 		return
 	}
-	t := &j.tasks[i]
+	t := &job.tasks[i]
 	switch why {
 	case protocol.ExitReasonDone:
-		o.lift(j, i)
-		j.fails = 0
-		o.closeBreaker(j)
-		t.place = completed
-		j.nDone++
-		o.finishTask(j, i)
+		o.unassign(job, i)
+		job.consecutiveFailures = 0
+		o.closeBreaker(job)
+		t.state = taskFinished
+		job.finished++
+		o.finishTask(job, i)
 	case protocol.ExitReasonError:
-		o.lift(j, i)
-		o.clear(s)
-		o.recordFailure(j, s.machine, o.c.now())
-		o.cool(j, i, failPause(min(j.fails, mostPaused)))
+		o.unassign(job, i)
+		o.clearReplica(s)
+		o.recordFailure(job, s.machine, o.c.now())
+		o.backOff(job, i, failureBackOff(min(job.consecutiveFailures, maxBackOffFailures)))
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
-		o.lift(j, i)
-		o.clear(s)
-		o.cool(j, i, refusedStartPause)
+		o.unassign(job, i)
+		o.clearReplica(s)
+		o.backOff(job, i, refusedStartBackOff)
 	default:
-		o.clear(s)
-		o.lost(j, i, lossStopped)
+		o.clearReplica(s)
+		o.replicaLost(job, i, lossStopped)
 	}
 }
 
-// refusedStartPause is after how long a start that a machine refused is tried again.
-const refusedStartPause = time.Second
+// refusedStartBackOff is after how long a start that a machine refused is tried again.
+const refusedStartBackOff = time.Second
 
-// cool has a task wait for a while before it is placed anew.
-func (o *owner) cool(j *ownedJob, i int32, pause time.Duration) {
-	t := &j.tasks[i]
-	t.place = cooling
+// backOff has a task wait for a while before it is placed anew.
+func (o *owner) backOff(job *ownedJob, i int32, pause time.Duration) {
+	t := &job.tasks[i]
+	t.state = taskBackingOff
 	t.readyAt = o.c.now() + pause
-	j.cool = append(j.cool, i)
+	job.backingOff = append(job.backingOff, i)
 }
 
-// replicaEnded has a service's task run again, though it ended by itself. One that
+// onServiceTaskExit has a service's task run again, though it ended by itself. One that
 // ran for a while before is back at once; one that ends again and again waits as a
 // task that fails does, and its job tries one task at a time, see circuitBreaker.
-func (o *owner) replicaEnded(j *ownedJob, i, m int32) {
-	t, now := &j.tasks[i], o.c.now()
-	ran := t.running && now-t.readyAt > steadyAfter
-	o.lift(j, i)
+func (o *owner) onServiceTaskExit(job *ownedJob, i, machine int32) {
+	t, now := &job.tasks[i], o.c.now()
+	ran := t.running && now-t.readyAt > steadyRuntime
+	o.unassign(job, i)
 	if ran {
-		j.fails = 0
-		o.closeBreaker(j)
-		o.requeue(j, i)
+		job.consecutiveFailures = 0
+		o.closeBreaker(job)
+		o.requeue(job, i)
 		return
 	}
-	o.recordFailure(j, m, now)
-	o.cool(j, i, failPause(min(j.fails, mostPaused)))
+	o.recordFailure(job, machine, now)
+	o.backOff(job, i, failureBackOff(min(job.consecutiveFailures, maxBackOffFailures)))
 }
 
 // finishTask has a finished task written, or the whole job when it was the
 // last one.
-func (o *owner) finishTask(j *ownedJob, i int32) {
-	o.touch(j)
-	if j.nDone == len(j.tasks) {
-		o.checkEnd(j)
+func (o *owner) finishTask(job *ownedJob, i int32) {
+	o.markChanged(job)
+	if job.finished == len(job.tasks) {
+		o.endIfFinished(job)
 		return
 	}
-	j.ledger.records.FinishTask(j.spec, int(i), func() {
-		if t := &j.tasks[i]; t.place == completed {
-			t.place = written
-			j.nWrit++
-			o.c.subscription.order(t.machine, j.id, uint32(i), t.attempt, true)
+	job.shard.records.FinishTask(job.spec, int(i), func() {
+		if t := &job.tasks[i]; t.state == taskFinished {
+			t.state = taskDurable
+			job.durable++
+			o.c.subscription.command(t.machine, job.id, uint32(i), t.replica, true)
 		}
 	})
 }
 
-func (o *owner) checkEnd(j *ownedJob) {
-	if j.nDone == len(j.tasks) {
-		o.end(j, protocol.StatusDone)
+func (o *owner) endIfFinished(job *ownedJob) {
+	if job.finished == len(job.tasks) {
+		o.endJob(job, protocol.StatusDone)
 	}
 }
 
-// pick chooses up to n waiting tasks of a job for a machine.
-func (o *owner) pick(j *ownedJob, n int, m int32, zone string, session, seq uint64) []*meshpb.Binding {
+// bindTasks chooses up to n waiting tasks of a job for a machine.
+func (o *owner) bindTasks(job *ownedJob, n int, machine int32, zone string, session, seq uint64) []*meshpb.Binding {
 	var picks []*meshpb.Binding
-	if !j.ledger.joined {
+	if !job.shard.registered {
 		return nil
 	}
-	n = min(n, o.admissible(j))
-	for len(picks) < n && len(j.queue) > 0 {
-		i := j.queue[0]
-		t := &j.tasks[i]
-		if t.place != waiting {
-			j.queue = j.queue[1:]
+	n = min(n, o.admissible(job))
+	for len(picks) < n && len(job.pendingOrder) > 0 {
+		i := job.pendingOrder[0]
+		t := &job.tasks[i]
+		if t.state != taskPending {
+			job.pendingOrder = job.pendingOrder[1:]
 			continue
 		}
-		if !j.zoneAllows(zone) || !o.c.admission.admit(j, i, j.ledger.lastAttempt+1) {
+		if !job.zoneAllows(zone) || !o.c.admission.admit(job, i, job.shard.lastReplica+1) {
 			break
 		}
-		j.queue = j.queue[1:]
-		j.ledger.lastAttempt++
-		t.attempt, t.session, t.seq = j.ledger.lastAttempt, session, seq
-		o.locate(j, i, m, inTransit)
-		picks = append(picks, &meshpb.Binding{Job: j.id, Task: uint32(i), Replica: t.attempt})
+		job.pendingOrder = job.pendingOrder[1:]
+		job.shard.lastReplica++
+		t.replica, t.epoch, t.sequence = job.shard.lastReplica, session, seq
+		o.place(job, i, machine, taskAssigned)
+		picks = append(picks, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
 	}
 	return picks
 }
 
 // zoneAllows keeps to together and apart, given where the job's
 // other tasks are. While some may be anywhere, nothing is placed.
-func (j *ownedJob) zoneAllows(zone string) bool {
-	if j.zones == nil {
+func (job *ownedJob) zoneAllows(zone string) bool {
+	if job.activeByZone == nil {
 		return true
 	}
 	known := 0
-	for z, n := range j.zones {
+	for z, n := range job.activeByZone {
 		known += n
-		if j.spec.SingleZone && n > 0 && z != zone {
+		if job.spec.SingleZone && n > 0 && z != zone {
 			return false
 		}
 	}
-	if known != j.nLoc {
+	if known != job.active {
 		return false
 	}
-	return !j.spec.SpreadZones || j.zones[zone]+1 <= (j.spec.Tasks+1)/2
+	return !job.spec.SpreadZones || job.activeByZone[zone]+1 <= (job.spec.Tasks+1)/2
 }
 
-// putBack returns picks that were never sent.
-func (o *owner) putBack(picks []*meshpb.Binding) {
+// returnBindings returns picks that were never sent.
+func (o *owner) returnBindings(picks []*meshpb.Binding) {
 	for _, p := range picks {
-		j := o.jobs[p.Job]
-		if j == nil || int(p.Task) >= len(j.tasks) {
-			o.c.admission.lingering.unplaced(p)
+		job := o.jobs[p.Job]
+		if job == nil || int(p.Task) >= len(job.tasks) {
+			o.c.admission.orphans.releaseUnsent(p)
 			continue
 		}
-		if t := &j.tasks[p.Task]; t.place == inTransit && t.attempt == p.Replica {
-			o.lost(j, int32(p.Task), lossNotSent)
+		if t := &job.tasks[p.Task]; t.state == taskAssigned && t.replica == p.Replica {
+			o.replicaLost(job, int32(p.Task), lossNotSent)
 		}
 	}
 }
--- /dev/null
+++ b/internal/coordination/tracked_jobs.go
@@ -0,0 +1,400 @@
+package coordination
+
+import (
+	"math"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+const tombstoneTTL = 10 * time.Minute // how long the leader remembers what has ended
+
+// trackedJob is a job as its owner describes it.
+type trackedJob struct {
+	spec          *meshpb.JobSummary
+	id            string
+	shard         *shardState
+	team          *teamUsage
+	priority      protocol.Priority
+	image         *image
+	onlyType      string // the one type that its tasks fit on, or none
+	pending       int
+	placed        int  // absolute, by the owner
+	offered       int  // in offers that are not answered yet
+	liveReplicas  int  // live copies that machines list, or were sent
+	counted       int  // how many its team's use holds for it
+	cancelling    bool // its user wants it cancelled: nothing is started, what runs is stopped
+	ended         bool
+	omitted       bool // closed only because its ledger's owner did not list it when it joined
+	endedAt       time.Duration
+	started       bool // a task of it was located
+	startSent     bool // this leader has sent a start of it
+	overdueStarts int  // starts on their way that it gets only because it waited for too long
+	preemptions   int  // how often a task of it made room for others
+	orderKey      orderKey
+	failedOn      map[string]bool
+	succeeded     bool
+}
+
+// unoffered is how many tasks wait and are not on offer.
+func (j *trackedJob) unoffered() int {
+	if j.ended || j.cancelling || j.team == nil || j.shard.owner == nil {
+		return 0
+	}
+	return max(0, j.pending-j.offered)
+}
+
+// shardState is a ledger and the member that answers for it now.
+type shardState struct {
+	name            string
+	number          uint32 // in the lists that are passed on, from 1
+	owner           *peer  // nil while nobody has joined for it; see setHolder
+	link            Link
+	version         uint64
+	registeredAt    time.Duration
+	reconciled      bool
+	fullyReconciled bool // and its owner was told that nothing else is left of it, see settleClean
+	jobsKnown       bool // its unfinished jobs are known, from its owner or by reading
+	readAttempts    int  // how often they were asked for
+	jobs            map[string]*trackedJob
+	arrivingJobs    map[string]*meshpb.JobSummary
+}
+
+// teamUsage is a team with what it uses: what its owners have located, what is
+// on offer, and what is left of jobs that are over. It is kept up to date with
+// every change, see recount.
+type teamUsage struct {
+	cfg  *settings.Team
+	cpus float64
+	gpus float64
+	// stopping is the part of cpus that was told to stop.
+	stopping float64
+}
+
+// dominantShare is how much of its guarantee a team uses; the lowest is served first.
+func (t *teamUsage) dominantShare() float64 {
+	s := t.cpus / math.Max(t.cfg.CPUs, 1)
+	if t.cfg.GPUs > 0 {
+		s = math.Max(s, t.gpus/t.cfg.GPUs)
+	}
+	return s
+}
+
+// updateUsage brings what a job's team uses up to date after a change of the job.
+func (l *leader) updateUsage(job *trackedJob) {
+	n := job.placed + job.offered
+	if job.ended {
+		n = job.liveReplicas
+	}
+	if d := float64(n - job.counted); d != 0 && job.team != nil && job.spec != nil {
+		job.team.cpus += d * job.spec.Cpus
+		job.team.gpus += d * job.spec.Gpus
+	}
+	job.counted = n
+}
+
+// recomputeUsage adds every team's use up anew, so that rounding errors of many
+// small changes cannot gather.
+func (l *leader) recomputeUsage() {
+	for _, t := range l.teams {
+		t.cpus, t.gpus = 0, 0
+	}
+	for _, j := range l.jobs {
+		if j.team != nil && j.spec != nil {
+			j.team.cpus += float64(j.counted) * j.spec.Cpus
+			j.team.gpus += float64(j.counted) * j.spec.Gpus
+		}
+	}
+	l.unreconciled = resources{}
+	for m := range l.machines.all {
+		l.unreconciled.cpus += m.unreconciled.cpus
+		l.unreconciled.gpus += m.unreconciled.gpus
+	}
+}
+
+// readUnfinishedJobs reads the unfinished jobs of a ledger that nobody has joined
+// for yet: all their tasks may be running and count against their teams.
+func (l *leader) readUnfinishedJobs(shard *shardState) {
+	shard.readAttempts++
+	l.c.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, ok bool) {
+		if l.c.leader != l || shard.jobsKnown {
+			return
+		}
+		if !ok {
+			l.c.store.After(sessionRetryInterval, func() {
+				if l.c.leader == l && !shard.jobsKnown {
+					l.readUnfinishedJobs(shard)
+				}
+			})
+			return
+		}
+		for i := range jobs {
+			s := &jobs[i].Job
+			l.applySummary(shard, &meshpb.JobSummary{Job: s.ID, Team: s.Team, Cpus: s.CPUs, Gpus: s.GPUs, MemoryGb: s.MemoryGB,
+				Priority: uint32(s.Priority), Class: s.Class, Assigned: uint32(s.Tasks), HasSpec: true})
+		}
+		shard.jobsKnown = true
+		l.c.log.Info().Str("ledger", shard.name).Int("jobs", len(jobs)).Uint64("revision", revision).Int("reads", shard.readAttempts).
+			Int64("after_ms", (l.c.now() - l.electedAt).Milliseconds()).Msg("unfinished jobs read")
+	})
+}
+
+func (l *leader) applySummary(shard *shardState, summary *meshpb.JobSummary) {
+	job := l.jobs[summary.Job]
+	if job == nil {
+		if !summary.HasSpec || summary.Ended {
+			if summary.Ended {
+				l.jobs[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: l.c.now(), team: l.teams[summary.Team]}
+			}
+			return
+		}
+		job = &trackedJob{id: summary.Job, failedOn: make(map[string]bool)}
+		l.jobs[summary.Job] = job
+	}
+	job.shard = shard
+	if job.omitted && summary.HasSpec && !summary.Ended {
+		// It was being created: this leader had read its record already when the
+		// owner, which had no answer yet, joined. Closed for good it never ran.
+		job.ended, job.omitted = false, false
+	}
+	if summary.HasSpec && !job.ended {
+		told := job.spec != nil && job.spec.SubmittedMs > 0
+		l.setSpec(job, summary)
+		if !told && summary.SubmittedMs > 0 {
+			l.forecast.observe(job, l.c.now())
+		}
+	}
+	if job.ended {
+		return // it stays over, whatever a late message says
+	}
+	shard.jobs[summary.Job] = job
+	l.setCounts(job, summary)
+	if summary.Ended {
+		l.endJob(job)
+	}
+}
+
+// setSpec takes a job's description.
+func (l *leader) setSpec(job *trackedJob, summary *meshpb.JobSummary) {
+	used := job.counted
+	if job.spec != nil && job.team != nil { // what is counted for it was of the old size
+		job.team.cpus -= float64(used) * job.spec.Cpus
+		job.team.gpus -= float64(used) * job.spec.Gpus
+	}
+	job.counted = 0
+	job.spec, job.team, job.priority = summary, l.teams[summary.Team], protocol.Priority(summary.Priority)
+	job.image = l.images.get(summary.Image, summary.ImageGb)
+	job.onlyType = l.autoscaler.onlyFittingType(summary)
+	l.updateUsage(job)
+}
+
+// setCounts takes what the owner says of a job: how many tasks wait, and how
+// many may be on machines.
+func (l *leader) setCounts(job *trackedJob, summary *meshpb.JobSummary) {
+	if int(summary.Pending) > job.pending {
+		l.pendingQueue.dirty = true
+	}
+	job.pending, job.placed, job.cancelling = int(summary.Pending), int(summary.Assigned), summary.Cancelling
+	job.started = job.started || job.placed > 0
+	l.updateUsage(job)
+}
+
+// endJob notes that a job is over: what is left of it has to go.
+func (l *leader) endJob(job *trackedJob) {
+	job.ended, job.endedAt, job.pending = true, l.c.now(), 0
+	delete(job.shard.jobs, job.id)
+	l.updateUsage(job)
+}
+
+// onRegisterShard takes up an owner's ledger with all its unfinished jobs.
+func (l *leader) onRegisterShard(p *peer, request *meshpb.RegisterShard) {
+	if request.FencingToken != l.fencingToken {
+		return
+	}
+	shard := l.shards[request.Shard]
+	if shard == nil {
+		shard = l.addShard(request.Shard)
+	}
+	if request.Version < shard.version {
+		return
+	}
+	if shard.arrivingJobs == nil {
+		shard.arrivingJobs = make(map[string]*meshpb.JobSummary)
+	}
+	for _, summary := range request.Jobs {
+		shard.arrivingJobs[summary.Job] = summary
+	}
+	if request.More {
+		return
+	}
+	now, read := l.c.now(), shard.jobsKnown
+	l.rescindOffers(shard)
+	for id, job := range shard.jobs {
+		if shard.arrivingJobs[id] == nil {
+			l.endJob(job)
+			job.omitted = true
+		}
+	}
+	l.setShardOwner(shard, p)
+	shard.version, shard.registeredAt, shard.reconciled, shard.fullyReconciled, shard.jobsKnown = request.Version, now, false, false, true
+	for _, summary := range shard.arrivingJobs {
+		l.applySummary(shard, summary)
+	}
+	shard.arrivingJobs = nil
+	l.pendingQueue.dirty = true
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
+		Shard: request.Shard, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
+	machines, unknown := l.subscribe(p)
+	l.c.log.Info().Str("ledger", shard.name).Str("owner", p.member).Uint64("stamp", shard.version).Int("jobs", len(shard.jobs)).
+		Int("machines_told", machines).Int("unknown_tasks", unknown).Bool("jobs_read", read).Int("reads", shard.readAttempts).Msg("ledger joined")
+}
+
+func (l *leader) onJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
+	shard := l.shards[summaries.Shard]
+	if shard == nil || shard.owner != p {
+		return
+	}
+	for _, summary := range summaries.Jobs {
+		l.applySummary(shard, summary)
+	}
+}
+
+// unregisterShards keeps what a member's ledgers had, all of it counted as located,
+// until somebody joins for them again.
+func (l *leader) unregisterShards(p *peer) {
+	for _, shard := range l.shards {
+		if shard.owner != p {
+			continue
+		}
+		l.rescindOffers(shard)
+		l.setShardOwner(shard, nil)
+		shard.arrivingJobs = nil
+		for _, job := range shard.jobs {
+			job.placed += job.pending
+			job.pending = 0
+			l.updateUsage(job)
+		}
+	}
+}
+
+func (l *leader) allShardsRegistered() bool {
+	for _, shard := range l.shards {
+		if shard.owner == nil {
+			return false
+		}
+	}
+	return true
+}
+
+// removeTombstones forgets the jobs that were over long ago.
+func (l *leader) removeTombstones(now time.Duration) {
+	for id, j := range l.jobs {
+		if j.ended && j.liveReplicas == 0 && j.offered == 0 && now-j.endedAt > tombstoneTTL {
+			delete(l.jobs, id)
+		}
+	}
+}
+
+// permits tells whether a job may run on a machine.
+func permits(s *meshpb.JobSummary, v machineKind) bool {
+	if (v.spot && !s.Spot) || (s.Zone != "" && s.Zone != v.zone) {
+		return false
+	}
+	if s.AnyType {
+		return true
+	}
+	for _, t := range s.Types {
+		if t == v.typeName {
+			return true
+		}
+	}
+	return false
+}
+
+// withinTeamLimit tells whether one more task keeps its team inside its limit,
+// whatever may be running that no owner accounts for.
+func (l *leader) withinTeamLimit(job *trackedJob) bool {
+	t := job.team.cfg
+	check := func(limit, used, unaccounted, need float64) bool {
+		if limit <= 0 || need == 0 {
+			return true
+		}
+		for _, shard := range l.shards {
+			if !shard.jobsKnown {
+				return false
+			}
+		}
+		if !l.machinesKnown {
+			// Machines may exist that this leader has never heard of.
+			unaccounted += limit / 2
+		}
+		return used+unaccounted+need <= limit+1e-9
+	}
+	return check(t.CPUsMax, job.team.cpus, l.unreconciled.cpus, job.spec.Cpus) && check(t.GPUsMax, job.team.gpus, l.unreconciled.gpus, job.spec.Gpus)
+}
+
+// runTimeEstimate learns how long the tasks of a class run, and how much the users'
+// estimates say of that: a straight line through the logarithms of both. Where
+// estimates are wild the line is flat, and the class's usual time counts.
+type runTimeEstimate struct {
+	n, x, y, xx, xy float64 // decayed sums; x is the estimate, y the time it took
+	took            float64 // seconds, on average
+}
+
+// unboundedRunTime stands for the run time of a service's task, which does not end by itself.
+const unboundedRunTime = 24 * time.Hour
+
+const (
+	runTimeDecay      = 0.998 // each task that ends leaves that much of those before
+	minRunTimeSamples = 5
+)
+
+// runTime is the expected run time of a task, by what tasks of its class took.
+func (l *leader) runTime(s *meshpb.JobSummary) time.Duration {
+	if s.Service {
+		return unboundedRunTime
+	}
+	e := l.estimates[s.Class]
+	if e == nil || e.n < minRunTimeSamples || s.EstimateS <= 0 {
+		return seconds(s.EstimateS)
+	}
+	mx, my := e.x/e.n, e.y/e.n
+	slope := 1.0
+	if spread := e.xx/e.n - mx*mx; spread > 1e-6 {
+		slope = math.Min(1, math.Max(0, (e.xy/e.n-mx*my)/spread))
+	}
+	return seconds(math.Exp(my + slope*(math.Log(s.EstimateS)-mx)))
+}
+
+// meanRunTime is how long a task of a class runs on average, or what is expected
+// of the given job while that is not known.
+func (l *leader) meanRunTime(s *meshpb.JobSummary) time.Duration {
+	if s.Service {
+		return unboundedRunTime
+	}
+	if e := l.estimates[s.Class]; e != nil && e.n >= minRunTimeSamples {
+		return seconds(e.took / e.n)
+	}
+	return l.runTime(s)
+}
+
+func (l *leader) recordRunTime(s *meshpb.JobSummary, took time.Duration) {
+	if s.EstimateS <= 0 || took <= 0 {
+		return
+	}
+	e := l.estimates[s.Class]
+	if e == nil {
+		e = &runTimeEstimate{}
+		l.estimates[s.Class] = e
+	}
+	x, y := math.Log(s.EstimateS), math.Log(took.Seconds())
+	e.n = e.n*runTimeDecay + 1
+	e.x = e.x*runTimeDecay + x
+	e.y = e.y*runTimeDecay + y
+	e.xx = e.xx*runTimeDecay + x*x
+	e.xy = e.xy*runTimeDecay + x*y
+	e.took = e.took*runTimeDecay + took.Seconds()
+}
--- /dev/null
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -0,0 +1,158 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// loweredStateLimits are the limits that the state service has from some moment on, as the
+// settings of this version announce them.
+const loweredStateLimits = `
+[settings.state.next]
+write_rps = 60.0
+value_kb = 1.0
+txn_ops = 3
+`
+
+// lowerStateLimits has the state service hold to lowerLimits from now on.
+func (scenario *faultScenario) lowerStateLimits() {
+	scenario.state.limits = &stateLimits{valueBytes: 1024, ops: 3, writeRPS: 60, writeBudget: 60, budgetAt: scenario.now}
+}
+
+// upgrade ends a member and starts it with this version.
+func (scenario *faultScenario) upgrade(name string) {
+	scenario.crash(name)
+	scenario.run(2 * time.Second)
+	delete(scenario.previousVersion, name)
+	scenario.start(name)
+}
+
+// submitArrays comes with a job or two a second, some large, and some cancellations.
+func (scenario *faultScenario) submitArrays(second int) {
+	scenario.submit(scenario.randomNode(), 1+scenario.rand.IntN(6), "crew", []string{"red", "blue"}[second%2])
+	if second%7 == 0 {
+		scenario.submit(scenario.randomNode(), 40, "crew", "blue", "vcpus", 1.0)
+	}
+	if second%4 == 0 {
+		scenario.cancelRandomJobs(1)
+	}
+}
+
+// Old and new version side by side: the old one leads, owns and relays, and so does
+// the new one; each takes up what the other wrote. A process that ends before its
+// turn comes back old, also after its neighbours were replaced. Once all are new
+// the state service lowers its limits, and services come.
+func TestVersionsSideBySide(t *testing.T) {
+	for seed := range uint64(6) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			versionsSideBySide(t, seed)
+		})
+	}
+}
+
+func versionsSideBySide(t *testing.T, seed uint64) {
+	t.Helper()
+	names := []string{"a", "b", "c"}
+	scenario := newFaultScenarioIn(t, newSimulationWith(t, loweredStateLimits, names, names...), seed, 8)
+	scenario.setTaskDuration(2 * time.Second)
+	oldLed, newLed := false, false
+	order := []string{scenario.follower().name, "", ""}
+	if seed%2 == 0 {
+		order[0] = scenario.leader().name
+	}
+	for _, name := range names {
+		if name != order[0] {
+			order = append(order[:1], append([]string{name}, order[1:2]...)...)
+		}
+	}
+	script := func(s int) {
+		if lead := scenario.activeLeader(); lead != nil {
+			for _, other := range scenario.names {
+				beside := scenario.nodes[other].up && scenario.previousVersion[other] != scenario.previousVersion[lead.name]
+				oldLed = oldLed || (beside && scenario.previousVersion[lead.name])
+				newLed = newLed || (beside && !scenario.previousVersion[lead.name])
+			}
+		}
+		if s < 64 {
+			scenario.submitArrays(s)
+		}
+		switch s {
+		case 8:
+			scenario.upgrade(order[0])
+		case 14: // one ends before its turn, and comes back old
+			scenario.restart(order[1])
+		case 18:
+			scenario.loseTransactions(0.2, seed%3 == 0)
+		case 20:
+			scenario.upgrade(order[1])
+		case 24:
+			scenario.loseTransactions(0, true)
+		case 26: // the last old one ends, so that a new one leads
+			scenario.crash(order[2])
+		case 32: // it is back beside new neighbours, and for a while alone
+			scenario.start(order[2])
+		case 36:
+			scenario.crash(order[0])
+			scenario.crash(order[1])
+		case 42:
+			scenario.start(order[0])
+			scenario.start(order[1])
+		case 48:
+			scenario.upgrade(order[2])
+		case 56:
+			scenario.lowerStateLimits()
+		case 60:
+			scenario.restart(scenario.randomNode().name)
+		}
+		if s >= 54 && s < 68 && s%3 == 0 {
+			scenario.submitService(scenario.randomNode(), 1+scenario.rand.IntN(3), "crew", "blue", "apart", s%2 == 0)
+		}
+	}
+	scenario.play(76, script)
+	scenario.recoverAndCheck()
+	services := 0
+	for id := range scenario.knownStatus {
+		if scenario.isService(id) {
+			services++
+		}
+	}
+	if !oldLed || !newLed || services == 0 {
+		t.Fatalf("an old member led beside new ones: %v, a new one beside old ones: %v, services: %d", oldLed, newLed, services)
+	}
+}
+
+// The limits fall while jobs begin, finish and end, and while a ledger is taken up:
+// nothing that this version writes is beyond them, nothing that it has begun to
+// write gets stuck, and the rate's refusals cost nobody a job.
+func TestStateLimitsLoweredDuringOperation(t *testing.T) {
+	for _, takeover := range []bool{false, true} {
+		for step := range 6 {
+			t.Run(fmt.Sprint("takeover ", takeover, ", step ", step), func(t *testing.T) {
+				t.Parallel()
+				scenario := newFaultScenarioIn(t, newSimulationWith(t, loweredStateLimits, nil, "a", "b", "c"), uint64(step), 8)
+				scenario.setTaskDuration(time.Second)
+				scenario.play(16, func(s int) {
+					for range 5 {
+						scenario.submitArrays(s)
+					}
+					if s%4 == 1 {
+						scenario.submitService(scenario.randomNode(), 2, "crew", "blue")
+					}
+					if s != 8 {
+						return
+					}
+					if takeover {
+						scenario.crash(scenario.leader().name)
+						scenario.advance(2 * time.Second) // others take its ledger up about now
+					}
+					scenario.advance(time.Duration(step) * 100 * time.Millisecond)
+					scenario.lowerStateLimits()
+				})
+				scenario.recoverAndCheck()
+				want(t, "limits hold", scenario.state.limits != nil, true)
+			})
+		}
+	}
+}
--- /dev/null
+++ b/internal/coordination/warm_pool_test.go
@@ -0,0 +1,217 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+// Room is kept for services to come: ordinary machines, which arrays don't get, in
+// every zone that spreading needs; and a service's replicas lie on several.
+func TestWarmPoolForServices(t *testing.T) {
+	sim := newSimulation(t, "a", "b", "c")
+	for i := range 2 {
+		sim.addMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
+	}
+	sim.run(2 * time.Second)
+	n := sim.leader()
+	want(t, "submit", n.submit(serviceJob("wk-1", 4).with("apart", true)).Status, 201)
+	for range 20 {
+		sim.run(time.Second)
+		sim.bootMachines(0)
+	}
+	zones := make(map[string]int)
+	for _, request := range sim.cloud.scaleOutRequests {
+		if !request.Spot {
+			zones[request.Zone] += request.Count
+		}
+	}
+	if zones["z1"] == 0 || zones["z2"] == 0 {
+		t.Fatalf("ordinary machines rented by zone: %v", zones)
+	}
+	sim.cloud.refusesScaleOut = true
+	want(t, "array", n.submit(batchJob("wk-2", 200)).Status, 201)
+	for range 10 {
+		sim.run(time.Second)
+	}
+	array := len(sim.machinesOfJob("wk-2"))
+	if array == 0 {
+		t.Fatal("nothing of the array runs")
+	}
+	began := sim.now
+	want(t, "next", n.submit(serviceJob("wk-3", 2)).Status, 201)
+	for len(sim.machinesOfJob("wk-3")) < 2 && sim.now-began < 20*time.Second {
+		sim.run(time.Second)
+	}
+	if took := sim.now - began; took > 3*time.Second {
+		t.Fatalf("its replicas began after %s beside an array", took)
+	}
+	if now := len(sim.machinesOfJob("wk-2")); now < array {
+		t.Fatalf("%d of the array's %d tasks run on", now, array)
+	}
+}
+
+// One machine's loss does not take most of a service's replicas, if there are
+// others with room.
+func TestReplicasSpreadOverSeveralMachines(t *testing.T) {
+	sim := newSimulation(t, "a", "b", "c")
+	for i := range 3 {
+		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+	}
+	sim.addMachine("vm-3", "z2")
+	sim.run(2 * time.Second)
+	n := sim.leader()
+	want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
+	sim.run(4 * time.Second)
+	want(t, "submit", n.submit(serviceJob("wk-2", 4)).Status, 201)
+	sim.run(4 * time.Second)
+	want(t, "in one zone that has one machine with room", n.submit(serviceJob("wk-3", 2).with("hall", "z2")).Status, 201)
+	sim.run(4 * time.Second)
+	want(t, "its replicas", len(sim.machinesOfJob("wk-3")), 2)
+	on := sim.machinesOfJob("wk-2")
+	want(t, "replicas", len(on), 4)
+	per := make(map[string]int)
+	for _, m := range on {
+		if per[m]++; per[m] > 2 {
+			t.Fatalf("%d of 4 replicas are on %s", per[m], m)
+		}
+	}
+}
+
+// Where starts are wanted sooner than machines report, two machines are enough: the
+// last replica waits for as many reports as there are machines.
+func TestReplicasSpreadOverTwoMachinesIfStartsAreUrgent(t *testing.T) {
+	for within, started := range map[float64]int{1: 6, 5: 4} {
+		sim := newSimulation(t, "a", "b", "c")
+		for _, name := range sim.names {
+			sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
+		}
+		for i := range 3 {
+			sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		}
+		sim.run(2 * time.Second)
+		n := sim.leader()
+		want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
+		sim.run(4 * time.Second)
+		want(t, "submit", n.submit(serviceJob("wk-2", 6)).Status, 201)
+		sim.agents["vm-0"].heartbeat()
+		sim.agents["vm-1"].heartbeat()
+		want(t, fmt.Sprint("started by two reports, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
+	}
+}
+
+// A replica is left to a machine that has its image if that one's next report is due
+// sooner than the image could be fetched, and not otherwise.
+func TestReplicaWaitsForAMachineWithItsImage(t *testing.T) {
+	for since, goesTo := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
+		sim := newSimulation(t, "a", "b", "c")
+		first := sim.addMachine("vm-0", "z1")
+		sim.run(2 * time.Second)
+		n := sim.leader()
+		want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
+		sim.run(4 * time.Second)
+		second := sim.addMachine("vm-1", "z1")
+		sim.run(4 * time.Second)
+		want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
+		first.heartbeat()
+		sim.advance(since - tickInterval)
+		want(t, "second", n.submit(serviceJob("wk-2", 1)).Status, 201)
+		second.heartbeat()
+		first.heartbeat()
+		want(t, fmt.Sprint("goes to, last report before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
+	}
+}
+
+// Classes that the users want started soon have a few machines ready before any
+// job of them is seen.
+func TestWarmPoolBeforeTheFirstService(t *testing.T) {
+	for _, aim := range []string{"wait", "deadline"} {
+		sim := newSimulation(t, "a", "b", "c")
+		for _, name := range sim.names {
+			sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
+		}
+		sim.crash(sim.leader().name)
+		sim.run(30 * time.Second)
+		ordinary := 0
+		for _, request := range sim.cloud.scaleOutRequests {
+			if !request.Spot {
+				ordinary += request.Count
+			}
+		}
+		want(t, "ordinary machines for "+aim, ordinary, map[string]int{"wait": 4}[aim])
+	}
+}
+
+// Of types that cost about as much for a replica the one that boots and fetches
+// sooner is rented for services, seen and not; one that costs more is not.
+func TestServicesGetTheTypeThatFetchesFaster(t *testing.T) {
+	for _, c := range []struct {
+		price float64
+		seen  bool
+		typ   string
+	}{{2.2, false, "m16"}, {2.2, true, "m16"}, {3, false, "m8"}, {3, true, "m8"}} {
+		sim := newSimulation(t, "a", "b", "c")
+		sim.cloud.moreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
+		sim.run(90 * time.Second) // until all know the catalogue
+		if c.seen {
+			want(t, "submit", sim.leader().submit(serviceJob("wk-1", 4)).Status, 201)
+		} else {
+			for _, name := range sim.names {
+				sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
+			}
+			sim.crash(sim.leader().name)
+		}
+		sim.run(30 * time.Second)
+		types := make(map[string]bool)
+		for _, request := range sim.cloud.scaleOutRequests {
+			types[request.Type] = true
+		}
+		want(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
+	}
+}
+
+// Machines kept for services take them even if other work waits that fits on no
+// other type.
+func TestServicesUseTheWarmPoolOfAContestedType(t *testing.T) {
+	sim := newSimulation(t, "a", "b", "c")
+	sim.cloud.refusesScaleOut = true
+	sim.cloud.moreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
+	sim.run(60 * time.Second) // until all know the catalogue
+	sim.addMachine("vm-0", "z1").machineType = "m16"
+	sim.run(2 * time.Second)
+	n := sim.leader()
+	want(t, "first", n.submit(serviceJob("wk-1", 2)).Status, 201)
+	sim.run(4 * time.Second)
+	want(t, "array", n.submit(batchJob("wk-2", 4).with("ramGb", 100.0)).Status, 201)
+	sim.run(2 * time.Second)
+	want(t, "second", n.submit(serviceJob("wk-3", 3)).Status, 201)
+	sim.run(4 * time.Second)
+	want(t, "replicas", fmt.Sprint(len(sim.machinesOfJob("wk-1")), len(sim.machinesOfJob("wk-3"))), "2 3")
+}
+
+// Machines are not kept for prompt starts while the cloud has too few of their type
+// for work that fits on no other: on two recorded days that work missed its deadlines.
+func TestWarmPoolLeavesAScarceTypeToOthers(t *testing.T) {
+	sim := newSimulation(t, "a")
+	sim.run(60 * time.Second)
+	l := sim.leader().controller.leader
+	kind, now := machineKind{"m8", "z1", false}, sim.now
+	kept := func() int {
+		l.autoscaler.reportedCPUs = 1600
+		return l.warmPool.affordableMachines(l.c.fleet.types["m8"], kind, now)
+	}
+	want(t, "a part of the fleet", kept(), 10)
+	l.autoscaler.exclusiveNeedAt["m8"] = now
+	want(t, "others need the type, the cloud has it", kept(), 10)
+	l.autoscaler.refusedUntil[kind] = now + capacityBackoff
+	want(t, "the cloud refuses it", kept(), 0)
+	now += capacityBackoff + contentionWindow
+	l.autoscaler.exclusiveNeedAt["m8"] = now
+	want(t, "it has not for a while", kept(), 10)
+	l.autoscaler.refusedUntil[kind] = now
+	delete(l.autoscaler.exclusiveNeedAt, "m8")
+	want(t, "nobody needs it", kept(), 10)
+}
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -16,7 +16,7 @@
 	machineType = "m8"
 	machineCPUs = 8
 	zone        = "z1"
-	reportS     = 0.6
+	heartbeatS  = 0.6
 	leaseS      = 8.0
 )
 
@@ -32,16 +32,16 @@
 	State   *State
 	History *History
 
-	codec    *protocol.Codec
-	teams    []Team
-	api      map[string]string // addresses by member
-	mesh     map[string]string
-	outside  map[string]string // of the state service and the cloud
-	servers  []*http.Server
-	client   *http.Client
-	machines int
-	cancel   context.CancelFunc
-	workers  sync.WaitGroup
+	codec             *protocol.Codec
+	teams             []Team
+	apiAddresses      map[string]string // addresses by member
+	meshAddresses     map[string]string
+	externalAddresses map[string]string // of the state service and the cloud
+	servers           []*http.Server
+	client            *http.Client
+	machines          int
+	cancel            context.CancelFunc
+	workers           sync.WaitGroup
 }
 
 // NewDeployment serves a state service and a cloud that has a number of machines.
@@ -55,22 +55,22 @@
 		limits[t.Name] = t.Limit
 	}
 	d := &Deployment{Members: []string{"a", "b", "c"}, State: NewState(codec), History: NewHistory(limits), codec: codec, teams: teams,
-		api: make(map[string]string), mesh: make(map[string]string), outside: make(map[string]string), machines: machines,
+		apiAddresses: make(map[string]string), meshAddresses: make(map[string]string), externalAddresses: make(map[string]string), machines: machines,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}, Timeout: 5 * time.Second}}
 	for _, m := range d.Members {
-		if d.api[m], err = freeAddress(); err != nil {
+		if d.apiAddresses[m], err = freeAddress(); err != nil {
 			return nil, err
 		}
-		if d.mesh[m], err = freeAddress(); err != nil {
+		if d.meshAddresses[m], err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
-	for name, h := range map[string]http.Handler{"state": d.State, "cloud": http.HandlerFunc(d.cloud)} {
+	for name, h := range map[string]http.Handler{"state": d.State, "cloud": http.HandlerFunc(d.serveCloud)} {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("standin: %w", err)
 		}
-		d.outside[name] = ln.Addr().String()
+		d.externalAddresses[name] = ln.Addr().String()
 		server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 		d.servers = append(d.servers, server)
 		go func() { _ = server.Serve(ln) }() // it returns when the deployment is closed
@@ -90,17 +90,17 @@
 // Settings is the settings file of a member.
 func (d *Deployment) Settings(member string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "member = %q\nsite = %q\napi_addr = %q\nmesh_addr = %q\n", member, zone, d.api[member], d.mesh[member])
+	fmt.Fprintf(&b, "member = %q\nsite = %q\napi_addr = %q\nmesh_addr = %q\n", member, zone, d.apiAddresses[member], d.meshAddresses[member])
 	for _, m := range d.Members {
 		if m != member {
-			fmt.Fprintf(&b, "[[known]]\nmember = %q\nsite = %q\naddress = %q\n", m, zone, d.mesh[m])
+			fmt.Fprintf(&b, "[[known]]\nmember = %q\nsite = %q\naddress = %q\n", m, zone, d.meshAddresses[m])
 		}
 	}
-	fmt.Fprintf(&b, "[external]\ncloud = %q\nstate = %q\n[settings]\nzones = [%q]\nclock_off_ms = 1.0\n", d.outside["cloud"], d.outside["state"], zone)
+	fmt.Fprintf(&b, "[external]\ncloud = %q\nstate = %q\n[settings]\nzones = [%q]\nclock_off_ms = 1.0\n", d.externalAddresses["cloud"], d.externalAddresses["state"], zone)
 	for _, t := range d.teams {
 		fmt.Fprintf(&b, "[[settings.teams]]\nname = %q\ncpus = %v\ncpus_max = %v\n", t.Name, t.Guarantee, t.Limit)
 	}
-	fmt.Fprintf(&b, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = 20.0\n", reportS, leaseS)
+	fmt.Fprintf(&b, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = 20.0\n", heartbeatS, leaseS)
 	b.WriteString("[settings.state]\nrps = 3000.0\nwrite_rps = 1500.0\nvalue_kb = 8.0\ntxn_ops = 32\n")
 	b.WriteString("[settings.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[settings.limits]\ncores = 1.0\nmem_mb = 512.0\nsockets = 4000\n")
 	return b.String()
@@ -113,12 +113,12 @@
 	for i := range d.machines {
 		// A machine stays on one connection: that shows that answers reach it.
 		own := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-		k := &worker{codec: d.codec, client: own, history: d.History, name: machineName(i), nodes: d.api, order: d.Members, at: i,
-			every: time.Duration(reportS * float64(time.Second)), tasks: make(map[string]*workerTask)}
+		w := &worker{codec: d.codec, client: own, history: d.History, name: machineName(i), nodes: d.apiAddresses, order: d.Members, memberIndex: i,
+			interval: time.Duration(heartbeatS * float64(time.Second)), tasks: make(map[string]*workerTask)}
 		d.workers.Add(1)
 		go func() {
 			defer d.workers.Done()
-			k.run(ctx)
+			w.run(ctx)
 		}()
 	}
 }
@@ -137,8 +137,8 @@
 	}
 }
 
-// cloud has one type of machine, all of which are rented already.
-func (d *Deployment) cloud(w http.ResponseWriter, r *http.Request) {
+// serveCloud has one type of machine, all of which are rented already.
+func (d *Deployment) serveCloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
 		reply(w, d.codec, 200, protocol.Catalog{Types: []protocol.MachineType{{Name: machineType, CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50,
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -19,21 +19,21 @@
 type History struct {
 	limits map[string]float64
 
-	mu       sync.Mutex
-	jobs     map[string]*Job
-	use      map[string]float64
-	highest  map[string]float64
-	live     map[string]string // machine by task
-	started  map[string]int
-	waits    []time.Duration // from a job's submission to each of its tasks' starts
-	firsts   map[string]time.Time
-	problems []string
+	mu          sync.Mutex
+	jobs        map[string]*Job
+	usage       map[string]float64
+	peakUsage   map[string]float64
+	runningOn   map[string]string // machine by task
+	started     map[string]int
+	waits       []time.Duration // from a job's submission to each of its tasks' starts
+	firstStarts map[string]time.Time
+	violations  []string
 }
 
 // NewHistory makes one that knows the teams' limits in CPUs.
 func NewHistory(limits map[string]float64) *History {
-	return &History{limits: limits, jobs: make(map[string]*Job), use: make(map[string]float64), highest: make(map[string]float64),
-		live: make(map[string]string), started: make(map[string]int), firsts: make(map[string]time.Time)}
+	return &History{limits: limits, jobs: make(map[string]*Job), usage: make(map[string]float64), peakUsage: make(map[string]float64),
+		runningOn: make(map[string]string), started: make(map[string]int), firstStarts: make(map[string]time.Time)}
 }
 
 // Submit makes a job known.
@@ -53,34 +53,34 @@
 func (h *History) start(j *Job, task, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if on := h.live[task]; on != "" {
-		h.problem("%s starts on %s while it runs on %s", task, machine, on)
+	if on := h.runningOn[task]; on != "" {
+		h.addViolation("%s starts on %s while it runs on %s", task, machine, on)
 	}
-	h.live[task] = machine
-	h.use[j.Team] += j.CPUs
-	h.highest[j.Team] = max(h.highest[j.Team], h.use[j.Team])
-	if limit := h.limits[j.Team]; limit > 0 && h.use[j.Team] > limit {
-		h.problem("team %s uses %v CPUs of %v", j.Team, h.use[j.Team], limit)
+	h.runningOn[task] = machine
+	h.usage[j.Team] += j.CPUs
+	h.peakUsage[j.Team] = max(h.peakUsage[j.Team], h.usage[j.Team])
+	if limit := h.limits[j.Team]; limit > 0 && h.usage[j.Team] > limit {
+		h.addViolation("team %s uses %v CPUs of %v", j.Team, h.usage[j.Team], limit)
 	}
 	h.started[j.Team]++
 	h.waits = append(h.waits, time.Since(j.At))
-	if h.firsts[j.ID].IsZero() {
-		h.firsts[j.ID] = time.Now()
+	if h.firstStarts[j.ID].IsZero() {
+		h.firstStarts[j.ID] = time.Now()
 	}
 }
 
 func (h *History) end(j *Job, task string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.live, task)
-	h.use[j.Team] -= j.CPUs
+	delete(h.runningOn, task)
+	h.usage[j.Team] -= j.CPUs
 }
 
-const mostProblems = 20
+const maxViolations = 20
 
-func (h *History) problem(format string, args ...any) {
-	if len(h.problems) < mostProblems {
-		h.problems = append(h.problems, fmt.Sprintf(format, args...))
+func (h *History) addViolation(format string, args ...any) {
+	if len(h.violations) < maxViolations {
+		h.violations = append(h.violations, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -101,13 +101,13 @@
 	for team, n := range h.started {
 		out.Started[team] = n
 	}
-	for team, v := range h.highest {
+	for team, v := range h.peakUsage {
 		out.Highest[team] = v
 	}
-	for id, at := range h.firsts {
+	for id, at := range h.firstStarts {
 		out.Firsts[id] = at
 	}
 	out.Waits = append(out.Waits, h.waits...)
-	out.Problems = append(out.Problems, h.problems...)
+	out.Problems = append(out.Problems, h.violations...)
 	return out
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -25,20 +25,20 @@
 	codec *protocol.Codec
 	stop  chan struct{}
 
-	mu       sync.Mutex
-	revision uint64
-	keys     map[string]*stateKey
-	leases   map[uint64]*stateLease
-	events   []stateEvent
-	changed  chan struct{} // closed at the next change
-	puts     map[string]int
-	requests int
+	mu           sync.Mutex
+	revision     uint64
+	keys         map[string]*stateKey
+	leases       map[uint64]*stateLease
+	events       []stateEvent
+	changed      chan struct{} // closed at the next change
+	changeCounts map[string]int
+	requests     int
 }
 
 type stateKey struct {
-	value []byte
-	stamp uint64
-	lease uint64
+	value   []byte
+	version uint64
+	lease   uint64
 }
 
 type stateLease struct {
@@ -47,15 +47,15 @@
 }
 
 type stateEvent struct {
-	key   string
-	value []byte // nil: it was dropped
-	stamp uint64
+	key     string
+	value   []byte // nil: it was dropped
+	version uint64
 }
 
 // NewState makes an empty state service.
 func NewState(codec *protocol.Codec) *State {
 	s := &State{codec: codec, stop: make(chan struct{}), keys: make(map[string]*stateKey), leases: make(map[uint64]*stateLease),
-		changed: make(chan struct{}), puts: make(map[string]int)}
+		changed: make(chan struct{}), changeCounts: make(map[string]int)}
 	go s.sweep()
 	return s
 }
@@ -68,7 +68,7 @@
 func (s *State) Changes(prefix string) (changes, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, n := range s.puts {
+	for key, n := range s.changeCounts {
 		if strings.HasPrefix(key, prefix) {
 			changes += n
 		}
@@ -86,9 +86,9 @@
 			return
 		case now := <-ticker.C:
 			s.mu.Lock()
-			for id, l := range s.leases {
-				if now.Sub(l.renewed) > l.ttl {
-					s.endLease(id)
+			for id, lease := range s.leases {
+				if now.Sub(lease.renewed) > lease.ttl {
+					s.expireLease(id)
 				}
 			}
 			s.mu.Unlock()
@@ -96,24 +96,24 @@
 	}
 }
 
-func (s *State) endLease(id uint64) {
+func (s *State) expireLease(id uint64) {
 	delete(s.leases, id)
 	s.revision++
-	for key, k := range s.keys {
-		if k.lease == id {
-			s.drop(key)
+	for key, entry := range s.keys {
+		if entry.lease == id {
+			s.deleteKey(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *State) drop(key string) {
+func (s *State) deleteKey(key string) {
 	delete(s.keys, key)
-	s.puts[key]++
-	s.events = append(s.events, stateEvent{key: key, stamp: s.revision})
+	s.changeCounts[key]++
+	s.events = append(s.events, stateEvent{key: key, version: s.revision})
 }
 
-func (s *State) wake() {
+func (s *State) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -137,16 +137,16 @@
 			reply(w, s.codec, 400, protocol.ErrorBody{Error: "malformed"})
 			return
 		}
-		s.txn(w, &t)
+		s.transact(w, &t)
 	case path == "/leases":
 		var q protocol.LeaseRequest
 		if s.codec.Decode(body, &q) != nil {
 			reply(w, s.codec, 400, protocol.ErrorBody{Error: "malformed"})
 			return
 		}
-		s.open(w, time.Duration(q.TTLMs)*time.Millisecond)
+		s.openLease(w, time.Duration(q.TTLMs)*time.Millisecond)
 	case strings.HasPrefix(path, "/leases/"):
-		s.touch(w, path)
+		s.renewLease(w, path)
 	case path == "/kv":
 		s.list(w, r)
 	default:
@@ -160,7 +160,7 @@
 	_, _ = w.Write(codec.Encode(v))
 }
 
-func (s *State) open(w http.ResponseWriter, ttl time.Duration) {
+func (s *State) openLease(w http.ResponseWriter, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -168,28 +168,28 @@
 	reply(w, s.codec, 200, protocol.LeaseResponse{Lease: s.revision})
 }
 
-func (s *State) touch(w http.ResponseWriter, path string) {
+func (s *State) renewLease(w http.ResponseWriter, path string) {
 	id, err := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.leases[id]
-	if err != nil || l == nil {
+	lease := s.leases[id]
+	if err != nil || lease == nil {
 		reply(w, s.codec, 404, protocol.ErrorBody{Error: "no such lease"})
 		return
 	}
-	l.renewed = time.Now()
+	lease.renewed = time.Now()
 	reply(w, s.codec, 200, protocol.ErrorBody{})
 }
 
 func (s *State) get(w http.ResponseWriter, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := s.keys[key]
-	if k == nil {
+	entry := s.keys[key]
+	if entry == nil {
 		reply(w, s.codec, 404, protocol.TransactionResponse{Revision: s.revision})
 		return
 	}
-	reply(w, s.codec, 200, protocol.KeyValue{Key: key, Value: k.value, Version: k.stamp, Lease: k.lease})
+	reply(w, s.codec, 200, protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version, Lease: entry.lease})
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -209,26 +209,26 @@
 	slices.Sort(names)
 	out := protocol.KeyValuePage{Items: []protocol.KeyValue{}, Revision: s.revision, More: len(names) > limit}
 	for _, key := range names[:min(limit, len(names))] {
-		k := s.keys[key]
-		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: k.value, Version: k.stamp, Lease: k.lease})
+		entry := s.keys[key]
+		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version, Lease: entry.lease})
 	}
 	reply(w, s.codec, 200, out)
 }
 
-func (s *State) txn(w http.ResponseWriter, t *protocol.Transaction) {
+func (s *State) transact(w http.ResponseWriter, txn *protocol.Transaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range t.Then {
+	for _, c := range txn.Then {
 		if c.Put != "" && c.Lease != 0 && s.leases[c.Lease] == nil {
 			reply(w, s.codec, 400, protocol.ErrorBody{Error: "no such lease"})
 			return
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range txn.If {
 		stamp := uint64(0)
-		if k := s.keys[c.Key]; k != nil {
-			stamp = k.stamp
+		if entry := s.keys[c.Key]; entry != nil {
+			stamp = entry.version
 		}
 		if stamp != c.Version {
 			failed = append(failed, c.Key)
@@ -238,27 +238,27 @@
 		reply(w, s.codec, 409, protocol.TransactionResponse{Failed: failed, Revision: s.revision})
 		return
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.revision++
-		for _, c := range t.Then {
-			s.change(&c)
+		for _, c := range txn.Then {
+			s.applyChange(&c)
 		}
-		s.wake()
+		s.notifyWatches()
 	}
 	reply(w, s.codec, 200, protocol.TransactionResponse{Revision: s.revision})
 }
 
-func (s *State) change(c *protocol.Change) {
+func (s *State) applyChange(c *protocol.Change) {
 	if c.Put == "" {
 		if s.keys[c.Delete] != nil {
-			s.drop(c.Delete)
+			s.deleteKey(c.Delete)
 		}
 		return
 	}
 	value := slices.Clone([]byte(c.Value))
-	s.keys[c.Put] = &stateKey{value: value, stamp: s.revision, lease: c.Lease}
-	s.puts[c.Put]++
-	s.events = append(s.events, stateEvent{key: c.Put, value: value, stamp: s.revision})
+	s.keys[c.Put] = &stateKey{value: value, version: s.revision, lease: c.Lease}
+	s.changeCounts[c.Put]++
+	s.events = append(s.events, stateEvent{key: c.Put, value: value, version: s.revision})
 }
 
 // watch answers once something under a prefix has changed after a revision.
@@ -274,7 +274,7 @@
 	defer timeout.Stop()
 	for over := false; ; {
 		s.mu.Lock()
-		out := protocol.WatchResponse{Revision: s.revision, Events: s.since(q.Get("under"), from)}
+		out := protocol.WatchResponse{Revision: s.revision, Events: s.eventsSince(q.Get("under"), from)}
 		changed := s.changed
 		s.mu.Unlock()
 		if len(out.Events) > 0 || over {
@@ -293,10 +293,10 @@
 	}
 }
 
-func (s *State) since(prefix string, from uint64) []protocol.Event {
+func (s *State) eventsSince(prefix string, from uint64) []protocol.Event {
 	out := []protocol.Event{}
 	first, _ := slices.BinarySearchFunc(s.events, from+1, func(e stateEvent, stamp uint64) int {
-		if e.stamp < stamp {
+		if e.version < stamp {
 			return -1
 		}
 		return 1
@@ -305,9 +305,9 @@
 		switch {
 		case !strings.HasPrefix(e.key, prefix):
 		case e.value != nil:
-			out = append(out, protocol.Event{Put: e.key, Value: e.value, Version: e.stamp})
+			out = append(out, protocol.Event{Put: e.key, Value: e.value, Version: e.version})
 		default:
-			out = append(out, protocol.Event{Delete: e.key, Version: e.stamp, Value: []byte{nullCBOR}})
+			out = append(out, protocol.Event{Delete: e.key, Version: e.version, Value: []byte{nullCBOR}})
 		}
 	}
 	return out
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-const retrySubmit = 200 * time.Millisecond
+const retrySubmission = 200 * time.Millisecond
 
 // Submit hands a job in at a member until it is accepted.
 func (d *Deployment) Submit(ctx context.Context, member string, j *Job) error {
@@ -20,7 +20,7 @@
 		"vcpus": j.CPUs, "cards": 0.0, "ramGb": 0.5, "plate": "img", "imageGb": 0.1, "breeds": nil, "hall": nil,
 		"together": false, "apart": false, "loaners": true, "expectedS": j.Runs.Seconds(), "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
 	for {
-		switch status, answer := post(ctx, d.client, "http://"+d.api[member]+"/submissions", body); status {
+		switch status, answer := post(ctx, d.client, "http://"+d.apiAddresses[member]+"/submissions", body); status {
 		case 200, 201:
 			return nil
 		case 0, 429, 503, 504:
@@ -30,7 +30,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("standin: %s is not accepted: %w", j.ID, ctx.Err())
-		case <-time.After(retrySubmit):
+		case <-time.After(retrySubmission):
 		}
 	}
 }
@@ -38,7 +38,7 @@
 // Status asks a member about a job.
 func (d *Deployment) Status(ctx context.Context, member, id string) string {
 	var s protocol.JobStatus
-	if b := d.get(ctx, "http://"+d.api[member]+"/submissions/"+id); b != nil && d.codec.Decode(b, &s) == nil {
+	if b := d.get(ctx, "http://"+d.apiAddresses[member]+"/submissions/"+id); b != nil && d.codec.Decode(b, &s) == nil {
 		return s.Status
 	}
 	return ""
@@ -46,7 +46,7 @@
 
 // Ready tells whether a member takes requests.
 func (d *Deployment) Ready(ctx context.Context, member string) bool {
-	return d.get(ctx, "http://"+d.api[member]+"/ready") != nil
+	return d.get(ctx, "http://"+d.apiAddresses[member]+"/ready") != nil
 }
 
 func (d *Deployment) get(ctx context.Context, url string) []byte {
