--- a/internal/storage/batches.go
+++ b/internal/storage/batches.go
@@ -51,7 +51,7 @@
 // not sent any more once until has passed.
 func (s *Shard) CreateJob(job *protocol.Job, submittedAtMs int64, nonce string, deadline time.Duration, done func(CreateResult)) {
 	d := &description{record: DescriptionRecord{Job: *job, SubmittedAtMs: submittedAtMs}}
-	d.maxSize = s.store.maxJSONSize(len(s.store.codec.Encode(d.record)))
+	d.maxSize = maxJSONSize(s.store.codec.Encode(d.record))
 	s.queue = append(s.queue, operation{description: d, deadline: deadline, onCreated: done, jobID: job.ID, record: JobRecord{Shard: s.name, Nonce: nonce, Tasks: job.Tasks}})
 	s.FlushJobs()
 }
@@ -74,7 +74,7 @@
 	now := s.store.clock.Now()
 	budget := s.store.WriteBudget()
 	limit := min(budget, s.store.limits.TxnOps)
-	if limit < 2 || (float64(budget) < s.store.writeBucket.burst*backgroundReserve && now-s.lastBatchAt < batchInterval) {
+	if limit < 2 || (s.store.scarce(budget) && now-s.lastBatchAt < batchInterval) {
 		s.dropAbandoned(now)
 		return
 	}
--- /dev/null
+++ b/internal/storage/client.go
@@ -0,0 +1,127 @@
+package storage
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+)
+
+// listPageSize is how many keys one page of a listing has at the most.
+const listPageSize = 500
+
+// listTimeoutFactor is how many times the usual timeout a page of a listing is given.
+const listTimeoutFactor = 3
+
+// client speaks the state service's protocol: transactions are in transactions.go,
+// leases in leases.go.
+type client struct {
+	scheduler
+	codec  *protocol.Codec
+	timers []timer
+}
+
+// timer is a function that is due at a time.
+type timer struct {
+	at time.Duration
+	fn func()
+}
+
+// After runs fn in the first Poll once the delay has passed.
+func (c *client) After(delay time.Duration, fn func()) {
+	c.timers = append(c.timers, timer{at: c.clock.Now() + delay, fn: fn})
+}
+
+// runTimers runs the functions that are due, also those that others of them add.
+func (c *client) runTimers() {
+	now := c.clock.Now()
+	for i := 0; i < len(c.timers); {
+		if c.timers[i].at > now {
+			i++
+			continue
+		}
+		fn := c.timers[i].fn
+		c.timers = append(c.timers[:i], c.timers[i+1:]...)
+		fn()
+	}
+}
+
+// Get reads one key. ok is false when the service gave no usable answer.
+func (c *client) Get(class Class, key string, done func(p protocol.KeyValue, found, ok bool)) {
+	c.getWithDeadline(class, 0, key, done)
+}
+
+// getWithDeadline reads one key unless the request still waits at the deadline.
+func (c *client) getWithDeadline(class Class, deadline time.Duration, key string, done func(p protocol.KeyValue, found, ok bool)) {
+	c.enqueue(request{class: class, deadline: deadline, method: http.MethodGet, path: "/kv/" + key, done: func(r Response) {
+		var p protocol.KeyValue
+		switch {
+		case r.Status == http.StatusNotFound:
+			done(p, false, true)
+		case r.Status == http.StatusOK && c.codec.Decode(r.Body, &p) == nil:
+			done(p, true, true)
+		default:
+			done(p, false, false)
+		}
+	}})
+}
+
+// List reads all keys with a prefix, page by page. ok is false when a page
+// could not be had.
+func (c *client) List(prefix string, done func(items []protocol.KeyValue, revision uint64, ok bool)) {
+	l := &listing{client: c, prefix: prefix, done: done}
+	l.readPage("")
+}
+
+// listing is a listing under way.
+type listing struct {
+	client   *client
+	prefix   string
+	items    []protocol.KeyValue
+	revision uint64 // of the first page
+	done     func(items []protocol.KeyValue, revision uint64, ok bool)
+}
+
+// readPage reads the keys after a key; "" is before the first.
+func (l *listing) readPage(after string) {
+	path := "/kv?under=" + l.prefix + "&limit=" + strconv.Itoa(listPageSize)
+	if after != "" {
+		path += "&from=" + after
+	}
+	l.client.enqueue(request{class: Read, method: http.MethodGet, path: path, timeout: listTimeoutFactor * l.client.limits.Timeout, done: l.receive})
+}
+
+func (l *listing) receive(r Response) {
+	var page protocol.KeyValuePage
+	if r.Status != http.StatusOK || l.client.codec.Decode(r.Body, &page) != nil {
+		l.done(nil, 0, false)
+		return
+	}
+	l.items = append(l.items, page.Items...)
+	if l.revision == 0 {
+		l.revision = page.Revision
+	}
+	if page.More && len(page.Items) > 0 {
+		l.readPage(page.Items[len(page.Items)-1].Key)
+		return
+	}
+	l.done(l.items, l.revision, true)
+}
+
+// Watch waits for changes under a prefix. gone says that the revision is too
+// old and everything must be read again.
+func (c *client) Watch(prefix string, from uint64, hold time.Duration, done func(ev protocol.WatchResponse, gone, ok bool)) {
+	path := "/watch?under=" + prefix + "&from=" + strconv.FormatUint(from, 10) + "&holdMs=" + strconv.FormatInt(hold.Milliseconds(), 10)
+	c.enqueue(request{class: Urgent, method: http.MethodGet, path: path, timeout: hold + 2*c.limits.Timeout, done: func(r Response) {
+		var ev protocol.WatchResponse
+		switch {
+		case r.Status == http.StatusGone:
+			done(ev, true, false)
+		case r.Status == http.StatusOK && c.codec.Decode(r.Body, &ev) == nil:
+			done(ev, false, true)
+		default:
+			done(ev, false, false)
+		}
+	}})
+}
--- a/internal/storage/description_pages.go
+++ b/internal/storage/description_pages.go
@@ -74,15 +74,6 @@
 	return r
 }
 
-// maxSharedRecordSize is what a record with several entries may take.
-func (s *Store) maxSharedRecordSize() int { return s.limits.ValueBytes * 3 / 4 }
-
-// Fits tells whether what the records say of a job stays within the state
-// service's limit of a value.
-func (s *Store) Fits(j *protocol.Job) bool {
-	return s.maxJSONSize(len(s.codec.Encode(DescriptionRecord{Job: *j}))) <= s.limits.ValueBytes && maxTaskRangeSize(j, 0) <= s.limits.ValueBytes
-}
-
 // mostSuperseded is the descriptions record outside a batch whose record says most in
 // vain.
 func (s *Shard) mostSuperseded(b *batch) *descriptionPage {
--- a/internal/storage/finished_pages.go
+++ b/internal/storage/finished_pages.go
@@ -139,10 +139,6 @@
 	send()
 }
 
-// maxTxnBytes is what one transaction takes of the service's 64 KiB, the rest
-// is left to keys and conditions.
-const maxTxnBytes = 48 << 10
-
 // record is a page's value: bit sets by job and number.
 func (p *finishedPage) record() map[string]string {
 	out := make(map[string]string, len(p.taskRanges))
--- a/internal/storage/job_lookup.go
+++ b/internal/storage/job_lookup.go
@@ -6,7 +6,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Users ask about jobs in storms: many times as often as usual, about jobs that
+// Users ask about jobs in bursts: many times as often as usual, about jobs that
 // are long over and about some that nobody has submitted, and each answer needs
 // a read that began after the question. So questions about the same job share a
 // read that has not begun, and questions about several are put together as the
@@ -15,57 +15,63 @@
 // others are read one by one.
 
 const (
-	roundInterval       = 50 * time.Millisecond // while earlier reads are under way
-	maxConcurrentRounds = 8                     // under way
-	maxLookupWaiters    = 4096                  // that wait for reads to begin
-	maxSeparateReads    = 3                     // are read one by one
+	lookupRoundInterval    = 50 * time.Millisecond // between rounds while one is under way
+	maxLookupRounds        = 8                     // under way
+	maxLookupWaiters       = 4096                  // whose reads have not begun
+	maxSeparateReads       = 3                     // in a round without a transaction
+	lookupConditionsPerTxn = 4                     // for each change that a transaction may make
 )
 
-// KnownRecord is a job's record with the stamp that it had when it was read; 0
+// KnownRecord is a job's record with the version that it had when it was read; 0
 // if the job was not known.
 type KnownRecord struct {
 	JobRecord
 	Version uint64
 }
 
-// lookup is a read of one job's record that has not begun.
-type lookup struct {
-	id        string
-	known     KnownRecord
-	deadline  time.Duration
-	callbacks []func(rec KnownRecord, found, ok bool)
+// lookupDone takes the answer to a lookup. ok is false if there is none.
+type lookupDone func(record KnownRecord, found, ok bool)
+
+// jobLookup is a read of one job's record that has not begun.
+type jobLookup struct {
+	jobID    string
+	known    KnownRecord   // the latest that an earlier read has shown
+	deadline time.Duration // of the waiter who waits longest
+	waiters  []lookupDone
 }
 
-func (l *lookup) answer(rec KnownRecord, found, ok bool) {
-	for _, fn := range l.callbacks {
-		fn(rec, found, ok)
+func (l *jobLookup) answer(record KnownRecord, found, ok bool) {
+	for _, done := range l.waiters {
+		done(record, found, ok)
 	}
 }
 
-// lookups are the reads of jobs' records.
-type lookups struct {
-	pending     []*lookup
-	byID        map[string]*lookup
-	waiters     int
-	inFlight    int // under way
-	lastRoundAt time.Duration
+// jobLookups are the reads of jobs' records.
+type jobLookups struct {
+	client       *client
+	pending      []*jobLookup
+	byID         map[string]*jobLookup // of those pending
+	waiters      int                   // of all pending
+	roundsActive int
+	lastRoundAt  time.Duration
+}
+
+// LookupJob reads a job's record afresh, unless the read has not begun by the
+// deadline. known is what an earlier read has shown, or nothing. done gets found if
+// there is a record, and ok if the answer is certain.
+func (s *Store) LookupJob(id string, known KnownRecord, deadline time.Duration, done func(record KnownRecord, found, ok bool)) {
+	s.lookups.add(id, known, deadline, done)
 }
 
-// LookupJob reads a job's record afresh, unless that has not begun by the given time.
-// known is what an earlier read has shown, or nothing.
-func (s *Store) LookupJob(id string, known KnownRecord, deadline time.Duration, done func(rec KnownRecord, found, ok bool)) {
-	q := &s.lookups
+func (q *jobLookups) add(id string, known KnownRecord, deadline time.Duration, done lookupDone) {
 	if q.waiters >= maxLookupWaiters {
-		s.runLater(func() { done(KnownRecord{}, false, false) })
+		q.client.runLater(func() { done(KnownRecord{}, false, false) })
 		return
 	}
 	q.waiters++
 	l := q.byID[id]
 	if l == nil {
-		if q.byID == nil {
-			q.byID = make(map[string]*lookup)
-		}
-		l = &lookup{id: id}
+		l = &jobLookup{jobID: id}
 		q.byID[id] = l
 		q.pending = append(q.pending, l)
 	}
@@ -73,73 +79,89 @@
 		l.known = known
 	}
 	l.deadline = max(l.deadline, deadline)
-	l.callbacks = append(l.callbacks, done)
+	l.waiters = append(l.waiters, done)
 	// Questions that came in the same batch of commands go together.
-	s.runLater(s.startLookups)
+	q.client.runLater(q.start)
 }
 
-// startLookups begins the reads that wait, if it is time.
-func (s *Store) startLookups() {
-	q := &s.lookups
-	now := s.clock.Now()
-	for len(q.pending) > 0 && q.inFlight < maxConcurrentRounds && (q.inFlight == 0 || now-q.lastRoundAt >= roundInterval) {
-		count := min(len(q.pending), 4*s.limits.TxnOps)
-		round := q.pending[:count:count]
-		q.pending = q.pending[count:]
-		for _, l := range round {
-			delete(q.byID, l.id)
-			q.waiters -= len(l.callbacks)
-		}
-		q.inFlight++
-		q.lastRoundAt = now
-		remaining := len(round)
-		readDone := func() {
-			if remaining--; remaining == 0 {
-				q.inFlight--
-				s.startLookups()
-			}
-		}
-		if len(round) <= maxSeparateReads {
-			for _, l := range round {
-				s.readJobRecord(l, readDone)
-			}
-			continue
+// start begins the reads that wait, if it is time.
+func (q *jobLookups) start() {
+	now := q.client.clock.Now()
+	for q.mayStartRound(now) {
+		q.startRound(now)
+	}
+}
+
+func (q *jobLookups) mayStartRound(now time.Duration) bool {
+	if len(q.pending) == 0 || q.roundsActive >= maxLookupRounds {
+		return false
+	}
+	return q.roundsActive == 0 || now-q.lastRoundAt >= lookupRoundInterval
+}
+
+func (q *jobLookups) startRound(now time.Duration) {
+	round := q.nextRound()
+	q.roundsActive++
+	q.lastRoundAt = now
+	remaining := len(round)
+	lookupEnded := func() {
+		if remaining--; remaining == 0 {
+			q.roundsActive--
+			q.start()
 		}
-		s.compareVersions(round, readDone)
 	}
+	if len(round) > maxSeparateReads {
+		q.compareVersions(round, lookupEnded)
+		return
+	}
+	for _, l := range round {
+		q.readRecord(l, lookupEnded)
+	}
+}
+
+// nextRound takes the lookups that one transaction can compare.
+func (q *jobLookups) nextRound() []*jobLookup {
+	count := min(len(q.pending), lookupConditionsPerTxn*q.client.limits.TxnOps)
+	round := q.pending[:count:count]
+	q.pending = q.pending[count:]
+	for _, l := range round {
+		delete(q.byID, l.jobID)
+		q.waiters -= len(l.waiters)
+	}
+	return round
 }
 
 // compareVersions asks about many records at once.
-func (s *Store) compareVersions(round []*lookup, readDone func()) {
+func (q *jobLookups) compareVersions(round []*jobLookup, lookupEnded func()) {
 	t := protocol.Transaction{}
 	deadline := time.Duration(0)
 	for _, l := range round {
-		t.If = append(t.If, protocol.Condition{Key: JobKey(l.id), Version: l.known.Version})
+		t.If = append(t.If, protocol.Condition{Key: JobKey(l.jobID), Version: l.known.Version})
 		deadline = max(deadline, l.deadline)
 	}
-	s.txnWithDeadline(Read, deadline, t, func(r TxnResult) {
+	q.client.txnWithDeadline(Read, deadline, t, func(r TxnResult) {
 		for _, l := range round {
 			switch {
-			case r.Outcome == Conflict && r.FailedOn(JobKey(l.id)):
-				s.readJobRecord(l, readDone)
+			case r.Outcome == Conflict && r.FailedOn(JobKey(l.jobID)):
+				q.readRecord(l, lookupEnded)
 				continue
 			case r.Outcome == Applied || r.Outcome == Conflict:
 				l.answer(l.known, l.known.Version > 0, true)
 			default:
 				l.answer(KnownRecord{}, false, false)
 			}
-			readDone()
+			lookupEnded()
 		}
 	})
 }
 
-func (s *Store) readJobRecord(l *lookup, readDone func()) {
-	s.getWithDeadline(Read, l.deadline, JobKey(l.id), func(p protocol.KeyValue, found, ok bool) {
-		rec := KnownRecord{Version: p.Version}
-		if found && s.codec.Decode(p.Value, &rec.JobRecord) != nil {
+func (q *jobLookups) readRecord(l *jobLookup, lookupEnded func()) {
+	q.client.getWithDeadline(Read, l.deadline, JobKey(l.jobID), func(p protocol.KeyValue, found, ok bool) {
+		record := KnownRecord{Version: p.Version}
+		if found && q.client.codec.Decode(p.Value, &record.JobRecord) != nil {
 			found, ok = false, false
 		}
-		l.answer(rec, found, ok)
-		readDone()
+		l.answer(record, found, ok)
+		lookupEnded()
 	})
 }
--- /dev/null
+++ b/internal/storage/leases.go
@@ -0,0 +1,31 @@
+package storage
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+)
+
+// OpenLease asks for a state lease; 0 means that there is none.
+func (c *client) OpenLease(ttl time.Duration, done func(lease uint64)) {
+	body := c.codec.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
+	c.enqueue(request{class: Urgent, method: http.MethodPost, path: "/leases", body: body, done: func(r Response) {
+		var opened protocol.LeaseResponse
+		if r.Status != http.StatusOK || c.codec.Decode(r.Body, &opened) != nil {
+			done(0)
+			return
+		}
+		done(opened.Lease)
+	}})
+}
+
+// RenewLease renews a lease. Without an answer it is neither renewed nor expired;
+// expired says that the lease has ended for good.
+func (c *client) RenewLease(lease uint64, timeout time.Duration, done func(renewed, expired bool)) {
+	path := "/leases/" + strconv.FormatUint(lease, 10) + "/touch"
+	c.enqueue(request{class: Urgent, method: http.MethodPost, path: path, timeout: timeout, done: func(r Response) {
+		done(r.Status == http.StatusOK, r.Status == http.StatusNotFound)
+	}})
+}
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -35,7 +35,7 @@
 				k.superseded[id] = over
 				continue
 			}
-			j := &description{record: own, page: k, maxSize: s.store.maxJSONSize(len(s.store.codec.Encode(own)))}
+			j := &description{record: own, page: k, maxSize: maxJSONSize(s.store.codec.Encode(own))}
 			k.jobs[id], s.descriptions[id] = j, j
 		}
 	}
