--- a/internal/coordination/admission_records.go
+++ b/internal/coordination/admission_records.go
@@ -57,9 +57,9 @@
 	for _, shard := range a.c.owner.shards {
 		ledgers = append(ledgers, shard)
 	}
-	a.c.store.QuotaRecords(func(items []protocol.KeyValue, ok bool) {
+	a.c.store.QuotaRecords(func(items []protocol.KeyValue, err error) {
 		a.readingRecords = false
-		if !ok {
+		if err != nil {
 			a.recordsStale, a.nextReadAt = true, a.c.now()+quotaReadRetry
 			return
 		}
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -73,13 +73,13 @@
 			// Without an answer the key may or may not be ours; the fresh
 			// view decides, and a claim of ours that is applied late shows
 			// there as held by this member.
-			s.c.store.Get(storage.Urgent, key, func(p protocol.KeyValue, found, ok bool) {
+			s.c.store.Get(storage.Urgent, key, func(r storage.GetResult) {
 				if lease != s.leaseID {
 					return
 				}
 				delete(s.claimsInFlight, name)
-				if ok && found {
-					s.observe(key, p.Value, p.Version, true)
+				if r.Found {
+					s.observe(key, r.KeyValue.Value, r.KeyValue.Version, true)
 				}
 			})
 		}
@@ -137,13 +137,13 @@
 			s.endLease("the state service knows no such lease")
 		default:
 			s.campaignAt = 0
-			s.c.store.Get(storage.Urgent, storage.LeaderKey, func(p protocol.KeyValue, found, ok bool) {
+			s.c.store.Get(storage.Urgent, storage.LeaderKey, func(r storage.GetResult) {
 				if lease != s.leaseID {
 					return
 				}
 				delete(s.claimsInFlight, storage.LeaderKey)
-				if ok && found {
-					s.observe(storage.LeaderKey, p.Value, p.Version, true)
+				if r.Found {
+					s.observe(storage.LeaderKey, r.KeyValue.Value, r.KeyValue.Version, true)
 				}
 			})
 		}
--- a/internal/coordination/lease_session.go
+++ b/internal/coordination/lease_session.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"errors"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
@@ -163,20 +164,20 @@
 		s.registeringProcess = false
 		s.retryAt = s.c.now() + sessionRetryInterval
 	}
-	s.c.store.Get(storage.Urgent, key, func(p protocol.KeyValue, found, ok bool) {
+	s.c.store.Get(storage.Urgent, key, func(current storage.GetResult) {
 		var h storage.Holder
 		switch {
-		case !ok:
+		case current.Err != nil:
 			again()
 			return
-		case found && s.c.codec.Decode(p.Value, &h) == nil && h == s.c.identity:
+		case current.Found && s.c.codec.Decode(current.KeyValue.Value, &h) == nil && h == s.c.identity:
 			// An earlier write of ours that got no answer. Others of ours have
 			// the same condition and fail from now on.
-			s.memberKeyVersion, s.registeringProcess = p.Version, false
+			s.memberKeyVersion, s.registeringProcess = current.KeyValue.Version, false
 			return
 		}
 		s.c.store.Txn(storage.Urgent, protocol.Transaction{
-			If:   []protocol.Condition{{Key: key, Version: p.Version}},
+			If:   []protocol.Condition{{Key: key, Version: current.KeyValue.Version}},
 			Then: []protocol.Change{{Put: key, Value: s.c.codec.Encode(s.c.identity)}},
 		}, func(r storage.TxnResult) {
 			if r.Outcome != storage.Applied {
@@ -184,7 +185,7 @@
 				return
 			}
 			s.memberKeyVersion, s.registeringProcess = r.Revision, false
-			if !found {
+			if !current.Found {
 				s.extensions.clearPredecessorBound()
 			}
 			s.tick(s.c.now())
@@ -241,9 +242,9 @@
 			return
 		}
 		s.loadingView = true
-		s.c.store.List(storage.MemberPrefix, func(items []protocol.KeyValue, rev uint64, ok bool) {
+		s.c.store.List(storage.MemberPrefix, func(items []protocol.KeyValue, rev uint64, err error) {
 			s.loadingView = false
-			if !ok {
+			if err != nil {
 				s.retryAt = s.c.now() + sessionRetryInterval
 				return
 			}
@@ -257,11 +258,11 @@
 		return
 	}
 	s.watching = true
-	s.c.store.Watch(storage.MemberPrefix, s.revision, watchTimeout, func(ev protocol.WatchResponse, gone, ok bool) {
+	s.c.store.Watch(storage.MemberPrefix, s.revision, watchTimeout, func(ev protocol.WatchResponse, err error) {
 		s.watching = false
-		if !ok {
+		if err != nil {
 			s.retryAt = s.c.now() + sessionRetryInterval
-			s.viewLoaded = !gone && s.viewLoaded
+			s.viewLoaded = s.viewLoaded && !errors.Is(err, storage.ErrRevisionTooOld)
 			return
 		}
 		for _, e := range ev.Events {
--- a/internal/coordination/tracked_jobs.go
+++ b/internal/coordination/tracked_jobs.go
@@ -119,11 +119,11 @@
 // for yet: all their tasks may be running and count against their teams.
 func (l *leader) readUnfinishedJobs(shard *shardState) {
 	shard.readAttempts++
-	l.c.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, ok bool) {
+	l.c.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, err error) {
 		if l.c.leader != l || shard.jobsKnown {
 			return
 		}
-		if !ok {
+		if err != nil {
 			l.c.store.After(sessionRetryInterval, func() {
 				if l.c.leader == l && !shard.jobsKnown {
 					l.readUnfinishedJobs(shard)
--- a/internal/storage/batches.go
+++ b/internal/storage/batches.go
@@ -333,12 +333,12 @@
 
 // readJobRecord reads the record of a job that surely has one.
 func (s *Shard) readJobRecord(id string, done func(JobRecord)) {
-	s.store.Get(Urgent, JobKey(id), func(p protocol.KeyValue, found, ok bool) {
+	s.store.Get(Urgent, JobKey(id), func(r GetResult) {
 		if s.lost {
 			return
 		}
 		var rec JobRecord
-		if !ok || (found && s.store.codec.Decode(p.Value, &rec) != nil) {
+		if r.Err != nil || (r.Found && s.store.codec.Decode(r.KeyValue.Value, &rec) != nil) {
 			s.store.After(retryDelay, func() {
 				if !s.lost {
 					s.readJobRecord(id, done)
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -47,29 +47,43 @@
 	}
 }
 
-// Get reads one key. ok is false when the service gave no usable answer.
-func (c *client) Get(class Class, key string, done func(p protocol.KeyValue, found, ok bool)) {
+// GetResult is what a read of one key has shown.
+type GetResult struct {
+	KeyValue protocol.KeyValue // zero unless Found
+	Found    bool              // false also if Err is set
+	Err      error             // ErrNoAnswer, or nil
+}
+
+// Get reads one key.
+func (c *client) Get(class Class, key string, done func(GetResult)) {
 	c.getWithDeadline(class, 0, key, done)
 }
 
 // getWithDeadline reads one key unless the request still waits at the deadline.
-func (c *client) getWithDeadline(class Class, deadline time.Duration, key string, done func(p protocol.KeyValue, found, ok bool)) {
-	c.enqueue(request{class: class, deadline: deadline, method: http.MethodGet, path: "/kv/" + key, done: func(r Response) {
-		var p protocol.KeyValue
-		switch {
-		case r.Status == http.StatusNotFound:
-			done(p, false, true)
-		case r.Status == http.StatusOK && c.codec.Decode(r.Body, &p) == nil:
-			done(p, true, true)
-		default:
-			done(p, false, false)
-		}
-	}})
+func (c *client) getWithDeadline(class Class, deadline time.Duration, key string, done func(GetResult)) {
+	c.enqueue(request{
+		class: class, deadline: deadline, method: http.MethodGet, path: "/kv/" + key,
+		done: func(r Response) { done(c.getResult(r)) },
+	})
 }
 
-// List reads all keys with a prefix, page by page. ok is false when a page
-// could not be had.
-func (c *client) List(prefix string, done func(items []protocol.KeyValue, revision uint64, ok bool)) {
+func (c *client) getResult(r Response) GetResult {
+	var pair protocol.KeyValue
+	switch {
+	case r.Status == http.StatusNotFound:
+		return GetResult{}
+	case r.Status == http.StatusOK && c.codec.Decode(r.Body, &pair) == nil:
+		return GetResult{KeyValue: pair, Found: true}
+	}
+	return GetResult{Err: ErrNoAnswer}
+}
+
+// ListDone takes a listing as it was at a revision, or ErrNoAnswer when a page could
+// not be had.
+type ListDone func(items []protocol.KeyValue, revision uint64, err error)
+
+// List reads all keys with a prefix, page by page.
+func (c *client) List(prefix string, done ListDone) {
 	l := &listing{client: c, prefix: prefix, done: done}
 	l.readPage("")
 }
@@ -80,7 +94,7 @@
 	prefix   string
 	items    []protocol.KeyValue
 	revision uint64 // of the first page
-	done     func(items []protocol.KeyValue, revision uint64, ok bool)
+	done     ListDone
 }
 
 // readPage reads the keys after a key; "" is before the first.
@@ -95,7 +109,7 @@
 func (l *listing) receive(r Response) {
 	var page protocol.KeyValuePage
 	if r.Status != http.StatusOK || l.client.codec.Decode(r.Body, &page) != nil {
-		l.done(nil, 0, false)
+		l.done(nil, 0, ErrNoAnswer)
 		return
 	}
 	l.items = append(l.items, page.Items...)
@@ -106,22 +120,22 @@
 		l.readPage(page.Items[len(page.Items)-1].Key)
 		return
 	}
-	l.done(l.items, l.revision, true)
+	l.done(l.items, l.revision, nil)
 }
 
-// Watch waits for changes under a prefix. gone says that the revision is too
-// old and everything must be read again.
-func (c *client) Watch(prefix string, from uint64, hold time.Duration, done func(ev protocol.WatchResponse, gone, ok bool)) {
+// Watch waits for changes under a prefix after a revision, up to hold. done gets them,
+// none if there were none, or ErrRevisionTooOld or ErrNoAnswer.
+func (c *client) Watch(prefix string, from uint64, hold time.Duration, done func(changes protocol.WatchResponse, err error)) {
 	path := "/watch?under=" + prefix + "&from=" + strconv.FormatUint(from, 10) + "&holdMs=" + strconv.FormatInt(hold.Milliseconds(), 10)
 	c.enqueue(request{class: Urgent, method: http.MethodGet, path: path, timeout: hold + 2*c.limits.Timeout, done: func(r Response) {
-		var ev protocol.WatchResponse
+		var changes protocol.WatchResponse
 		switch {
 		case r.Status == http.StatusGone:
-			done(ev, true, false)
-		case r.Status == http.StatusOK && c.codec.Decode(r.Body, &ev) == nil:
-			done(ev, false, true)
+			done(changes, ErrRevisionTooOld)
+		case r.Status == http.StatusOK && c.codec.Decode(r.Body, &changes) == nil:
+			done(changes, nil)
 		default:
-			done(ev, false, false)
+			done(changes, ErrNoAnswer)
 		}
 	}})
 }
--- a/internal/storage/job_lookup.go
+++ b/internal/storage/job_lookup.go
@@ -156,9 +156,10 @@
 }
 
 func (q *jobLookups) readRecord(l *jobLookup, lookupEnded func()) {
-	q.client.getWithDeadline(Read, l.deadline, JobKey(l.jobID), func(p protocol.KeyValue, found, ok bool) {
-		record := KnownRecord{Version: p.Version}
-		if found && q.client.codec.Decode(p.Value, &record.JobRecord) != nil {
+	q.client.getWithDeadline(Read, l.deadline, JobKey(l.jobID), func(r GetResult) {
+		record := KnownRecord{Version: r.KeyValue.Version}
+		found, ok := r.Found, r.Err == nil
+		if found && q.client.codec.Decode(r.KeyValue.Value, &record.JobRecord) != nil {
 			found, ok = false, false
 		}
 		l.answer(record, found, ok)
--- a/internal/storage/quota_records.go
+++ b/internal/storage/quota_records.go
@@ -44,6 +44,6 @@
 }
 
 // QuotaRecords reads all teams' records.
-func (s *Store) QuotaRecords(done func(items []protocol.KeyValue, ok bool)) {
-	s.List(QuotaPrefix, func(items []protocol.KeyValue, _ uint64, ok bool) { done(items, ok) })
+func (s *Store) QuotaRecords(done func(items []protocol.KeyValue, err error)) {
+	s.List(QuotaPrefix, func(items []protocol.KeyValue, _ uint64, err error) { done(items, err) })
 }
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -96,9 +96,9 @@
 
 // UnfinishedJobs reads the jobs of a ledger that another member holds, as they were at
 // a revision.
-func (s *Store) UnfinishedJobs(shard string, done func(jobs []RecoveredJob, revision uint64, ok bool)) {
-	s.List(descriptionPrefix+shard+"/", func(items []protocol.KeyValue, revision uint64, ok bool) {
+func (s *Store) UnfinishedJobs(shard string, done func(jobs []RecoveredJob, revision uint64, err error)) {
+	s.List(descriptionPrefix+shard+"/", func(items []protocol.KeyValue, revision uint64, err error) {
 		jobs, _, _ := s.decodeDescriptions(shard, items)
-		done(jobs, revision, ok)
+		done(jobs, revision, err)
 	})
 }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -231,11 +231,11 @@
 }
 
 func (s *Shard) readHolder(unknown bool) {
-	s.store.Get(Urgent, s.key, func(p protocol.KeyValue, found, ok bool) {
+	s.store.Get(Urgent, s.key, func(r GetResult) {
 		if s.lost {
 			return
 		}
-		if !ok {
+		if r.Err != nil {
 			s.store.After(retryDelay, func() {
 				if !s.lost {
 					s.readHolder(unknown)
@@ -244,16 +244,16 @@
 			return
 		}
 		var holder Holder
-		if !found || s.store.codec.Decode(p.Value, &holder) != nil || holder != s.holder {
+		if !r.Found || s.store.codec.Decode(r.KeyValue.Value, &holder) != nil || holder != s.holder {
 			s.lose()
 			return
 		}
-		if p.Version == s.version && unknown {
+		if r.KeyValue.Version == s.version && unknown {
 			// Our new stamp has not been written yet, but may be later.
 			s.store.After(retryDelay, s.renewVersion)
 			return
 		}
-		s.resolved(p.Version)
+		s.resolved(r.KeyValue.Version)
 	})
 }
 
@@ -277,20 +277,20 @@
 // Recover reads the ledger's unfinished jobs with their finished tasks.
 func (s *Shard) Recover(done func([]RecoveredJob)) {
 	s.recoveryReads++
-	s.store.List(descriptionPrefix+s.name+"/", func(items []protocol.KeyValue, _ uint64, ok bool) {
+	s.store.List(descriptionPrefix+s.name+"/", func(items []protocol.KeyValue, _ uint64, err error) {
 		if s.lost {
 			return
 		}
-		if !ok {
+		if err != nil {
 			s.store.After(retryDelay, func() { s.retryRecover(done) })
 			return
 		}
 		descriptions := items
-		s.store.List(finishedPrefix+s.name+"/", func(items []protocol.KeyValue, _ uint64, ok bool) {
+		s.store.List(finishedPrefix+s.name+"/", func(items []protocol.KeyValue, _ uint64, err error) {
 			if s.lost {
 				return
 			}
-			if !ok {
+			if err != nil {
 				s.store.After(retryDelay, func() { s.retryRecover(done) })
 				return
 			}
@@ -333,8 +333,9 @@
 // MachineRecords reads the names of all recorded machines, by record, as they were
 // at a revision.
 func (s *Store) MachineRecords(done func(records map[string][]string, revision uint64, ok bool)) {
-	s.List(machineRecordPrefix, func(items []protocol.KeyValue, revision uint64, ok bool) {
+	s.List(machineRecordPrefix, func(items []protocol.KeyValue, revision uint64, err error) {
 		records := make(map[string][]string, len(items))
+		ok := err == nil
 		for _, it := range items {
 			names, err := s.codec.DecodeTexts(it.Value)
 			ok = ok && err == nil
--- a/internal/storage/shard_test.go
+++ b/internal/storage/shard_test.go
@@ -285,7 +285,7 @@
 	put(Background, "later", 0)
 	put(Foreground, "stale", s.now+50*time.Millisecond)
 	put(Foreground, "user", 0)
-	store.Get(Read, "k", func(protocol.KeyValue, bool, bool) { got = append(got, "read") })
+	store.Get(Read, "k", func(GetResult) { got = append(got, "read") })
 	for range 20 {
 		s.now += 100 * time.Millisecond
 		store.Poll()
