--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,18 +1,35 @@
 package protocol
 
 import (
+	"errors"
 	"fmt"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrorBody is the body of a refusal.
+// ErrNotMap says that a message is not a CBOR map, as all messages are.
+var ErrNotMap = errors.New("body is not a CBOR map")
+
+// Limits of a message from outside.
+const (
+	maxNestedLevels  = 12
+	maxArrayElements = 20_000
+	maxMapPairs      = 4096
+)
+
+// cborMajorTypeMap is in the upper three bits of a map's first byte (RFC 8949, 3.1).
+const (
+	cborMajorTypeMap   = 5
+	cborMajorTypeShift = 5
+)
+
+// ErrorBody is the body of a refusal. Its text is for the user or worker refused.
 type ErrorBody struct {
 	Error string `cbor:"error"`
 }
 
-// Codec encodes and decodes CBOR within fixed bounds, so that no message
-// from outside can make the process grow.
+// Codec encodes and decodes CBOR within fixed bounds, so that no message from outside
+// can make the process grow. Any number of goroutines may use it.
 type Codec struct {
 	encoder cbor.EncMode
 	decoder cbor.DecMode
@@ -20,22 +37,23 @@
 
 // NewCodec builds the codec.
 func NewCodec() (*Codec, error) {
-	enc, err := cbor.EncOptions{}.EncMode()
+	encoder, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
 		return nil, fmt.Errorf("cbor encoder: %w", err)
 	}
-	dec, err := cbor.DecOptions{
-		MaxNestedLevels:  12,
-		MaxArrayElements: 20000,
-		MaxMapPairs:      4096,
+	decoder, err := cbor.DecOptions{
+		MaxNestedLevels:  maxNestedLevels,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
 	}.DecMode()
 	if err != nil {
 		return nil, fmt.Errorf("cbor decoder: %w", err)
 	}
-	return &Codec{encoder: enc, decoder: dec}, nil
+	return &Codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode returns v in CBOR. The types of this package always encode.
+// Encode returns v in CBOR. The types of this package always encode; it panics if v
+// holds what has no form in CBOR, such as a channel.
 func (c *Codec) Encode(v any) []byte {
 	b, err := c.encoder.Marshal(v)
 	if err != nil {
@@ -44,10 +62,12 @@
 	return b
 }
 
-// Decode reads one CBOR map into v, which points to a struct.
+// Decode reads one CBOR map into v, which points to a struct. It returns ErrNotMap for
+// anything but a map, and an error of the decoder for a field of another type or for a
+// message beyond the limits. Unknown fields are passed over.
 func (c *Codec) Decode(b []byte, v any) error {
-	if len(b) == 0 || b[0]>>5 != 5 {
-		return fmt.Errorf("body is not a CBOR map")
+	if len(b) == 0 || b[0]>>cborMajorTypeShift != cborMajorTypeMap {
+		return ErrNotMap
 	}
 	if err := c.decoder.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("cbor: %w", err)
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -6,37 +6,39 @@
 	"math"
 )
 
-// Wire words of machine commands.
+// Wire words of the commands that a response to a heartbeat has for a machine.
 const (
 	CommandStart = "launch"
 	CommandStop  = "kill"
-	CommandReap  = "reap"
+	CommandReap  = "reap" // forget a task that has exited
 )
 
-// TaskState is the state of a task on a machine.
+// TaskState is the state of a task on a machine. Controllers exchange its numbers, so
+// they don't change.
 type TaskState uint8
 
-// The task states that a worker reports.
+// The task states that a machine's heartbeat names.
 const (
-	TaskFetching TaskState = iota + 1
+	TaskFetching TaskState = iota + 1 // its image is being fetched
 	TaskRunning
-	TaskCheckpointing
+	TaskCheckpointing // it saves a checkpoint before it stops
 	TaskExited
 )
 
-// ExitReason tells how an exited task ended.
-type ExitReason uint8
-
-// The ends that a worker reports.
-const (
-	ExitReasonNone ExitReason = iota
-	ExitReasonDone
-	ExitReasonStopped
-	ExitReasonError
-	ExitReasonNoResources
-	ExitReasonInUse
-	ExitReasonNoSuchTask
-)
+// String returns the state's wire word.
+func (s TaskState) String() string {
+	switch s {
+	case TaskFetching:
+		return "fetching"
+	case TaskRunning:
+		return "running"
+	case TaskCheckpointing:
+		return "flushing"
+	case TaskExited:
+		return "ended"
+	}
+	return fmt.Sprintf("TaskState(%d)", uint8(s))
+}
 
 func parseTaskState(s string) (TaskState, bool) {
 	switch s {
@@ -52,6 +54,42 @@
 	return 0, false
 }
 
+// ExitReason tells how an exited task ended. Controllers exchange its numbers, so they
+// don't change.
+type ExitReason uint8
+
+// The exit reasons that a machine's heartbeat names.
+const (
+	ExitReasonNone        ExitReason = iota // it has not exited, or its machine gave no known reason
+	ExitReasonDone                          // it completed
+	ExitReasonStopped                       // it was stopped by a command
+	ExitReasonError                         // it failed
+	ExitReasonNoResources                   // not started: the machine has too few free resources
+	ExitReasonInUse                         // not started: the machine has another replica of the task
+	ExitReasonNoSuchTask                    // not started: there is no such job or task
+)
+
+// String returns the reason's wire word.
+func (r ExitReason) String() string {
+	switch r {
+	case ExitReasonNone:
+		return "none"
+	case ExitReasonDone:
+		return "done"
+	case ExitReasonStopped:
+		return "halted"
+	case ExitReasonError:
+		return "error"
+	case ExitReasonNoResources:
+		return "full"
+	case ExitReasonInUse:
+		return "in_use"
+	case ExitReasonNoSuchTask:
+		return "no_such"
+	}
+	return fmt.Sprintf("ExitReason(%d)", uint8(r))
+}
+
 func parseExitReason(s string) (ExitReason, bool) {
 	switch s {
 	case "done":
@@ -70,12 +108,12 @@
 	return ExitReasonNone, false
 }
 
-// Redirect names the node that takes reports.
+// Redirect names the controller that takes a worker's heartbeats.
 type Redirect struct {
 	HeartbeatTo string `cbor:"editor,omitempty"`
 }
 
-// WireTaskStatus is one task in a worker's report.
+// WireTaskStatus is one task in a worker's heartbeat as it arrives.
 type WireTaskStatus struct {
 	Task       string `cbor:"page"`
 	Replica    uint64 `cbor:"try"`
@@ -83,7 +121,8 @@
 	ExitReason string `cbor:"cause"`
 }
 
-// WireHeartbeat is a worker's report as it arrives.
+// WireHeartbeat is a worker's heartbeat as it arrives, before Validate. Pointers tell a
+// missing field from a zero one.
 type WireHeartbeat struct {
 	Machine        *string          `cbor:"roost"`
 	Addr           string           `cbor:"address"`
@@ -97,69 +136,97 @@
 	Tasks          []WireTaskStatus `cbor:"pages"`
 }
 
-// Command is one order to a worker.
+// Command asks a machine to start, stop or forget a replica of a task.
 type Command struct {
-	Op      string   `cbor:"verb"`
-	Task    string   `cbor:"page"`
+	Op      string   `cbor:"verb"` // CommandStart, CommandStop or CommandReap
+	Task    string   `cbor:"page"` // see TaskName
 	Replica uint64   `cbor:"try"`
-	GraceS  *float64 `cbor:"windDownS,omitempty"`
+	GraceS  *float64 `cbor:"windDownS,omitempty"` // of a stop, in seconds
 }
 
-// HeartbeatResponse answers a report.
+// HeartbeatResponse answers a heartbeat.
 type HeartbeatResponse struct {
-	FencingToken uint64    `cbor:"baton"`
+	FencingToken uint64    `cbor:"baton"` // of the leader that answers
 	Commands     []Command `cbor:"orders"`
 }
 
-// TaskStatus is one task of a checked report.
+// TaskStatus is one task in a valid heartbeat.
 type TaskStatus struct {
 	Job        string
 	Task       int
 	Replica    uint64
 	State      TaskState
-	ExitReason ExitReason
+	ExitReason ExitReason // if State is TaskExited
 }
 
-// Heartbeat is a worker's report that passed the checks.
+// Heartbeat is a worker's heartbeat that passed Validate.
 type Heartbeat struct {
-	Machine, Type, Zone      string
-	Spot                     bool
-	Epoch, Seq, FencingToken uint64
-	TerminationNotice        bool
-	TerminationInS           float64
-	Tasks                    []TaskStatus
+	Machine, Type, Zone string
+	Spot                bool
+	Epoch               uint64 // grows each time the machine's lease expires
+	Seq                 uint64 // of all that the machine has said within the epoch
+	FencingToken        uint64 // the highest that the machine has seen
+	TerminationNotice   bool   // the cloud takes the machine back
+	TerminationInS      float64
+	Tasks               []TaskStatus
 }
 
-// Validate turns a wire report into a Report or says what is wrong in it.
+// Validate returns the heartbeat that a message holds. Its errors are FieldErrors, or
+// several of them joined.
 func (w *WireHeartbeat) Validate() (*Heartbeat, error) {
-	if err := errors.Join(checkLabel("roost", w.Machine), checkLabel("breed", w.Type), checkLabel("hall", w.Zone)); err != nil {
+	if err := w.checkRequired(); err != nil {
 		return nil, err
 	}
-	if w.Epoch == nil || w.Seq == nil || w.FencingToken == nil {
-		return nil, errors.New("perch, tick or baton is missing")
-	}
-	r := &Heartbeat{
+	heartbeat := &Heartbeat{
 		Machine: *w.Machine, Type: *w.Type, Zone: *w.Zone, Spot: w.Spot,
 		Epoch: *w.Epoch, Seq: *w.Seq, FencingToken: *w.FencingToken,
 		Tasks: make([]TaskStatus, 0, len(w.Tasks)),
 	}
 	if w.TerminationInS != nil {
 		if math.IsNaN(*w.TerminationInS) || math.IsInf(*w.TerminationInS, 0) {
-			return nil, errors.New("recallInS is out of range")
+			return nil, fieldError("recallInS", "is out of range")
 		}
-		r.TerminationNotice, r.TerminationInS = true, *w.TerminationInS
+		heartbeat.TerminationNotice, heartbeat.TerminationInS = true, *w.TerminationInS
 	}
-	for _, t := range w.Tasks {
-		job, n, ok := ParseTaskName(t.Task)
-		state, known := parseTaskState(t.State)
-		if !ok || !known {
-			return nil, fmt.Errorf("pages holds a bad task %.40q", t.Task)
+	for i := range w.Tasks {
+		status, err := w.Tasks[i].validate(i)
+		if err != nil {
+			return nil, err
 		}
-		why, known := parseExitReason(t.ExitReason)
-		if state == TaskExited && !known {
-			return nil, errors.New("an ended page has no known cause")
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
+	}
+	return heartbeat, nil
+}
+
+// checkRequired checks the fields that every heartbeat has.
+func (w *WireHeartbeat) checkRequired() error {
+	if err := errors.Join(checkName("roost", w.Machine), checkName("breed", w.Type), checkName("hall", w.Zone)); err != nil {
+		return err
+	}
+	for _, field := range [...]struct {
+		path  string
+		value *uint64
+	}{{"perch", w.Epoch}, {"tick", w.Seq}, {"baton", w.FencingToken}} {
+		if field.value == nil {
+			return &FieldError{Path: field.path, Text: "perch, tick or baton is missing"}
 		}
-		r.Tasks = append(r.Tasks, TaskStatus{Job: job, Task: n, Replica: t.Replica, State: state, ExitReason: why})
 	}
-	return r, nil
+	return nil
+}
+
+// validate returns the status of the task that is at index in a heartbeat.
+func (w *WireTaskStatus) validate(index int) (TaskStatus, error) {
+	job, task, ok := ParseTaskName(w.Task)
+	if !ok {
+		return TaskStatus{}, taskFieldError(index, "page", fmt.Sprintf("pages holds a bad task %.40q", w.Task))
+	}
+	state, ok := parseTaskState(w.State)
+	if !ok {
+		return TaskStatus{}, taskFieldError(index, "status", fmt.Sprintf("pages holds a bad task %.40q", w.Task))
+	}
+	reason, known := parseExitReason(w.ExitReason)
+	if state == TaskExited && !known {
+		return TaskStatus{}, taskFieldError(index, "cause", "an ended page has no known cause")
+	}
+	return TaskStatus{Job: job, Task: task, Replica: w.Replica, State: state, ExitReason: reason}, nil
 }
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -1,14 +1,16 @@
 package protocol
 
 import (
+	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 )
 
-// MaxTasks is the largest array a job may have.
+// MaxTasks is how many tasks a job may have.
 const MaxTasks = 100_000
 
-// Wire words of job states.
+// Wire words of job states, in JobStatus.
 const (
 	StatusPending   = "pending"
 	StatusRunning   = "running"
@@ -16,7 +18,13 @@
 	StatusCancelled = "withdrawn"
 )
 
-// Priority orders jobs; a higher one may preempt a lower one.
+const (
+	jobIDPrefix    = "wk-"
+	maxJobIDDigits = 24
+)
+
+// Priority orders jobs; a higher one may preempt a lower one. Records and controllers
+// hold its numbers, so they don't change.
 type Priority uint8
 
 // The priorities, lowest first.
@@ -27,6 +35,21 @@
 	PriorityProduction
 )
 
+// String returns the priority's wire word.
+func (p Priority) String() string {
+	switch p {
+	case PriorityBestEffort:
+		return "best_effort"
+	case PriorityStandard:
+		return "standard"
+	case PriorityUrgent:
+		return "urgent"
+	case PriorityProduction:
+		return "production"
+	}
+	return fmt.Sprintf("Priority(%d)", uint8(p))
+}
+
 func parsePriority(s string) (Priority, bool) {
 	switch s {
 	case "best_effort":
@@ -41,8 +64,9 @@
 	return 0, false
 }
 
-// Job is a submission that passed the checks, in the field's terms. It is
-// also the form in which the state service keeps it.
+// Job is a submission that passed Validate, in the field's terms. It is also the form
+// in which the state service keeps it, so its tags don't change. Amounts are those of
+// one task; fields whose names end in S are seconds.
 type Job struct {
 	ID                  string   `cbor:"id"`
 	Class               string   `cbor:"class"`
@@ -68,67 +92,54 @@
 	Service             bool     `cbor:"svc,omitempty"` // its tasks run until it is cancelled
 }
 
-// ValidJobID tells whether id has the form that users always give it.
+// ValidJobID tells whether id has the form that users always give it, such as wk-000412.
 func ValidJobID(id string) bool {
-	digits, ok := strings.CutPrefix(id, "wk-")
-	if !ok || digits == "" || len(digits) > 24 {
+	digits, ok := strings.CutPrefix(id, jobIDPrefix)
+	if !ok || digits == "" || len(digits) > maxJobIDDigits {
 		return false
 	}
-	for _, r := range digits {
-		if r < '0' || r > '9' {
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
 			return false
 		}
 	}
 	return true
 }
 
-// TaskName is the wire name of a task.
+// TaskName is the wire name of a task, such as wk-000412/3.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
 // ParseTaskName splits the wire name of a task.
-func ParseTaskName(s string) (job string, task int, ok bool) {
-	i := strings.LastIndexByte(s, '/')
-	if i < 0 || !ValidJobID(s[:i]) {
+func ParseTaskName(name string) (job string, task int, ok bool) {
+	slash := strings.LastIndexByte(name, '/')
+	if slash < 0 || !ValidJobID(name[:slash]) {
 		return "", 0, false
 	}
-	n, err := strconv.ParseUint(s[i+1:], 10, 32)
-	if err != nil || n >= MaxTasks {
+	number, err := strconv.ParseUint(name[slash+1:], 10, 32)
+	if err != nil || number >= MaxTasks {
 		return "", 0, false
 	}
-	return s[:i], int(n), true
+	return name[:slash], int(number), true
 }
 
-// Fits tells whether one task of the job can run on a machine of type t.
-func (j *Job) Fits(t *MachineType) bool {
-	if j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
+// Fits tells whether one task of the job can run on an empty machine of a type.
+func (j *Job) Fits(machine *MachineType) bool {
+	if j.CPUs > machine.CPUs || j.GPUs > machine.GPUs || j.MemoryGB > machine.MemoryGB {
 		return false
 	}
-	if j.Zone != "" {
-		found := false
-		for _, z := range t.Zones {
-			found = found || z == j.Zone
-		}
-		if !found {
-			return false
-		}
+	if j.Zone != "" && !slices.Contains(machine.Zones, j.Zone) {
+		return false
 	}
-	return j.AllowsType(t.Name)
+	return j.AllowsType(machine.Name)
 }
 
-// AllowsType tells whether the job names type t, or any.
-func (j *Job) AllowsType(t string) bool {
-	if j.AnyType {
-		return true
-	}
-	for _, n := range j.Types {
-		if n == t {
-			return true
-		}
-	}
-	return false
+// AllowsType tells whether the job may run on the machine type of that name.
+func (j *Job) AllowsType(name string) bool {
+	return j.AnyType || slices.Contains(j.Types, name)
 }
 
-// JobStatus answers a user.
+// JobStatus answers a user's question about a job. The numbers of tasks are those that
+// have completed and that run; without them they are not told.
 type JobStatus struct {
 	ID      string `cbor:"nameId"`
 	Status  string `cbor:"status"`
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -1,17 +1,18 @@
 package protocol
 
-import (
-	"errors"
-)
+import "errors"
 
-// Wire words of the forms of a job.
+// Wire words of the kinds of a job.
 const (
 	kindBatch   = "batch"
 	kindService = "service"
 )
 
-// Submission is a job as its user describes it. Pointers tell a missing
-// field from a zero one.
+// maxTypes is how many machine types a submission may name.
+const maxTypes = 100
+
+// Submission is a job as its user describes it, before Validate. Pointers tell a
+// missing field from a zero one. Fields whose names end in S are seconds.
 type Submission struct {
 	ID                  *string  `cbor:"nameId"`
 	Class               *string  `cbor:"desk"`
@@ -35,65 +36,94 @@
 	DeadlineS           *float64 `cbor:"pressByS"`
 }
 
-// Validate turns a submission into a Job or says what is malformed in it.
+// Validate returns the job that a submission describes. Its errors are FieldErrors, or
+// several of them joined.
 func (s *Submission) Validate() (*Job, error) {
+	priority, err := s.checkIdentity()
+	if err != nil {
+		return nil, err
+	}
+	if err := s.checkPlacement(); err != nil {
+		return nil, err
+	}
+	if err := s.checkAmounts(); err != nil {
+		return nil, err
+	}
+	job := &Job{
+		ID: *s.ID, Class: *s.Class, Team: *s.Team, Priority: priority, Tasks: int(*s.Tasks),
+		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB,
+		Types: s.Types, AnyType: s.Types == nil, SingleZone: *s.SingleZone, SpreadZones: *s.SpreadZones, Spot: *s.Spot,
+		EstimateS: *s.EstimateS, CheckpointIntervalS: *s.CheckpointIntervalS, CheckpointDurationS: *s.CheckpointDurationS,
+		Service: *s.Kind == kindService,
+	}
+	if job.Service && job.EstimateS != 0 {
+		return nil, fieldError("expectedS", "of a service is not 0")
+	}
+	if s.Zone != nil {
+		job.Zone = *s.Zone
+	}
+	if s.DeadlineS != nil && !job.Service {
+		job.DeadlineS, job.HasDeadline = *s.DeadlineS, true
+	}
+	return job, nil
+}
+
+// checkIdentity checks what the job is.
+func (s *Submission) checkIdentity() (Priority, error) {
 	if s.ID == nil || !ValidJobID(*s.ID) {
-		return nil, errors.New("nameId is missing or not of the form wk-000412")
+		return 0, fieldError("nameId", "is missing or not of the form wk-000412")
 	}
 	if s.Kind == nil || (*s.Kind != kindBatch && *s.Kind != kindService) {
-		return nil, errors.New("form is missing or unknown")
+		return 0, fieldError("form", "is missing or unknown")
 	}
 	if s.Priority == nil {
-		return nil, errors.New("urgency is missing")
+		return 0, fieldError("urgency", "is missing")
 	}
-	prio, ok := parsePriority(*s.Priority)
+	priority, ok := parsePriority(*s.Priority)
 	if !ok {
-		return nil, errors.New("urgency is unknown")
+		return 0, fieldError("urgency", "is unknown")
 	}
 	if s.Tasks == nil || *s.Tasks == 0 || *s.Tasks > MaxTasks {
-		return nil, errors.New("pages is missing or out of range")
+		return 0, fieldError("pages", "is missing or out of range")
 	}
-	if s.SingleZone == nil || s.SpreadZones == nil || s.Spot == nil {
-		return nil, errors.New("together, apart or loaners is missing")
+	return priority, nil
+}
+
+// checkPlacement checks where its tasks may run.
+func (s *Submission) checkPlacement() error {
+	for _, field := range []struct {
+		path  string
+		value *bool
+	}{{"together", s.SingleZone}, {"apart", s.SpreadZones}, {"loaners", s.Spot}} {
+		if field.value == nil {
+			return &FieldError{Path: field.path, Text: "together, apart or loaners is missing"}
+		}
 	}
-	if s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > maxNameLength) {
-		return nil, errors.New("hall has a bad length")
+	if s.Zone != nil && !isNameLength(*s.Zone) {
+		return fieldError("hall", "has a bad length")
 	}
-	if len(s.Types) > 100 {
-		return nil, errors.New("breeds is too long")
+	if len(s.Types) > maxTypes {
+		return fieldError("breeds", "is too long")
 	}
-	for _, t := range s.Types {
-		if t == "" || len(t) > maxNameLength {
-			return nil, errors.New("breeds holds a bad name")
+	for _, name := range s.Types {
+		if !isNameLength(name) {
+			return fieldError("breeds", "holds a bad name")
 		}
 	}
+	return nil
+}
+
+// checkAmounts checks names and numbers. A user is told of all that are wrong.
+func (s *Submission) checkAmounts() error {
 	if s.DeadlineS != nil {
-		if err := checkAmount("pressByS", s.DeadlineS, 0); err != nil {
-			return nil, err
+		if err := checkAmount("pressByS", s.DeadlineS); err != nil {
+			return err
 		}
 	}
-	if err := errors.Join(
-		checkLabel("desk", s.Class), checkLabel("crew", s.Team), checkLabel("plate", s.Image),
-		checkAmount("vcpus", s.CPUs, 0), checkAmount("cards", s.GPUs, 0), checkAmount("ramGb", s.MemoryGB, 0),
-		checkAmount("imageGb", s.ImageGB, 0), checkAmount("expectedS", s.EstimateS, 0),
-		checkAmount("proofEveryS", s.CheckpointIntervalS, 0), checkAmount("proofS", s.CheckpointDurationS, 0),
-	); err != nil {
-		return nil, err
-	}
-	j := &Job{
-		ID: *s.ID, Class: *s.Class, Team: *s.Team, Priority: prio, Tasks: int(*s.Tasks),
-		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB,
-		Types: s.Types, AnyType: s.Types == nil, SingleZone: *s.SingleZone, SpreadZones: *s.SpreadZones, Spot: *s.Spot,
-		EstimateS: *s.EstimateS, CheckpointIntervalS: *s.CheckpointIntervalS, CheckpointDurationS: *s.CheckpointDurationS, Service: *s.Kind == kindService,
-	}
-	if j.Service && j.EstimateS != 0 {
-		return nil, errors.New("expectedS of a service is not 0")
-	}
-	if s.Zone != nil {
-		j.Zone = *s.Zone
-	}
-	if s.DeadlineS != nil && !j.Service {
-		j.DeadlineS, j.HasDeadline = *s.DeadlineS, true
-	}
-	return j, nil
+	return errors.Join(
+		checkName("desk", s.Class), checkName("crew", s.Team), checkName("plate", s.Image),
+		checkAmount("vcpus", s.CPUs), checkAmount("cards", s.GPUs), checkAmount("ramGb", s.MemoryGB),
+		checkAmount("imageGb", s.ImageGB), checkAmount("expectedS", s.EstimateS),
+		checkAmount("proofEveryS", s.CheckpointIntervalS), checkAmount("proofS", s.CheckpointDurationS),
+	)
 }
--- a/internal/protocol/validation.go
+++ b/internal/protocol/validation.go
@@ -5,24 +5,54 @@
 	"math"
 )
 
-const maxNameLength = 120
+const (
+	maxNameLength = 120
+	maxAmount     = 1e12
+)
+
+// FieldError says which field of a message is malformed. Its text goes to the user or
+// worker that sent the message, in the words of the outside protocol.
+type FieldError struct {
+	// Path names the field in the message as it was sent, such as "pages[2].cause".
+	Path string
+	// Text says what is wrong with it.
+	Text string
+}
 
-func checkAmount(name string, v *float64, atLeast float64) error {
+// Error implements error.
+func (e *FieldError) Error() string { return e.Text }
+
+// fieldError is the error of a field whose text begins with the field's name.
+func fieldError(path, problem string) *FieldError {
+	return &FieldError{Path: path, Text: path + " " + problem}
+}
+
+// taskFieldError is the error of a field of the task with that index.
+func taskFieldError(index int, field, text string) *FieldError {
+	return &FieldError{Path: fmt.Sprintf("pages[%d].%s", index, field), Text: text}
+}
+
+// checkAmount tells whether a required number is present and neither negative nor
+// beyond all reason.
+func checkAmount(path string, value *float64) error {
 	switch {
-	case v == nil:
-		return fmt.Errorf("%s is missing", name)
-	case math.IsNaN(*v) || math.IsInf(*v, 0) || *v < atLeast || *v > 1e12:
-		return fmt.Errorf("%s is out of range", name)
+	case value == nil:
+		return fieldError(path, "is missing")
+	case math.IsNaN(*value) || math.IsInf(*value, 0) || *value < 0 || *value > maxAmount:
+		return fieldError(path, "is out of range")
 	}
 	return nil
 }
 
-func checkLabel(name string, v *string) error {
+// checkName tells whether a required name is present and of a length that names have.
+func checkName(path string, value *string) error {
 	switch {
-	case v == nil:
-		return fmt.Errorf("%s is missing", name)
-	case *v == "" || len(*v) > maxNameLength:
-		return fmt.Errorf("%s has a bad length", name)
+	case value == nil:
+		return fieldError(path, "is missing")
+	case !isNameLength(*value):
+		return fieldError(path, "has a bad length")
 	}
 	return nil
 }
+
+func isNameLength(name string) bool { return name != "" && len(name) <= maxNameLength }
