--- a/internal/settings/properties.go
+++ b/internal/settings/properties.go
@@ -11,19 +11,36 @@
 	"github.com/magiconair/properties"
 )
 
-// Tuning is the operators' own settings.
+// Tuning is the operators' own settings, each with its property's key.
 type Tuning struct {
-	StateLease        time.Duration // state.lease
-	SilenceHeartbeats float64       // loss.silence_reports
-	OfferWait         time.Duration // placement.offer_wait
-	StartsPerResponse int           // placement.starts_per_reply
-	WriteShare        float64       // bookkeeping.write_share
-	IdleBeforeScaleIn time.Duration // renting.idle_return
-	RequestTimeout    time.Duration // state.request_timeout
-
-	QuotaEscrow           bool          // quota.escrow
-	QuotaTransferInterval time.Duration // quota.transfer_interval
-	QuotaAudit            string        // quota.audit: a directory; empty: no audit is kept
+	// StateLease (state.lease) is how long this process's lease in the state service lasts.
+	StateLease time.Duration
+	// SilenceHeartbeats (loss.silence_reports) is after how many heartbeat intervals
+	// without a heartbeat a machine gets no more tasks.
+	SilenceHeartbeats float64
+	// OfferWait (placement.offer_wait) is how long the response to a heartbeat waits for
+	// bindings.
+	OfferWait time.Duration
+	// StartsPerResponse (placement.starts_per_reply) is how many tasks one response
+	// starts at the most.
+	StartsPerResponse int
+	// WriteShare (bookkeeping.write_share) is the share of the state service's rates that
+	// all controllers together use.
+	WriteShare float64
+	// IdleBeforeScaleIn (renting.idle_return) is how long an idle machine is kept.
+	IdleBeforeScaleIn time.Duration
+	// RequestTimeout (state.request_timeout) is how long a request to the state service
+	// may take.
+	RequestTimeout time.Duration
+
+	// QuotaEscrow (quota.escrow) divides the teams' limits among the shards.
+	QuotaEscrow bool
+	// QuotaTransferInterval (quota.transfer_interval) is the least time between two
+	// changes of allocations by this process.
+	QuotaTransferInterval time.Duration
+	// QuotaAudit (quota.audit) is the directory of the history of admissions; empty: none
+	// is kept.
+	QuotaAudit string
 }
 
 // DefaultTuning is what holds without a properties file.
@@ -41,87 +58,124 @@
 	}
 }
 
-// LoadTuning reads a properties file over the defaults.
+// LoadTuning reads a properties file over the defaults. See ParseTuning for its errors.
 func LoadTuning(path string) (Tuning, error) {
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return Tuning{}, fmt.Errorf("reading properties: %w", err)
 	}
-	t, err := ParseTuning(string(b))
+	t, err := ParseTuning(string(text))
 	if err != nil || t.QuotaAudit == "" {
 		return t, err
 	}
 	if info, err := os.Stat(t.QuotaAudit); err != nil || !info.IsDir() {
-		return Tuning{}, errors.New("properties: quota.audit is not a directory")
+		return Tuning{}, propertyError("quota.audit", fmt.Sprintf("is not a directory: %q", t.QuotaAudit))
 	}
 	return t, nil
 }
 
-// ParseTuning reads properties over the defaults. A key that is not known is
-// an error, since it is most likely a slip of the pen.
+// ParseTuning reads properties over the defaults. An error that concerns a property wraps
+// a FieldError. A key that is not known is an error, since it is most likely misspelt.
 func ParseTuning(text string) (Tuning, error) {
 	p, err := properties.LoadString(text)
 	if err != nil {
 		return Tuning{}, fmt.Errorf("reading properties: %w", err)
 	}
 	t := DefaultTuning()
-	durations := map[string]struct {
-		to       *time.Duration
-		min, max time.Duration
-	}{
-		"state.lease":           {&t.StateLease, time.Second, 10 * time.Minute},
-		"state.request_timeout": {&t.RequestTimeout, 100 * time.Millisecond, time.Minute},
-		"placement.offer_wait":  {&t.OfferWait, 10 * time.Millisecond, 2 * time.Second},
-		"renting.idle_return":   {&t.IdleBeforeScaleIn, 0, 24 * time.Hour},
-
-		"quota.transfer_interval": {&t.QuotaTransferInterval, 100 * time.Millisecond, 5 * time.Second},
-	}
-	numbers := map[string]struct {
-		to       *float64
-		min, max float64
-	}{
-		"loss.silence_reports":    {&t.SilenceHeartbeats, 1, 100},
-		"bookkeeping.write_share": {&t.WriteShare, 0.05, 1},
-	}
+	parsers := t.parsers()
 	for _, key := range p.Keys() {
 		value, _ := p.Get(key)
-		if d, ok := durations[key]; ok {
-			v, err := time.ParseDuration(value)
-			if err != nil || v < d.min || v > d.max {
-				return Tuning{}, fmt.Errorf("properties: %s must be a duration from %v to %v", key, d.min, d.max)
-			}
-			*d.to = v
-		} else if n, ok := numbers[key]; ok {
-			v, err := strconv.ParseFloat(value, 64)
-			if err != nil || math.IsNaN(v) || v < n.min || v > n.max {
-				return Tuning{}, fmt.Errorf("properties: %s must be a number from %v to %v", key, n.min, n.max)
-			}
-			*n.to = v
-		} else if key == "placement.starts_per_reply" {
-			v, err := strconv.Atoi(value)
-			if err != nil || v < 1 || v > 500 {
-				return Tuning{}, fmt.Errorf("properties: %s must be a count from 1 to 500", key)
-			}
-			t.StartsPerResponse = v
-		} else if key == "quota.escrow" {
-			v, err := strconv.ParseBool(value)
-			if err != nil {
-				return Tuning{}, fmt.Errorf("properties: %s must be true or false", key)
-			}
-			t.QuotaEscrow = v
-		} else if key == "quota.audit" {
-			t.QuotaAudit = value
-		} else {
-			return Tuning{}, fmt.Errorf("properties: unknown key %s", key)
+		parse, known := parsers[key]
+		if !known {
+			return Tuning{}, fmt.Errorf("properties: %w", &FieldError{Path: key, Text: "unknown key " + key})
+		}
+		if err := parse(value); err != nil {
+			return Tuning{}, propertyError(key, fmt.Sprintf("%v: %q", err, value))
 		}
 	}
 	return t, t.check()
 }
 
+func propertyError(key, problem string) error {
+	return fmt.Errorf("properties: %w", fieldError(key, problem))
+}
+
+// parser takes a property's value; its error says what the value must be.
+type parser func(value string) error
+
+// parsers has every property.
+func (t *Tuning) parsers() map[string]parser {
+	return map[string]parser{
+		"state.lease":             durationParser(&t.StateLease, time.Second, 10*time.Minute),
+		"state.request_timeout":   durationParser(&t.RequestTimeout, 100*time.Millisecond, time.Minute),
+		"loss.silence_reports":    numberParser(&t.SilenceHeartbeats, 1, 100),
+		"placement.offer_wait":    durationParser(&t.OfferWait, 10*time.Millisecond, 2*time.Second),
+		"bookkeeping.write_share": numberParser(&t.WriteShare, 0.05, 1),
+		"renting.idle_return":     durationParser(&t.IdleBeforeScaleIn, 0, 24*time.Hour),
+
+		"placement.starts_per_reply": countParser(&t.StartsPerResponse, 1, 500),
+
+		"quota.escrow":            booleanParser(&t.QuotaEscrow),
+		"quota.transfer_interval": durationParser(&t.QuotaTransferInterval, 100*time.Millisecond, 5*time.Second),
+		"quota.audit":             textParser(&t.QuotaAudit),
+	}
+}
+
+func durationParser(to *time.Duration, least, most time.Duration) parser {
+	return func(value string) error {
+		v, err := time.ParseDuration(value)
+		if err != nil || v < least || v > most {
+			return fmt.Errorf("must be a duration from %v to %v", least, most)
+		}
+		*to = v
+		return nil
+	}
+}
+
+func numberParser(to *float64, least, most float64) parser {
+	return func(value string) error {
+		v, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsNaN(v) || v < least || v > most {
+			return fmt.Errorf("must be a number from %v to %v", least, most)
+		}
+		*to = v
+		return nil
+	}
+}
+
+func countParser(to *int, least, most int) parser {
+	return func(value string) error {
+		v, err := strconv.Atoi(value)
+		if err != nil || v < least || v > most {
+			return fmt.Errorf("must be a count from %d to %d", least, most)
+		}
+		*to = v
+		return nil
+	}
+}
+
+func booleanParser(to *bool) parser {
+	return func(value string) error {
+		v, err := strconv.ParseBool(value)
+		if err != nil {
+			return errors.New("must be true or false")
+		}
+		*to = v
+		return nil
+	}
+}
+
+func textParser(to *string) parser {
+	return func(value string) error {
+		*to = value
+		return nil
+	}
+}
+
 // check tells which properties contradict each other.
 func (t *Tuning) check() error {
 	if t.QuotaAudit != "" && !t.QuotaEscrow {
-		return errors.New("properties: quota.audit has nothing to record without quota.escrow")
+		return propertyError("quota.audit", "has nothing to record without quota.escrow")
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,10 @@
-// Package settings reads the file that the platform hands over and the
-// operators' own properties, and says in one line what is wrong with them.
+// Package settings owns the form of the two files that configure a controller: the
+// platform's settings (TOML) and the operators' properties (Java-style). It reads them,
+// fills in the defaults and checks that values are present and within sensible bounds.
+//
+// It promises that what Load and LoadTuning return has passed these checks, and that an
+// error names the field that is wrong, and its value, in one line. It never changes a
+// file, and it decides nothing that depends on a cluster's state.
 package settings
 
 import (
@@ -18,7 +23,8 @@
 	Address string `toml:"address"`
 }
 
-// Settings are what the platform sets for a deployment.
+// Settings are what the platform sets for a deployment. Fields keep the file's units: a
+// name that ends in S is seconds, in Ms milliseconds, in KB, MB 1024 or 1024² bytes.
 type Settings struct {
 	Zones            []string    `toml:"zones"`
 	MaxClockOffsetMs float64     `toml:"clock_off_ms"`
@@ -30,7 +36,8 @@
 	Limits           Limits      `toml:"limits"`
 }
 
-// Team has a guarantee and a limit. A limit of 0 is read as none.
+// Team has a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). A limit of 0 is read
+// as none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -39,7 +46,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective repeats an aim of the users.
+// Objective repeats an aim that the users have for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -51,11 +58,12 @@
 // Workers holds the workers' constants.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
-	LeaseS             float64 `toml:"lease_s"`
-	CancelS            float64 `toml:"cancel_s"`
+	LeaseS             float64 `toml:"lease_s"`  // without a response a worker ends its tasks
+	CancelS            float64 `toml:"cancel_s"` // within which a cancelled task has to end
 }
 
-// State holds the state service's limits.
+// State holds the state service's limits: requests and writes a second, the size of a
+// value, and the conditions and changes of a transaction together.
 type State struct {
 	RPS      float64   `toml:"rps"`
 	WriteRPS float64   `toml:"write_rps"`
@@ -95,10 +103,11 @@
 // Cloud holds the cloud's limits.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	ListLagS float64 `toml:"list_lag_s"` // how old its machine list may be
 }
 
-// Limits bounds this process.
+// Limits bounds this process: its share of processor cores, its memory and its open
+// sockets.
 type Limits struct {
 	Cores   float64 `toml:"cores"`
 	MemMB   float64 `toml:"mem_mb"`
@@ -119,26 +128,34 @@
 	Settings Settings `toml:"settings"`
 }
 
-// Load reads and checks the platform's file.
+// Load reads and checks the platform's file. See Parse for its errors.
 func Load(path string) (*File, error) {
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading settings: %w", err)
 	}
-	return Parse(b)
+	return Parse(text)
 }
 
-// Parse reads and checks the platform's file from memory.
-func Parse(b []byte) (*File, error) {
+// Parse reads and checks the platform's file from memory. An error that concerns a field
+// wraps a FieldError.
+func Parse(text []byte) (*File, error) {
 	var f File
-	if err := toml.Unmarshal(b, &f); err != nil {
-		if d := (*toml.DecodeError)(nil); errors.As(err, &d) && len(d.Key()) > 0 {
-			return nil, fmt.Errorf("settings: %s: %w", strings.Join(d.Key(), "."), err)
-		}
-		return nil, fmt.Errorf("settings: %w", err)
+	if err := toml.Unmarshal(text, &f); err != nil {
+		return nil, fmt.Errorf("settings: %w", decodeError(err))
 	}
 	if err := f.check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &f, nil
 }
+
+// decodeError names the field that the TOML decoder could not take, if it says so.
+func decodeError(err error) error {
+	var decode *toml.DecodeError
+	if !errors.As(err, &decode) || len(decode.Key()) == 0 {
+		return err
+	}
+	path := strings.Join(decode.Key(), ".")
+	return &FieldError{Path: path, Text: fmt.Sprintf("%s: %v", path, err), Err: err}
+}
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -1,13 +1,14 @@
 package settings
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net"
 	"strconv"
 )
 
+const maxPort = 65535
+
 // check tells what is missing or nonsensical in the platform's file.
 func (f *File) check() error {
 	for _, check := range []func() error{f.checkNames, f.checkAddresses, f.checkPeers, f.Settings.checkNumbers, f.Settings.checkTeams} {
@@ -19,22 +20,22 @@
 }
 
 func (f *File) checkNames() error {
-	for _, n := range []struct{ name, value string }{
+	for _, name := range []struct{ path, value string }{
 		{"member", f.Member}, {"site", f.Site},
 	} {
-		if n.value == "" {
-			return fmt.Errorf("%s is missing", n.name)
+		if name.value == "" {
+			return fieldError(name.path, "is missing")
 		}
 	}
 	return nil
 }
 
 func (f *File) checkAddresses() error {
-	for _, a := range []struct{ name, value string }{
+	for _, address := range []struct{ path, value string }{
 		{"api_addr", f.APIAddr}, {"mesh_addr", f.MeshAddr},
 		{"external.cloud", f.External.Cloud}, {"external.state", f.External.State},
 	} {
-		if err := checkAddress(a.name, a.value); err != nil {
+		if err := checkAddress(address.path, address.value); err != nil {
 			return err
 		}
 	}
@@ -43,12 +44,13 @@
 
 func (f *File) checkPeers() error {
 	seen := map[string]bool{f.Member: true}
-	for i, p := range f.Peers {
-		if p.Member == "" || seen[p.Member] {
-			return fmt.Errorf("known[%d].member is missing or repeated", i)
+	for i, peer := range f.Peers {
+		path := fmt.Sprintf("known[%d]", i)
+		if peer.Member == "" || seen[peer.Member] {
+			return fieldError(path+".member", fmt.Sprintf("is missing or repeated: %q", peer.Member))
 		}
-		seen[p.Member] = true
-		if err := checkAddress(fmt.Sprintf("known[%d].address", i), p.Address); err != nil {
+		seen[peer.Member] = true
+		if err := checkAddress(path+".address", peer.Address); err != nil {
 			return err
 		}
 	}
@@ -56,11 +58,11 @@
 }
 
 // valueOr is a value that may be missing, or what holds then.
-func valueOr(v *float64, otherwise float64) float64 {
-	if v == nil {
+func valueOr(value *float64, otherwise float64) float64 {
+	if value == nil {
 		return otherwise
 	}
-	return *v
+	return *value
 }
 
 func (s *Settings) checkNumbers() error {
@@ -69,8 +71,8 @@
 	if next.TxnOps != nil {
 		nextOps = float64(*next.TxnOps)
 	}
-	for _, n := range []struct {
-		name     string
+	for _, number := range []struct {
+		path     string
 		value    float64
 		min, max float64
 	}{
@@ -92,8 +94,8 @@
 		{"settings.limits.sockets", float64(s.Limits.Sockets), 32, 1e9},
 		{"settings.limits.cores", s.Limits.Cores, 0.001, 1e5},
 	} {
-		if math.IsNaN(n.value) || n.value < n.min || n.value > n.max {
-			return fmt.Errorf("%s is missing or out of range", n.name)
+		if math.IsNaN(number.value) || number.value < number.min || number.value > number.max {
+			return fieldError(number.path, fmt.Sprintf("is missing or out of range: %v", number.value))
 		}
 	}
 	return nil
@@ -101,30 +103,31 @@
 
 func (s *Settings) checkTeams() error {
 	if len(s.Teams) == 0 {
-		return errors.New("settings.teams is missing")
+		return fieldError("settings.teams", "is missing")
 	}
-	teams := map[string]bool{}
-	for i, t := range s.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("settings.teams[%d].name is missing or repeated", i)
+	seen := make(map[string]bool)
+	for i, team := range s.Teams {
+		path := fmt.Sprintf("settings.teams[%d]", i)
+		if team.Name == "" || seen[team.Name] {
+			return fieldError(path+".name", fmt.Sprintf("is missing or repeated: %q", team.Name))
 		}
-		teams[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if math.IsNaN(v) || v < 0 {
-				return fmt.Errorf("settings.teams[%d] has a negative amount", i)
+		seen[team.Name] = true
+		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
+			if math.IsNaN(amount) || amount < 0 {
+				return fieldError(path, fmt.Sprintf("has a negative amount: %v", amount))
 			}
 		}
 	}
 	return nil
 }
 
-func checkAddress(name, v string) error {
-	host, port, err := net.SplitHostPort(v)
+func checkAddress(path, address string) error {
+	host, port, err := net.SplitHostPort(address)
 	if err != nil {
-		return fmt.Errorf("%s is missing or not host:port", name)
+		return fieldError(path, fmt.Sprintf("is missing or not host:port: %q", address))
 	}
-	if n, err := strconv.Atoi(port); net.ParseIP(host) == nil || err != nil || n < 1 || n > 65535 {
-		return fmt.Errorf("%s is not an IP address with a port", name)
+	if n, err := strconv.Atoi(port); net.ParseIP(host) == nil || err != nil || n < 1 || n > maxPort {
+		return fieldError(path, fmt.Sprintf("is not an IP address with a port: %q", address))
 	}
 	return nil
 }
