--- /dev/null
+++ b/internal/audit/golden_test.go
@@ -0,0 +1,61 @@
+package audit
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/cobaltvale/cobaltvale/internal/quota"
+)
+
+// goldenRecords is what testdata/golden/history.audit holds: one record of each kind
+// and one of a kind that is not known, with all fields set.
+func goldenRecords() []Record {
+	var records []Record
+	for i := range 9 {
+		n := uint64(i + 1)
+		records = append(records, Record{
+			TimeMs: 1_700_000_000_000 + int64(n), Kind: Kind(n), Shard: "ctl-1", FencingToken: 100 + n, Team: "north", Revision: 200 + n,
+			Job: "wk-000412", Task: uint32(300 + n), Replica: 400 + n,
+			Amount: quota.Amount{CPUs: 1, GPUs: 2}, SpentBefore: quota.Amount{CPUs: 3, GPUs: 4}, SpentAfter: quota.Amount{CPUs: 5, GPUs: 6},
+			Allocation: quota.Amount{CPUs: 7, GPUs: 8}, Limit: quota.Amount{CPUs: 9, GPUs: 10}, Guarantee: quota.Amount{CPUs: 11, GPUs: 12},
+		})
+	}
+	return records
+}
+
+// The file has the form that it had when testdata/golden/history.audit was written, by
+// the version of 78abcea: it is read in full, and the same records give the same bytes.
+func TestFileFormatStaysAsItIs(t *testing.T) {
+	golden, err := os.ReadFile(filepath.Join("testdata", "golden", "history.audit"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	header := Header{Member: "ctl-0", Process: "1x", StartedMs: 1_700_000_000_000}
+	s, err := Read("history.audit", golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.Header != header || !s.HasLastSegment || s.Dropped != 0 || len(s.Records) != len(goldenRecords()) {
+		t.Fatalf("got %d records, header %+v, last segment %v, dropped %d", len(s.Records), s.Header, s.HasLastSegment, s.Dropped)
+	}
+	sink := &memory{}
+	w, err := NewWriter(sink, header, func(err error) { t.Error(err) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, record := range goldenRecords() {
+		w.Append(record)
+		record.Seq = uint64(i + 1)
+		if s.Records[i] != record {
+			t.Errorf("record %d is read as %+v, want %+v", i, s.Records[i], record)
+		}
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(sink.Bytes(), golden) {
+		t.Errorf("the same records give %d other bytes than the %d of the file", sink.Len(), len(golden))
+	}
+}
