--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -10,14 +10,17 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// FindingKind is what a finding is about.
+// FindingKind is what a finding is about. Its text is part of the report.
 type FindingKind string
 
 // The kinds of findings.
 const (
-	Overshoot      FindingKind = "overshoot"
+	// Overshoot is more than a limit or an allocation admits.
+	Overshoot FindingKind = "overshoot"
+	// GuaranteeUnmet is a team that was kept from its guarantee by the division of limits.
 	GuaranteeUnmet FindingKind = "guarantee unmet"
-	Gap            FindingKind = "gap"
+	// Gap is a part of the history that is missing or contradicts another.
+	Gap FindingKind = "gap"
 )
 
 // Finding is something that should not be.
@@ -47,8 +50,8 @@
 // maxFindings bounds the findings of each team and kind that are told in full.
 const maxFindings = 20
 
-// Verify replays the streams of all controllers together. A team is found to be
-// kept from its guarantee if it is blocked within it for longer than patience.
+// Verify replays the streams of all controllers together. A team is found to be kept from
+// its guarantee if it is blocked within it for longer than guaranteeWait.
 func Verify(streams []*Stream, guaranteeWait time.Duration) *Report {
 	report := &Report{}
 	teams := make(map[string]bool)
@@ -70,7 +73,7 @@
 	return report
 }
 
-// gaps tells what is missing within one stream.
+// gaps finds what is missing within one stream.
 func (s *Stream) gaps() []Finding {
 	var out []Finding
 	gap := func(at int64, format string, args ...any) {
@@ -131,6 +134,7 @@
 	return out
 }
 
-func (e historyEvent) before(o historyEvent) bool {
-	return cmp.Or(cmp.Compare(e.Revision, o.Revision), cmp.Compare(e.TimeMs, o.TimeMs)) < 0
+// before orders events by revision, then by time of day.
+func (e historyEvent) before(other historyEvent) bool {
+	return cmp.Or(cmp.Compare(e.Revision, other.Revision), cmp.Compare(e.TimeMs, other.TimeMs)) < 0
 }
