--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -329,7 +329,7 @@
 		}
 		demand := quota.Demand{Shard: d.Shard, Team: d.Team, Target: amountFromProto(d.Target), SmallestPending: amountFromProto(d.SmallestPending),
 			Waited: time.Duration(d.PendingUs) * time.Microsecond}
-		if !a.manager.ObserveDemand(demand, a.c.now()) {
+		if err := a.manager.ObserveDemand(demand, a.c.now()); err != nil {
 			a.dropMessage("malformed", p.member)
 		}
 	}
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -2,28 +2,35 @@
 
 import (
 	"cmp"
+	"errors"
+	"fmt"
 	"slices"
 	"time"
 )
 
-// Demand is what a ledger lacks, as its holder tells the others. It is a hint: it
+// ErrInvalidDemand says that a demand can't be another holder's: its shard or team is not
+// known, its shard is held by this process, or an amount is out of range.
+var ErrInvalidDemand = errors.New("invalid demand")
+
+// Demand is what a shard lacks, as its holder tells the others. It is a hint: it
 // decides who is given what, never how much there is.
 type Demand struct {
 	Shard, Team     string
 	Target          Amount        // the allocation that it would like
-	SmallestPending Amount        // its smallest waiting task
+	SmallestPending Amount        // its smallest pending task
 	Waited          time.Duration // how long none of its tasks has been admitted
 }
 
+// receivedDemand is another holder's demand with when it was received.
 type receivedDemand struct {
 	Demand
 	receivedAt time.Duration
 }
 
-// demandTTL is how long a demand counts after it was heard.
+// demandTTL is how long a demand counts after it was received.
 const demandTTL = 2 * time.Second
 
-// Demands are what held ledgers lack.
+// Demands returns what held shards lack, for the other holders.
 func (m *Manager) Demands(now time.Duration) []Demand {
 	if !m.enforced {
 		return nil
@@ -40,7 +47,8 @@
 	return out
 }
 
-// ownDemand is what a held ledger lacks of a team's limit.
+// ownDemand returns what a held shard lacks of a team's limit, and whether it lacks
+// anything.
 func (m *Manager) ownDemand(t *team, shard string, now time.Duration) (Demand, bool) {
 	held := m.heldShards[shard]
 	if !held.ready() || held.accounts[t.Name] == nil {
@@ -54,22 +62,25 @@
 	return d, !account.pending.IsZero() && !d.Target.Within(t.record.Shares[shard].Allocation)
 }
 
-// ObserveDemand takes another holder's demand. It returns false for one that is malformed.
-func (m *Manager) ObserveDemand(d Demand, now time.Duration) bool {
-	known := slices.Contains(m.config.Shards, d.Shard) && m.teams[d.Team] != nil && m.heldShards[d.Shard] == nil
-	for _, v := range []int64{d.Target.CPUs, d.Target.GPUs, d.SmallestPending.CPUs, d.SmallestPending.GPUs, int64(d.Waited)} {
-		known = known && v >= 0
+// ObserveDemand takes another holder's demand, or returns ErrInvalidDemand.
+func (m *Manager) ObserveDemand(d Demand, now time.Duration) error {
+	if !slices.Contains(m.config.Shards, d.Shard) || m.heldShards[d.Shard] != nil {
+		return fmt.Errorf("%w: %q is no other holder's shard", ErrInvalidDemand, d.Shard)
+	}
+	if m.teams[d.Team] == nil {
+		return fmt.Errorf("%w: team %q has no limit", ErrInvalidDemand, d.Team)
 	}
-	if !known || !d.Target.Within(Amount{largestAmount, largestAmount}) {
-		return false
+	none, most := Amount{}, Amount{largestAmount, largestAmount}
+	if !none.Within(d.Target) || !d.Target.Within(most) || !none.Within(d.SmallestPending) || d.Waited < 0 {
+		return fmt.Errorf("%w: target %v, smallest pending task %v, waited %v", ErrInvalidDemand, d.Target, d.SmallestPending, d.Waited)
 	}
 	m.demands[accountKey{d.Shard, d.Team}] = receivedDemand{d, now}
-	return true
+	return nil
 }
 
 // unmetDemands returns the fresh demands for a team that its record does not meet, those
 // that have waited for longest first.
-func (m *Manager) unmetDemands(t *team, r Record, now time.Duration) []Demand {
+func (m *Manager) unmetDemands(t *team, record Record, now time.Duration) []Demand {
 	var out []Demand
 	for _, shard := range m.config.Shards {
 		d, lacks := m.ownDemand(t, shard, now)
@@ -79,7 +90,7 @@
 			d = received.Demand
 			d.Waited += now - received.receivedAt
 		}
-		if _, registered := r.Shares[shard]; lacks && registered && !d.Target.Within(r.Shares[shard].Allocation) {
+		if _, registered := record.Shares[shard]; lacks && registered && !d.Target.Within(record.Shares[shard].Allocation) {
 			out = append(out, d)
 		}
 	}
@@ -88,9 +99,6 @@
 }
 
 // compare orders demands: who has waited for longer comes first.
-func (d Demand) compare(o Demand) int {
-	if c := cmp.Compare(o.Waited, d.Waited); c != 0 {
-		return c
-	}
-	return cmp.Compare(d.Shard, o.Shard)
+func (d Demand) compare(other Demand) int {
+	return cmp.Or(cmp.Compare(other.Waited, d.Waited), cmp.Compare(d.Shard, other.Shard))
 }
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -6,6 +6,14 @@
 	"time"
 )
 
+const (
+	// idleTurnLimit is how long a holder keeps its turn without using the room that it has
+	// been given for a task.
+	idleTurnLimit = 20 * time.Second
+	// unlimitedCount stands for no bound of a number of tasks.
+	unlimitedCount = 1 << 30
+)
+
 // Team is a team with a limit, of which one part may be Unlimited.
 type Team struct {
 	Name  string
@@ -14,7 +22,7 @@
 
 // Config describes a deployment.
 type Config struct {
-	Shards []string // every ledger that there is or may be
+	Shards []string // every shard that there is or may be
 	Teams  []Team   // those with a limit
 	// TransferInterval is the least time between two transactions of this process.
 	TransferInterval time.Duration
@@ -22,20 +30,21 @@
 	TeamsPerTransfer int
 }
 
-// Manager holds this process's view of all teams' allocations.
+// Manager holds this process's view of all teams' allocations. It is not safe for
+// concurrent use. Times are those of the caller's monotonic clock.
 type Manager struct {
 	config         Config
 	teams          map[string]*team
-	teamNames      []string // of teams, by name
+	teamNames      []string // sorted
 	heldShards     map[string]*heldShard
-	demands        map[accountKey]receivedDemand
+	demands        map[accountKey]receivedDemand // of other holders
 	enforced       bool
-	inFlight       *Transfer
+	inFlight       *Transfer // whose outcome has not been told yet
 	nextTransferAt time.Duration
 	nextTeam       int // where the next plan begins among the teams
 }
 
-// accountKey names a team at a ledger.
+// accountKey names a team at a shard.
 type accountKey struct{ shard, team string }
 
 // team is one team's durable record as last seen.
@@ -45,36 +54,44 @@
 	version        uint64 // of the record; 0 while there is none
 	known          bool   // it was read, or is known to be missing
 	unreadable     bool   // it can't be read
-	outcomeUnknown bool   // a transfer on condition of the stamp may have been applied, or may be later
-	// floors bound the allocations of held ledgers while transfers that take from
-	// them may have been applied, or may still be.
+	outcomeUnknown bool   // a transfer on condition of the version may have been applied, or may be later
+	// lowerBounds are what held shards have at least while transfers that take from them
+	// may have been applied, or may still be.
 	lowerBounds map[string]Amount
 }
 
-// heldShard is a ledger that this process holds.
+// heldShard is a shard that this process holds.
 type heldShard struct {
-	fence        uint64 // stamp of the ledger's key
-	recordsFresh bool   // the records were read after it was taken
-	reconciled   bool   // all that earlier holders may have spent is counted or proven gone
+	fence        uint64 // version of the shard's key
+	recordsFresh bool   // the records were read after it was acquired
+	reconciled   bool   // all that earlier holders may have spent is counted or proven lost
 	accounts     map[string]*account
 }
 
-// account is a team's use at a held ledger.
+// account is a team's use at a held shard.
 type account struct {
 	spent           Amount
-	pending         Amount // what tasks that wait would use
+	pending         Amount // what pending tasks would use
 	smallestPending Amount // the smallest of them
-	// since is when tasks began to wait, or the last was admitted, or the account lost
-	// its turn; usable is since when the allocation has had room for one.
-	pendingSince, usableSince time.Duration
-	hasPending, smallestFits  bool
-	admittedSinceUpdate       bool    // since the last Want
-	ceiling                   *Amount // while other ledgers lack their part; nil: none
+	// pendingSince is when tasks began to wait, or the last was admitted, or the account
+	// lost its turn.
+	pendingSince time.Duration
+	// usableSince is since when the allocation has had room for the smallest of them, or
+	// has had none.
+	usableSince              time.Duration
+	hasPending, smallestFits bool
+	admittedSinceUpdate      bool    // since the last SetPending
+	ceiling                  *Amount // while other shards lack their share; nil: none
 }
 
-// New makes a manager that has read nothing yet.
+// New makes a manager that has read no record yet.
 func New(config Config) *Manager {
-	m := &Manager{config: config, teams: make(map[string]*team), heldShards: make(map[string]*heldShard), demands: make(map[accountKey]receivedDemand)}
+	m := &Manager{
+		config:     config,
+		teams:      make(map[string]*team),
+		heldShards: make(map[string]*heldShard),
+		demands:    make(map[accountKey]receivedDemand),
+	}
 	for _, t := range config.Teams {
 		m.teams[t.Name] = &team{Team: t, lowerBounds: make(map[string]Amount)}
 	}
@@ -85,7 +102,7 @@
 // HasLimit tells whether a team has a limit.
 func (m *Manager) HasLimit(name string) bool { return m.teams[name] != nil }
 
-// LimitedPart leaves of an amount what a team's limit bounds.
+// LimitedPart returns the part of an amount that a team's limit bounds.
 func (m *Manager) LimitedPart(name string, amount Amount) Amount {
 	t := m.teams[name]
 	if t == nil {
@@ -94,7 +111,7 @@
 	return t.limitedPart(amount)
 }
 
-// limitedPart leaves of an amount what the team's limit bounds.
+// limitedPart returns the part of an amount that the team's limit bounds.
 func (t *team) limitedPart(a Amount) Amount {
 	if t.Limit.CPUs == Unlimited {
 		a.CPUs = 0
@@ -105,27 +122,28 @@
 	return a
 }
 
-// SetEnforced says whether every member divides limits as this one does. Until then tasks
-// are counted, and admitted whatever the allocations say.
-func (m *Manager) SetEnforced(all bool) { m.enforced = all }
+// SetEnforced says whether admission goes by allocations, which holds while every member
+// divides limits as this one does. Until then tasks are counted, and admitted whatever
+// the allocations say.
+func (m *Manager) SetEnforced(enforced bool) { m.enforced = enforced }
 
 // Enforced tells whether admission goes by allocations.
 func (m *Manager) Enforced() bool { return m.enforced }
 
-// AcquireShard notes that this process has taken a ledger. Nothing is admitted for it until
-// Fresh and Complete.
+// AcquireShard notes that this process has acquired a shard, whose key has the version
+// fence. Nothing is admitted for it until MarkRecordsFresh and MarkReconciled.
 func (m *Manager) AcquireShard(shard string, fence uint64) {
 	m.heldShards[shard] = &heldShard{fence: fence, accounts: make(map[string]*account)}
 }
 
-// UpdateFence notes that a held ledger's key has a new stamp.
+// UpdateFence notes that a held shard's key has a new version.
 func (m *Manager) UpdateFence(shard string, fence uint64) {
 	if h := m.heldShards[shard]; h != nil {
 		h.fence = fence
 	}
 }
 
-// ReleaseShard notes that a ledger is held no more.
+// ReleaseShard notes that a shard is held no more.
 func (m *Manager) ReleaseShard(shard string) {
 	delete(m.heldShards, shard)
 	for _, t := range m.teams {
@@ -133,27 +151,27 @@
 	}
 }
 
-// MarkRecordsFresh notes that all records were observed by a read that began after a ledger was
-// taken. The holder before may have given allocations away up to then, and this
-// process need not have heard of it.
+// MarkRecordsFresh notes that all records were observed by a read that began after a
+// shard was acquired. The holder before may have given allocations away up to then, and
+// this process need not know of it.
 func (m *Manager) MarkRecordsFresh(shard string) {
 	if h := m.heldShards[shard]; h != nil {
 		h.recordsFresh = true
 	}
 }
 
-// MarkReconciled notes that whatever an earlier holder of a ledger may have spent is
-// either counted here or proven gone.
+// MarkReconciled notes that whatever an earlier holder of a shard may have spent is
+// either counted here or proven lost.
 func (m *Manager) MarkReconciled(shard string) {
 	if h := m.heldShards[shard]; h != nil {
 		h.reconciled = true
 	}
 }
 
-// ready tells whether a ledger's allocations may be spent and moved.
+// ready tells whether a shard's allocations may be spent and moved.
 func (h *heldShard) ready() bool { return h != nil && h.recordsFresh && h.reconciled }
 
-// account returns a team's account at a held ledger, or nil.
+// account returns a team's account at a held shard, or nil.
 func (m *Manager) account(shard, name string) (*team, *account) {
 	t, h := m.teams[name], m.heldShards[shard]
 	if t == nil || h == nil {
@@ -167,21 +185,21 @@
 	return t, a
 }
 
-// Charge adds what runs already, or may: it is spent, whatever the allocation.
+// Charge spends what runs already, or may, whatever the allocation.
 func (m *Manager) Charge(shard, name string, amount Amount) {
 	if t, a := m.account(shard, name); a != nil {
 		a.spent = a.spent.Add(t.limitedPart(amount))
 	}
 }
 
-// Release gives back what a task used that is proven gone.
+// Release gives back what a replica used that is proven lost.
 func (m *Manager) Release(shard, name string, amount Amount) {
 	if t, a := m.account(shard, name); a != nil {
 		a.spent = a.spent.Sub(t.limitedPart(amount)).NonNegative()
 	}
 }
 
-// Admit spends an amount if the allocation has room for it.
+// Admit spends an amount if the allocation has room for it, and tells whether it has.
 func (m *Manager) Admit(shard, name string, amount Amount) bool {
 	t, a := m.account(shard, name)
 	if t == nil {
@@ -190,16 +208,16 @@
 	if a == nil {
 		return false
 	}
-	need := t.limitedPart(amount)
-	if m.enforced && !need.Within(m.available(shard, t, a)) {
+	limited := t.limitedPart(amount)
+	if m.enforced && !limited.Within(m.available(shard, t, a)) {
 		return false
 	}
-	a.spent = a.spent.Add(need)
+	a.spent = a.spent.Add(limited)
 	a.admittedSinceUpdate = true
 	return true
 }
 
-// AdmissibleCount is how many more tasks of a size would be admitted now.
+// AdmissibleCount returns how many more tasks of that amount would be admitted now.
 func (m *Manager) AdmissibleCount(shard, name string, amount Amount) int {
 	t, a := m.account(shard, name)
 	if t == nil || !m.enforced {
@@ -211,10 +229,7 @@
 	return m.available(shard, t, a).quotient(t.limitedPart(amount))
 }
 
-// unlimitedCount stands for no bound.
-const unlimitedCount = 1 << 30
-
-// Spent is what a team uses at a held ledger.
+// Spent is what a team uses at a held shard.
 func (m *Manager) Spent(shard, name string) Amount {
 	if _, a := m.account(shard, name); a != nil {
 		return a.spent
@@ -222,8 +237,8 @@
 	return Amount{}
 }
 
-// Allocation is what a held ledger certainly has of a team's limit, with the limit
-// in force and the stamp of the record that says so.
+// Allocation is what a held shard certainly has of a team's limit, with the limit
+// in force and the version of the record that says so.
 func (m *Manager) Allocation(shard, name string) (allocation, limit Amount, version uint64) {
 	t := m.teams[name]
 	if t == nil {
@@ -232,7 +247,7 @@
 	return t.allocation(shard), t.record.LimitInForce(t.Limit), t.version
 }
 
-// allocation is what a ledger certainly has: what the record says, less what
+// allocation is what a shard certainly has: what the record says, less what
 // transfers under way may have taken.
 func (t *team) allocation(shard string) Amount {
 	a := t.record.Shares[shard].Allocation
@@ -244,7 +259,10 @@
 
 // available is what may be spent now.
 func (m *Manager) available(shard string, t *team, a *account) Amount {
-	if !m.heldShards[shard].ready() || !t.known || t.unreadable || !m.divided(t.record) || !t.record.Allocated().Within(t.record.LimitInForce(t.Limit)) {
+	if !m.heldShards[shard].ready() || !t.known || t.unreadable || !m.divided(t.record) {
+		return Amount{}
+	}
+	if !t.record.Allocated().Within(t.record.LimitInForce(t.Limit)) {
 		return Amount{}
 	}
 	most := t.allocation(shard)
@@ -254,7 +272,7 @@
 	return most.Sub(a.spent).NonNegative()
 }
 
-// divided tells whether every ledger has its share in a team's record. A ledger
+// divided tells whether every shard has its share in a team's record. A shard
 // without one may have spent what nobody has counted.
 func (m *Manager) divided(r Record) bool {
 	for _, shard := range m.config.Shards {
@@ -265,48 +283,44 @@
 	return true
 }
 
-// Observe takes a team's record as the state service has it. Older news changes
-// nothing.
+// Observe takes a team's record as the state service has it. One that is older than the
+// last changes nothing.
 func (m *Manager) Observe(name string, r Record, version uint64) {
 	t := m.teams[name]
 	if t == nil || version <= t.version {
 		return
 	}
-	// Whatever was sent on condition of an earlier stamp has been applied, and
+	// Whatever was sent on condition of an earlier version has been applied, and
 	// then shows here, or never will be.
 	t.record, t.version, t.known, t.unreadable, t.outcomeUnknown = r, version, true, !r.valid(), false
 	clear(t.lowerBounds)
 }
 
 // ObserveUnreadable notes that a team's record can't be read: nothing of the team is
-// admitted until somebody puts it in order.
+// admitted until an operator repairs it.
 func (m *Manager) ObserveUnreadable(name string, version uint64) {
 	if t := m.teams[name]; t != nil && version > t.version {
 		t.version, t.unreadable = version, true
 	}
 }
 
-// ObserveAbsent notes that a team had no record.
+// ObserveAbsent notes that a team was read to have no record.
 func (m *Manager) ObserveAbsent(name string) {
 	if t := m.teams[name]; t != nil && t.version == 0 {
 		t.known = true
 	}
 }
 
-// idleTurnLimit is how long a holder keeps its turn without using the room that it has
-// been given for a task.
-const idleTurnLimit = 20 * time.Second
-
-// SetPending notes what the tasks that wait at a held ledger would use, and the smallest.
-func (m *Manager) SetPending(shard, name string, waiting, least Amount, now time.Duration) {
+// SetPending notes what the pending tasks at a held shard would use, and the smallest.
+func (m *Manager) SetPending(shard, name string, pending, smallest Amount, now time.Duration) {
 	t, a := m.account(shard, name)
 	if a == nil {
 		return
 	}
-	a.pending, a.smallestPending = t.limitedPart(waiting), t.limitedPart(least)
-	waits := !a.pending.IsZero()
-	fits := waits && a.smallestPending.Within(m.available(shard, t, a))
-	if a.admittedSinceUpdate || waits != a.hasPending {
+	a.pending, a.smallestPending = t.limitedPart(pending), t.limitedPart(smallest)
+	hasPending := !a.pending.IsZero()
+	fits := hasPending && a.smallestPending.Within(m.available(shard, t, a))
+	if a.admittedSinceUpdate || hasPending != a.hasPending {
 		a.pendingSince = now
 	}
 	if fits != a.smallestFits || a.admittedSinceUpdate {
@@ -315,18 +329,18 @@
 	if fits && now-a.usableSince > idleTurnLimit {
 		a.pendingSince, a.usableSince = now, now
 	}
-	a.hasPending, a.smallestFits, a.admittedSinceUpdate = waits, fits, false
+	a.hasPending, a.smallestFits, a.admittedSinceUpdate = hasPending, fits, false
 }
 
-// Blocked tells whether tasks of a team wait at a held ledger and none fits its
+// Blocked tells whether tasks of a team wait at a held shard and none fits its
 // allocation.
 func (m *Manager) Blocked(shard, name string) bool {
 	_, a := m.account(shard, name)
 	return a != nil && a.hasPending && !a.smallestFits
 }
 
-// desiredAllocation is what a held ledger would like to have of a team's limit. A burst may take
-// all that is free: what it has not spent yet goes to others as they ask for it.
+// desiredAllocation is what a held shard would like to have of a team's limit. A burst
+// may take all that is free: what it has not spent yet goes to others as they ask for it.
 func (t *team) desiredAllocation(a *account) Amount {
 	return a.spent.Add(a.pending).Min(t.Limit.Max(a.spent))
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -1,6 +1,7 @@
 package quota
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"testing"
@@ -16,7 +17,7 @@
 	now                 time.Duration
 	revision            uint64
 	records             map[string]stored
-	fences              map[string]uint64 // by ledger
+	fences              map[string]uint64 // by shard
 	holder              map[string]*controller
 	nodes               []*controller
 	running             map[accountKey][]Amount // what machines hold, whoever admitted it
@@ -27,8 +28,8 @@
 }
 
 type stored struct {
-	record Record
-	stamp  uint64
+	record  Record
+	version uint64
 }
 
 type controller struct {
@@ -46,16 +47,16 @@
 const modelStep = 100 * time.Millisecond
 
 var (
-	modelLedgers = []string{"a", "b", "c"}
-	modelTeams   = []string{"red", "blue"}
-	modelLimit   = LimitOf(16, 4)
-	modelSizes   = []Amount{AmountOf(1, 0), AmountOf(2, 1), AmountOf(3.5, 0), AmountOf(7, 2)}
+	modelShards = []string{"a", "b", "c"}
+	modelTeams  = []string{"red", "blue"}
+	modelLimit  = LimitOf(16, 4)
+	modelSizes  = []Amount{AmountOf(1, 0), AmountOf(2, 1), AmountOf(3.5, 0), AmountOf(7, 2)}
 )
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, records: make(map[string]stored), fences: make(map[string]uint64), holder: make(map[string]*controller),
 		running: make(map[accountKey][]Amount), limits: make(map[string]Amount)}
-	for _, name := range modelLedgers {
+	for _, name := range modelShards {
 		m.nodes = append(m.nodes, &controller{name: name, limit: modelLimit})
 	}
 	for _, team := range modelTeams {
@@ -73,7 +74,7 @@
 	for _, name := range modelTeams {
 		teams = append(teams, Team{Name: name, Limit: c.limit})
 	}
-	c.manager = New(Config{Shards: modelLedgers, Teams: teams, TransferInterval: modelStep, TeamsPerTransfer: 2})
+	c.manager = New(Config{Shards: modelShards, Teams: teams, TransferInterval: modelStep, TeamsPerTransfer: 2})
 	c.manager.SetEnforced(true)
 	c.up, c.frozen, c.unread, c.releases, c.amounts = true, false, nil, nil, nil
 	c.waiting = make(map[accountKey]Amount)
@@ -85,13 +86,13 @@
 // read tells a controller what the state service has now.
 func (m *model) read(c *controller, team string) {
 	if s, ok := m.records[team]; ok {
-		c.manager.Observe(team, s.record, s.stamp)
+		c.manager.Observe(team, s.record, s.version)
 	} else {
 		c.manager.ObserveAbsent(team)
 	}
 }
 
-// acquireShard gives a ledger to a controller, which counts what runs and has the
+// acquireShard gives a shard to a controller, which counts what runs and has the
 // machines' proof of it.
 func (m *model) acquireShard(c *controller, shard string) {
 	m.revision++
@@ -118,7 +119,7 @@
 		}
 	}
 	for _, tt := range x.Teams {
-		if m.records[tt.Team].stamp != tt.Version {
+		if m.records[tt.Team].version != tt.Version {
 			return false
 		}
 	}
@@ -128,7 +129,7 @@
 		for _, c := range m.nodes {
 			if c.up {
 				at := m.records[tt.Team]
-				c.unread = append(c.unread, func() { c.manager.Observe(tt.Team, at.record, at.stamp) })
+				c.unread = append(c.unread, func() { c.manager.Observe(tt.Team, at.record, at.version) })
 			}
 		}
 	}
@@ -138,7 +139,7 @@
 // tick has a controller plan, and decides what becomes of its transaction.
 func (m *model) tick(c *controller) {
 	mgr := c.manager
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		for _, team := range modelTeams {
 			w := c.waiting[accountKey{shard, team}]
 			mgr.SetPending(shard, team, w, modelSizes[0].Min(w), m.now)
@@ -244,15 +245,18 @@
 	for _, d := range from.manager.Demands(m.now) {
 		for _, to := range m.nodes {
 			if to != from && to.acts() && m.often("demand arrives", 4) {
-				to.manager.ObserveDemand(d, m.now)
+				// One that the receiver may not take, as of a shard that it holds itself, changes nothing.
+				if err := to.manager.ObserveDemand(d, m.now); err != nil && !errors.Is(err, ErrInvalidDemand) {
+					m.t.Fatal(err)
+				}
 			}
 		}
 	}
 }
 
-// admit has a controller try to admit tasks at the ledgers that it holds.
+// admit has a controller try to admit tasks at the shards that it holds.
 func (m *model) admit(c *controller) {
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		if m.holder[shard] != c || !m.often("work comes", 3) {
 			continue
 		}
@@ -269,7 +273,7 @@
 
 // end ends a task; its holder is told later.
 func (m *model) end() {
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		for _, team := range modelTeams {
 			key := accountKey{shard, team}
 			tasks := m.running[key]
@@ -313,14 +317,14 @@
 	}
 }
 
-// wake has a controller go on. It has lost the ledgers that were taken from it, and
+// wake has a controller go on. It has lost the shards that were taken from it, and
 // what it reads first is the present state.
 func (m *model) wake(c *controller) {
 	if !c.frozen || !c.up {
 		return
 	}
 	c.frozen = false
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		if m.holder[shard] != c {
 			c.manager.ReleaseShard(shard)
 		}
@@ -340,7 +344,7 @@
 		if !c.acts() {
 			continue
 		}
-		for _, shard := range modelLedgers {
+		for _, shard := range modelShards {
 			if m.holder[shard] == lost {
 				m.acquireShard(c, shard)
 			}
@@ -355,7 +359,7 @@
 	c.limit = rapid.SampledFrom([]Amount{modelLimit, LimitOf(9, 4), LimitOf(12, 2)}).Draw(m.t, "limit")
 	m.crash(c)
 	m.start(c)
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		if m.holder[shard] == c {
 			m.acquireShard(c, shard)
 		}
@@ -369,7 +373,7 @@
 		if !r.Allocated().Within(m.limits[team]) {
 			return fmt.Errorf("%s: allocations of %v in all, the limit is %v", team, r.Allocated(), m.limits[team])
 		}
-		for _, shard := range modelLedgers {
+		for _, shard := range modelShards {
 			if err := m.checkShare(shard, team, r.Shares[shard].Allocation); err != nil {
 				return err
 			}
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -8,7 +8,7 @@
 	team    *team
 	now     time.Duration
 	record  Record
-	changed map[string]bool // held ledgers whose fence the change needs
+	changed map[string]bool // held shards whose fence the change needs
 }
 
 // build changes the record, and tells whether anything changed.
@@ -35,8 +35,8 @@
 	return len(p.changed) > 0
 }
 
-// rewriteUnchanged has the record written whatever its content: once it has a new stamp, an
-// earlier transfer without an answer has either been applied or never will be.
+// rewriteUnchanged has the record written whatever its content: once it has a new version,
+// an earlier transfer without an answer has either been applied or never will be.
 func (p *plan) rewriteUnchanged() {
 	for _, shard := range p.manager.config.Shards {
 		if _, registered := p.record.Shares[shard]; registered && p.manager.heldShards[shard].ready() {
@@ -46,11 +46,12 @@
 	}
 }
 
-// unallocated is what no ledger has.
+// unallocated is what no shard has.
 func (p *plan) unallocated() Amount {
 	return p.record.LimitInForce(p.team.Limit).Sub(p.record.Allocated()).NonNegative()
 }
 
+// setAllocation changes a held shard's allocation.
 func (p *plan) setAllocation(shard string, allocation Amount) {
 	if p.record.Shares[shard].Allocation != allocation {
 		p.record.allocate(shard, allocation)
@@ -58,7 +59,7 @@
 	}
 }
 
-// register gives a held ledger its share, which begins with what it has spent as
+// register gives a held shard its share, which begins with what it has spent as
 // far as that is free. While not all members divide limits there are no shares, so
 // that each starts from what it has spent by then.
 func (p *plan) register(shard string, h *heldShard) {
@@ -84,7 +85,7 @@
 	p.changed[shard] = true
 }
 
-// unspent is what a held ledger certainly has and does not use.
+// unspent is what a held shard certainly has and does not use.
 func (p *plan) unspent(shard string) Amount {
 	allocation := p.record.Shares[shard].Allocation
 	if lowerBound, ok := p.team.lowerBounds[shard]; ok {
@@ -111,8 +112,8 @@
 	}
 }
 
-// takeUnallocated has held ledgers take what they lack from what no ledger has. Each of those
-// that lack something gets its part, or what its smallest task needs.
+// takeUnallocated has held shards take what they lack from what no shard has. Each of
+// those that lack something gets its part, or what its smallest task needs.
 func (p *plan) takeUnallocated(unmet []Demand) {
 	for i, d := range unmet {
 		if !p.manager.heldShards[d.Shard].ready() {
@@ -129,6 +130,7 @@
 	}
 }
 
+// spent is what a held shard uses.
 func (p *plan) spent(shard string) Amount {
 	if a := p.manager.heldShards[shard].accounts[p.team.Name]; a != nil {
 		return a.spent
@@ -136,7 +138,7 @@
 	return Amount{}
 }
 
-// giveUnspent moves unspent allocations of held ledgers to those that lack something.
+// giveUnspent moves unspent allocations of held shards to those that lack something.
 func (p *plan) giveUnspent(unmet []Demand) {
 	for _, d := range unmet {
 		missing := d.Target.Sub(p.record.Shares[d.Shard].Allocation).Sub(p.unallocated()).NonNegative()
@@ -155,10 +157,9 @@
 	}
 }
 
-// transferable is what a held ledger can give to one that lacks something: all that it has
-// unspent if nothing waits for that; what no waiting task of its own fits into, to one
-// that has waited for longer; else what it has beyond its fair part, to one
-// that has less.
+// transferable is what a held shard can give to one that lacks something: all that it has
+// unspent if no task waits for it; what no pending task of its own fits into, to one that
+// has waited for longer; else what it has beyond its fair share, to one that has less.
 func (p *plan) transferable(shard string, d Demand, unmet []Demand) Amount {
 	unspent := p.unspent(shard)
 	a := p.manager.heldShards[shard].accounts[p.team.Name]
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -2,14 +2,14 @@
 
 import "maps"
 
-// Record is the durable division of one team's limit among the ledgers.
+// Record is the durable division of one team's limit among the shards.
 type Record struct {
 	Shares map[string]Share `cbor:"s"`
 }
 
-// Share is what one ledger has of a team's limit.
+// Share is what one shard has of a team's limit.
 type Share struct {
-	// Allocation is what the ledger's holder may spend.
+	// Allocation is what the shard's holder may spend.
 	Allocation Amount `cbor:"a"`
 	// Limit is the team's limit in the holder's settings. While holders are given
 	// new settings one after the other the lowest of them is in force.
@@ -58,7 +58,7 @@
 	return true
 }
 
-// allocate changes a ledger's allocation.
+// allocate changes a shard's allocation.
 func (r Record) allocate(shard string, a Amount) {
 	s := r.Shares[shard]
 	s.Allocation = a
--- a/internal/quota/sharing_test.go
+++ b/internal/quota/sharing_test.go
@@ -1,6 +1,7 @@
 package quota
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 	"time"
@@ -14,7 +15,7 @@
 	revision  uint64
 	records   map[string]stored
 	nodes     map[string]*Manager
-	queues    map[string]int // waiting tasks by ledger
+	queues    map[string]int // pending tasks by shard
 	size      Amount
 	takes     time.Duration
 	ends      map[string][]time.Duration
@@ -27,7 +28,7 @@
 func newSharing(t *testing.T, limit, size Amount, takes time.Duration) *sharing {
 	s := &sharing{t: t, records: make(map[string]stored), nodes: make(map[string]*Manager), queues: make(map[string]int),
 		size: size, takes: takes, ends: make(map[string][]time.Duration), started: make(map[string]int)}
-	for i, name := range modelLedgers {
+	for i, name := range modelShards {
 		s.nodes[name] = s.manager(limit)
 		s.open(name, uint64(i+1))
 	}
@@ -35,7 +36,7 @@
 }
 
 func (s *sharing) manager(limit Amount) *Manager {
-	m := New(Config{Shards: modelLedgers, Teams: []Team{{Name: sharedTeam, Limit: limit}}, TransferInterval: 2 * modelStep, TeamsPerTransfer: 4})
+	m := New(Config{Shards: modelShards, Teams: []Team{{Name: sharedTeam, Limit: limit}}, TransferInterval: 2 * modelStep, TeamsPerTransfer: 4})
 	m.SetEnforced(true)
 	m.ObserveAbsent(sharedTeam)
 	return m
@@ -51,7 +52,7 @@
 func (s *sharing) play(span time.Duration) {
 	for end := s.now + span; s.now < end; {
 		s.now += modelStep
-		for _, name := range modelLedgers {
+		for _, name := range modelShards {
 			s.step(name, s.nodes[name])
 		}
 	}
@@ -71,8 +72,11 @@
 	m.Balance(s.now)
 	for _, d := range m.Demands(s.now) {
 		for _, other := range s.nodes {
-			if other != m && !other.ObserveDemand(d, s.now) {
-				s.t.Fatalf("demand %+v is refused", d)
+			if other == m {
+				continue
+			}
+			if err := other.ObserveDemand(d, s.now); err != nil {
+				s.t.Fatalf("demand %+v is refused: %v", d, err)
 			}
 		}
 	}
@@ -82,9 +86,9 @@
 	}
 	s.transfers++
 	tt := x.Teams[0]
-	if s.records[tt.Team].stamp != tt.Version {
+	if s.records[tt.Team].version != tt.Version {
 		for _, team := range m.OutcomeUnknown() {
-			m.Observe(team, s.records[team].record, s.records[team].stamp)
+			m.Observe(team, s.records[team].record, s.records[team].version)
 		}
 		return
 	}
@@ -127,7 +131,7 @@
 	}
 	s.queues["b"], s.queues["c"] = 10000, 10000
 	s.play(10 * time.Second)
-	for _, name := range modelLedgers {
+	for _, name := range modelShards {
 		if got := s.running(name); got < 7 || got > 9 {
 			t.Fatalf("%d tasks run at %s, want a third of the limit", got, name)
 		}
@@ -145,11 +149,11 @@
 // Tasks as large as the limit get their turn at each controller.
 func TestTasksAsLargeAsTheLimit(t *testing.T) {
 	s := newSharing(t, LimitOf(8, 0), AmountOf(8, 0), 2*time.Second)
-	for _, name := range modelLedgers {
+	for _, name := range modelShards {
 		s.queues[name] = 1000
 	}
 	s.play(2 * time.Minute)
-	for _, name := range modelLedgers {
+	for _, name := range modelShards {
 		if s.started[name] < 8 {
 			t.Errorf("%d tasks were started at %s in two minutes: %v", s.started[name], name, s.started)
 		}
@@ -162,7 +166,7 @@
 // What doesn't divide evenly among the controllers is used all the same.
 func TestRemaindersAreUsed(t *testing.T) {
 	s := newSharing(t, LimitOf(32, 0), AmountOf(8, 0), 5*time.Second)
-	for _, name := range modelLedgers {
+	for _, name := range modelShards {
 		s.queues[name] = 1000
 	}
 	s.play(10 * time.Second)
@@ -185,7 +189,7 @@
 	}
 	c := s.manager(LimitOf(12, 0))
 	s.nodes["c"] = c
-	c.Observe(sharedTeam, s.records[sharedTeam].record, s.records[sharedTeam].stamp)
+	c.Observe(sharedTeam, s.records[sharedTeam].record, s.records[sharedTeam].version)
 	s.open("c", 9)
 	s.queues["a"], s.queues["b"], s.queues["c"] = 100, 100, 100
 	s.play(20 * time.Second)
@@ -236,8 +240,8 @@
 	}
 }
 
-// Nothing is admitted before a ledger's records are read and its earlier holder's
-// use is counted, nor while a ledger has no share or a record can't be read.
+// Nothing is admitted before a shard's records are read and its earlier holder's
+// use is counted, nor while a shard has no share or a record can't be read.
 func TestNothingIsAdmittedInDoubt(t *testing.T) {
 	size := AmountOf(1, 0)
 	refused := func(what string, m *Manager) {
@@ -248,11 +252,11 @@
 	}
 	s := &sharing{t: t}
 	m := s.manager(LimitOf(8, 0))
-	refused("a ledger that is not held", m)
+	refused("a shard that is not held", m)
 	m.AcquireShard("a", 1)
 	m.MarkReconciled("a")
 	all := Record{Shares: map[string]Share{}}
-	for _, shard := range modelLedgers {
+	for _, shard := range modelShards {
 		all.Shares[shard] = Share{Allocation: AmountOf(2, 0), Limit: LimitOf(8, 0)}
 	}
 	m.Observe(sharedTeam, all, 5)
@@ -264,7 +268,7 @@
 	part := all.copyForChange()
 	delete(part.Shares, "c")
 	m.Observe(sharedTeam, part, 6)
-	refused("a ledger without a share", m)
+	refused("a shard without a share", m)
 	m.Observe(sharedTeam, all, 5)
 	refused("older news", m)
 	m.Observe(sharedTeam, Record{Shares: map[string]Share{"a": {Allocation: Amount{CPUs: -1}}}}, 7)
@@ -276,11 +280,11 @@
 	m.ObserveUnreadable(sharedTeam, 9)
 	refused("a record that can't be read", m)
 	for what, d := range map[string]Demand{
-		"ledger": {Shard: "x", Team: sharedTeam}, "own ledger": {Shard: "a", Team: sharedTeam}, "team": {Shard: "b", Team: "x"},
+		"shard": {Shard: "x", Team: sharedTeam}, "own shard": {Shard: "a", Team: sharedTeam}, "team": {Shard: "b", Team: "x"},
 		"negative": {Shard: "b", Team: sharedTeam, Target: Amount{CPUs: -1}}, "huge": {Shard: "b", Team: sharedTeam, Target: Amount{CPUs: 1 << 60}},
 	} {
-		if m.ObserveDemand(d, 0) {
-			t.Errorf("%s: demand %+v is taken", what, d)
+		if err := m.ObserveDemand(d, 0); !errors.Is(err, ErrInvalidDemand) {
+			t.Errorf("%s: demand %+v: got %v, want %v", what, d, err, ErrInvalidDemand)
 		}
 	}
 	if !m.Admit("a", "nobody's", size) || m.AdmissibleCount("a", "nobody's", size) == 0 {
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -3,11 +3,11 @@
 import "time"
 
 // Transfer is one transaction that this process wants carried out: each team's
-// record is replaced if it still has the stamp that it was read with, and each
-// fence's ledger key still has its stamp.
+// record is replaced if it still has the version that it was read with, and each
+// fence's shard key still has its version.
 type Transfer struct {
 	Teams  []TeamTransfer
-	Fences map[string]uint64 // by ledger
+	Fences map[string]uint64 // by shard
 }
 
 // TeamTransfer replaces one team's record.
@@ -17,7 +17,7 @@
 	Record  Record
 }
 
-// Balance brings up to date how much each held ledger may use while others lack
+// Balance brings up to date how much each held shard may use while others lack
 // their part. It is called every now and then, before Plan.
 func (m *Manager) Balance(now time.Duration) {
 	for key, d := range m.demands {
@@ -36,8 +36,8 @@
 	}
 }
 
-// ceiling is how much a ledger with waiting tasks may use while another has less
-// than its fair part and lacks more: what it uses beyond that goes to the other as
+// ceiling is how much a shard with pending tasks may use while another has less
+// than its fair share and lacks more: what it uses beyond that goes to the other as
 // its tasks end. Without it a busy holder would use again at once all that it frees.
 func (m *Manager) ceiling(t *team, shard string, a *account, unmet []Demand, now time.Duration) *Amount {
 	fair := t.fairShare(shard, unmet)
@@ -50,9 +50,10 @@
 	return nil
 }
 
-// entitlement is what a ledger may use while others lack something: its fair part, or
-// room for one task more if it has waited for longer than any of the others. Else tasks larger than a fair part would never start, and what does not
-// divide evenly would stay unused.
+// entitlement is what a shard may use while others lack something: its fair share, or
+// room for one task more if it has waited for longer than any of the others. Else tasks
+// larger than a fair share would never start, and what does not divide evenly would stay
+// unused.
 func (m *Manager) entitlement(t *team, shard string, a *account, unmet []Demand, now time.Duration) Amount {
 	entitled := t.fairShare(shard, unmet)
 	own, _ := m.ownDemand(t, shard, now)
@@ -65,7 +66,7 @@
 	return entitled.Max(a.spent.Add(a.smallestPending))
 }
 
-// fairShare is a ledger's part of the limit while it and all that lack something
+// fairShare is a shard's part of the limit while it and all that lack something
 // have work.
 func (t *team) fairShare(shard string, unmet []Demand) Amount {
 	contenders := 1
@@ -77,7 +78,7 @@
 	return t.record.LimitInForce(t.Limit).dividedBy(contenders)
 }
 
-// isBelow tells whether a share has less than a fair part of what is lacking.
+// isBelow tells whether a share has less than a fair one of what the demand lacks.
 func (s Share) isBelow(fair Amount, d Demand) bool {
 	missing := d.Target.Sub(s.Allocation)
 	return (missing.CPUs > 0 && s.Allocation.CPUs < fair.CPUs) || (missing.GPUs > 0 && s.Allocation.GPUs < fair.GPUs)
@@ -114,7 +115,7 @@
 	return transfer
 }
 
-// holdBack keeps a ledger from spending more than a transfer under way leaves it.
+// holdBack keeps a shard from spending more than a transfer under way leaves it.
 func (t *team) holdBack(shard string, allocation Amount) {
 	if lowerBound, ok := t.lowerBounds[shard]; ok {
 		allocation = allocation.Min(lowerBound)
@@ -122,20 +123,21 @@
 	t.lowerBounds[shard] = allocation
 }
 
-// Applied notes that the transaction under way was carried out.
+// Applied notes that the transaction under way was carried out, and made that revision of
+// the state service. There must be one; so for NotApplied and OutcomeUnknown.
 func (m *Manager) Applied(revision uint64) {
 	transfer := m.inFlight
 	m.inFlight = nil
-	for _, tt := range transfer.Teams {
-		m.Observe(tt.Team, tt.Record, revision)
+	for _, transferred := range transfer.Teams {
+		m.Observe(transferred.Team, transferred.Record, revision)
 	}
 }
 
 // NotApplied notes that the transaction under way was not carried out and never will
 // be.
 func (m *Manager) NotApplied() {
-	for _, tt := range m.inFlight.Teams {
-		if t := m.teams[tt.Team]; !t.outcomeUnknown {
+	for _, transferred := range m.inFlight.Teams {
+		if t := m.teams[transferred.Team]; !t.outcomeUnknown {
 			clear(t.lowerBounds)
 		}
 	}
@@ -147,9 +149,9 @@
 // have taken stays out of use until a newer record shows what became of it.
 func (m *Manager) OutcomeUnknown() []string {
 	var names []string
-	for _, tt := range m.inFlight.Teams {
-		names = append(names, tt.Team)
-		if t := m.teams[tt.Team]; t.version == tt.Version {
+	for _, transferred := range m.inFlight.Teams {
+		names = append(names, transferred.Team)
+		if t := m.teams[transferred.Team]; t.version == transferred.Version {
 			t.outcomeUnknown = true
 		}
 	}
