--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -118,7 +118,10 @@
 	mesh := transport.NewMesh(transport.MeshConfig{Self: file.Member, Addr: file.MeshAddr,
 		Peers: peers, IdleTimeout: meshIdleTimeout, MaxBacklogBytes: meshBacklogBytes(file)}, loop, meshEvents{core, queue})
 	server := newServer(file, loop, queue, core, clock, stateConns)
-	mesh.Start()
+	// Dialing goes on until the event loop has ended, also while ctx ends it.
+	dialing, stopDialing := context.WithCancel(context.Background())
+	defer stopDialing()
+	mesh.Start(dialing)
 	var ended error
 	go func() {
 		ended = loop.Run(server, mesh)
@@ -133,7 +136,6 @@
 	defer stop()
 	log.Info().Str("member", file.Member).Msg("started")
 	queue.Run(core, loop.WaitTurn)
-	mesh.Stop()
 	return ended
 }
 
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -10,65 +12,73 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// ErrNotSent says that a request surely never left this process; ErrNoAnswer
-// that it may have been executed, or may still be executed later.
 var (
-	ErrNotSent  = errors.New("request was not sent")
+	// ErrNotSent says that a request certainly never left this process: it may be repeated.
+	ErrNotSent = errors.New("request was not sent")
+	// ErrNoAnswer says that a request may have been executed, or may still be executed
+	// later.
 	ErrNoAnswer = errors.New("request got no answer")
 )
 
-// HTTPResult is the outcome of a call.
+// HTTPResult is the outcome of a request: a response, or an error that wraps ErrNotSent
+// or ErrNoAnswer.
 type HTTPResult struct {
 	Status      int
 	Body        []byte
-	RetryAfterS int
+	RetryAfterS int // seconds; 0: the response has no Retry-After
 	Err         error
 }
 
-// HTTPClient calls one address over a bounded set of kept connections.
+// HTTPClient calls one address over a bounded set of kept connections. Any number of
+// goroutines may use it.
 type HTTPClient struct {
 	loop     *Loop
 	addr     string
 	maxConns int
 	maxQueue int
 
-	mu      sync.Mutex
+	mu      sync.Mutex // of all below, and of the connections and calls
 	idle    []*httpConn
-	open    int
+	open    int // connections
 	dialing int
-	queue   []*pendingCall
+	queue   []*pendingCall // not sent yet
 }
 
+// pendingCall is a request whose outcome has not been told yet.
 type pendingCall struct {
 	method, path string
 	body         []byte
 	done         func(HTTPResult)
 	deadline     time.Time
-	timer        *time.Timer
-	conn         *httpConn
-	sent         bool
+	timer        *time.Timer // calls expire
+	conn         *httpConn   // that it was sent on; nil: it is in the queue
 	finished     bool
 }
 
+// httpConn is one connection of a client. It carries one request at a time.
 type httpConn struct {
 	client  *HTTPClient
 	conn    gnet.Conn
-	current *pendingCall
-	closed  bool
+	current *pendingCall // nil: it is idle
+	closed  bool         // it takes no further request
 }
 
-// NewHTTPClient prepares a client for one address.
+// NewHTTPClient prepares a client for one address. It opens no more than maxConns
+// connections, each when it is needed, and holds no more than maxQueue requests that wait
+// for one.
 func NewHTTPClient(l *Loop, addr string, maxConns, maxQueue int) *HTTPClient {
 	return &HTTPClient{loop: l, addr: addr, maxConns: maxConns, maxQueue: maxQueue}
 }
 
-// Do sends one request; done is called once, on another goroutine.
+// Do sends one request. done is called exactly once, on another goroutine and within the
+// timeout, and must not block for long.
 func (h *HTTPClient) Do(method, path string, body []byte, timeout time.Duration, done func(HTTPResult)) {
 	call := &pendingCall{method: method, path: path, body: body, done: done, deadline: time.Now().Add(timeout)}
 	h.mu.Lock()
 	if len(h.queue) >= h.maxQueue {
 		h.mu.Unlock()
-		go done(HTTPResult{Err: fmt.Errorf("queue is full: %w", ErrNotSent)})
+		// Ends with done, which nobody waits for.
+		go done(HTTPResult{Err: fmt.Errorf("queue of %d requests is full: %w", h.maxQueue, ErrNotSent)})
 		return
 	}
 	call.timer = time.AfterFunc(timeout, func() { h.expire(call) })
@@ -77,48 +87,64 @@
 	h.mu.Unlock()
 }
 
-// dispatch hands queued calls to idle connections and dials for the rest. A call
-// whose time is up is not sent any more: after a standstill of the process its
-// timer may be later than the connection that it has waited for. The lock is
+// dispatch hands queued calls to idle connections and dials for the rest. The lock is
 // held.
 func (h *HTTPClient) dispatch() {
-	if now := time.Now(); len(h.queue) > 0 && now.After(h.queue[0].deadline) {
-		kept := h.queue[:0]
-		for _, call := range h.queue {
-			if now.After(call.deadline) {
-				go h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", ErrNotSent)})
-			} else {
-				kept = append(kept, call)
-			}
-		}
-		clear(h.queue[len(kept):])
-		h.queue = kept
-	}
+	h.dropExpired()
 	for len(h.queue) > 0 && len(h.idle) > 0 {
-		hc := h.idle[len(h.idle)-1]
-		h.idle = h.idle[:len(h.idle)-1]
-		if hc.closed {
+		last := len(h.idle) - 1
+		conn := h.idle[last]
+		h.idle = h.idle[:last]
+		if conn.closed {
 			continue
 		}
 		call := h.queue[0]
 		h.queue = h.queue[1:]
-		hc.current, call.conn, call.sent = call, hc, true
-		out := appendRequest(make([]byte, 0, 160+len(call.body)), call.method, call.path, h.addr, call.body)
-		if err := hc.conn.AsyncWrite(out, nil); err != nil {
-			hc.closed = true
-			h.open--
-			go h.finish(call, HTTPResult{Err: fmt.Errorf("writing: %w", ErrNoAnswer)})
-		}
+		h.send(call, conn)
 	}
 	for h.dialing < len(h.queue) && h.open+h.dialing < h.maxConns {
 		h.dialing++
+		// Ends within the dial timeout; its connection, or its failure, goes to the queue's
+		// calls. Nobody waits for it.
 		go h.connect()
 	}
 }
 
+// dropExpired drops calls whose time is up: after a standstill of the process their timers
+// may be later than the connection that they have waited for. The lock is held.
+func (h *HTTPClient) dropExpired() {
+	now := time.Now()
+	if len(h.queue) == 0 || !now.After(h.queue[0].deadline) {
+		return
+	}
+	kept := h.queue[:0]
+	for _, call := range h.queue {
+		if now.After(call.deadline) {
+			go h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", ErrNotSent)})
+		} else {
+			kept = append(kept, call)
+		}
+	}
+	clear(h.queue[len(kept):])
+	h.queue = kept
+}
+
+// send writes a call's request to an idle connection. The lock is held.
+func (h *HTTPClient) send(call *pendingCall, conn *httpConn) {
+	conn.current, call.conn = call, conn
+	out := appendRequest(make([]byte, 0, requestHeadBytes+len(call.body)), call.method, call.path, h.addr, call.body)
+	if err := conn.conn.AsyncWrite(out, nil); err != nil {
+		conn.closed = true
+		h.open--
+		go h.finish(call, HTTPResult{Err: fmt.Errorf("writing: %w", ErrNoAnswer)})
+	}
+}
+
+// connect opens a connection. If that fails, and there is none besides, the calls that
+// wait for one fail too.
 func (h *HTTPClient) connect() {
-	hc := &httpConn{client: h}
-	c, err := h.loop.dial(h.addr, hc)
+	conn := &httpConn{client: h}
+	c, err := h.loop.dial(h.addr, conn)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dialing--
@@ -131,16 +157,17 @@
 		}
 		return
 	}
-	hc.conn = c
-	if hc.closed {
+	conn.conn = c
+	if conn.closed {
 		return
 	}
 	h.open++
-	h.idle = append(h.idle, hc)
+	h.idle = append(h.idle, conn)
 	h.dispatch()
 }
 
-func (h *HTTPClient) finish(call *pendingCall, r HTTPResult) {
+// finish tells a call's outcome, unless it was told already.
+func (h *HTTPClient) finish(call *pendingCall, result HTTPResult) {
 	h.mu.Lock()
 	if call.finished {
 		h.mu.Unlock()
@@ -149,31 +176,29 @@
 	call.finished = true
 	call.timer.Stop()
 	h.mu.Unlock()
-	call.done(r)
+	call.done(result)
 }
 
+// expire ends a call at its deadline. A connection that it was sent on is closed, since
+// the answer may still come.
 func (h *HTTPClient) expire(call *pendingCall) {
 	h.mu.Lock()
-	err := fmt.Errorf("timed out: %w", ErrNoAnswer)
-	if call.conn != nil {
-		if !call.finished && call.conn.current == call && !call.conn.closed {
-			call.conn.closed = true
-			h.open--
-			// An error means that it is closed already.
-			_ = call.conn.conn.Close()
-		}
-	} else if !call.finished {
-		err = fmt.Errorf("timed out: %w", ErrNotSent)
-		for i, queued := range h.queue {
-			if queued == call {
-				h.queue = append(h.queue[:i], h.queue[i+1:]...)
-				break
-			}
+	cause := ErrNoAnswer
+	switch conn := call.conn; {
+	case conn == nil && !call.finished:
+		cause = ErrNotSent
+		if i := slices.Index(h.queue, call); i >= 0 {
+			h.queue = slices.Delete(h.queue, i, i+1)
 		}
+	case conn != nil && !call.finished && conn.current == call && !conn.closed:
+		conn.closed = true
+		h.open--
+		// An error means that it is closed already.
+		_ = conn.conn.Close()
 	}
 	h.dispatch()
 	h.mu.Unlock()
-	h.finish(call, HTTPResult{Err: err})
+	h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", cause)})
 }
 
 func (hc *httpConn) onTraffic(c gnet.Conn) gnet.Action {
@@ -181,7 +206,7 @@
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	m, err := parseMessage(buf, true, maxResponse)
+	m, err := parseMessage(buf, responseMessage, maxResponseBytes)
 	if errors.Is(err, errIncomplete) {
 		return gnet.None
 	}
@@ -195,30 +220,16 @@
 	if err != nil {
 		return gnet.Close
 	}
-	if status == 100 {
+	if status == http.StatusContinue {
 		return gnet.None
 	}
-	retry, err := strconv.Atoi(m.retryAfter)
+	retryAfter, err := strconv.Atoi(m.retryAfter)
 	if err != nil {
-		retry = 0
+		retryAfter = 0
 	}
-	h := hc.client
-	h.mu.Lock()
-	call := hc.current
-	hc.current = nil
-	if call == nil || m.close {
-		if !hc.closed {
-			hc.closed = true
-			h.open--
-		}
-	} else if !hc.closed {
-		h.idle = append(h.idle, hc)
-	}
-	closing := hc.closed
-	h.dispatch()
-	h.mu.Unlock()
+	call, closing := hc.takeCurrent(m.close)
 	if call != nil {
-		h.finish(call, HTTPResult{Status: status, Body: m.body, RetryAfterS: retry})
+		hc.client.finish(call, HTTPResult{Status: status, Body: m.body, RetryAfterS: retryAfter})
 	}
 	if closing {
 		return gnet.Close
@@ -226,6 +237,26 @@
 	return gnet.None
 }
 
+// takeCurrent frees the connection from the call whose response has arrived. An answer
+// that nobody asked for ends the connection.
+func (hc *httpConn) takeCurrent(lastResponse bool) (call *pendingCall, closing bool) {
+	h := hc.client
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	call, hc.current = hc.current, nil
+	switch {
+	case hc.closed:
+	case call == nil || lastResponse:
+		hc.closed = true
+		h.open--
+	default:
+		h.idle = append(h.idle, hc)
+	}
+	closing = hc.closed
+	h.dispatch()
+	return call, closing
+}
+
 func (hc *httpConn) onClose(gnet.Conn) {
 	h := hc.client
 	h.mu.Lock()
@@ -237,11 +268,8 @@
 	}
 	call := hc.current
 	hc.current = nil
-	for i, x := range h.idle {
-		if x == hc {
-			h.idle = append(h.idle[:i], h.idle[i+1:]...)
-			break
-		}
+	if i := slices.Index(h.idle, hc); i >= 0 {
+		h.idle = slices.Delete(h.idle, i, i+1)
 	}
 	h.dispatch()
 	h.mu.Unlock()
--- a/internal/transport/http_parser.go
+++ b/internal/transport/http_parser.go
@@ -7,57 +7,72 @@
 	"strings"
 )
 
-// Limits of one HTTP message.
+// Limits of one HTTP message, in bytes.
 const (
-	maxHead     = 8 << 10
-	maxBody     = 64 << 10
-	maxResponse = 4 << 20
-	maxDiscard  = 4 << 20 // of a body above the limit that is read and thrown away
+	maxHeadBytes     = 8 << 10
+	maxBodyBytes     = 64 << 10 // of a request
+	maxResponseBytes = 4 << 20
+	maxDiscardBytes  = 4 << 20 // of a body above the limit that is read and thrown away
+	maxChunkHead     = 1 << 10
+	maxLeadingBreaks = 4 // bytes of line breaks before a message
 )
 
+// messageKind is the direction of an HTTP message.
+type messageKind bool
+
+const (
+	requestMessage  messageKind = false
+	responseMessage messageKind = true
+)
+
+// Why a message can't be taken (yet).
 var (
 	errIncomplete = errors.New("message is incomplete")
 	errMalformed  = errors.New("malformed HTTP")
 	errTooLarge   = errors.New("HTTP message is too large")
 )
 
+// lineBreak ends each line of a message's head.
+const lineBreak = "\r\n"
+
 // message is a parsed request or response.
 type message struct {
-	startLine      [3]string // the words of the start line
+	startLine      [3]string // its words
 	body           []byte
-	close          bool
-	retryAfter     string
-	size           int // bytes that it takes; known also of a body above the limit
-	expectContinue bool
+	close          bool   // the connection ends after it
+	retryAfter     string // the header as it is
+	size           int    // bytes that it takes; known also of a body above the limit
+	expectContinue bool   // its sender waits for a "100 Continue"
 }
 
-// parseMessage reads one HTTP/1.1 message from the start of buf. Bodies are
-// framed by Content-Length or in chunks. It returns errIncomplete until the
-// whole message has arrived; the message then still tells whether the peer
-// waits for a "100 Continue".
-func parseMessage(buf []byte, response bool, bodyLimit int) (message, error) {
+// parseMessage reads one HTTP/1.1 message (RFC 9112) from the start of buf. Bodies are
+// framed by Content-Length or in chunks. It returns errIncomplete until the whole message
+// has arrived; the message then still tells whether the peer waits for a "100 Continue".
+// The body is a copy.
+func parseMessage(buf []byte, kind messageKind, bodyLimit int) (message, error) {
 	var m message
 	skip := 0
-	for skip < len(buf) && skip < 4 && (buf[skip] == '\r' || buf[skip] == '\n') {
+	for skip < len(buf) && skip < maxLeadingBreaks && (buf[skip] == '\r' || buf[skip] == '\n') {
 		skip++
 	}
 	head := buf[skip:]
-	end := bytes.Index(head, []byte("\r\n\r\n"))
+	end := bytes.Index(head, []byte(lineBreak+lineBreak))
 	if end < 0 {
-		if len(head) > maxHead {
+		if len(head) > maxHeadBytes {
 			return m, errTooLarge
 		}
 		return m, errIncomplete
 	}
-	if end > maxHead {
+	if end > maxHeadBytes {
 		return m, errTooLarge
 	}
-	length, chunked, err := m.readHead(string(head[:end]), response)
+	length, chunked, err := m.readHead(string(head[:end]), kind)
 	if err != nil {
 		return m, err
 	}
-	rest := head[end+4:]
-	used := skip + end + 4
+	headSize := end + len(lineBreak+lineBreak)
+	rest := head[headSize:]
+	used := skip + headSize
 	if chunked {
 		body, n, err := readChunks(rest, bodyLimit)
 		if err != nil {
@@ -79,9 +94,9 @@
 }
 
 // readHead reads the first line and the headers, and tells how the body is sent.
-func (m *message) readHead(head string, response bool) (length int, chunked bool, err error) {
-	lines := strings.Split(head, "\r\n")
-	if err := m.readStartLine(lines[0], response); err != nil {
+func (m *message) readHead(head string, kind messageKind) (length int, chunked bool, err error) {
+	lines := strings.Split(head, lineBreak)
+	if err := m.readStartLine(lines[0], kind); err != nil {
 		return 0, false, err
 	}
 	seenLength := false
@@ -121,14 +136,15 @@
 }
 
 // readStartLine reads a request line, or the status line of a response.
-func (m *message) readStartLine(line string, response bool) error {
-	words := strings.SplitN(line, " ", 3)
-	if len(words) < 3 && !(response && len(words) == 2) {
+func (m *message) readStartLine(line string, kind messageKind) error {
+	words := strings.SplitN(line, " ", len(m.startLine))
+	// The reason phrase of a response may lack.
+	if len(words) < 2 || (len(words) == 2 && kind == requestMessage) {
 		return errMalformed
 	}
 	copy(m.startLine[:], words)
 	version := m.startLine[2]
-	if response {
+	if kind == responseMessage {
 		version = m.startLine[0]
 	}
 	switch version {
@@ -138,7 +154,7 @@
 	default:
 		return errMalformed
 	}
-	if !response && (!isToken(m.startLine[0]) || !strings.HasPrefix(m.startLine[1], "/")) {
+	if kind == requestMessage && (!isToken(m.startLine[0]) || !strings.HasPrefix(m.startLine[1], "/")) {
 		return errMalformed
 	}
 	return nil
@@ -146,8 +162,8 @@
 
 // readConnection reads a Connection header.
 func (m *message) readConnection(value string) {
-	for _, v := range strings.Split(value, ",") {
-		switch strings.ToLower(strings.TrimSpace(v)) {
+	for _, option := range strings.Split(value, ",") {
+		switch strings.ToLower(strings.TrimSpace(option)) {
 		case "close":
 			m.close = true
 		case "keep-alive":
@@ -157,61 +173,79 @@
 }
 
 // readChunks decodes a chunked body and returns it with the bytes it took.
-func readChunks(b []byte, limit int) ([]byte, int, error) {
-	var body []byte
-	pos := 0
+func readChunks(b []byte, limit int) (body []byte, size int, err error) {
+	at := 0
 	for {
-		lineEnd := bytes.Index(b[pos:], []byte("\r\n"))
-		if lineEnd < 0 {
-			if len(b)-pos > 1024 {
-				return nil, 0, errMalformed
-			}
-			return nil, 0, errIncomplete
-		}
-		digits, _, _ := strings.Cut(string(b[pos:pos+lineEnd]), ";")
-		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
+		length, headSize, err := readChunkHead(b[at:])
 		if err != nil {
-			return nil, 0, errMalformed
+			return nil, 0, err
 		}
-		pos += lineEnd + 2
-		if n == 0 {
+		at += headSize
+		if length == 0 {
 			break
 		}
-		if len(body)+int(n) > limit {
+		if len(body)+length > limit {
 			return nil, 0, errTooLarge
 		}
-		if len(b)-pos < int(n)+2 {
+		if len(b)-at < length+len(lineBreak) {
 			return nil, 0, errIncomplete
 		}
-		body = append(body, b[pos:pos+int(n)]...)
-		pos += int(n)
-		if b[pos] != '\r' || b[pos+1] != '\n' {
+		body = append(body, b[at:at+length]...)
+		at += length
+		if string(b[at:at+len(lineBreak)]) != lineBreak {
 			return nil, 0, errMalformed
 		}
-		pos += 2
+		at += len(lineBreak)
+	}
+	trailers, err := readTrailers(b[at:])
+	if err != nil {
+		return nil, 0, err
+	}
+	return body, at + trailers, nil
+}
+
+// readChunkHead reads the line with a chunk's length.
+func readChunkHead(b []byte) (length, size int, err error) {
+	end := bytes.Index(b, []byte(lineBreak))
+	if end < 0 {
+		if len(b) > maxChunkHead {
+			return 0, 0, errMalformed
+		}
+		return 0, 0, errIncomplete
 	}
-	for { // trailers, up to the empty line
-		lineEnd := bytes.Index(b[pos:], []byte("\r\n"))
-		if lineEnd < 0 {
-			if len(b)-pos > maxHead {
-				return nil, 0, errTooLarge
+	digits, _, _ := strings.Cut(string(b[:end]), ";")
+	n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
+	if err != nil {
+		return 0, 0, errMalformed
+	}
+	return int(n), end + len(lineBreak), nil
+}
+
+// readTrailers passes over a chunked body's trailers, up to the empty line, and returns
+// the bytes they took.
+func readTrailers(b []byte) (size int, err error) {
+	for {
+		end := bytes.Index(b[size:], []byte(lineBreak))
+		if end < 0 {
+			if len(b)-size > maxHeadBytes {
+				return 0, errTooLarge
 			}
-			return nil, 0, errIncomplete
+			return 0, errIncomplete
 		}
-		pos += lineEnd + 2
-		if lineEnd == 0 {
-			return body, pos, nil
+		size += end + len(lineBreak)
+		if end == 0 {
+			return size, nil
 		}
 	}
 }
 
+// isToken tells whether s is a token of RFC 9110, 5.6.2, as methods and header names are.
 func isToken(s string) bool {
 	if s == "" {
 		return false
 	}
-	for i := 0; i < len(s); i++ {
-		c := s[i]
-		switch {
+	for i := range len(s) {
+		switch c := s[i]; {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		case strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0:
 		default:
--- a/internal/transport/http_parser_test.go
+++ b/internal/transport/http_parser_test.go
@@ -10,7 +10,7 @@
 func TestParseMessage(t *testing.T) {
 	for _, c := range []struct {
 		name, in string
-		response bool
+		kind     messageKind
 		err      error
 		body     string
 		size     int
@@ -22,8 +22,8 @@
 		{name: "old version closes", in: "GET / HTTP/1.0\r\n\r\n", size: 18, close: true},
 		{name: "leading line ends", in: "\r\nGET / HTTP/1.1\r\n\r\n", size: 20},
 		{name: "chunks", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nab\r\n1\r\nc\r\n0\r\nT: 1\r\n\r\n!", body: "abc", size: 75},
-		{name: "response", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", response: true, body: "hi", size: 40},
-		{name: "response without a reason", in: "HTTP/1.1 204\r\n\r\n", response: true, size: 16},
+		{name: "response", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", kind: responseMessage, body: "hi", size: 40},
+		{name: "response without a reason", in: "HTTP/1.1 204\r\n\r\n", kind: responseMessage, size: 16},
 		{name: "half a head", in: "GET / HTTP/1.1\r\nHo", err: errIncomplete},
 		{name: "half a body", in: "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc", err: errIncomplete},
 		{name: "half a chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", err: errIncomplete},
@@ -37,9 +37,9 @@
 		{name: "bad chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", err: errMalformed},
 		{name: "body above the limit", in: "POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", err: errTooLarge},
 		{name: "chunks above the limit", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", err: errTooLarge},
-		{name: "head above the limit", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", maxHead), err: errTooLarge},
+		{name: "head above the limit", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes), err: errTooLarge},
 	} {
-		m, err := parseMessage([]byte(c.in), c.response, maxBody)
+		m, err := parseMessage([]byte(c.in), c.kind, maxBodyBytes)
 		if !errors.Is(err, c.err) || (c.err == nil && err != nil) {
 			t.Errorf("%s: got error %v, want %v", c.name, err, c.err)
 			continue
@@ -60,14 +60,14 @@
 	f.Add([]byte("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 1\r\n\r\nx"), true)
 	f.Add([]byte("\r\n\r\nGET / HTTP/1.0\r\nConnection: keep-alive\r\nExpect: 100-continue\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, in []byte, response bool) {
-		m, err := parseMessage(in, response, maxBody)
+		m, err := parseMessage(in, messageKind(response), maxBodyBytes)
 		if err != nil {
 			return
 		}
-		if m.size <= 0 || m.size > len(in) || len(m.body) > maxBody {
+		if m.size <= 0 || m.size > len(in) || len(m.body) > maxBodyBytes {
 			t.Fatalf("took %d of %d bytes with a body of %d", m.size, len(in), len(m.body))
 		}
-		again, err := parseMessage(append(append([]byte(nil), in[:m.size]...), "GET / HTTP/1.1\r\n\r\n"...), response, maxBody)
+		again, err := parseMessage(append(append([]byte(nil), in[:m.size]...), "GET / HTTP/1.1\r\n\r\n"...), messageKind(response), maxBodyBytes)
 		if err != nil || again.size != m.size || string(again.body) != string(m.body) {
 			t.Fatalf("with more behind it: size %d, not %d, error %v", again.size, m.size, err)
 		}
@@ -78,12 +78,12 @@
 	for _, body := range []string{"", "abc", strings.Repeat("x", 70_000)} {
 		r := Response{Status: 503, Body: []byte(body), RetryAfterS: 7, Close: true}
 		out := appendResponse(nil, &r)
-		m, err := parseMessage(out, true, maxResponse)
+		m, err := parseMessage(out, responseMessage, maxResponseBytes)
 		if err != nil || string(m.body) != body || m.retryAfter != "7" || !m.close || m.startLine[1] != "503" || m.size != len(out) {
 			t.Fatalf("response of %d bytes came back as %v, %v", len(body), m.startLine, err)
 		}
 		out = appendRequest(nil, "POST", "/multi", "10.0.0.1:1", []byte(body))
-		m, err = parseMessage(out, false, maxResponse)
+		m, err = parseMessage(out, requestMessage, maxResponseBytes)
 		if err != nil || string(m.body) != body || fmt.Sprint(m.startLine) != "[POST /multi HTTP/1.1]" || m.close {
 			t.Fatalf("request of %d bytes came back as %v, %v", len(body), m.startLine, err)
 		}
--- a/internal/transport/http_writer.go
+++ b/internal/transport/http_writer.go
@@ -1,33 +1,30 @@
 package transport
 
-import "fmt"
+import (
+	"fmt"
+	"net/http"
+)
 
-func statusText(code int) string {
-	switch code {
-	case 200:
-		return "OK"
-	case 201:
-		return "Created"
-	case 400:
-		return "Bad Request"
-	case 404:
-		return "Not Found"
-	case 405:
-		return "Method Not Allowed"
-	case 421:
-		return "Misdirected Request"
-	case 422:
-		return "Unprocessable Entity"
-	case 429:
-		return "Too Many Requests"
-	case 503:
-		return "Service Unavailable"
+const (
+	// responseHeadBytes and requestHeadBytes are what a head takes at the most, to write a
+	// message into one allocation.
+	responseHeadBytes = 192
+	requestHeadBytes  = 160
+)
+
+// reasonPhrase is the text beside a status code. Clients of this server read the code.
+func reasonPhrase(status int) string {
+	switch status {
+	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed,
+		http.StatusMisdirectedRequest, http.StatusUnprocessableEntity, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return http.StatusText(status)
 	}
 	return "Status"
 }
 
+// appendResponse appends a response as it is sent.
 func appendResponse(b []byte, r *Response) []byte {
-	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, statusText(r.Status), len(r.Body))
+	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, reasonPhrase(r.Status), len(r.Body))
 	if len(r.Body) > 0 {
 		b = append(b, "Content-Type: application/cbor\r\n"...)
 	}
@@ -37,15 +34,16 @@
 	if r.Close {
 		b = append(b, "Connection: close\r\n"...)
 	}
-	b = append(b, "\r\n"...)
+	b = append(b, lineBreak...)
 	return append(b, r.Body...)
 }
 
+// appendRequest appends a request as it is sent.
 func appendRequest(b []byte, method, path, host string, body []byte) []byte {
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, host)
-	if len(body) > 0 || method == "POST" {
+	if len(body) > 0 || method == http.MethodPost {
 		b = fmt.Appendf(b, "Content-Type: application/cbor\r\nContent-Length: %d\r\n", len(body))
 	}
-	b = append(b, "\r\n"...)
+	b = append(b, lineBreak...)
 	return append(b, body...)
 }
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -15,11 +15,14 @@
 const (
 	dialTimeout  = 1500 * time.Millisecond
 	tickInterval = 500 * time.Millisecond
-	batchWindow  = time.Millisecond // how soon after one another what one wake-up brought is taken
+	// batchWindow is how soon after one another the parts of what one wake-up brought are
+	// taken.
+	batchWindow     = time.Millisecond
+	readBufferBytes = 32 << 10
 )
 
-// connection is what the loop drives: an HTTP connection of either side, or
-// one of the mesh.
+// connection is what the loop drives: an HTTP connection of either side, or one of the
+// mesh. The loop's goroutine makes all calls.
 type connection interface {
 	onTraffic(c gnet.Conn) gnet.Action
 	onClose(c gnet.Conn)
@@ -34,30 +37,35 @@
 	tick(now time.Time)
 }
 
-// Loop is the one event loop of a process. It drives all connections, so that
-// what arrives at about the same time is taken by one waking up: on a machine
-// with a small share of a core that is what costs, not the requests. For the
-// same reason it takes what has arrived at most once in every span of its pace;
-// while little arrives nothing waits.
+// Loop is the one event loop of a process. It drives all connections, so that what
+// arrives at about the same time is taken by one wake-up: on a machine with a small share
+// of a core that is what costs, not the requests. For the same reason it takes what has
+// arrived at most once in every interval; while little arrives nothing waits.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	interval    time.Duration
-	services    []service
-	engine      gnet.Engine
-	ready       chan struct{}
-	startOnce   sync.Once
-	registerMu  sync.Mutex
+	interval  time.Duration
+	services  []service
+	engine    gnet.Engine
+	ready     chan struct{} // closed once connections can be registered
+	startOnce sync.Once
+
+	registerMu sync.Mutex // of eventLoop, and of registering a connection
+	eventLoop  gnet.EventLoop
+
+	// Known to the loop's goroutine alone.
 	lastTurn    time.Time // when it last began to take what had arrived
 	lastTraffic time.Time // when it last took something
 	lastAccept  time.Time // when a connection last came in
-	busy        bool      // it had little rest before that
-	eventLoop   gnet.EventLoop
+	busy        bool      // it had little rest before the last turn
 }
 
-// NewLoop prepares a loop that takes what arrives once in a span at the most.
-func NewLoop(pace time.Duration) *Loop { return &Loop{interval: pace, ready: make(chan struct{})} }
+// NewLoop prepares a loop that takes what arrives at most once in an interval.
+func NewLoop(interval time.Duration) *Loop {
+	return &Loop{interval: interval, ready: make(chan struct{})}
+}
 
-// Run serves the services until Stop.
+// Run serves the services until Stop, and returns after all connections have closed. It
+// returns at once, with an error, if an address can't be served.
 func (l *Loop) Run(services ...service) error {
 	l.services = services
 	var addrs []string
@@ -69,7 +77,7 @@
 	}
 	// With reused ports a single loop accepts connections and drives them.
 	err := gnet.Rotate(l, addrs, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
-		gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(32<<10), gnet.WithLogger(discardLogger{}))
+		gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(readBufferBytes), gnet.WithLogger(discardLogger{}))
 	if err != nil {
 		return fmt.Errorf("serving %v: %w", addrs, err)
 	}
@@ -89,7 +97,8 @@
 	return nil
 }
 
-// Stop ends the loop and its connections.
+// Stop ends the loop and its connections, and waits for that as long as timeout, from the
+// moment that the loop is ready. It must not be called if Run has failed.
 func (l *Loop) Stop(timeout time.Duration) error {
 	<-l.ready
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -100,28 +109,28 @@
 	return nil
 }
 
-// dial connects and hands the connection to the loop. The standard library's
-// dialer is used because gnet's own cannot be given up in time.
-func (l *Loop) dial(addr string, t connection) (gnet.Conn, error) {
+// dial opens a connection and hands it to the loop, which then owns it. The standard
+// library's dialer is used because gnet's own can't be given up in time.
+func (l *Loop) dial(addr string, driven connection) (gnet.Conn, error) {
 	<-l.ready
-	nc, err := net.DialTimeout("tcp4", addr, dialTimeout)
+	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("dialling: %w", err)
+		return nil, fmt.Errorf("dialing: %w", err)
 	}
 	l.registerMu.Lock()
-	got, err := l.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), t), nc))
+	registered, err := l.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), driven), conn))
 	l.registerMu.Unlock()
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("enrolling connection: %w", err), nc.Close())
+		return nil, errors.Join(fmt.Errorf("registering connection to %s: %w", addr, err), conn.Close())
 	}
-	r := <-got
-	if r.Err != nil {
-		return nil, fmt.Errorf("enrolling connection: %w", r.Err)
+	result := <-registered
+	if result.Err != nil {
+		return nil, fmt.Errorf("registering connection to %s: %w", addr, result.Err)
 	}
-	if err := r.Conn.SetNoDelay(true); err != nil {
-		return nil, errors.Join(fmt.Errorf("enrolling connection: %w", err), r.Conn.Close())
+	if err := result.Conn.SetNoDelay(true); err != nil {
+		return nil, errors.Join(fmt.Errorf("registering connection to %s: %w", addr, err), result.Conn.Close())
 	}
-	return r.Conn, nil
+	return result.Conn, nil
 }
 
 // OnBoot implements gnet.EventHandler.
@@ -135,16 +144,16 @@
 	l.registerMu.Lock()
 	l.eventLoop = c.EventLoop()
 	l.registerMu.Unlock()
-	if _, dialled := c.Context().(connection); dialled {
+	if _, dialed := c.Context().(connection); dialed {
 		return nil, gnet.None
 	}
 	for _, s := range l.services {
 		if !listensOn(s.address(), c.LocalAddr()) {
 			continue
 		}
-		if t := s.accept(c); t != nil {
+		if accepted := s.accept(c); accepted != nil {
 			l.lastAccept = time.Now()
-			c.SetContext(t)
+			c.SetContext(accepted)
 			return nil, gnet.None
 		}
 		break
@@ -154,26 +163,26 @@
 
 // listensOn tells whether a connection to an address came in on a listener.
 func listensOn(listener string, to net.Addr) bool {
-	ln, err := net.ResolveTCPAddr("tcp4", listener)
-	a, ok := to.(*net.TCPAddr)
-	return err == nil && ok && ln.Port == a.Port && (ln.IP == nil || ln.IP.IsUnspecified() || ln.IP.Equal(a.IP))
+	own, err := net.ResolveTCPAddr("tcp4", listener)
+	addr, ok := to.(*net.TCPAddr)
+	return err == nil && ok && own.Port == addr.Port && (own.IP == nil || own.IP.IsUnspecified() || own.IP.Equal(addr.IP))
 }
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	t, ok := c.Context().(connection)
+	driven, ok := c.Context().(connection)
 	if !ok {
 		return gnet.Close
 	}
 	l.coalesce()
-	action := t.onTraffic(c)
+	action := driven.onTraffic(c)
 	l.lastTraffic = time.Now()
 	return action
 }
 
-// coalesce lets more arrive before the loop takes what has. While connections come in
-// it does not: gnet accepts one at each waking up, so that thousands of workers that
-// came back at once were let in at fourteen a second.
+// coalesce lets more arrive before the loop takes what has. While connections come in it
+// does not: gnet accepts one at each wake-up, so that thousands of workers that came back
+// at once were let in at fourteen a second.
 func (l *Loop) coalesce() {
 	now := time.Now()
 	if now.Sub(l.lastTraffic) < batchWindow || now.Sub(l.lastAccept) < batchWindow {
@@ -184,20 +193,21 @@
 }
 
 // sleepUntilTurn sleeps until the next turn and returns when it is. The thread itself
-// sleeps, which costs one waking up; a sleeping goroutine would cost the
-// runtime's threads several. That a signal may end it early does no harm.
+// sleeps, which costs one wake-up; a sleeping goroutine would cost the runtime's threads
+// several. That a signal may end it early does no harm.
 func (l *Loop) sleepUntilTurn(now time.Time) time.Time {
 	left := l.interval - now.Sub(l.lastTurn)
 	if left <= 0 {
 		return now
 	}
-	ts := unix.NsecToTimespec(left.Nanoseconds())
-	_ = unix.Nanosleep(&ts, nil)
+	spec := unix.NsecToTimespec(left.Nanoseconds())
+	_ = unix.Nanosleep(&spec, nil)
 	return time.Now()
 }
 
-// WaitTurn is called when all that the loop took has been dealt with. Under load
-// it sleeps until its next turn, instead of being woken up only to do so.
+// WaitTurn is called when all that the loop took has been dealt with. Under load the loop
+// then sleeps until its next turn, instead of being woken up only to do so. It returns at
+// once.
 func (l *Loop) WaitTurn() { l.execute(l.waitTurn) }
 
 func (l *Loop) waitTurn() {
@@ -206,24 +216,25 @@
 	}
 }
 
-// execute has the loop call fn, once it has a connection.
+// execute has the loop's goroutine call fn, once it has a connection.
 func (l *Loop) execute(fn func()) {
 	l.registerMu.Lock()
 	eventLoop := l.eventLoop
 	l.registerMu.Unlock()
-	if eventLoop != nil {
-		// An error means that the loop has ended.
-		_ = eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			fn()
-			return nil
-		}))
+	if eventLoop == nil {
+		return
 	}
+	// An error means that the loop has ended.
+	_ = eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		fn()
+		return nil
+	}))
 }
 
 // OnClose implements gnet.EventHandler.
 func (l *Loop) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if t, ok := c.Context().(connection); ok {
-		t.onClose(c)
+	if driven, ok := c.Context().(connection); ok {
+		driven.onClose(c)
 	}
 	return gnet.None
 }
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -1,7 +1,9 @@
 package transport
 
 import (
+	"context"
 	"errors"
+	"io"
 	"net"
 	"os"
 	"strings"
@@ -13,6 +15,14 @@
 
 const patience = 20 * time.Second // for what takes milliseconds, on a busy machine
 
+// closeNow closes what a test has opened.
+func closeNow(t *testing.T, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // freeAddr finds an address on the loopback that nothing listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -20,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer closeNow(t, l)
 	return l.Addr().String()
 }
 
@@ -75,6 +85,16 @@
 	}
 }
 
+// A request that finds the queue full has not been sent, and is told so.
+func TestClientWithAFullQueue(t *testing.T) {
+	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200}) }, 1<<20)
+	got := make(chan HTTPResult, 1)
+	NewHTTPClient(l, addr, 1, 0).Do("GET", "/", nil, patience, func(r HTTPResult) { got <- r })
+	if r := <-got; !errors.Is(r.Err, ErrNotSent) || errors.Is(r.Err, ErrNoAnswer) {
+		t.Fatalf("got %d, %v, want %v", r.Status, r.Err, ErrNotSent)
+	}
+}
+
 func TestServerRefusesWhatItCannotTake(t *testing.T) {
 	hold := make(chan func(Response), 1)
 	_, addr := startServer(t, func(_ *Request, reply func(Response)) { hold <- reply }, requestOverheadBytes)
@@ -83,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer closeNow(t, c)
 		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeNow(t, c)
 	if _, err := c.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 50\r\n\r\nhalf")); err != nil {
 		t.Fatal(err)
 	}
@@ -194,9 +214,10 @@
 			Peers: []MeshPeer{{Member: other, Addr: otherAddr}}}, l, log)
 		done := make(chan error, 1)
 		go func() { done <- l.Run(m) }()
-		m.Start()
+		ctx, cancel := context.WithCancel(context.Background())
+		m.Start(ctx)
 		t.Cleanup(func() {
-			m.Stop()
+			cancel()
 			if err := errors.Join(l.Stop(patience), <-done); err != nil {
 				t.Error(err)
 			}
@@ -257,12 +278,12 @@
 }
 
 // askOnce opens a connection and waits for the answer to one request.
-func askOnce(addr string) error {
+func askOnce(addr string) (err error) {
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		return err
 	}
-	defer c.Close()
+	defer func() { err = errors.Join(err, c.Close()) }()
 	if _, err := c.Write([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		return err
 	}
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -1,6 +1,8 @@
 package transport
 
 import (
+	"context"
+	"slices"
 	"sync"
 	"time"
 
@@ -9,95 +11,115 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// MeshEvents takes what happens on the mesh. Calls come from event loops and
-// must not block for long.
+const (
+	// redialPause is the least time between two attempts to connect to a member.
+	redialPause = 400 * time.Millisecond
+	// Connections that may be open at once, for links that replace others and for those
+	// that have not said yet whose they are.
+	connsPerPeer = 4
+	spareConns   = 16
+)
+
+// MeshEvents takes what happens on the mesh. Calls come from the event loop and must not
+// block for long. Of each link MeshUp comes first, and MeshDown last.
 type MeshEvents interface {
 	MeshUp(l *MeshLink, member string)
 	MeshFrames(l *MeshLink, frames []*meshpb.Frame)
 	MeshDown(l *MeshLink)
 }
 
-// MeshPeer is another member's address.
-type MeshPeer struct{ Member, Addr string }
+// MeshPeer is another member with its address.
+type MeshPeer struct {
+	Member string
+	Addr   string // host:port
+}
 
 // MeshConfig describes this member's side.
 type MeshConfig struct {
-	Self        string
-	Addr        string
-	Peers       []MeshPeer
-	IdleTimeout time.Duration // a link that says nothing for so long is cut
-	// MaxBacklog is how many bytes may wait to be written on a link; one that
-	// can't keep up is closed.
+	Self  string
+	Addr  string // host:port that other members dial
+	Peers []MeshPeer
+	// IdleTimeout is after how long without a byte from the other side a link is closed.
+	IdleTimeout time.Duration
+	// MaxBacklogBytes is how much may wait to be written on a link; one that can't keep up
+	// is closed.
 	MaxBacklogBytes int
 }
 
-// Mesh keeps one link to each other member. The member whose name sorts
-// first dials.
+// Mesh keeps one link to each other member. Of two members the one whose name sorts first
+// dials. The event loop that it is given to (Loop.Run) drives its links.
 type Mesh struct {
 	cfg    MeshConfig
 	loop   *Loop
 	events MeshEvents
 
-	mu    sync.Mutex
-	links map[string]*MeshLink
-	open  map[*MeshLink]struct{}
-	stop  chan struct{}
+	mu    sync.Mutex             // of all below
+	links map[string]*MeshLink   // the latest to each member, by its name
+	open  map[*MeshLink]struct{} // all whose connections have not closed
 }
 
 // NewMesh prepares the mesh.
-func NewMesh(cfg MeshConfig, l *Loop, ev MeshEvents) *Mesh {
-	return &Mesh{cfg: cfg, loop: l, events: ev, links: make(map[string]*MeshLink),
-		open: make(map[*MeshLink]struct{}), stop: make(chan struct{})}
+func NewMesh(cfg MeshConfig, l *Loop, events MeshEvents) *Mesh {
+	return &Mesh{cfg: cfg, loop: l, events: events, links: make(map[string]*MeshLink), open: make(map[*MeshLink]struct{})}
 }
 
-// Start dials the members that are this one's to dial; the others are served
-// by the loop.
-func (m *Mesh) Start() {
-	for _, p := range m.cfg.Peers {
-		if m.cfg.Self < p.Member {
-			go m.keepDialing(p)
+// Start dials the members that are this one's to dial, and again after a link has closed,
+// until ctx ends. The event loop serves those that dial this one. Start returns at once.
+func (m *Mesh) Start(ctx context.Context) {
+	for _, peer := range m.cfg.Peers {
+		if m.cfg.Self < peer.Member {
+			// One goroutine a peer: it ends with ctx, after the attempt that it is in if
+			// any. Nobody waits for it, since it holds nothing but links, which end with
+			// the event loop.
+			go m.keepDialing(ctx, peer)
 		}
 	}
 }
 
-// Stop ends the dialling.
-func (m *Mesh) Stop() { close(m.stop) }
-
-func (m *Mesh) keepDialing(peer MeshPeer) {
-	const pause = 400 * time.Millisecond
+func (m *Mesh) keepDialing(ctx context.Context, peer MeshPeer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-m.stop:
+		case <-ctx.Done():
 			return
 		case <-timer.C:
 		}
-		timer.Reset(pause)
-		m.mu.Lock()
-		_, have := m.links[peer.Member]
-		m.mu.Unlock()
-		if have {
-			continue
-		}
-		l := &MeshLink{mesh: m, member: peer.Member, lastReceived: time.Now()}
-		m.mu.Lock()
-		m.links[peer.Member] = l
-		m.open[l] = struct{}{}
-		m.mu.Unlock()
-		c, err := m.loop.dial(peer.Addr, l)
-		if err != nil {
-			m.removeLink(l)
-			continue
+		timer.Reset(redialPause)
+		if !m.isLinked(peer.Member) {
+			m.dial(peer)
 		}
-		l.mu.Lock()
-		l.conn = c
-		l.mu.Unlock()
-		l.Send(m.hello())
-		l.Flush()
 	}
 }
 
+func (m *Mesh) isLinked(member string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	_, linked := m.links[member]
+	return linked
+}
+
+// dial opens a link to a peer and sends the hello.
+func (m *Mesh) dial(peer MeshPeer) {
+	l := &MeshLink{mesh: m, member: peer.Member, lastReceived: time.Now()}
+	m.mu.Lock()
+	m.links[peer.Member] = l
+	m.open[l] = struct{}{}
+	m.mu.Unlock()
+	conn, err := m.loop.dial(peer.Addr, l)
+	if err != nil {
+		// The next attempt follows after the pause; that the link is missing is what the
+		// controller sees.
+		m.removeLink(l)
+		return
+	}
+	l.mu.Lock()
+	l.conn = conn
+	l.mu.Unlock()
+	l.Send(m.hello())
+	l.Flush()
+}
+
 func (m *Mesh) hello() *meshpb.Frame {
 	return &meshpb.Frame{Body: &meshpb.Frame_Hello{Hello: &meshpb.Hello{Member: m.cfg.Self}}}
 }
@@ -117,14 +139,14 @@
 	l := &MeshLink{mesh: m, conn: c, lastReceived: time.Now()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.open) > 4*len(m.cfg.Peers)+16 {
+	if len(m.open) > connsPerPeer*len(m.cfg.Peers)+spareConns {
 		return nil
 	}
 	m.open[l] = struct{}{}
 	return l
 }
 
-// tick cuts links that have gone silent: a cut between rooms shows no error.
+// tick closes links that have gone silent: a partition between zones shows no error.
 func (m *Mesh) tick(now time.Time) {
 	m.mu.Lock()
 	var stale []*MeshLink
@@ -142,10 +164,5 @@
 }
 
 func (m *Mesh) isPeer(member string) bool {
-	for _, peer := range m.cfg.Peers {
-		if peer.Member == member {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(m.cfg.Peers, func(peer MeshPeer) bool { return peer.Member == member })
 }
--- a/internal/transport/mesh_link.go
+++ b/internal/transport/mesh_link.go
@@ -11,52 +11,63 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const maxFrameBytes = 1 << 20
+const (
+	maxFrameBytes = 1 << 20
+	// frameHeadBytes is the length that precedes each frame, big endian.
+	frameHeadBytes = 4
+)
 
-// MeshLink is one connection to another member. Frames arrive in the order
-// in which they were sent, until the link is down; a new link is a new stream.
+// MeshLink is one connection to another member. Frames arrive in the order in which they
+// were sent, until the link is down; a new link is a new stream. Any number of goroutines
+// may use it.
 type MeshLink struct {
-	mesh         *Mesh
-	member       string
-	conn         gnet.Conn
-	mu           sync.Mutex
-	up           bool
+	mesh   *Mesh
+	member string // empty: its hello has not come in yet
+
+	mu           sync.Mutex // of all below
+	conn         gnet.Conn  // nil: it is being dialed
+	up           bool       // its hello has come in
 	closed       bool
 	lastReceived time.Time
 	outbound     []byte // framed, not yet written
 }
 
-// Send queues a frame until Flush. A link that cannot take it is closed, so
-// that no frame is ever missing in the middle of a stream.
+// Send queues a frame until Flush. A link that can't take it is closed, so that no frame
+// is ever missing in the middle of a stream; that the link is down is told by MeshDown.
 func (l *MeshLink) Send(f *meshpb.Frame) {
+	if !l.enqueue(f) {
+		l.Close()
+	}
+}
+
+// enqueue tells whether the link can go on: a link that is not open drops the frame.
+func (l *MeshLink) enqueue(f *meshpb.Frame) bool {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	if l.conn == nil || l.closed {
-		l.mu.Unlock()
-		return
+		return true
 	}
-	at := len(l.outbound)
-	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.outbound, 0, 0, 0, 0), f)
-	n := len(out) - at - 4
-	if err == nil && n <= maxFrameBytes && len(out) <= l.mesh.cfg.MaxBacklogBytes {
-		binary.BigEndian.PutUint32(out[at:], uint32(n))
-		l.outbound = out
-		l.mu.Unlock()
-		return
+	start := len(l.outbound)
+	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.outbound, make([]byte, frameHeadBytes)...), f)
+	size := len(out) - start - frameHeadBytes
+	if err != nil || size > maxFrameBytes || len(out) > l.mesh.cfg.MaxBacklogBytes {
+		return false
 	}
-	l.mu.Unlock()
-	l.Close()
+	binary.BigEndian.PutUint32(out[start:], uint32(size))
+	l.outbound = out
+	return true
 }
 
 // Flush writes what has been queued in one go.
 func (l *MeshLink) Flush() {
 	l.mu.Lock()
-	c, out := l.conn, l.outbound
+	conn, out := l.conn, l.outbound
 	l.outbound = nil
 	l.mu.Unlock()
-	if c == nil || len(out) == 0 {
+	if conn == nil || len(out) == 0 {
 		return
 	}
-	err := c.AsyncWrite(out, func(c gnet.Conn, err error) error {
+	err := conn.AsyncWrite(out, func(c gnet.Conn, err error) error {
 		if err == nil && c.OutboundBuffered() > l.mesh.cfg.MaxBacklogBytes {
 			return c.Close()
 		}
@@ -70,11 +81,11 @@
 // Close ends the link.
 func (l *MeshLink) Close() {
 	l.mu.Lock()
-	c := l.conn
+	conn := l.conn
 	l.mu.Unlock()
-	if c != nil {
+	if conn != nil {
 		// An error means that it is closed already.
-		_ = c.Close()
+		_ = conn.Close()
 	}
 }
 
@@ -105,32 +116,34 @@
 	return action
 }
 
-// readFrame takes one frame off a connection, or none while it is incomplete.
+// readFrame takes one frame off a connection, or none while it is incomplete. What can't
+// be a frame is not ok.
 func readFrame(c gnet.Conn) (f *meshpb.Frame, ok bool) {
-	head, err := c.Peek(4)
+	head, err := c.Peek(frameHeadBytes)
 	if err != nil {
-		return nil, true // fewer than four bytes so far
+		return nil, true // fewer bytes than that so far
 	}
-	n := int(binary.BigEndian.Uint32(head))
-	if n > maxFrameBytes {
+	size := int(binary.BigEndian.Uint32(head))
+	if size > maxFrameBytes {
 		return nil, false
 	}
-	if c.InboundBuffered() < 4+n {
+	if c.InboundBuffered() < frameHeadBytes+size {
 		return nil, true
 	}
-	buf, err := c.Peek(4 + n)
+	buf, err := c.Peek(frameHeadBytes + size)
 	if err != nil {
 		return nil, false
 	}
 	f = &meshpb.Frame{}
-	err = proto.Unmarshal(buf[4:], f)
-	if _, derr := c.Discard(4 + n); err != nil || derr != nil {
+	err = proto.Unmarshal(buf[frameHeadBytes:], f)
+	if _, discardErr := c.Discard(frameHeadBytes + size); err != nil || discardErr != nil {
 		return nil, false
 	}
 	return f, true
 }
 
-// acceptHello takes the first frame of a link, which must be the hello.
+// acceptHello takes the first frame of a link, which must be the hello of a peer: of the
+// one that was dialed, or of one that dials.
 func (l *MeshLink) acceptHello(c gnet.Conn, f *meshpb.Frame) bool {
 	m := l.mesh
 	hello := f.GetHello()
@@ -156,7 +169,7 @@
 	l.mu.Unlock()
 	if incoming {
 		if previous != nil && previous != l {
-			previous.replace()
+			previous.retire()
 		}
 		l.Send(m.hello())
 		l.Flush()
@@ -165,20 +178,20 @@
 	return true
 }
 
-// replace ends a link that another replaces. It is reported as down before its
-// connection has closed, so that the streams never overlap.
-func (l *MeshLink) replace() {
-	l.down()
+// retire ends a link that another replaces. It is reported as down before its connection
+// has closed, so that the streams never overlap.
+func (l *MeshLink) retire() {
+	l.reportDown()
 	l.Close()
 }
 
 func (l *MeshLink) onClose(gnet.Conn) {
 	l.mesh.removeLink(l)
-	l.down()
+	l.reportDown()
 }
 
-// down reports the link as down, once.
-func (l *MeshLink) down() {
+// reportDown reports the link as down, once, if it was up.
+func (l *MeshLink) reportDown() {
 	l.mu.Lock()
 	first := l.up && !l.closed
 	l.closed = true
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -8,47 +9,61 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
+// retryAfterOverloadS is after how many seconds a request may be repeated that was not
+// answered for lack of memory, or in time.
+const retryAfterOverloadS = 1
+
 // Request is what a handler gets.
 type Request struct {
 	Method string
 	Path   string
 	Body   []byte
-	ConnID uint64 // numbers the connection, from 1
+	ConnID uint64 // numbers the server's connections, from 1
 }
 
-// Response is what it answers with. RetryAfterS is sent when it is above 0. An
-// answer that has not been written by Until, unless that is zero, becomes a 503.
+// Response is what a handler answers with.
 type Response struct {
 	Status      int
-	Body        []byte
-	RetryAfterS int
-	Close       bool
-	ValidUntil  time.Time
+	Body        []byte // CBOR; empty: none
+	RetryAfterS int    // seconds, sent when above 0
+	Close       bool   // ends the connection
+	// ValidUntil is until when the response may be written; later the request is answered
+	// with 503. Zero: without limit.
+	ValidUntil time.Time
+}
+
+// unavailable answers a request that was not carried out.
+func unavailable() Response {
+	return Response{Status: http.StatusServiceUnavailable, RetryAfterS: retryAfterOverloadS}
 }
 
-// Handler takes one request and calls reply exactly once, from any goroutine.
+// Handler takes one request and calls reply exactly once, from any goroutine. It runs on
+// the event loop and must not block.
 type Handler func(req *Request, reply func(Response))
 
 // ServerConfig bounds a server.
 type ServerConfig struct {
-	Addr         string
+	Addr         string // host:port
 	MaxConns     int
-	MaxHeldBytes int64         // bytes of requests that wait for their answers
-	IdleTimeout  time.Duration // a connection without a request
-	ReadTimeout  time.Duration // a request that does not become complete
+	MaxHeldBytes int64         // of requests that wait for their answers
+	IdleTimeout  time.Duration // of a connection without a request
+	ReadTimeout  time.Duration // of a request that does not become complete
 }
 
-// Server answers HTTP requests on one address.
+// Server answers HTTP requests on one address. The event loop that it is given to
+// (Loop.Run) drives it.
 type Server struct {
 	cfg       ServerConfig
 	loop      *Loop
 	handler   Handler
 	heldBytes atomic.Int64
-	mu        sync.Mutex
-	conns     map[gnet.Conn]*serverConn
-	opened    uint64 // connections so far
-	outboxMu  sync.Mutex
-	outbox    []queuedResponse // that the loop is to write
+
+	mu     sync.Mutex // of conns and opened
+	conns  map[gnet.Conn]*serverConn
+	opened uint64 // connections so far
+
+	outboxMu sync.Mutex
+	outbox   []queuedResponse // that the loop is to write
 }
 
 // NewServer prepares a server.
@@ -65,22 +80,19 @@
 		return nil
 	}
 	s.opened++
-	sc := &serverConn{server: s, id: s.opened, lastActive: time.Now()}
-	s.conns[c] = sc
-	return sc
+	conn := &serverConn{server: s, id: s.opened, lastActive: time.Now()}
+	s.conns[c] = conn
+	return conn
 }
 
 // tick closes connections that sit idle or send a request too slowly.
 func (s *Server) tick(now time.Time) {
 	s.mu.Lock()
 	var stale []gnet.Conn
-	for c, sc := range s.conns {
-		sc.mu.Lock()
-		slow := !sc.partialSince.IsZero() && now.Sub(sc.partialSince) > s.cfg.ReadTimeout
-		if !sc.busy && (slow || now.Sub(sc.lastActive) > s.cfg.IdleTimeout) {
+	for c, conn := range s.conns {
+		if conn.isStale(now) {
 			stale = append(stale, c)
 		}
-		sc.mu.Unlock()
 	}
 	s.mu.Unlock()
 	for _, c := range stale {
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -2,22 +2,56 @@
 
 import (
 	"errors"
+	"net/http"
 	"sync"
 	"time"
 
 	"github.com/panjf2000/gnet/v2"
 )
 
+// requestOverheadBytes is what a request is counted as besides its body.
+const requestOverheadBytes = 1 << 10
+
+// serverConn is one connection of a server. It carries one request at a time.
 type serverConn struct {
-	server       *Server
-	id           uint64
-	closed       bool // closed; known to the loop alone
-	busy         bool // a request is with the handler
+	server *Server
+	id     uint64
+
+	// Known to the event loop alone.
+	closed       bool
+	continueSent bool // "100 Continue" was sent for the request that is arriving
+	discardLeft  int  // bytes of a request that is refused, still to come
+
+	mu           sync.Mutex // of all below
+	busy         bool       // a request is with the handler
 	lastActive   time.Time
 	partialSince time.Time // when the request that is arriving began; zero: none is
-	continueSent bool      // "100 Continue" was sent for it
-	discardLeft  int       // bytes of a request that is refused, still to come
-	mu           sync.Mutex
+}
+
+// isStale tells whether the connection sits idle or sends a request too slowly.
+func (sc *serverConn) isStale(now time.Time) bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.busy {
+		return false
+	}
+	slow := !sc.partialSince.IsZero() && now.Sub(sc.partialSince) > sc.server.cfg.ReadTimeout
+	return slow || now.Sub(sc.lastActive) > sc.server.cfg.IdleTimeout
+}
+
+func (sc *serverConn) isBusy() bool {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.busy
+}
+
+// notePartial notes that part of a request has arrived.
+func (sc *serverConn) notePartial() {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if sc.partialSince.IsZero() {
+		sc.partialSince = time.Now()
+	}
 }
 
 func (sc *serverConn) onClose(c gnet.Conn) {
@@ -28,82 +62,81 @@
 }
 
 func (sc *serverConn) onTraffic(c gnet.Conn) gnet.Action {
-	s := sc.server
-	sc.mu.Lock()
-	busy := sc.busy
-	sc.mu.Unlock()
-	if busy {
-		if c.InboundBuffered() > maxHead+maxBody {
+	if sc.isBusy() {
+		if c.InboundBuffered() > maxHeadBytes+maxBodyBytes {
 			return gnet.Close
 		}
 		return gnet.None
 	}
 	if sc.discardLeft > 0 {
-		return s.refuse(c, sc, 0)
+		return sc.refuse(c, 0)
 	}
 	buf, err := c.Peek(-1)
 	if err != nil || len(buf) == 0 {
 		return gnet.None
 	}
-	m, err := parseMessage(buf, false, maxBody)
+	m, err := parseMessage(buf, requestMessage, maxBodyBytes)
 	switch {
-	case errors.Is(err, errTooLarge) && m.size > 0 && m.size <= maxDiscard && !m.expectContinue:
-		return s.refuse(c, sc, m.size)
+	case errors.Is(err, errTooLarge) && m.size > 0 && m.size <= maxDiscardBytes && !m.expectContinue:
+		return sc.refuse(c, m.size)
 	case errors.Is(err, errIncomplete):
-		if m.expectContinue && !sc.continueSent {
-			sc.continueSent = true
-			if _, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
-				return gnet.Close
-			}
-		}
-		if len(buf) > 2*maxBody+maxHead {
-			return gnet.Close
-		}
-		sc.mu.Lock()
-		if sc.partialSince.IsZero() {
-			sc.partialSince = time.Now()
-		}
-		sc.mu.Unlock()
-		return gnet.None
+		return sc.awaitRest(c, len(buf), m.expectContinue)
 	case err != nil:
-		return s.refuse(c, sc, len(buf))
+		return sc.refuse(c, len(buf))
 	}
 	if _, err := c.Discard(m.size); err != nil {
 		return gnet.Close
 	}
+	sc.serve(c, &m)
+	return gnet.None
+}
+
+// awaitRest waits for the rest of a request of which so many bytes have arrived.
+func (sc *serverConn) awaitRest(c gnet.Conn, arrived int, expectsContinue bool) gnet.Action {
+	if expectsContinue && !sc.continueSent {
+		sc.continueSent = true
+		if _, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+			return gnet.Close
+		}
+	}
+	if arrived > 2*maxBodyBytes+maxHeadBytes {
+		return gnet.Close
+	}
+	sc.notePartial()
+	return gnet.None
+}
+
+// serve hands a request to the handler, unless too many bytes of requests wait for their
+// answers.
+func (sc *serverConn) serve(c gnet.Conn, m *message) {
+	sc.continueSent = false
 	sc.mu.Lock()
-	sc.busy, sc.continueSent, sc.lastActive, sc.partialSince = true, false, time.Now(), time.Time{}
+	sc.busy, sc.lastActive, sc.partialSince = true, time.Now(), time.Time{}
 	sc.mu.Unlock()
-	req := &Request{Method: m.startLine[0], Path: m.startLine[1], Body: m.body, ConnID: sc.id}
+	request := &Request{Method: m.startLine[0], Path: m.startLine[1], Body: m.body, ConnID: sc.id}
 	size := requestOverheadBytes + int64(len(m.body))
-	reply := s.replier(c, sc, size, m.close)
-	if s.heldBytes.Add(size) > s.cfg.MaxHeldBytes {
-		reply(Response{Status: 503, RetryAfterS: 1})
-		return gnet.None
+	reply := sc.server.replier(c, sc, size, m.close)
+	if sc.server.heldBytes.Add(size) > sc.server.cfg.MaxHeldBytes {
+		reply(unavailable())
+		return
 	}
-	s.handler(req, reply)
-	return gnet.None
+	sc.server.handler(request, reply)
 }
 
-// refuse answers 400 and ends the connection, since the stream cannot be read
-// on from here. What the peer has announced is read first: closing with unread
-// bytes would reset the connection and lose the answer.
-func (s *Server) refuse(c gnet.Conn, sc *serverConn, size int) gnet.Action {
+// refuse answers 400 and ends the connection, since the stream can't be read on from
+// here. What the peer has announced is read first: closing with unread bytes would reset
+// the connection and lose the answer.
+func (sc *serverConn) refuse(c gnet.Conn, size int) gnet.Action {
 	sc.discardLeft += size
 	n, err := c.Discard(min(sc.discardLeft, c.InboundBuffered()))
 	if err != nil {
 		return gnet.Close
 	}
 	if sc.discardLeft -= n; sc.discardLeft > 0 {
-		sc.mu.Lock()
-		if sc.partialSince.IsZero() {
-			sc.partialSince = time.Now()
-		}
-		sc.mu.Unlock()
+		sc.notePartial()
 		return gnet.None
 	}
-	if _, err := c.Write(appendResponse(nil, &Response{Status: 400, Close: true})); err != nil {
-		return gnet.Close
-	}
+	// The connection ends whether or not the answer can be written.
+	_, _ = c.Write(appendResponse(nil, &Response{Status: http.StatusBadRequest, Close: true}))
 	return gnet.Close
 }
--- a/internal/transport/server_outbox.go
+++ b/internal/transport/server_outbox.go
@@ -7,24 +7,24 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// queuedResponse is a response on its way to the loop.
+// queuedResponse is a response on its way to the event loop, which alone writes to
+// connections.
 type queuedResponse struct {
 	conn     gnet.Conn
 	state    *serverConn
 	response Response
 }
 
-// requestOverheadBytes is what a request is counted as besides its body.
-const requestOverheadBytes = 1 << 10
-
-func (s *Server) replier(c gnet.Conn, sc *serverConn, size int64, closing bool) func(Response) {
+// replier returns what answers a request of that size: the first call does, further ones
+// do nothing.
+func (s *Server) replier(c gnet.Conn, conn *serverConn, size int64, closing bool) func(Response) {
 	var once sync.Once
 	return func(r Response) {
 		once.Do(func() {
 			s.heldBytes.Add(-size)
 			r.Close = r.Close || closing
 			s.outboxMu.Lock()
-			s.outbox = append(s.outbox, queuedResponse{c, sc, r})
+			s.outbox = append(s.outbox, queuedResponse{c, conn, r})
 			first := len(s.outbox) == 1
 			s.outboxMu.Unlock()
 			if first {
@@ -34,36 +34,42 @@
 	}
 }
 
-// writeOutbox writes the answers that have gathered. How long each may be sent is
-// judged here, at the last moment: the process may have stood still since it
-// was made, and what entitled it to the answer may have ended.
+// writeOutbox writes the responses that have gathered. Whether each may still be sent is
+// decided here, at the last moment: the process may have stood still since it was made,
+// and what entitled it to the response may have ended.
 func (s *Server) writeOutbox() {
 	s.outboxMu.Lock()
-	out := s.outbox
+	outbox := s.outbox
 	s.outbox = nil
 	s.outboxMu.Unlock()
 	now := time.Now()
-	for i := range out {
-		a := &out[i]
-		if a.state.closed {
-			continue
-		}
-		r := a.response
-		if !r.ValidUntil.IsZero() && now.After(r.ValidUntil) {
-			r = Response{Status: 503, RetryAfterS: 1, Close: r.Close}
-		}
-		a.state.mu.Lock()
-		a.state.busy, a.state.lastActive = false, now
-		a.state.mu.Unlock()
-		if _, err := a.conn.Write(appendResponse(make([]byte, 0, 192+len(r.Body)), &r)); err != nil {
-			continue // the connection is gone; the peer asks again
-		}
-		if r.Close {
-			// An error means that it is closed already.
-			_ = a.conn.Close()
-		} else if a.conn.InboundBuffered() > 0 {
-			// As above.
-			_ = a.conn.Wake(nil)
-		}
+	for i := range outbox {
+		outbox[i].write(now)
+	}
+}
+
+// write writes a response, or 503 in its place if it is late. The connection then takes
+// its next request.
+func (q *queuedResponse) write(now time.Time) {
+	if q.state.closed {
+		return
+	}
+	response := q.response
+	if !response.ValidUntil.IsZero() && now.After(response.ValidUntil) {
+		response = unavailable()
+		response.Close = q.response.Close
+	}
+	q.state.mu.Lock()
+	q.state.busy, q.state.lastActive = false, now
+	q.state.mu.Unlock()
+	if _, err := q.conn.Write(appendResponse(make([]byte, 0, responseHeadBytes+len(response.Body)), &response)); err != nil {
+		return // the connection is gone; the peer asks again
+	}
+	if response.Close {
+		// An error means that it is closed already.
+		_ = q.conn.Close()
+	} else if q.conn.InboundBuffered() > 0 {
+		// As above.
+		_ = q.conn.Wake(nil)
 	}
 }
