--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -560,9 +560,9 @@
 	sim.addMachines(10)
 	for _, n := range sim.nodes {
 		n.controller.cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
-		for name := range n.controller.peers {
-			n.controller.election.recordFormats.byMember[name] = storage.CurrentRecordFormat
-		}
+	}
+	for _, name := range sim.names { // the members say that they don't divide limits
+		sim.state.announce(storage.ProcessKey(name), storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat})
 	}
 	sim.run(2 * time.Second)
 	sim.submitRedEverywhere(12)
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -312,7 +312,7 @@
 	sim.run(2 * time.Second)
 	j := follower.controller.owner.jobs["wk-1"]
 	follower.controller.owner.markChanged(j)
-	follower.controller.election.endLease("the test asks for it")
+	follower.controller.election.releaseShard(follower.name)
 	sim.deliverAll()
 	sim.addMachine("vm-1", "z1")
 	sim.run(beyondAnyLease)
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -270,6 +270,13 @@
 	}
 }
 
+// requestExtension passes a request of another member for one key on to a node.
+func (n *node) requestExtension(from *node, key string) {
+	request := &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: key}}}
+	n.controller.dispatch(n.controller.peers[from.name],
+		&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
+}
+
 // A member that has granted not to claim its own ledger, which another holds,
 // must keep to that when the key vanishes: the holder may act until the extension
 // ends.
@@ -282,15 +289,13 @@
 	key := storage.ShardKey(back.name)
 	want(t, "taken over", lead.controller.owner.shards[back.name] != nil, true)
 	sim.start(back.name)
+	lead.paused = true // it is slow to hear that the ledger is asked for
 	s := &back.controller.election
 	for s.memberKeyVersion == 0 || !s.viewLoaded {
-		s.nextHandoverRequest = sim.now + time.Minute // its request is late
 		sim.advance(tickInterval)
 	}
-	s.onExtensionRequest(back.controller.peers[lead.name], &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: key}}})
+	back.requestExtension(lead, key)
 	granted := sim.now
-	lead.paused = true // it is slow to hear that the ledger is asked for
-	s.nextHandoverRequest = 0
 	sim.state.revision++
 	sim.state.deleteKey(key) // the holder's lease has ended
 	sim.state.notifyWatches()
@@ -303,7 +308,7 @@
 	}
 	sim.advance(time.Second)
 	want(t, "taken after the extension", back.controller.owner.shards[back.name] != nil, true)
-	want(t, "by the extension alone", back.controller.peers[lead.name].releasedOwnShard, false)
+	want(t, "by the extension alone", lead.controller.owner.shards[back.name] != nil, true)
 }
 
 // Back at once, with its ledger's key gone, a member need not wait for extensions
@@ -336,12 +341,14 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.run(2 * time.Second)
 	lead, other := sim.leader(), sim.follower()
-	s := &other.controller.election
-	s.onExtensionRequest(other.controller.peers[lead.name], &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: storage.LeaderKey}}})
+	other.requestExtension(lead, storage.LeaderKey)
 	granted := sim.now
-	sim.state.revision++
-	sim.state.keys[storage.LeaderKey] = &stateKey{value: sim.codec.Encode(other.controller.identity), version: sim.state.revision, lease: s.leaseID}
-	s.observe(storage.LeaderKey, sim.codec.Encode(other.controller.identity), sim.state.revision, true)
+	for _, name := range sim.names { // only the sender sees the claim applied
+		sim.state.stalledWatches[name] = name != other.name
+	}
+	lease := sim.state.keys[storage.ShardKey(other.name)].lease
+	sim.state.announce(storage.LeaderKey, other.controller.identity)
+	sim.state.keys[storage.LeaderKey] = &stateKey{value: sim.codec.Encode(other.controller.identity), version: sim.state.revision, lease: lease}
 	for sim.now < granted+extensionDuration {
 		if other.controller.leader != nil {
 			t.Fatalf("leads %v after the extension", sim.now-granted)
--- a/internal/coordination/state_test.go
+++ b/internal/coordination/state_test.go
@@ -257,6 +257,13 @@
 	}
 }
 
+// announce tells the watches of a value that a key does not have.
+func (s *fakeState) announce(key string, value any) {
+	s.revision++
+	s.changes = append(s.changes, stateChange{s.revision, map[string]any{"write": key, "v": value, "stamp": s.revision}, key})
+	s.notifyWatches()
+}
+
 func (s *fakeState) notifyWatches() {
 	kept := s.watches[:0]
 	var ready []func()
