--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -211,7 +211,7 @@
 	if a.manager == nil {
 		return
 	}
-	a.setBinding(a.c.election.recordFormats.allDivideLimits())
+	a.setBinding(a.c.election.AllDivideLimits())
 	a.readRecords(now)
 	a.updateWaiting(now)
 	a.manager.Balance(now)
@@ -283,7 +283,7 @@
 
 // broadcastDemands tells the other members what this one's ledgers lack.
 func (a *admission) broadcastDemands(now time.Duration) {
-	if now < a.nextDemandsAt || !a.c.election.mayAct(now) {
+	if now < a.nextDemandsAt || !a.c.election.MayAct(now) {
 		return
 	}
 	a.nextDemandsAt = now + demandInterval
@@ -322,8 +322,7 @@
 	}
 	p.quotaSequence = f.Seq
 	for _, d := range f.Demands {
-		k := a.c.election.shardKeys[d.Shard]
-		if k == nil || !k.present || k.holder.Member != p.member {
+		if holder, held := a.c.election.ShardHolder(d.Shard); !held || holder != p.member {
 			a.dropMessage("not the holder's", p.member)
 			continue
 		}
--- a/internal/coordination/admission_records.go
+++ b/internal/coordination/admission_records.go
@@ -81,7 +81,7 @@
 // transfer has the manager's next change of allocations written. A holder whose
 // lease may have ended changes nothing.
 func (a *admission) transfer(now time.Duration) {
-	if a.readingRecords || a.recordsStale || !a.c.election.leaseValid(now) {
+	if a.readingRecords || a.recordsStale || !a.c.election.LeaseValid(now) {
 		return
 	}
 	for name, shard := range a.c.owner.shards {
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -96,7 +96,7 @@
 	}
 	for _, name := range scenario.names {
 		n := scenario.nodes[name]
-		if !n.up || n.paused || !n.controller.election.mayAct(scenario.now) {
+		if !n.up || n.paused || !n.controller.election.MayAct(scenario.now) {
 			continue
 		}
 		for ledger, shard := range n.controller.owner.shards {
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -141,7 +141,7 @@
 	}
 	scenario.start(owner.name)
 	scenario.advance(300 * time.Millisecond)
-	want(t, "the owner's next process is known", owner.controller.election.memberKeyVersion != 0, true)
+	want(t, "the owner's next process is known", owner.controller.election.Registered(), true)
 	scenario.outageAfterCancellation(id)
 }
 
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -30,7 +30,7 @@
 // activeLeader returns who leads, if anybody does.
 func (scenario *faultScenario) activeLeader() *node {
 	for _, name := range scenario.names {
-		if n := scenario.nodes[name]; n.up && n.controller.leader != nil && n.controller.election.mayAct(scenario.now) {
+		if n := scenario.nodes[name]; n.up && n.controller.leader != nil && n.controller.election.MayAct(scenario.now) {
 			return n
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -12,6 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/cobaltvale/cobaltvale/internal/audit"
+	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
@@ -60,10 +61,9 @@
 
 // Margins of time.
 const (
-	leaseSafetyMargin     = 400 * time.Millisecond // a holder stops this long before its lease may end
-	clockDriftFactor      = 1.0015                 // two clocks, each up to 0.05% off, with room to spare
-	responseLifetime      = 4 * time.Second        // workers drop answers that are older
+	responseLifetime      = 4 * time.Second // workers drop answers that are older
 	peerHeartbeatInterval = time.Second
+	stateRetryInterval    = 400 * time.Millisecond // after a read that the state service did not answer
 )
 
 // burstShare is what one controller uses of the state service's bursts.
@@ -84,7 +84,7 @@
 	deferred []func()
 	loopback []loopbackFrame
 
-	election   leaseSession
+	election   *election.Election
 	peers      map[string]*peer
 	selfPeer   *peer
 	peerByLink map[Link]*peer
@@ -113,26 +113,10 @@
 	batchedTasks          int                     // tasks in them
 	forwardedHeartbeats   []*meshpb.ForwardedHeartbeat
 	heartbeatResponses    []*meshpb.HeartbeatResponse
-	firstUptimeRequestAt  time.Duration // first, on this stream
-	uptimeRequests        int           // for its uptime, on this stream
-	uptimeResponses       int           // of these
-	releaseConfirmedBy    int           // the question whose answer tells that it does not hold this member's ledger; 0: none
-	releasedOwnShard      bool          // it has answered that
-	startedLater          bool          // its process surely started after this one did
 	stateServiceReachable bool
 	quotaSequence         uint64 // of its last demands on this stream
 }
 
-// requestUptime asks how long the peer's process has been up. Its age is judged by
-// the first question of a stream; later ones only tell that frames before them
-// have been dealt with.
-func (p *peer) requestUptime(now time.Duration) {
-	if p.uptimeRequests++; p.uptimeRequests == 1 {
-		p.firstUptimeRequestAt = now
-	}
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeRequest{UptimeRequest: &meshpb.UptimeRequest{}}})
-}
-
 // send sends a frame after all reports that have gathered.
 func (p *peer) send(f *meshpb.Frame) {
 	p.flush()
@@ -221,7 +205,7 @@
 	controller.subscription.c = controller
 	controller.subscription.reset()
 	controller.fleet.init(controller)
-	controller.election.init(controller)
+	controller.election = newElection(controller)
 	return controller, nil
 }
 
@@ -236,7 +220,7 @@
 func (c *Controller) activeMembers() int {
 	n := 1
 	for _, p := range c.peers {
-		if p.link != nil || c.election.holdsAnyKey(p.member) {
+		if p.link != nil || c.election.HoldsAnyKey(p.member) {
 			n++
 		}
 	}
@@ -279,7 +263,7 @@
 func (c *Controller) Tick() {
 	now := c.now()
 	c.store.Poll()
-	c.election.tick(now)
+	c.election.Tick(now)
 	if now-c.lastPeerHeartbeat >= peerHeartbeatInterval {
 		c.lastPeerHeartbeat = now
 		c.subscription.registerShards() // whatever event was missed, the ledgers join
@@ -305,8 +289,8 @@
 func (c *Controller) sendPeerHeartbeats(now time.Duration) {
 	c.forwarder.balance(now)
 	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
-	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.leaseValid(now), Load: c.forwarder.load()}
-	if c.leader != nil && c.election.mayAct(now) {
+	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.forwarder.load()}
+	if c.leader != nil && c.election.MayAct(now) {
 		heartbeat.FencingToken, heartbeat.ClockUs, heartbeat.LeaderOk = c.leader.fencingToken, now.Microseconds(), true
 	}
 	frame := &meshpb.Frame{Body: &meshpb.Frame_PeerHeartbeat{PeerHeartbeat: heartbeat}}
@@ -328,9 +312,8 @@
 	}
 	p.streamCount++
 	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = l, nil, nil, nil
-	p.uptimeRequests, p.uptimeResponses, p.releaseConfirmedBy, p.releasedOwnShard, p.startedLater = 0, 0, 0, false, false
 	p.quotaSequence = 0
-	p.requestUptime(c.now())
+	c.election.PeerConnected(member)
 	c.peerByLink[l] = p
 	c.subscription.registerShards()
 }
@@ -343,7 +326,8 @@
 	}
 	delete(c.peerByLink, l)
 	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = nil, nil, nil, nil
-	p.stateServiceReachable, p.startedLater, p.releasedOwnShard = false, false, false
+	p.stateServiceReachable = false
+	c.election.PeerDisconnected(p.member)
 	if c.leader != nil {
 		c.leader.subscriberDown(p)
 	}
@@ -369,7 +353,7 @@
 			c.forwarder.peerLoad[p] = b.PeerHeartbeat.Load
 		}
 		if b.PeerHeartbeat.LeaderOk {
-			c.election.observeLeader(p, b.PeerHeartbeat.FencingToken)
+			c.election.ObserveLeader(p.member, b.PeerHeartbeat.FencingToken)
 			c.subscription.onPeerHeartbeat(p, b.PeerHeartbeat)
 		}
 	case *meshpb.Frame_ShardRegistered:
@@ -405,18 +389,14 @@
 	case *meshpb.Frame_JobQueryResult:
 		c.userAPI.onJobQueryResult(p, b.JobQueryResult)
 	case *meshpb.Frame_Handover:
-		c.election.onHandover(p, b.Handover)
+		c.election.HandleHandover(p.member, b.Handover.Shard)
 	case *meshpb.Frame_UptimeRequest:
 		p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeResponse{UptimeResponse: &meshpb.UptimeResponse{UptimeUs: (c.now() - c.startedAt).Microseconds()}}})
 	case *meshpb.Frame_UptimeResponse:
-		// It was measured after the question went out, however late either
-		// was on its way.
-		if p.uptimeResponses++; p.uptimeResponses == 1 {
-			p.startedLater = time.Duration(b.UptimeResponse.UptimeUs)*time.Microsecond+extensionClockDrift < p.firstUptimeRequestAt-c.startedAt
-		}
-		p.releasedOwnShard = p.releasedOwnShard || (p.releaseConfirmedBy > 0 && p.uptimeResponses >= p.releaseConfirmedBy)
+		c.election.HandleUptime(p.member, time.Duration(b.UptimeResponse.UptimeUs)*time.Microsecond)
 	case *meshpb.Frame_LeaseExtensionRequest:
-		c.election.onExtensionRequest(p, b.LeaseExtensionRequest)
+		extension := c.election.HandleExtensionRequest(p.member, b.LeaseExtensionRequest)
+		p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtension{LeaseExtension: extension}})
 	case *meshpb.Frame_ForwardedHeartbeats:
 		c.onForwardedHeartbeats(p, b.ForwardedHeartbeats)
 	case *meshpb.Frame_HeartbeatResponses:
@@ -424,7 +404,7 @@
 	case *meshpb.Frame_QuotaDemands:
 		c.admission.onDemands(p, b.QuotaDemands)
 	case *meshpb.Frame_LeaseExtension:
-		c.election.onExtensionGrant(p, b.LeaseExtension)
+		c.election.HandleExtension(p.member, b.LeaseExtension)
 	}
 }
 
@@ -443,5 +423,5 @@
 // workerLeaseTimeout is how long after a report's arrival its worker's lease has
 // surely ended.
 func (c *Controller) workerLeaseTimeout() time.Duration {
-	return seconds(c.cfg.Settings.Workers.LeaseS*clockDriftFactor) + responseLifetime
+	return seconds(c.cfg.Settings.Workers.LeaseS*election.ClockDriftFactor) + responseLifetime
 }
--- /dev/null
+++ b/internal/coordination/election_adapters.go
@@ -0,0 +1,112 @@
+package coordination
+
+import (
+	"iter"
+
+	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// newElection prepares the election of a controller whose other parts are ready.
+func newElection(c *Controller) *election.Election {
+	peers := make([]election.Peer, 0, len(c.peers))
+	for _, p := range c.peers {
+		peers = append(peers, p)
+	}
+	return election.New(election.Config{
+		Identity:  c.identity,
+		StartedAt: c.startedAt,
+		LeaseTTL:  c.tuning.StateLease,
+	}, election.Environment{
+		Clock:         c.env.Clock,
+		Rand:          c.env.Rand,
+		Codec:         c.codec,
+		Log:           c.log,
+		State:         c.store,
+		Peers:         peers,
+		Shards:        electionShards{&c.owner},
+		Registrations: electionRegistrations{c},
+		Observer:      electionObserver{c},
+	})
+}
+
+// electionShards are the shards that this process holds.
+type electionShards struct{ owner *owner }
+
+func (s electionShards) Held() iter.Seq2[string, uint64] {
+	return func(yield func(string, uint64) bool) {
+		for name, shard := range s.owner.shards {
+			if !yield(name, shard.records.Version()) {
+				return
+			}
+		}
+	}
+}
+
+func (s electionShards) Version(name string) (version uint64, held bool) {
+	shard := s.owner.shards[name]
+	if shard == nil {
+		return 0, false
+	}
+	return shard.records.Version(), true
+}
+
+func (s electionShards) Acquire(name string, lease, version uint64) {
+	s.owner.acquire(name, lease, version)
+}
+
+func (s electionShards) Release(name string, done func(storage.TxnResult)) {
+	s.owner.shards[name].records.Release(done)
+	s.owner.removeShard(name)
+}
+
+func (s electionShards) Lose(name string) { s.owner.removeShard(name) }
+
+func (s electionShards) LoseAll() { s.owner.removeAllShards() }
+
+// electionRegistrations tells which shards are registered with a leader.
+type electionRegistrations struct{ c *Controller }
+
+func (r electionRegistrations) Confirmed() bool { return r.c.subscription.allRegistered() }
+
+func (r electionRegistrations) Complete() bool {
+	return r.c.leader == nil || r.c.leader.allShardsRegistered()
+}
+
+// electionObserver passes on what the election has decided or seen.
+type electionObserver struct{ c *Controller }
+
+func (o electionObserver) LeadershipAcquired(fencingToken uint64) { o.c.becomeLeader(fencingToken) }
+
+func (o electionObserver) LeadershipLost() { o.c.endLeadership() }
+
+func (o electionObserver) ViewChanged() { o.c.subscription.registerShards() }
+
+func (o electionObserver) QuotaRecordChanged(team string, value []byte, version uint64, present bool) {
+	o.c.admission.observeRecord(team, value, version, present)
+}
+
+func (o electionObserver) KeysListed(items []protocol.KeyValue) { o.c.admission.observeAll(items) }
+
+// Member is the peer's name.
+func (p *peer) Member() string { return p.member }
+
+// Connected tells whether there is a stream to the peer.
+func (p *peer) Connected() bool { return p.link != nil }
+
+// RequestHandover asks the peer to give a shard up.
+func (p *peer) RequestHandover(shard string) {
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Shard: shard}}})
+}
+
+// RequestUptime asks how long the peer's process has been up.
+func (p *peer) RequestUptime() {
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeRequest{UptimeRequest: &meshpb.UptimeRequest{}}})
+}
+
+// RequestLeaseExtension asks the peer not to claim this process's keys for a while.
+func (p *peer) RequestLeaseExtension(request *meshpb.LeaseExtensionRequest) {
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
+}
--- a/internal/coordination/heartbeat_forwarding.go
+++ b/internal/coordination/heartbeat_forwarding.go
@@ -205,7 +205,8 @@
 		c.handleAsLeader(req.Body, req.Conn, reply)
 		return
 	}
-	to := c.election.leaderMember()
+	leadership, _ := c.election.Leader()
+	to := leadership.Member
 	p := c.peers[to]
 	switch {
 	case p == nil:
@@ -238,7 +239,7 @@
 		return
 	}
 	now := c.now()
-	if c.leader == nil || !c.election.mayAct(now) || r.FencingToken > c.leader.fencingToken {
+	if c.leader == nil || !c.election.MayAct(now) || r.FencingToken > c.leader.fencingToken {
 		reply(c.errorResponse(503, "not entitled to act at present", 1))
 		return
 	}
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -59,8 +59,8 @@
 	lead, follower := sim.leader(), sim.follower()
 	agent := sim.addMachine("vm-1", "z1")
 	want(t, "before", agent.heartbeatTo(follower).Status, 200)
-	lead.controller.election.abstainUntil = sim.now + time.Minute
-	lead.controller.dropLeadership("the test asks for it")
+	lead.controller.election.Abstain(sim.now + time.Minute)
+	lead.controller.endLeadership()
 	want(t, "leader that leads no more", agent.heartbeatTo(follower).Status, 503)
 }
 
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
 // The incident docs/incidents/incomplete-lists.md: a machine's list, as the leader
@@ -38,7 +40,7 @@
 func (sim *simulation) allowOnlyLeader(allBut string) {
 	for _, name := range sim.names {
 		if name != allBut && sim.nodes[name].up {
-			sim.nodes[name].controller.election.abstainUntil = sim.now + time.Minute
+			sim.nodes[name].controller.election.Abstain(sim.now + time.Minute)
 		}
 	}
 }
@@ -78,9 +80,9 @@
 // the new leader comes up after a machine has reported there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
-		sim.nodes["b"].controller.election.abstainUntil = sim.now + time.Hour // it owns the task
+		sim.nodes["b"].controller.election.Abstain(sim.now + time.Hour) // it owns the task
 		if sim.leader().name != "c" {
-			sim.nodes["a"].controller.election.abstainUntil = sim.now + 4*time.Second
+			sim.nodes["a"].controller.election.Abstain(sim.now + 4*time.Second)
 			sim.crash(sim.leader().name)
 			sim.advance(4 * time.Second)
 			sim.startDown()
@@ -168,7 +170,7 @@
 		}
 	}
 	sim.disconnect(lead.name, next) // it joins only once the machines have reported there
-	lead.controller.election.resign("the test asks for it")
+	lead.controller.election.Resign(election.WorkersUnreachable)
 	sim.advance(2 * time.Second)
 	want(t, "leader", sim.leader().name, next)
 	sim.heartbeatFor(3, first, second, idle)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
 // leader exists while this process holds the leader key.
@@ -42,8 +44,8 @@
 // a tick, all of them in a second.
 const sweepParts = int(time.Second / tickInterval)
 
-// becomeLeader begins to lead under a token; why says how the key came to be free.
-func (c *Controller) becomeLeader(fencingToken uint64, reason string) {
+// becomeLeader begins to lead under a fencing token.
+func (c *Controller) becomeLeader(fencingToken uint64) {
 	now := c.now()
 	l := &leader{
 		c: c, fencingToken: fencingToken, electedAt: now, lastDeliveryAt: now, actingSince: now,
@@ -55,7 +57,7 @@
 		t := &c.cfg.Settings.Teams[i]
 		l.teams[t.Name] = &teamUsage{cfg: t}
 	}
-	for name := range c.election.shardKeys {
+	for name := range c.election.Shards() {
 		l.addShard(name)
 	}
 	l.autoscaler.init(l)
@@ -63,7 +65,6 @@
 	l.warmPool.init(l)
 	c.leader = l
 	c.fleet.nextCatalog, c.fleet.nextList = min(c.fleet.nextCatalog, now), now // prices and machines as they are now
-	c.log.Info().Uint64("token", fencingToken).Str("why", reason).Msg("leading")
 	c.subscription.registerShards()
 	for _, shard := range l.shards {
 		l.readUnfinishedJobs(shard)
@@ -72,11 +73,8 @@
 	c.sendPeerHeartbeats(now)
 }
 
-// dropLeadership ends this process's leadership, if it leads.
-func (c *Controller) dropLeadership(reason string) {
-	if c.leader == nil {
-		return
-	}
+// endLeadership ends this process's leadership.
+func (c *Controller) endLeadership() {
 	l := c.leader
 	c.leader = nil
 	for _, pending := range l.pendingResponses {
@@ -84,7 +82,6 @@
 			pending.reply(Response{Status: 503, RetryAfterS: 1})
 		}
 	}
-	c.log.Info().Uint64("token", l.fencingToken).Str("why", reason).Msg("leading no more")
 	c.subscription.registerShards()
 }
 
@@ -101,7 +98,7 @@
 
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
-	if !l.c.election.mayAct(now) {
+	if !l.c.election.MayAct(now) {
 		// Reports are refused meanwhile, so silence means nothing.
 		l.actingSince, l.lastDeliveryAt = now, now
 	}
@@ -122,10 +119,10 @@
 	l.removeTombstones(now)
 	l.recomputeUsage()
 	l.reconcileShards(now, leaseTimeout)
-	if l.c.election.mayAct(now) {
+	if l.c.election.MayAct(now) {
 		l.autoscaler.tick(now)
 		if !l.reachesWorkers(now) {
-			l.c.election.resign("no worker reaches this member")
+			l.c.election.Resign(election.WorkersUnreachable)
 		}
 	}
 }
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
@@ -108,7 +109,7 @@
 		sim.advance(100 * time.Millisecond)
 		acting := 0
 		for _, name := range sim.names {
-			if c := sim.nodes[name].controller; c.leader != nil && c.election.mayAct(sim.now) {
+			if c := sim.nodes[name].controller; c.leader != nil && c.election.MayAct(sim.now) {
 				acting++
 			}
 		}
@@ -144,10 +145,10 @@
 	sim.run(2 * time.Second)
 	sim.state.unavailable[""] = true
 	sim.run(10 * time.Second)
-	want(t, "acts while all extend", lead.controller.election.mayAct(sim.now), true)
+	want(t, "acts while all extend", lead.controller.election.MayAct(sim.now), true)
 	sim.disconnect(lead.name, sim.follower().name)
 	sim.advance(2500 * time.Millisecond)
-	want(t, "acts without a extension", lead.controller.election.mayAct(sim.now), false)
+	want(t, "acts without a extension", lead.controller.election.MayAct(sim.now), false)
 	// Reports are refused meanwhile; that is not the machines' silence.
 	sim.run(12 * time.Second)
 	sim.connect(lead.name, sim.follower().name)
@@ -174,10 +175,10 @@
 	sim.state.unavailable[""] = true
 	for range 50 { // longer than a cancellation has
 		sim.run(time.Second)
-		if !second.controller.election.mayAct(sim.now) {
+		if !second.controller.election.MayAct(sim.now) {
 			t.Fatal("the leader stops in an outage although everybody extends")
 		}
-		want(t, "acts that lost its key", first.controller.election.mayAct(sim.now), false)
+		want(t, "acts that lost its key", first.controller.election.MayAct(sim.now), false)
 	}
 	want(t, "running", len(agent.running()), 2)
 	sim.state.unavailable[""], sim.state.unavailable[first.name] = false, false
@@ -246,7 +247,7 @@
 			held := make(map[string]int)
 			for _, name := range sim.names {
 				x := sim.nodes[name]
-				if !x.up || !x.controller.election.mayAct(sim.now) {
+				if !x.up || !x.controller.election.MayAct(sim.now) {
 					continue
 				}
 				if x.controller.leader != nil {
@@ -350,7 +351,7 @@
 	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
 	sim.run(3 * time.Second)
 	want(t, "running", len(agent.running()), 2)
-	follower.controller.election.releaseShard(follower.name)
+	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.run(8 * time.Second)
 	if shard := follower.controller.owner.shards[follower.name]; shard == nil || !shard.registered {
 		t.Fatal("the ledger has not joined")
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -37,7 +37,7 @@
 	sim.crash(claimer)
 	sim.start(claimer)
 	sim.advance(time.Second)
-	want(t, "registered", sim.nodes[claimer].controller.election.memberKeyVersion != 0, true)
+	want(t, "registered", sim.nodes[claimer].controller.election.Registered(), true)
 	sim.state.deleteKey(storage.LeaderKey)
 	want(t, "held claim", held().Status, 409)
 	want(t, "leader key", sim.state.keys[storage.LeaderKey] == nil, true)
@@ -56,10 +56,10 @@
 	sim.crash(follower.name)
 	sim.start(follower.name)
 	sim.advance(3 * time.Second)
-	want(t, "view of the restarted member", follower.controller.election.viewLoaded, true)
+	want(t, "view of the restarted member", follower.controller.election.ViewLoaded(), true)
 	sim.state.unavailable[""] = true
 	sim.run(6 * time.Second)
-	want(t, "acts on a extension of a member that can't give one", lead.controller.election.mayAct(sim.now), false)
+	want(t, "acts on a extension of a member that can't give one", lead.controller.election.MayAct(sim.now), false)
 }
 
 // Once all troubles are over, every accepted job is answered for, whichever
@@ -470,7 +470,7 @@
 		sim.advance(100 * time.Millisecond)
 		acting := 0
 		for _, name := range sim.names {
-			if c := sim.nodes[name].controller; c.leader != nil && c.election.mayAct(sim.now) {
+			if c := sim.nodes[name].controller; c.leader != nil && c.election.MayAct(sim.now) {
 				acting++
 			}
 		}
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -32,7 +32,7 @@
 // recordMachines records the machines that report and have not been recorded yet.
 // One that has not come up holds nothing, and is nothing to wait for.
 func (l *leader) recordMachines(now time.Duration) {
-	if l.recordingMachines || len(l.unrecordedMachines) == 0 || now < l.nextMachineRecord || !l.c.election.mayAct(now) {
+	if l.recordingMachines || len(l.unrecordedMachines) == 0 || now < l.nextMachineRecord || !l.c.election.MayAct(now) {
 		return
 	}
 	n, size := 0, 0
@@ -76,7 +76,7 @@
 			return
 		}
 		if !ok {
-			l.c.store.After(sessionRetryInterval, func() {
+			l.c.store.After(stateRetryInterval, func() {
 				if l.c.leader == l {
 					l.readRecordedMachines()
 				}
@@ -116,7 +116,7 @@
 			size[m.recordKey] += len(m.name) + nameOverheadBytes
 		}
 	}
-	if l.rewritingMachineRecords || !l.c.election.mayAct(now) {
+	if l.rewritingMachineRecords || !l.c.election.MayAct(now) {
 		return
 	}
 	// A record that can be dropped comes first, then the one that names most
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -34,7 +34,7 @@
 	l.closeOffers(response)
 	response.finished = true
 	now := l.c.now()
-	if l.c.leader != l || !l.c.election.mayAct(now) || m.terminated {
+	if l.c.leader != l || !l.c.election.MayAct(now) || m.terminated {
 		l.returnBindings(response)
 		l.c.countResponse(responseNotAuthorized)
 		response.reply(l.c.errorResponse(503, "not entitled to act at present", 1))
@@ -60,7 +60,7 @@
 		m.idleSince = now
 	}
 	m.connection = response.connection
-	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.c.election.mayActUntil())))
+	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.c.election.MayActUntil())))
 }
 
 func (l *leader) heartbeatResponse(cmds []protocol.Command, until time.Duration) Response {
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
 // A failed copy that a machine still lists is older than the copy that runs
@@ -312,7 +314,7 @@
 	sim.run(2 * time.Second)
 	j := follower.controller.owner.jobs["wk-1"]
 	follower.controller.owner.markChanged(j)
-	follower.controller.election.releaseShard(follower.name)
+	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.deliverAll()
 	sim.addMachine("vm-1", "z1")
 	sim.run(beyondAnyLease)
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -178,6 +178,7 @@
 	}
 	if sim.previousVersion[name] {
 		controller.identity.RecordFormat = 0 // its own key says what that version's does
+		controller.election = newElection(controller)
 	}
 	n.controller, n.up = controller, true
 	for _, other := range sim.names {
@@ -364,7 +365,7 @@
 
 func (sim *simulation) leader() *node {
 	for _, name := range sim.names {
-		if n := sim.nodes[name]; n.up && !n.paused && n.controller.leader != nil && n.controller.election.mayAct(sim.now) {
+		if n := sim.nodes[name]; n.up && !n.paused && n.controller.leader != nil && n.controller.election.MayAct(sim.now) {
 			return n
 		}
 	}
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
@@ -290,8 +291,7 @@
 	want(t, "taken over", lead.controller.owner.shards[back.name] != nil, true)
 	sim.start(back.name)
 	lead.paused = true // it is slow to hear that the ledger is asked for
-	s := &back.controller.election
-	for s.memberKeyVersion == 0 || !s.viewLoaded {
+	for !back.controller.election.Registered() || !back.controller.election.ViewLoaded() {
 		sim.advance(tickInterval)
 	}
 	back.requestExtension(lead, key)
@@ -299,7 +299,7 @@
 	sim.state.revision++
 	sim.state.deleteKey(key) // the holder's lease has ended
 	sim.state.notifyWatches()
-	for sim.now < granted+extensionDuration {
+	for sim.now < granted+election.ExtensionDuration {
 		sim.deliverAll()
 		if back.controller.owner.shards[back.name] != nil {
 			t.Fatalf("taken %v after the extension", sim.now-granted)
@@ -349,7 +349,7 @@
 	lease := sim.state.keys[storage.ShardKey(other.name)].lease
 	sim.state.announce(storage.LeaderKey, other.controller.identity)
 	sim.state.keys[storage.LeaderKey] = &stateKey{value: sim.codec.Encode(other.controller.identity), version: sim.state.revision, lease: lease}
-	for sim.now < granted+extensionDuration {
+	for sim.now < granted+election.ExtensionDuration {
 		if other.controller.leader != nil {
 			t.Fatalf("leads %v after the extension", sim.now-granted)
 		}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -28,7 +28,7 @@
 		api.lookUp(job.ID, 200, func() Response { return refused }, reply)
 		return
 	}
-	if shard := c.owner.shards[c.cfg.Member]; shard == nil || !shard.recovered || !c.election.mayAct(c.now()) || c.store.Failing() {
+	if shard := c.owner.shards[c.cfg.Member]; shard == nil || !shard.recovered || !c.election.MayAct(c.now()) || c.store.Failing() {
 		if c.store.Failing() {
 			reply(c.errorResponse(503, "state service is away", 1))
 			return
@@ -83,7 +83,7 @@
 	if !c.store.Fits(job) {
 		return c.errorResponse(422, "its description does not fit the state service's limit of a value", 0), false
 	}
-	if job.Service && !c.election.recordFormats.allReadServices(c.now()) {
+	if job.Service && !c.election.AllReadServices(c.now()) {
 		return c.errorResponse(503, "some controller can't run services yet", 1), false
 	}
 	return Response{}, true
@@ -97,13 +97,13 @@
 		return true
 	}
 	j := c.owner.jobs[id]
-	if j == nil || j.finalStatus != "" || !c.election.mayAct(c.now()) {
+	if j == nil || j.finalStatus != "" || !c.election.MayAct(c.now()) {
 		// While the end is being written, other nodes may read it already and
 		// tell it; only a fresh read is sure not to be older than that.
 		return false
 	}
 	r := c.statusResponse(code, id, j.wireStatus(), j.finished, j.running)
-	r.ValidUntil = c.election.mayActUntil()
+	r.ValidUntil = c.election.MayActUntil()
 	reply(r)
 	return true
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -133,11 +133,11 @@
 // registerShards offers this process's ledgers to the member that leads now.
 func (s *subscription) registerShards() {
 	c := s.c
-	k := &c.election.leaderKey
+	leadership, known := c.election.Leader()
 	var to *peer
-	if k.present {
-		to = c.peers[k.holder.Member]
-		if k.holder.Member == c.cfg.Member {
+	if known {
+		to = c.peers[leadership.Member]
+		if leadership.Member == c.cfg.Member {
 			to = nil
 			if c.leader != nil {
 				to = c.selfPeer
@@ -150,9 +150,9 @@
 		}
 		return
 	}
-	if s.leader != to || s.fencingToken != k.version {
+	if s.leader != to || s.fencingToken != leadership.FencingToken {
 		s.reset()
-		s.leader, s.fencingToken = to, k.version
+		s.leader, s.fencingToken = to, leadership.FencingToken
 	}
 	for _, shard := range c.owner.shards {
 		if shard.recovered && !shard.registered && s.registeredAtUs[shard.name] == 0 {
@@ -339,7 +339,7 @@
 	c := s.c
 	picks := &meshpb.Bindings{OfferId: f.Id}
 	machine := s.localIndex(f.MachineIndex)
-	may := machine != unknownMachine && c.election.mayAct(c.now())
+	may := machine != unknownMachine && c.election.MayAct(c.now())
 	for _, it := range f.Items {
 		job := c.owner.jobs[it.Job]
 		if job == nil || !may {
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
 // takeoverSeeds is how many days TestTakeoverDays plays; TAKEOVER_DAYS asks for
@@ -91,7 +93,7 @@
 		}
 	case 1:
 		if lead != nil {
-			lead.controller.election.resign("the day asks for it")
+			lead.controller.election.Resign(election.WorkersUnreachable)
 		}
 	default:
 		if lead != nil {
@@ -124,7 +126,7 @@
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
 			if lead := scenario.activeLeader(); lead != nil { // it keeps its ledgers
-				lead.controller.election.resign("the day asks for it")
+				lead.controller.election.Resign(election.WorkersUnreachable)
 			}
 			return
 		}
--- a/internal/coordination/tracked_jobs.go
+++ b/internal/coordination/tracked_jobs.go
@@ -124,7 +124,7 @@
 			return
 		}
 		if err != nil {
-			l.c.store.After(sessionRetryInterval, func() {
+			l.c.store.After(stateRetryInterval, func() {
 				if l.c.leader == l && !shard.jobsKnown {
 					l.readUnfinishedJobs(shard)
 				}
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -72,7 +72,7 @@
 }
 
 func (api *userAPI) tick(now time.Duration) {
-	if shard := api.controller.owner.shards[api.controller.cfg.Member]; shard != nil && shard.recovered && api.controller.election.mayAct(now) {
+	if shard := api.controller.owner.shards[api.controller.cfg.Member]; shard != nil && shard.recovered && api.controller.election.MayAct(now) {
 		api.notReadySince = 0
 	} else if api.notReadySince == 0 {
 		api.notReadySince = now
@@ -174,7 +174,7 @@
 func (api *userAPI) ready(reply func(Response)) {
 	c, now := api.controller, api.controller.now()
 	shard := c.owner.shards[c.cfg.Member]
-	if shard != nil && shard.recovered && c.election.mayAct(now) {
+	if shard != nil && shard.recovered && c.election.MayAct(now) {
 		reply(Response{Status: 200})
 		return
 	}
@@ -331,10 +331,9 @@
 // queryOwner asks the member that holds a ledger; done gets nil if it does not
 // answer.
 func (api *userAPI) queryOwner(id, ledger string, abort bool, done func(*meshpb.JobQueryResult)) {
-	k := api.controller.election.shardKeys[ledger]
 	var p *peer
-	if k != nil && k.present {
-		p = api.controller.peers[k.holder.Member]
+	if holder, held := api.controller.election.ShardHolder(ledger); held {
+		p = api.controller.peers[holder]
 	}
 	if p == nil || p.link == nil || len(api.jobQueries) >= maxJobQueries {
 		done(nil)
@@ -363,7 +362,7 @@
 		return
 	}
 	j := api.controller.owner.jobs[f.Job]
-	if j == nil || !api.controller.election.mayAct(api.controller.now()) {
+	if j == nil || !api.controller.election.MayAct(api.controller.now()) {
 		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
 	}
