--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -14,18 +14,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Link is an ordered stream of frames to another member, until it is down.
-type Link interface {
-	Send(*meshpb.Frame)
-	Flush() // what was sent goes out at the latest now
-	Close()
-}
-
 // Env is the outside world.
 type Env struct {
 	Clock storage.Clock
@@ -37,28 +29,6 @@
 	Audit func(audit.Record) // takes records of admissions without waiting; nil: none are kept
 }
 
-// Request is one HTTP request to this node.
-type Request struct {
-	Method, Path string
-	Body         []byte
-	Conn         uint64        // the connection that it came on; 0: not known
-	ReceivedAt   time.Duration // when it came; 0: just now
-}
-
-// IsHeartbeat tells whether a request is a worker's report.
-func (r *Request) IsHeartbeat() bool { return r.Path == heartbeatPath }
-
-const heartbeatPath = "/checkin"
-
-// Response is its answer. It may be sent up to Until, or at any time if that is
-// 0: what entitles this node to it ends then.
-type Response struct {
-	Status      int
-	Body        []byte
-	RetryAfterS int
-	ValidUntil  time.Duration
-}
-
 // Margins of time.
 const (
 	responseLifetime      = 4 * time.Second // workers drop answers that are older
@@ -102,75 +72,6 @@
 	lastFlush         time.Duration
 }
 
-// peer is a member as this one sees it; self is one of them, reached by a
-// link that loops back.
-type peer struct {
-	member                string
-	index                 int                     // dense; this member's own is 0
-	streamCount           uint64                  // streams so far
-	link                  Link                    // nil while down
-	machineStatuses       *meshpb.MachineStatuses // gathered for it, see flush
-	batchedTasks          int                     // tasks in them
-	forwardedHeartbeats   []*meshpb.ForwardedHeartbeat
-	heartbeatResponses    []*meshpb.HeartbeatResponse
-	stateServiceReachable bool
-	quotaSequence         uint64 // of its last demands on this stream
-}
-
-// send sends a frame after all reports that have gathered.
-func (p *peer) send(f *meshpb.Frame) {
-	p.flush()
-	if p.link != nil {
-		p.link.Send(f)
-	}
-}
-
-// statusBatch returns the reports that go out together, to add one to. Their
-// clock is that of the last.
-func (p *peer) statusBatch(now time.Duration) *meshpb.MachineStatuses {
-	if p.machineStatuses == nil {
-		p.machineStatuses = &meshpb.MachineStatuses{}
-	}
-	p.machineStatuses.ClockUs = now.Microseconds()
-	return p.machineStatuses
-}
-
-// flush sends what has gathered.
-func (p *peer) flush() {
-	machineStatuses, heartbeats, responses := p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses
-	p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses, p.batchedTasks = nil, nil, nil, 0
-	if p.link == nil {
-		return
-	}
-	if machineStatuses != nil {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineStatuses{MachineStatuses: machineStatuses}})
-	}
-	for ; len(heartbeats) > 0; heartbeats = heartbeats[min(len(heartbeats), heartbeatsPerFrame):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_ForwardedHeartbeats{ForwardedHeartbeats: &meshpb.ForwardedHeartbeats{Heartbeats: heartbeats[:min(len(heartbeats), heartbeatsPerFrame)]}}})
-	}
-	for ; len(responses) > 0; responses = responses[min(len(responses), heartbeatsPerFrame):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_HeartbeatResponses{HeartbeatResponses: &meshpb.HeartbeatResponses{Responses: responses[:min(len(responses), heartbeatsPerFrame)]}}})
-	}
-}
-
-// heartbeatsPerFrame is how many reports or answers go into one frame, so that it
-// stays within its size whatever they are.
-const heartbeatsPerFrame = 12
-
-type loopbackFrame struct {
-	f *meshpb.Frame
-}
-
-// loopbackLink delivers frames to this very process, after the command that
-// sent them.
-type loopbackLink struct{ c *Controller }
-
-func (l loopbackLink) Send(f *meshpb.Frame) { l.c.loopback = append(l.c.loopback, loopbackFrame{f}) }
-
-func (loopbackLink) Flush() {}
-
-func (loopbackLink) Close() {}
-
 // New builds a core. incarnation tells this process from earlier ones of the
 // same member.
 func New(cfg *settings.File, tune settings.Tuning, env Env, incarnation uint64) (*Controller, error) {
@@ -215,18 +116,6 @@
 	return c.cfg.Settings.State.Effective().RPS * share, c.cfg.Settings.State.Effective().WriteRPS * share
 }
 
-// activeMembers counts the members that use the state service: those in reach, and
-// those that hold a key although they are not.
-func (c *Controller) activeMembers() int {
-	n := 1
-	for _, p := range c.peers {
-		if p.link != nil || c.election.HoldsAnyKey(p.member) {
-			n++
-		}
-	}
-	return n
-}
-
 func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
 
 func (c *Controller) runLater(fn func()) { c.deferred = append(c.deferred, fn) }
@@ -284,130 +173,6 @@
 	}
 }
 
-// sendPeerHeartbeats tells every member that this one lives and, from a leader that may
-// act, up to when all its reports have been passed on.
-func (c *Controller) sendPeerHeartbeats(now time.Duration) {
-	c.forwarder.balance(now)
-	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
-	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.forwarder.load()}
-	if c.leader != nil && c.election.MayAct(now) {
-		heartbeat.FencingToken, heartbeat.ClockUs, heartbeat.LeaderOk = c.leader.fencingToken, now.Microseconds(), true
-	}
-	frame := &meshpb.Frame{Body: &meshpb.Frame_PeerHeartbeat{PeerHeartbeat: heartbeat}}
-	for _, p := range c.peers {
-		p.send(frame)
-	}
-	c.selfPeer.send(frame)
-}
-
-// LinkUp tells that a stream to a member has begun.
-func (c *Controller) LinkUp(l Link, member string) {
-	p := c.peers[member]
-	if p == nil {
-		l.Close()
-		return
-	}
-	if p.link != nil {
-		c.LinkDown(p.link)
-	}
-	p.streamCount++
-	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = l, nil, nil, nil
-	p.quotaSequence = 0
-	c.election.PeerConnected(member)
-	c.peerByLink[l] = p
-	c.subscription.registerShards()
-}
-
-// LinkDown tells that a stream has ended.
-func (c *Controller) LinkDown(l Link) {
-	p := c.peerByLink[l]
-	if p == nil {
-		return
-	}
-	delete(c.peerByLink, l)
-	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = nil, nil, nil, nil
-	p.stateServiceReachable = false
-	c.election.PeerDisconnected(p.member)
-	if c.leader != nil {
-		c.leader.subscriberDown(p)
-	}
-	if c.subscription.leader == p {
-		c.subscription.reset()
-	}
-	c.userAPI.peerDown(p)
-	c.forwarder.peerDown(p)
-}
-
-// LinkFrame takes one frame of a stream.
-func (c *Controller) LinkFrame(l Link, f *meshpb.Frame) {
-	if p := c.peerByLink[l]; p != nil {
-		c.dispatch(p, f)
-	}
-}
-
-func (c *Controller) dispatch(p *peer, f *meshpb.Frame) {
-	switch b := f.Body.(type) {
-	case *meshpb.Frame_PeerHeartbeat:
-		p.stateServiceReachable = b.PeerHeartbeat.StateOk
-		if p != c.selfPeer {
-			c.forwarder.peerLoad[p] = b.PeerHeartbeat.Load
-		}
-		if b.PeerHeartbeat.LeaderOk {
-			c.election.ObserveLeader(p.member, b.PeerHeartbeat.FencingToken)
-			c.subscription.onPeerHeartbeat(p, b.PeerHeartbeat)
-		}
-	case *meshpb.Frame_ShardRegistered:
-		c.subscription.onShardRegistered(p, b.ShardRegistered)
-	case *meshpb.Frame_MachineStatuses:
-		c.subscription.onMachineStatuses(p, b.MachineStatuses)
-	case *meshpb.Frame_Offer:
-		c.subscription.onOffer(p, b.Offer)
-	case *meshpb.Frame_ReturnedBindings:
-		c.subscription.onReturnedBindings(p, b.ReturnedBindings)
-	case *meshpb.Frame_MachineTerminated:
-		c.subscription.onMachineTerminated(p, b.MachineTerminated)
-	case *meshpb.Frame_Reconciled:
-		c.subscription.onReconciled(p, b.Reconciled)
-	case *meshpb.Frame_RegisterShard:
-		if c.leader != nil {
-			c.leader.onRegisterShard(p, b.RegisterShard)
-		}
-	case *meshpb.Frame_JobSummaries:
-		if c.leader != nil {
-			c.leader.onJobSummaries(p, b.JobSummaries)
-		}
-	case *meshpb.Frame_Bindings:
-		if c.leader != nil {
-			c.leader.onBindings(p, b.Bindings)
-		}
-	case *meshpb.Frame_MachineCommands:
-		if c.leader != nil {
-			c.leader.onMachineCommands(p, b.MachineCommands)
-		}
-	case *meshpb.Frame_JobQuery:
-		c.userAPI.onJobQuery(p, b.JobQuery)
-	case *meshpb.Frame_JobQueryResult:
-		c.userAPI.onJobQueryResult(p, b.JobQueryResult)
-	case *meshpb.Frame_Handover:
-		c.election.HandleHandover(p.member, b.Handover.Shard)
-	case *meshpb.Frame_UptimeRequest:
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeResponse{UptimeResponse: &meshpb.UptimeResponse{UptimeUs: (c.now() - c.startedAt).Microseconds()}}})
-	case *meshpb.Frame_UptimeResponse:
-		c.election.HandleUptime(p.member, time.Duration(b.UptimeResponse.UptimeUs)*time.Microsecond)
-	case *meshpb.Frame_LeaseExtensionRequest:
-		extension := c.election.HandleExtensionRequest(p.member, b.LeaseExtensionRequest)
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtension{LeaseExtension: extension}})
-	case *meshpb.Frame_ForwardedHeartbeats:
-		c.onForwardedHeartbeats(p, b.ForwardedHeartbeats)
-	case *meshpb.Frame_HeartbeatResponses:
-		c.forwarder.onResponses(p, b.HeartbeatResponses)
-	case *meshpb.Frame_QuotaDemands:
-		c.admission.onDemands(p, b.QuotaDemands)
-	case *meshpb.Frame_LeaseExtension:
-		c.election.HandleExtension(p.member, b.LeaseExtension)
-	}
-}
-
 // team returns the settings of a team.
 func (c *Controller) team(name string) *settings.Team {
 	for i := range c.cfg.Settings.Teams {
