--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -159,7 +159,7 @@
 				reply(out)
 			})
 		}
-		if !queue.TryPost(handle, r.IsHeartbeat()) {
+		if !queue.TryPost(r.Class(), handle) {
 			reply(transport.Response{Status: 503, RetryAfterS: 1})
 		}
 	})
--- a/internal/coordination/event_loop.go
+++ b/internal/coordination/event_loop.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// EventLoop is the command queue of a core: everything that touches its state is
-// a command on it, drained in batches by the one goroutine that runs Run.
-// Workers' reports wait in a line of their own: when they all come at once,
-// health checks, users and the other members do not stand behind them.
+// EventLoop serializes all that touches a controller's state: whoever brings
+// something posts a function, and the one goroutine that runs Run calls them in
+// batches. Heartbeats of machines wait in a queue of their own: when they all
+// come at once, health checks, users and other members do not wait behind them.
+//
+// Post, TryPost and Stop may be called from any goroutine.
 type EventLoop struct {
 	commands   chan func()
 	heartbeats chan func()
@@ -14,46 +16,50 @@
 
 const (
 	commandQueueLength   = 4096
-	heartbeatQueueLength = maxMachines // each machine has one report in flight
+	heartbeatQueueLength = maxMachines // each machine has one heartbeat in flight
 	maxBatch             = 256
 	tickInterval         = 100 * time.Millisecond
 )
 
-// NewEventLoop makes an empty queue.
+// NewEventLoop makes a loop with empty queues.
 func NewEventLoop() *EventLoop {
-	return &EventLoop{commands: make(chan func(), commandQueueLength), heartbeats: make(chan func(), heartbeatQueueLength), stopped: make(chan struct{})}
+	return &EventLoop{
+		commands:   make(chan func(), commandQueueLength),
+		heartbeats: make(chan func(), heartbeatQueueLength),
+		stopped:    make(chan struct{}),
+	}
 }
 
 // Post adds a command. It waits while the queue is full, which holds back
-// the event loop that brings more.
-func (e *EventLoop) Post(fn func()) {
+// whoever brings more, and drops the command once the loop has been stopped.
+func (e *EventLoop) Post(command func()) {
 	select {
-	case e.commands <- fn:
+	case e.commands <- command:
 	case <-e.stopped:
 	}
 }
 
-// TryPost adds a command for a request, a worker's report or any other, unless the
-// queue is full: then the request is to be refused at once. Other commands pass
-// reports.
-func (e *EventLoop) TryPost(fn func(), heartbeat bool) bool {
+// TryPost adds the command that handles a request and tells whether it did: if
+// the queue of the request's class is full, the request is to be refused at once.
+func (e *EventLoop) TryPost(class RequestClass, command func()) bool {
 	queue := e.commands
-	if heartbeat {
+	if class == ClassHeartbeat {
 		queue = e.heartbeats
 	}
 	select {
-	case queue <- fn:
+	case queue <- command:
 		return true
 	default:
 		return false
 	}
 }
 
-// Stop ends Run.
+// Stop ends Run. It must be called once only.
 func (e *EventLoop) Stop() { close(e.stopped) }
 
-// Run drains the queue into core until Stop. rest is called whenever all that
-// was queued has been dealt with.
+// Run calls the commands and ticks the controller on the calling goroutine, until
+// Stop. onIdle is called whenever both queues are empty; it may wait for the
+// next turn of whoever brings more.
 func (e *EventLoop) Run(controller *Controller, onIdle func()) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -63,12 +69,12 @@
 			return
 		case <-ticker.C:
 			controller.Tick()
-		case fn := <-e.commands:
-			fn()
+		case command := <-e.commands:
+			command()
 			e.drain()
-		case fn := <-e.heartbeats:
+		case heartbeat := <-e.heartbeats:
 			e.drain()
-			fn()
+			heartbeat()
 			e.drain()
 		}
 		controller.EndBatch()
@@ -78,17 +84,18 @@
 	}
 }
 
+// drain calls what is queued, up to a batch, commands before heartbeats.
 func (e *EventLoop) drain() {
 	for range maxBatch {
 		select {
-		case fn := <-e.commands:
-			fn()
+		case command := <-e.commands:
+			command()
 			continue
 		default:
 		}
 		select {
-		case fn := <-e.heartbeats:
-			fn()
+		case heartbeat := <-e.heartbeats:
+			heartbeat()
 		default:
 			return
 		}
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -111,16 +111,16 @@
 	q := NewEventLoop()
 	var got []string
 	for range 3 {
-		want(t, "a report is taken", q.TryPost(func() { got = append(got, "report") }, true), true)
+		want(t, "a report is taken", q.TryPost(ClassHeartbeat, func() { got = append(got, "report") }), true)
 	}
 	q.Post(func() { got = append(got, "health check") })
 	q.drain()
 	want(t, "order", fmt.Sprint(got), "[health check report report report]")
 	for range heartbeatQueueLength {
-		q.TryPost(func() {}, true)
+		q.TryPost(ClassHeartbeat, func() {})
 	}
-	want(t, "a report beyond the queue's length", q.TryPost(func() {}, true), false)
-	want(t, "a user's request beside it", q.TryPost(func() {}, false), true)
+	want(t, "a report beyond the queue's length", q.TryPost(ClassHeartbeat, func() {}), false)
+	want(t, "a user's request beside it", q.TryPost(ClassOther, func() {}), true)
 
 	sim := newSimulation(t, "a")
 	agent := sim.addMachine("vm-1", "z1")
