--- a/internal/coordination/event_counter.go
+++ b/internal/coordination/event_counter.go
@@ -6,11 +6,11 @@
 	"github.com/rs/zerolog"
 )
 
-// eventLogInterval is the least time between two log lines of one tally.
+// eventLogInterval is the least time between two log lines of one counter.
 const eventLogInterval = time.Minute
 
-// eventCounter counts events of a few kinds and logs them together, so that the log grows
-// neither with the fleet nor with the work.
+// eventCounter counts events of a few kinds and logs them together, so that the
+// log grows neither with the fleet nor with the work.
 type eventCounter struct {
 	message   string
 	keys      []string // log fields, by kind
@@ -18,6 +18,7 @@
 	nextLogAt time.Duration
 }
 
+// newEventCounter makes a counter of as many kinds as there are keys.
 func newEventCounter(message string, keys ...string) eventCounter {
 	return eventCounter{message: message, keys: keys, counts: make([]uint64, len(keys))}
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -6,7 +6,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
-// leader exists while this process holds the leader key.
+// leader is what this process knows and decides while it leads.
 type leader struct {
 	c                       *Controller
 	fencingToken            uint64
@@ -15,17 +15,17 @@
 	jobs                    map[string]*trackedJob
 	shards                  map[string]*shardState
 	teams                   map[string]*teamUsage
-	unreconciled            resources // what may run that no owner accounts for
+	unreconciled            resources // what may run though no shard knows of it
 	subscribers             []*subscriber
 	lastStream              uint64
 	offers                  map[uint64]*offer
 	lastOfferID             uint64
-	pendingResponses        []*pendingResponse // that wait for picks, the oldest first
-	lastDeliveryAt          time.Duration      // last report that showed that an answer had arrived
+	pendingResponses        []*pendingResponse // that wait for bindings, the oldest first
+	lastDeliveryAt          time.Duration      // of the last heartbeat that showed that a response had arrived
 	actingSince             time.Duration      // since when this member may act without a break
 	nextSlowTick            time.Duration
 	machinesKnown           bool // every machine that may hold a task is known
-	machineRecordReads      int  // how often the records that tell were asked for
+	machineRecordReads      int  // how often the records of them were asked for
 	unrecordedMachines      []*machine
 	nextMachineRecord       time.Duration
 	recordingMachines       bool
@@ -40,23 +40,23 @@
 	images                  imageTable
 }
 
-// sweepParts is in how many parts the work that concerns all machines is done: one
-// a tick, all of them in a second.
-const sweepParts = int(time.Second / tickInterval)
+const (
+	slowTickInterval = time.Second
+
+	// sweepParts is in how many parts the work that concerns all machines is
+	// done: one a tick, all of them in a second.
+	sweepParts = int(time.Second / tickInterval)
+
+	// A leader resigns if no response has surely arrived for so many intervals
+	// of machines' heartbeats, and for so long.
+	deliveryTimeoutHeartbeats = 4
+	minDeliveryTimeout        = 10 * time.Second
+)
 
 // becomeLeader begins to lead under a fencing token.
 func (c *Controller) becomeLeader(fencingToken uint64) {
 	now := c.now()
-	l := &leader{
-		c: c, fencingToken: fencingToken, electedAt: now, lastDeliveryAt: now, actingSince: now,
-		jobs: make(map[string]*trackedJob), shards: make(map[string]*shardState),
-		teams: make(map[string]*teamUsage), offers: make(map[uint64]*offer), estimates: make(map[string]*runTimeEstimate),
-	}
-	l.machines.init()
-	for i := range c.cfg.Settings.Teams {
-		t := &c.cfg.Settings.Teams[i]
-		l.teams[t.Name] = &teamUsage{cfg: t}
-	}
+	l := newLeader(c, fencingToken, now)
 	for name := range c.election.Shards() {
 		l.addShard(name)
 	}
@@ -73,7 +73,30 @@
 	c.sendPeerHeartbeats(now)
 }
 
-// endLeadership ends this process's leadership.
+// newLeader is a leader that knows of no shard or machine yet.
+func newLeader(c *Controller, fencingToken uint64, now time.Duration) *leader {
+	l := &leader{
+		c:              c,
+		fencingToken:   fencingToken,
+		electedAt:      now,
+		lastDeliveryAt: now,
+		actingSince:    now,
+		jobs:           make(map[string]*trackedJob),
+		shards:         make(map[string]*shardState),
+		teams:          make(map[string]*teamUsage),
+		offers:         make(map[uint64]*offer),
+		estimates:      make(map[string]*runTimeEstimate),
+	}
+	l.machines.init()
+	for i := range c.cfg.Settings.Teams {
+		t := &c.cfg.Settings.Teams[i]
+		l.teams[t.Name] = &teamUsage{cfg: t}
+	}
+	return l
+}
+
+// endLeadership ends this process's leadership: whoever still waits for a
+// response is refused.
 func (c *Controller) endLeadership() {
 	l := c.leader
 	c.leader = nil
@@ -99,7 +122,7 @@
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
 	if !l.c.election.MayAct(now) {
-		// Reports are refused meanwhile, so silence means nothing.
+		// Heartbeats are refused meanwhile, so silence means nothing.
 		l.actingSince, l.lastDeliveryAt = now, now
 	}
 	l.machines.nextSlice(sweepParts, func(m *machine) { l.updateUnreconciled(m, now) })
@@ -107,11 +130,11 @@
 	if now < l.nextSlowTick {
 		return
 	}
-	l.nextSlowTick = now + time.Second
+	l.nextSlowTick = now + slowTickInterval
 	l.slowTick(now)
 }
 
-// slowTick does what has to be done once a second.
+// slowTick does what has to be done once in a slowTickInterval.
 func (l *leader) slowTick(now time.Duration) {
 	leaseTimeout := l.c.workerLeaseTimeout()
 	l.removeTerminated(now)
@@ -121,21 +144,21 @@
 	l.reconcileShards(now, leaseTimeout)
 	if l.c.election.MayAct(now) {
 		l.autoscaler.tick(now)
-		if !l.reachesWorkers(now) {
+		if !l.reachesMachines(now) {
 			l.c.election.Resign(election.WorkersUnreachable)
 		}
 	}
 }
 
-// reachesWorkers tells whether workers still get answers from here. Without it
-// the answers that name this member would keep every worker trying in vain.
-func (l *leader) reachesWorkers(now time.Duration) bool {
-	limit := max(seconds(4*l.c.cfg.Settings.Workers.HeartbeatIntervalS), 10*time.Second)
-	if now-l.lastDeliveryAt < limit || len(l.c.peers) == 0 {
+// reachesMachines tells whether machines still get responses from here. Without
+// it the responses that name this member would keep every machine trying in vain.
+func (l *leader) reachesMachines(now time.Duration) bool {
+	timeout := max(seconds(deliveryTimeoutHeartbeats*l.c.cfg.Settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
+	if now-l.lastDeliveryAt < timeout || len(l.c.peers) == 0 {
 		return true
 	}
 	for m := range l.machines.all {
-		if !m.terminated && l.c.fleet.runningFor(m.name, now) > limit {
+		if !m.terminated && l.c.fleet.runningFor(m.name, now) > timeout {
 			return false
 		}
 	}
