--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,7 +1,13 @@
-// Package coordination is the core of a controller: leadership, ownership of
-// jobs, placement, renting and recovery. All of its state belongs to one
-// goroutine; the world reaches it as commands on a queue and it reaches the
-// world through the interfaces of Env. It knows nothing of sockets.
+// Package coordination is the inside of a controller: the shards that it holds
+// with the jobs in them, leadership of the fleet, placement, autoscaling, users'
+// requests and recovery.
+//
+// It owns all of a controller's state but for what it holds at the state service
+// and may act on, which package election decides. It promises that all of its
+// state belongs to one goroutine: the world reaches it as commands on an
+// EventLoop, and it reaches the world through the interfaces of Env.
+//
+// It never opens a connection, starts a goroutine or waits.
 package coordination
 
 import (
@@ -14,32 +20,32 @@
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
+const (
+	responseLifetime   = 4 * time.Second        // agents of machines drop responses that are older
+	stateRetryInterval = 400 * time.Millisecond // after a read that the state service did not answer
+
+	// burstShare is the part of the state service's bursts that one controller uses.
+	burstShare = 0.5
+)
+
 // Env is the outside world.
 type Env struct {
-	Clock storage.Clock
-	Wall  func() time.Time
+	Clock storage.Clock    // steady; all spans and deadlines are on it
+	Wall  func() time.Time // for what users see
 	Rand  *rand.Rand
-	State storage.Caller
-	Cloud storage.Caller
+	State storage.Caller // of the state service
+	Cloud storage.Caller // of the cloud
 	Log   zerolog.Logger
 	Audit func(audit.Record) // takes records of admissions without waiting; nil: none are kept
 }
 
-// Margins of time.
-const (
-	responseLifetime      = 4 * time.Second // workers drop answers that are older
-	peerHeartbeatInterval = time.Second
-	stateRetryInterval    = 400 * time.Millisecond // after a read that the state service did not answer
-)
-
-// burstShare is what one controller uses of the state service's bursts.
-const burstShare = 0.5
-
-// Controller is the state of one controller.
+// Controller is the state of one controller. Only the goroutine that runs its
+// EventLoop may call its methods.
 type Controller struct {
 	env    Env
 	cfg    *settings.File
@@ -49,102 +55,88 @@
 	log    zerolog.Logger
 
 	startedAt time.Duration
-	identity  storage.Holder
+	identity  storage.Holder // of this process, in the keys that it holds
 
-	deferred []func()
-	loopback []loopbackFrame
+	deferred []func()        // to be called before the batch ends
+	loopback []*meshpb.Frame // to this very process, the same
 
 	election   *election.Election
-	peers      map[string]*peer
-	selfPeer   *peer
+	peers      map[string]*peer // every other member
+	selfPeer   *peer            // this member
 	peerByLink map[Link]*peer
 
 	owner        owner
 	admission    admission
 	userAPI      userAPI
-	leader       *leader // nil unless this process holds the leader key
+	leader       *leader // nil unless this process leads
 	subscription subscription
 	forwarder    heartbeatForwarder
-	fleet        cloudInventory // what the cloud says; every node keeps the catalogue
+	fleet        cloudInventory // what the cloud says; every member keeps the catalogue
 
-	responseEvents    eventCounter // by answerEvent
+	responseEvents    eventCounter // by responseEvent
 	lastPeerHeartbeat time.Duration
 	lastFlush         time.Duration
 }
 
-// New builds a core. incarnation tells this process from earlier ones of the
-// same member.
-func New(cfg *settings.File, tune settings.Tuning, env Env, incarnation uint64) (*Controller, error) {
+// New builds a controller. incarnation tells this process from earlier ones of
+// the same member. It fails if the settings can't be served.
+func New(cfg *settings.File, tuning settings.Tuning, env Env, incarnation uint64) (*Controller, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		return nil, err
 	}
-	controller := &Controller{
-		env: env, cfg: cfg, tuning: tune, codec: codec, log: env.Log, startedAt: env.Clock.Now(),
-		identity:   storage.Holder{Member: cfg.Member, Nonce: strconv.FormatUint(incarnation, 36), RecordFormat: storage.CurrentRecordFormat},
-		peers:      make(map[string]*peer),
-		peerByLink: make(map[Link]*peer),
+	c := &Controller{
+		env:            env,
+		cfg:            cfg,
+		tuning:         tuning,
+		codec:          codec,
+		log:            env.Log,
+		startedAt:      env.Clock.Now(),
+		identity:       newIdentity(cfg.Member, incarnation),
+		peers:          make(map[string]*peer),
+		peerByLink:     make(map[Link]*peer),
+		responseEvents: newResponseCounter(),
 	}
-	rps, writeRPS := controller.stateServiceShare(1 + len(cfg.Peers))
-	stateLimits := cfg.Settings.State.Effective()
-	controller.store = storage.NewStore(env.State, env.Clock, codec, storage.Limits{
-		RPS: rps, WriteRPS: writeRPS,
-		BurstRPS: stateLimits.RPS * burstShare, BurstWrites: stateLimits.WriteRPS * burstShare,
-		TxnOps: stateLimits.TxnOps, ValueBytes: int(stateLimits.ValueKB * 1024), Timeout: tune.RequestTimeout,
-	}, controller.runLater)
+	c.store = storage.NewStore(env.State, env.Clock, codec, c.stateServiceLimits(), c.runLater)
 	for i, p := range cfg.Peers {
-		controller.peers[p.Member] = &peer{member: p.Member, index: i + 1}
+		c.peers[p.Member] = &peer{member: p.Member, index: i + 1}
 	}
-	controller.selfPeer = &peer{member: cfg.Member, link: loopbackLink{controller}, stateServiceReachable: true}
-	controller.responseEvents = newResponseCounter()
-	controller.owner.init(controller)
-	if err := controller.admission.init(controller); err != nil {
+	c.selfPeer = &peer{member: cfg.Member, link: loopbackLink{c}, stateServiceReachable: true}
+	c.owner.init(c)
+	if err := c.admission.init(c); err != nil {
 		return nil, err
 	}
-	controller.userAPI.init(controller)
-	controller.forwarder.init(controller)
-	controller.subscription.c = controller
-	controller.subscription.reset()
-	controller.fleet.init(controller)
-	controller.election = newElection(controller)
-	return controller, nil
+	c.userAPI.init(c)
+	c.forwarder.init(c)
+	c.subscription.c = c
+	c.subscription.reset()
+	c.fleet.init(c)
+	c.election = newElection(c)
+	return c, nil
 }
 
-// stateServiceShare is this member's part of the state service's rates if as many use it.
-func (c *Controller) stateServiceShare(members int) (rps, writeRPS float64) {
-	share := c.tuning.WriteShare / float64(members)
-	return c.cfg.Settings.State.Effective().RPS * share, c.cfg.Settings.State.Effective().WriteRPS * share
+// newIdentity is what a process of a member writes into the keys that it holds.
+func newIdentity(member string, incarnation uint64) storage.Holder {
+	return storage.Holder{
+		Member:       member,
+		Nonce:        strconv.FormatUint(incarnation, 36),
+		RecordFormat: storage.CurrentRecordFormat,
+	}
 }
 
-func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
-
-func (c *Controller) runLater(fn func()) { c.deferred = append(c.deferred, fn) }
-
-// EndBatch runs what the commands of a batch left to do, and sends what they
-// gathered for other members.
-func (c *Controller) EndBatch() {
-	for len(c.deferred) > 0 || len(c.loopback) > 0 || len(c.owner.changed) > 0 || len(c.subscription.commands) > 0 || c.selfPeer.machineStatuses != nil {
-		for len(c.deferred) > 0 || len(c.loopback) > 0 {
-			if len(c.loopback) > 0 {
-				f := c.loopback[0]
-				c.loopback = c.loopback[1:]
-				c.dispatch(c.selfPeer, f.f)
-				continue
-			}
-			fn := c.deferred[0]
-			c.deferred = c.deferred[1:]
-			fn()
-		}
-		c.owner.publish()
-		c.subscription.flushCommands()
-		c.selfPeer.flush()
-	}
-	c.loopback, c.deferred = nil, nil
-	for _, p := range c.peers {
-		p.flush()
-		if p.link != nil {
-			p.link.Flush()
-		}
+// stateServiceLimits are what this process uses of the state service at first,
+// when all members are thought to use it.
+func (c *Controller) stateServiceLimits() storage.Limits {
+	rps, writeRPS := c.stateServiceShare(1 + len(c.cfg.Peers))
+	limits := c.cfg.Settings.State.Effective()
+	return storage.Limits{
+		RPS:         rps,
+		WriteRPS:    writeRPS,
+		BurstRPS:    limits.RPS * burstShare,
+		BurstWrites: limits.WriteRPS * burstShare,
+		TxnOps:      limits.TxnOps,
+		ValueBytes:  int(limits.ValueKB * 1024),
+		Timeout:     c.tuning.RequestTimeout,
 	}
 }
 
@@ -155,7 +147,7 @@
 	c.election.Tick(now)
 	if now-c.lastPeerHeartbeat >= peerHeartbeatInterval {
 		c.lastPeerHeartbeat = now
-		c.subscription.registerShards() // whatever event was missed, the ledgers join
+		c.subscription.registerShards() // whatever event was missed
 		c.sendPeerHeartbeats(now)
 	}
 	if now-c.lastFlush >= storage.FlushInterval {
@@ -173,7 +165,53 @@
 	}
 }
 
-// team returns the settings of a team.
+// EndBatch does what the commands of a batch left to do, and sends what they
+// gathered for other members.
+func (c *Controller) EndBatch() {
+	for c.batchPending() {
+		c.runDeferred()
+		c.owner.publish()
+		c.subscription.flushCommands()
+		c.selfPeer.flush()
+	}
+	c.loopback, c.deferred = nil, nil
+	for _, p := range c.peers {
+		p.flush()
+		if p.link != nil {
+			p.link.Flush()
+		}
+	}
+}
+
+// batchPending tells whether the batch has left anything to do in this process.
+func (c *Controller) batchPending() bool {
+	return len(c.deferred) > 0 || len(c.loopback) > 0 ||
+		len(c.owner.changed) > 0 || len(c.subscription.commands) > 0 || c.selfPeer.machineStatuses != nil
+}
+
+// runDeferred delivers the frames to this very process and calls what was put
+// off, frames first.
+func (c *Controller) runDeferred() {
+	for len(c.deferred) > 0 || len(c.loopback) > 0 {
+		if len(c.loopback) > 0 {
+			frame := c.loopback[0]
+			c.loopback = c.loopback[1:]
+			c.dispatch(c.selfPeer, frame)
+			continue
+		}
+		fn := c.deferred[0]
+		c.deferred = c.deferred[1:]
+		fn()
+	}
+}
+
+// runLater calls a function before the present batch ends, but not within the
+// call that asked for it.
+func (c *Controller) runLater(fn func()) { c.deferred = append(c.deferred, fn) }
+
+func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
+
+// team returns the settings of a team; nil if there is no such team.
 func (c *Controller) team(name string) *settings.Team {
 	for i := range c.cfg.Settings.Teams {
 		if c.cfg.Settings.Teams[i].Name == name {
@@ -183,10 +221,10 @@
 	return nil
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// workerLeaseTimeout is how long after a report's arrival its worker's lease has
-// surely ended.
+// workerLeaseTimeout is how long after the arrival of a machine's heartbeat its
+// lease has surely ended.
 func (c *Controller) workerLeaseTimeout() time.Duration {
 	return seconds(c.cfg.Settings.Workers.LeaseS*election.ClockDriftFactor) + responseLifetime
 }
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -6,65 +6,80 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-func (c *Controller) dispatch(p *peer, f *meshpb.Frame) {
-	switch b := f.Body.(type) {
+// dispatch hands a frame of a member to the part of the controller that it is
+// for. Frames that a later version may send are passed over.
+func (c *Controller) dispatch(from *peer, frame *meshpb.Frame) {
+	switch body := frame.Body.(type) {
 	case *meshpb.Frame_PeerHeartbeat:
-		p.stateServiceReachable = b.PeerHeartbeat.StateOk
-		if p != c.selfPeer {
-			c.forwarder.peerLoad[p] = b.PeerHeartbeat.Load
-		}
-		if b.PeerHeartbeat.LeaderOk {
-			c.election.ObserveLeader(p.member, b.PeerHeartbeat.FencingToken)
-			c.subscription.onPeerHeartbeat(p, b.PeerHeartbeat)
+		c.onPeerHeartbeat(from, body.PeerHeartbeat)
+	case *meshpb.Frame_ShardRegistered, *meshpb.Frame_MachineStatuses, *meshpb.Frame_Offer,
+		*meshpb.Frame_ReturnedBindings, *meshpb.Frame_MachineTerminated, *meshpb.Frame_Reconciled:
+		c.subscription.dispatch(from, frame)
+	case *meshpb.Frame_RegisterShard, *meshpb.Frame_JobSummaries, *meshpb.Frame_Bindings, *meshpb.Frame_MachineCommands:
+		if c.leader != nil {
+			c.leader.dispatch(from, frame)
 		}
+	case *meshpb.Frame_Handover, *meshpb.Frame_UptimeRequest, *meshpb.Frame_UptimeResponse,
+		*meshpb.Frame_LeaseExtensionRequest, *meshpb.Frame_LeaseExtension:
+		c.dispatchToElection(from, frame)
+	case *meshpb.Frame_JobQuery:
+		c.userAPI.onJobQuery(from, body.JobQuery)
+	case *meshpb.Frame_JobQueryResult:
+		c.userAPI.onJobQueryResult(from, body.JobQueryResult)
+	case *meshpb.Frame_ForwardedHeartbeats:
+		c.onForwardedHeartbeats(from, body.ForwardedHeartbeats)
+	case *meshpb.Frame_HeartbeatResponses:
+		c.forwarder.onResponses(from, body.HeartbeatResponses)
+	case *meshpb.Frame_QuotaDemands:
+		c.admission.onDemands(from, body.QuotaDemands)
+	}
+}
+
+// dispatch takes what a leader tells the holders of shards.
+func (s *subscription) dispatch(from *peer, frame *meshpb.Frame) {
+	switch body := frame.Body.(type) {
 	case *meshpb.Frame_ShardRegistered:
-		c.subscription.onShardRegistered(p, b.ShardRegistered)
+		s.onShardRegistered(from, body.ShardRegistered)
 	case *meshpb.Frame_MachineStatuses:
-		c.subscription.onMachineStatuses(p, b.MachineStatuses)
+		s.onMachineStatuses(from, body.MachineStatuses)
 	case *meshpb.Frame_Offer:
-		c.subscription.onOffer(p, b.Offer)
+		s.onOffer(from, body.Offer)
 	case *meshpb.Frame_ReturnedBindings:
-		c.subscription.onReturnedBindings(p, b.ReturnedBindings)
+		s.onReturnedBindings(from, body.ReturnedBindings)
 	case *meshpb.Frame_MachineTerminated:
-		c.subscription.onMachineTerminated(p, b.MachineTerminated)
+		s.onMachineTerminated(from, body.MachineTerminated)
 	case *meshpb.Frame_Reconciled:
-		c.subscription.onReconciled(p, b.Reconciled)
+		s.onReconciled(from, body.Reconciled)
+	}
+}
+
+// dispatch takes what the holders of shards tell their leader.
+func (l *leader) dispatch(from *peer, frame *meshpb.Frame) {
+	switch body := frame.Body.(type) {
 	case *meshpb.Frame_RegisterShard:
-		if c.leader != nil {
-			c.leader.onRegisterShard(p, b.RegisterShard)
-		}
+		l.onRegisterShard(from, body.RegisterShard)
 	case *meshpb.Frame_JobSummaries:
-		if c.leader != nil {
-			c.leader.onJobSummaries(p, b.JobSummaries)
-		}
+		l.onJobSummaries(from, body.JobSummaries)
 	case *meshpb.Frame_Bindings:
-		if c.leader != nil {
-			c.leader.onBindings(p, b.Bindings)
-		}
+		l.onBindings(from, body.Bindings)
 	case *meshpb.Frame_MachineCommands:
-		if c.leader != nil {
-			c.leader.onMachineCommands(p, b.MachineCommands)
-		}
-	case *meshpb.Frame_JobQuery:
-		c.userAPI.onJobQuery(p, b.JobQuery)
-	case *meshpb.Frame_JobQueryResult:
-		c.userAPI.onJobQueryResult(p, b.JobQueryResult)
+		l.onMachineCommands(from, body.MachineCommands)
+	}
+}
+
+// dispatchToElection takes what members ask and tell each other of the keys that
+// they hold.
+func (c *Controller) dispatchToElection(from *peer, frame *meshpb.Frame) {
+	switch body := frame.Body.(type) {
 	case *meshpb.Frame_Handover:
-		c.election.HandleHandover(p.member, b.Handover.Shard)
+		c.election.HandleHandover(from.member, body.Handover.Shard)
 	case *meshpb.Frame_UptimeRequest:
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeResponse{UptimeResponse: &meshpb.UptimeResponse{UptimeUs: (c.now() - c.startedAt).Microseconds()}}})
+		from.sendUptime(c.now() - c.startedAt)
 	case *meshpb.Frame_UptimeResponse:
-		c.election.HandleUptime(p.member, time.Duration(b.UptimeResponse.UptimeUs)*time.Microsecond)
+		c.election.HandleUptime(from.member, time.Duration(body.UptimeResponse.UptimeUs)*time.Microsecond)
 	case *meshpb.Frame_LeaseExtensionRequest:
-		extension := c.election.HandleExtensionRequest(p.member, b.LeaseExtensionRequest)
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtension{LeaseExtension: extension}})
-	case *meshpb.Frame_ForwardedHeartbeats:
-		c.onForwardedHeartbeats(p, b.ForwardedHeartbeats)
-	case *meshpb.Frame_HeartbeatResponses:
-		c.forwarder.onResponses(p, b.HeartbeatResponses)
-	case *meshpb.Frame_QuotaDemands:
-		c.admission.onDemands(p, b.QuotaDemands)
+		from.sendLeaseExtension(c.election.HandleExtensionRequest(from.member, body.LeaseExtensionRequest))
 	case *meshpb.Frame_LeaseExtension:
-		c.election.HandleExtension(p.member, b.LeaseExtension)
+		c.election.HandleExtension(from.member, body.LeaseExtension)
 	}
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -1,43 +1,57 @@
 package coordination
 
 import (
+	"slices"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// Link is an ordered stream of frames to another member, until it is down.
+const (
+	peerHeartbeatInterval = time.Second
+
+	// heartbeatsPerFrame is how many forwarded heartbeats or responses go into
+	// one frame, so that it stays within its size however long they are.
+	heartbeatsPerFrame = 12
+)
+
+// Link is an ordered stream of frames to another member, until it is down. It
+// is closed by whoever opened it, and here only if it is not wanted.
 type Link interface {
 	Send(*meshpb.Frame)
-	Flush() // what was sent goes out at the latest now
+	// Flush sends what has been buffered.
+	Flush()
 	Close()
 }
 
-// peer is a member as this one sees it; self is one of them, reached by a
-// link that loops back.
+// peer is a member as this one sees it. The member itself is one of them,
+// reached by a link that loops back.
 type peer struct {
-	member                string
-	index                 int                     // dense; this member's own is 0
-	streamCount           uint64                  // streams so far
-	link                  Link                    // nil while down
-	machineStatuses       *meshpb.MachineStatuses // gathered for it, see flush
-	batchedTasks          int                     // tasks in them
-	forwardedHeartbeats   []*meshpb.ForwardedHeartbeat
-	heartbeatResponses    []*meshpb.HeartbeatResponse
-	stateServiceReachable bool
-	quotaSequence         uint64 // of its last demands on this stream
+	member      string
+	index       int    // dense; this member's own is 0
+	link        Link   // nil while down
+	streamCount uint64 // streams so far
+
+	// Gathered until the next flush.
+	machineStatuses     *meshpb.MachineStatuses
+	batchedTasks        int // in machineStatuses
+	forwardedHeartbeats []*meshpb.ForwardedHeartbeat
+	heartbeatResponses  []*meshpb.HeartbeatResponse
+
+	stateServiceReachable bool   // as it said last
+	quotaSequence         uint64 // of its last quota demands on this stream
 }
 
-// send sends a frame after all reports that have gathered.
-func (p *peer) send(f *meshpb.Frame) {
+// send sends a frame after all that has been gathered.
+func (p *peer) send(frame *meshpb.Frame) {
 	p.flush()
 	if p.link != nil {
-		p.link.Send(f)
+		p.link.Send(frame)
 	}
 }
 
-// statusBatch returns the reports that go out together, to add one to. Their
-// clock is that of the last.
+// statusBatch returns the machine statuses that go out together, to add one to.
+// Their clock is that of the last.
 func (p *peer) statusBatch(now time.Duration) *meshpb.MachineStatuses {
 	if p.machineStatuses == nil {
 		p.machineStatuses = &meshpb.MachineStatuses{}
@@ -46,84 +60,76 @@
 	return p.machineStatuses
 }
 
-// flush sends what has gathered.
+// flush sends what has been gathered.
 func (p *peer) flush() {
-	machineStatuses, heartbeats, responses := p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses
-	p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses, p.batchedTasks = nil, nil, nil, 0
+	statuses, heartbeats, responses := p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses
+	p.discardBatch()
+	p.batchedTasks = 0
 	if p.link == nil {
 		return
 	}
-	if machineStatuses != nil {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineStatuses{MachineStatuses: machineStatuses}})
+	if statuses != nil {
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineStatuses{MachineStatuses: statuses}})
 	}
-	for ; len(heartbeats) > 0; heartbeats = heartbeats[min(len(heartbeats), heartbeatsPerFrame):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_ForwardedHeartbeats{ForwardedHeartbeats: &meshpb.ForwardedHeartbeats{Heartbeats: heartbeats[:min(len(heartbeats), heartbeatsPerFrame)]}}})
+	for chunk := range slices.Chunk(heartbeats, heartbeatsPerFrame) {
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_ForwardedHeartbeats{ForwardedHeartbeats: &meshpb.ForwardedHeartbeats{Heartbeats: chunk}}})
 	}
-	for ; len(responses) > 0; responses = responses[min(len(responses), heartbeatsPerFrame):] {
-		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_HeartbeatResponses{HeartbeatResponses: &meshpb.HeartbeatResponses{Responses: responses[:min(len(responses), heartbeatsPerFrame)]}}})
+	for chunk := range slices.Chunk(responses, heartbeatsPerFrame) {
+		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_HeartbeatResponses{HeartbeatResponses: &meshpb.HeartbeatResponses{Responses: chunk}}})
 	}
 }
 
-// heartbeatsPerFrame is how many reports or answers go into one frame, so that it
-// stays within its size whatever they are.
-const heartbeatsPerFrame = 12
+// discardBatch forgets what has been gathered.
+func (p *peer) discardBatch() {
+	p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = nil, nil, nil
+}
+
+func (p *peer) sendUptime(uptime time.Duration) {
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeResponse{UptimeResponse: &meshpb.UptimeResponse{UptimeUs: uptime.Microseconds()}}})
+}
 
-type loopbackFrame struct {
-	f *meshpb.Frame
+func (p *peer) sendLeaseExtension(extension *meshpb.LeaseExtension) {
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtension{LeaseExtension: extension}})
 }
 
-// loopbackLink delivers frames to this very process, after the command that
-// sent them.
+// loopbackLink delivers frames to this very process, once the command that sent
+// them is done.
 type loopbackLink struct{ c *Controller }
 
-func (l loopbackLink) Send(f *meshpb.Frame) { l.c.loopback = append(l.c.loopback, loopbackFrame{f}) }
+func (l loopbackLink) Send(frame *meshpb.Frame) { l.c.loopback = append(l.c.loopback, frame) }
 
 func (loopbackLink) Flush() {}
 
 func (loopbackLink) Close() {}
 
-// sendPeerHeartbeats tells every member that this one lives and, from a leader that may
-// act, up to when all its reports have been passed on.
-func (c *Controller) sendPeerHeartbeats(now time.Duration) {
-	c.forwarder.balance(now)
-	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
-	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.forwarder.load()}
-	if c.leader != nil && c.election.MayAct(now) {
-		heartbeat.FencingToken, heartbeat.ClockUs, heartbeat.LeaderOk = c.leader.fencingToken, now.Microseconds(), true
-	}
-	frame := &meshpb.Frame{Body: &meshpb.Frame_PeerHeartbeat{PeerHeartbeat: heartbeat}}
-	for _, p := range c.peers {
-		p.send(frame)
-	}
-	c.selfPeer.send(frame)
-}
-
 // LinkUp tells that a stream to a member has begun.
-func (c *Controller) LinkUp(l Link, member string) {
+func (c *Controller) LinkUp(link Link, member string) {
 	p := c.peers[member]
 	if p == nil {
-		l.Close()
+		link.Close()
 		return
 	}
 	if p.link != nil {
 		c.LinkDown(p.link)
 	}
 	p.streamCount++
-	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = l, nil, nil, nil
+	p.link = link
+	p.discardBatch()
 	p.quotaSequence = 0
 	c.election.PeerConnected(member)
-	c.peerByLink[l] = p
+	c.peerByLink[link] = p
 	c.subscription.registerShards()
 }
 
 // LinkDown tells that a stream has ended.
-func (c *Controller) LinkDown(l Link) {
-	p := c.peerByLink[l]
+func (c *Controller) LinkDown(link Link) {
+	p := c.peerByLink[link]
 	if p == nil {
 		return
 	}
-	delete(c.peerByLink, l)
-	p.link, p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = nil, nil, nil, nil
+	delete(c.peerByLink, link)
+	p.link = nil
+	p.discardBatch()
 	p.stateServiceReachable = false
 	c.election.PeerDisconnected(p.member)
 	if c.leader != nil {
@@ -137,14 +143,43 @@
 }
 
 // LinkFrame takes one frame of a stream.
-func (c *Controller) LinkFrame(l Link, f *meshpb.Frame) {
-	if p := c.peerByLink[l]; p != nil {
-		c.dispatch(p, f)
+func (c *Controller) LinkFrame(link Link, frame *meshpb.Frame) {
+	if p := c.peerByLink[link]; p != nil {
+		c.dispatch(p, frame)
 	}
 }
 
-// activeMembers counts the members that use the state service: those in reach, and
-// those that hold a key although they are not.
+// sendPeerHeartbeats tells every member that this one lives and, from a leader
+// that may act, up to when all that machines have reported has been passed on.
+func (c *Controller) sendPeerHeartbeats(now time.Duration) {
+	c.forwarder.balance(now)
+	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
+	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.forwarder.load()}
+	if c.leader != nil && c.election.MayAct(now) {
+		heartbeat.FencingToken = c.leader.fencingToken
+		heartbeat.ClockUs = now.Microseconds()
+		heartbeat.LeaderOk = true
+	}
+	frame := &meshpb.Frame{Body: &meshpb.Frame_PeerHeartbeat{PeerHeartbeat: heartbeat}}
+	for _, p := range c.peers {
+		p.send(frame)
+	}
+	c.selfPeer.send(frame)
+}
+
+func (c *Controller) onPeerHeartbeat(from *peer, heartbeat *meshpb.PeerHeartbeat) {
+	from.stateServiceReachable = heartbeat.StateOk
+	if from != c.selfPeer {
+		c.forwarder.peerLoad[from] = heartbeat.Load
+	}
+	if heartbeat.LeaderOk {
+		c.election.ObserveLeader(from.member, heartbeat.FencingToken)
+		c.subscription.onPeerHeartbeat(from, heartbeat)
+	}
+}
+
+// activeMembers counts the members that use the state service: those in reach,
+// and those that hold a key although they are not.
 func (c *Controller) activeMembers() int {
 	n := 1
 	for _, p := range c.peers {
@@ -154,3 +189,11 @@
 	}
 	return n
 }
+
+// stateServiceShare is this member's part of the state service's rates if as
+// many members use it.
+func (c *Controller) stateServiceShare(members int) (rps, writeRPS float64) {
+	share := c.tuning.WriteShare / float64(members)
+	limits := c.cfg.Settings.State.Effective()
+	return limits.RPS * share, limits.WriteRPS * share
+}
