--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -18,13 +18,29 @@
 type claimStep uint8
 
 const (
-	leaveShard      claimStep = iota
-	claimHeldKey              // an earlier process of this member holds it
-	claimFreeKey              // nobody holds it
-	requestHandover           // another member holds this member's own
-	requestRelease            // nobody holds this member's own, but one may go on with it by an extension
+	stepNone            claimStep = iota
+	stepClaimHeldKey              // an earlier process of this member holds it
+	stepClaimFreeKey              // nobody holds it
+	stepRequestHandover           // another member holds this member's own
+	stepRequestReleases           // nobody holds this member's own, but one may go on with it by an extension
 )
 
+func (s claimStep) String() string {
+	switch s {
+	case stepNone:
+		return "none"
+	case stepClaimHeldKey:
+		return "claim held key"
+	case stepClaimFreeKey:
+		return "claim free key"
+	case stepRequestHandover:
+		return "request handover"
+	case stepRequestReleases:
+		return "request releases"
+	}
+	return "unknown"
+}
+
 // claimShards takes this member's own shard, and as leader also those whose
 // holders are gone.
 func (e *Election) claimShards(now time.Duration) {
@@ -33,14 +49,14 @@
 			continue
 		}
 		switch e.nextClaimStep(name, key, now) {
-		case leaveShard:
-		case claimHeldKey:
+		case stepNone:
+		case stepClaimHeldKey:
 			e.claimShard(name, key.version)
-		case claimFreeKey:
+		case stepClaimFreeKey:
 			e.claimShard(name, 0)
-		case requestHandover:
+		case stepRequestHandover:
 			e.requestHandover(key.holder.Member, now)
-		case requestRelease:
+		case stepRequestReleases:
 			e.requestReleases(now)
 		}
 	}
@@ -51,28 +67,30 @@
 	return held
 }
 
+// nextClaimStep decides what is to be done about a shard that this process does
+// not hold, by the key as it was last seen.
 func (e *Election) nextClaimStep(name string, key *observedKey, now time.Duration) claimStep {
 	own := name == e.member()
 	switch {
 	case key.present && key.holder == e.config.Identity && !e.mayClaim(now):
 		// A claim of ours that was applied late; it may have been granted away since.
-		return leaveShard
+		return stepNone
 	case key.heldBy(e.member()):
 		// An earlier process of this member held it; that one has ended.
 		// (A claim of this process whose answer was lost also ends up here.)
-		return claimHeldKey
+		return stepClaimHeldKey
 	case key.present && own:
-		return requestHandover
+		return stepRequestHandover
 	case key.present:
-		return leaveShard
+		return stepNone
 	case own && e.mayClaimOwnShard(now):
-		return claimFreeKey
+		return stepClaimFreeKey
 	case own:
-		return requestRelease
+		return stepRequestReleases
 	case e.Leading() && e.takeoverDue(name, now-key.changedAt) && e.mayClaim(now):
-		return claimFreeKey
+		return stepClaimFreeKey
 	}
-	return leaveShard
+	return stepNone
 }
 
 // takeoverDue tells whether a shard has been free for long enough to be taken
