--- /dev/null
+++ b/internal/election/election_test.go
@@ -0,0 +1,442 @@
+package election
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+func want(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Fatalf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+// A lease lasts as counted from when its last successful renewal was sent,
+// however late the answer came.
+func TestLeaseIsCountedFromWhenItsRenewalWasSent(t *testing.T) {
+	ttl := testTTL
+	span := time.Duration(float64(ttl)/ClockDriftFactor) - leaseSafetyMargin
+	p := newProcess(t)
+	want(t, "without a lease", p.MayAct(p.now), false)
+	p.Tick(p.now)
+	p.now += 300 * time.Millisecond
+	p.leases[0](7)
+	want(t, "lasts until", p.MayActUntil(), testStarted+span)
+	sent := testStarted + testTTL/renewalsPerLease
+	p.advance(sent - p.now)
+	p.now += 2 * time.Second
+	p.renewals[0](true, false)
+	want(t, "renewed until", p.MayActUntil(), sent+span)
+	want(t, "just before its end", p.MayAct(sent+span-1), true)
+	want(t, "at its end", p.MayAct(sent+span), false)
+}
+
+// With its lease a process loses its leadership and all of its shards.
+func TestExpiredLeaseEndsEverything(t *testing.T) {
+	p := newReadyProcess(t)
+	p.lead(10)
+	p.advance(testTTL / renewalsPerLease)
+	p.events = nil
+	p.renewals[0](false, true)
+	want(t, "events", p.events, "[leadership lost lost all]")
+	want(t, "leads", p.Leading(), false)
+	want(t, "may act", p.MayAct(p.now), false)
+}
+
+// An answer to a claim of before the lease ended counts no more, and the next
+// lease begins without it.
+func TestClaimOfAnEndedLease(t *testing.T) {
+	p := newReadyProcess(t)
+	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	claim := p.txns[len(p.txns)-1]
+	want(t, "claimed", claim.Then[0].Put, storage.LeaderKey)
+	p.endLease(LeaseSessionExpired)
+	p.txns = nil
+	p.advance(100 * time.Millisecond)
+	p.leases[len(p.leases)-1](8)
+	claim.done(storage.TxnResult{Outcome: storage.Applied, Revision: 9})
+	want(t, "leads", p.Leading(), false)
+	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	again := p.txns[len(p.txns)-1].Then[0]
+	want(t, "claimed again", again.Put, storage.LeaderKey)
+	want(t, "lease", again.Lease, 8)
+}
+
+// lead has the process win the leader key at a version, and its own shard before
+// that.
+func (p *process) lead(version uint64) {
+	p.t.Helper()
+	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	for !p.Leading() {
+		if len(p.txns) > 0 && p.txns[0].Then[0].Put == storage.LeaderKey {
+			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: version})
+		} else {
+			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: 3})
+		}
+	}
+}
+
+// A claim holds only while the process has not been replaced, and the version
+// that it is applied at is the fencing token.
+func TestClaimOfTheLeaderKey(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		result storage.TxnResult
+		leads  bool
+		events string
+		reads  int // of the key, to see whose it is
+	}{
+		{"applied", storage.TxnResult{Outcome: storage.Applied, Revision: 9}, true, "[leadership acquired]", 0},
+		{"conflict", storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.LeaderKey}}, false, "[]", 1},
+		{"unknown", storage.TxnResult{Outcome: storage.Unknown}, false, "[]", 1},
+		{"lease expired", storage.TxnResult{Outcome: storage.LeaseExpired}, false, "[lost all]", 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newReadyProcess(t)
+			p.advance(maxCampaignDelay + 100*time.Millisecond)
+			p.txns = p.txns[len(p.txns)-1:] // after the claim of the own shard
+			claim := p.txns[0]
+			want(t, "key", claim.Then[0].Put, storage.LeaderKey)
+			want(t, "lease", claim.Then[0].Lease, 7)
+			want(t, "conditions", claim.If, []protocol.Condition{{Key: storage.LeaderKey}, {Key: storage.ProcessKey("a"), Version: 2}})
+			p.gets, p.events = nil, nil
+			p.answer(test.result)
+			want(t, "leads", p.Leading(), test.leads)
+			want(t, "events", p.events, test.events)
+			want(t, "reads of the key", len(p.gets), test.reads)
+		})
+	}
+}
+
+// A process that was replaced claims nothing until it has registered anew.
+func TestReplacedProcessRegistersAnew(t *testing.T) {
+	p := newReadyProcess(t)
+	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	p.answer(storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.ProcessKey("a")}})
+	want(t, "registered", p.Registered(), false)
+	p.txns = nil
+	p.advance(time.Second)
+	want(t, "claims", len(p.txns), 0)
+}
+
+// Whoever resigns deletes the version of the key that it led by, and lets others
+// lead for a while.
+func TestResignation(t *testing.T) {
+	p := newReadyProcess(t)
+	p.lead(9)
+	p.events, p.txns = nil, nil
+	p.Resign(WorkersUnreachable)
+	want(t, "events", p.events, "[leadership lost]")
+	want(t, "condition", p.txns[0].If, []protocol.Condition{{Key: storage.LeaderKey, Version: 9}})
+	want(t, "change", p.txns[0].Then[0].Delete, storage.LeaderKey)
+	p.txns = nil
+	p.advance(time.Second)
+	want(t, "claims soon after", len(p.txns), 0)
+}
+
+// A newer leader key of another ends the leadership, an older one doesn't.
+func TestNewerLeaderKeyEndsTheLeadership(t *testing.T) {
+	for version, leads := range map[uint64]bool{8: true, 9: true, 10: false} {
+		t.Run(fmt.Sprint(version), func(t *testing.T) {
+			p := newReadyProcess(t)
+			p.lead(9)
+			p.ObserveLeader("b", version)
+			want(t, "leads", p.Leading(), leads)
+		})
+	}
+}
+
+// The leader key names this process under another version: a later claim of it
+// was applied, which it has not heard of.
+func TestLeaderKeyUnderAnotherVersionEndsTheLeadership(t *testing.T) {
+	p := newReadyProcess(t)
+	p.lead(9)
+	p.observe(storage.LeaderKey, p.encodedIdentity(), 9, true)
+	want(t, "leads under its own", p.Leading(), true)
+	p.observe(storage.LeaderKey, p.encodedIdentity(), 10, true)
+	want(t, "leads under another", p.Leading(), false)
+}
+
+// A late claim of this very process may have been granted away since it was sent;
+// a key that an earlier process holds can't have been.
+func TestCampaignWhileBoundByAnExtension(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		nonce   string // of the holder, a process of this member
+		claimed bool
+	}{
+		{"held by an earlier process", "1", true},
+		{"held by a late claim of this one", testIdentity.Nonce, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newReadyProcess(t)
+			p.txns = nil
+			p.extensions.bind(p.now)
+			p.observe(storage.LeaderKey, p.holder("a", test.nonce), 9, true)
+			p.advance(ExtensionDuration / 2)
+			claimed := false
+			for _, txn := range p.txns {
+				claimed = claimed || txn.Then[0].Put == storage.LeaderKey
+			}
+			want(t, "claimed", claimed, test.claimed)
+		})
+	}
+}
+
+// Who is thought to lead changes only with a newer version of the key.
+func TestLeaderIsWhoeverWroteTheNewestKey(t *testing.T) {
+	p := newReadyProcess(t)
+	p.observe(storage.LeaderKey, p.holder("b", "1"), 9, true)
+	p.ObserveLeader("c", 9)
+	p.observe(storage.LeaderKey, p.holder("c", "1"), 9, true)
+	p.observe(storage.LeaderKey, nil, 8, false)
+	leadership, known := p.Leader()
+	want(t, "known", known, true)
+	want(t, "leader", leadership, Leadership{Member: "b", FencingToken: 9})
+	p.observe(storage.LeaderKey, nil, 9, false)
+	_, known = p.Leader()
+	want(t, "known once the key is gone", known, false)
+}
+
+// What a process does about a shard follows from its key as it was last seen.
+func TestNextClaimStep(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		shard string
+		holds string // member and nonce of the holder; "": nobody
+		bound bool   // this member has granted an extension
+		leads bool
+		free  time.Duration // since when the key has been as it is
+		want  claimStep
+	}{
+		{name: "own, free", shard: "a", want: stepClaimFreeKey},
+		{name: "own, free, bound by an extension", shard: "a", bound: true, want: stepRequestReleases},
+		{name: "own, of an earlier process", shard: "a", holds: "a1", want: stepClaimHeldKey},
+		{name: "own, of an earlier process, bound by an extension", shard: "a", holds: "a1", bound: true, want: stepClaimHeldKey},
+		{name: "own, of a late claim, bound by an extension", shard: "a", holds: "a2", bound: true, want: stepNone},
+		{name: "own, held by another", shard: "a", holds: "b1", want: stepRequestHandover},
+		{name: "another's, held by another", shard: "b", holds: "c1", leads: true, free: time.Hour, want: stepNone},
+		{name: "another's, free", shard: "b", free: time.Hour, want: stepNone},
+		{name: "another's, free, to the leader", shard: "b", leads: true, free: takeoverDelayOfPeer + 1, want: stepClaimFreeKey},
+		{name: "another's, just free, to the leader", shard: "b", leads: true, free: takeoverDelayOfPeer, want: stepNone},
+		{name: "another's, free, to the leader, bound by an extension", shard: "b", leads: true, bound: true, free: time.Hour, want: stepNone},
+		{name: "of one out of reach, free, to the leader", shard: "c", leads: true, free: takeoverDelay + 1, want: stepClaimFreeKey},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newReadyProcess(t)
+			p.peers["c"].connected = false
+			key := &observedKey{changedAt: p.now - test.free}
+			if test.holds != "" {
+				key.present = true
+				key.holder = storage.Holder{Member: test.holds[:1], Nonce: test.holds[1:], RecordFormat: testIdentity.RecordFormat}
+			}
+			if test.bound {
+				p.extensions.bind(p.now)
+			}
+			if test.leads {
+				p.fencingToken = 9
+			}
+			want(t, "step", p.nextClaimStep(test.shard, key, p.now), test.want)
+		})
+	}
+}
+
+// A member extends a lease only if it has not seen that the keys are another's,
+// and claims none of them itself.
+func TestExtensionRequest(t *testing.T) {
+	leader := []*meshpb.HeldKey{{Key: storage.LeaderKey, Version: 5}}
+	shard := []*meshpb.HeldKey{{Key: storage.ShardKey("b"), Version: 6}}
+	for _, test := range []struct {
+		name    string
+		prepare func(p *process)
+		keys    []*meshpb.HeldKey
+		want    bool
+	}{
+		{"newer than what is known", func(*process) {}, leader, true},
+		{"no key", func(*process) {}, nil, false},
+		{"a shard that there is not", func(*process) {}, []*meshpb.HeldKey{{Key: storage.ShardKey("z"), Version: 1}}, false},
+		{"known as the asker's", func(p *process) { p.observe(storage.ShardKey("b"), p.holder("b", "1"), 6, true) }, shard, true},
+		{"known as another's", func(p *process) { p.observe(storage.ShardKey("b"), p.holder("c", "1"), 6, true) }, shard, false},
+		{"known to be free", func(p *process) { p.observe(storage.ShardKey("b"), nil, 7, false) }, shard, false},
+		{"claimed here", func(p *process) { p.claiming["b"] = true }, shard, false},
+		{"leader key claimed here", func(p *process) { p.campaigning = true }, leader, false},
+		{"not registered", func(p *process) { p.processKeyVersion = 0 }, shard, false},
+		{"view not loaded", func(p *process) { p.view.loaded = false }, shard, false},
+		{"one of two refused", func(p *process) { p.campaigning = true }, append(leader, shard...), false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newReadyProcess(t)
+			test.prepare(p)
+			answer := p.HandleExtensionRequest("b", &meshpb.LeaseExtensionRequest{Round: 3, Keys: test.keys})
+			want(t, "round", answer.Round, 3)
+			want(t, "granted", answer.Granted, test.want)
+			want(t, "may claim", p.mayClaim(p.now), !test.want)
+			want(t, "may claim later", p.mayClaim(p.now+ExtensionDuration+extensionClockDrift+1), true)
+		})
+	}
+}
+
+// A process may act past its lease only while every other member extends it,
+// counted from when it asked.
+func TestActingByExtensions(t *testing.T) {
+	p := newReadyProcess(t)
+	p.shards["a"] = 3
+	p.advance(extensionRequestDelay)
+	round := p.extensions.lastRound
+	asked := p.extensions.requestedAt[round]
+	granted := &meshpb.LeaseExtension{Round: round, Granted: true}
+	until := asked + ExtensionDuration - 2*extensionClockDrift - leaseSafetyMargin/2
+	p.now += testTTL // the lease has ended, for all that the process knows
+	want(t, "by none", p.extendedUntil(), time.Duration(0))
+	p.HandleExtension("b", granted)
+	want(t, "by one of two", p.extendedUntil(), time.Duration(0))
+	p.HandleExtension("c", &meshpb.LeaseExtension{Round: round})
+	want(t, "refused by the other", p.extendedUntil(), time.Duration(0))
+	p.HandleExtension("c", granted)
+	want(t, "by both", p.extendedUntil(), until)
+	p.complete = false
+	want(t, "while a shard is not registered", p.extendedUntil(), time.Duration(0))
+}
+
+// A restarted member may have granted extensions that it does not remember,
+// except to processes that started after it.
+func TestRestartedMemberIsBound(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		uptime time.Duration // of the members b and c, while this one is up for 1.5 s
+		want   bool
+	}{
+		{"others are older", time.Hour, false},
+		{"others are younger by less than clocks drift", 1500*time.Millisecond - extensionClockDrift, false},
+		{"others are younger", 1500*time.Millisecond - extensionClockDrift - 1, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := newProcess(t)
+			p.now += 1500 * time.Millisecond
+			for _, member := range []string{"b", "c"} {
+				p.PeerConnected(member)
+				p.HandleUptime(member, test.uptime)
+			}
+			want(t, "may claim", p.mayClaim(p.now), test.want)
+			p.PeerDisconnected("c")
+			want(t, "may claim without a stream", p.mayClaim(p.now), false)
+		})
+	}
+}
+
+// The first process of a member ever is not bound by one before it.
+func TestFirstProcessIsNotBound(t *testing.T) {
+	for _, hadPredecessor := range []bool{false, true} {
+		t.Run(fmt.Sprint(hadPredecessor), func(t *testing.T) {
+			p := newProcess(t)
+			p.Tick(p.now)
+			var current storage.GetResult
+			if hadPredecessor {
+				current.KeyValue = protocol.KeyValue{Key: storage.ProcessKey("a"), Value: p.holder("a", "1"), Version: 4}
+				current.Found = true
+			}
+			p.gets[0](current)
+			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: 5})
+			want(t, "registered", p.Registered(), true)
+			want(t, "may claim", p.mayClaim(p.now), !hadPredecessor)
+		})
+	}
+}
+
+// A member that answers a request after one for this member's shard has given
+// the shard up; an answer to an earlier request tells nothing.
+func TestReleaseIsConfirmedByALaterAnswer(t *testing.T) {
+	p := newReadyProcess(t)
+	for _, member := range []string{"b", "c"} {
+		p.PeerConnected(member)
+	}
+	p.extensions.bind(p.now)
+	p.requestReleases(p.now)
+	want(t, "sent", p.peers["b"].sent, "[uptime handover a uptime]")
+	for _, member := range []string{"b", "c"} {
+		p.HandleUptime(member, time.Hour)
+	}
+	want(t, "after the first answers", p.mayClaimOwnShard(p.now), false)
+	for _, member := range []string{"b", "c"} {
+		p.HandleUptime(member, time.Hour)
+	}
+	want(t, "after the second", p.mayClaimOwnShard(p.now), true)
+	p.observe(storage.ShardKey("a"), p.holder("b", "1"), 20, true)
+	want(t, "once another holds it again", p.mayClaimOwnShard(p.now), false)
+}
+
+// A shard is lost only to a newer version of its key.
+func TestShardIsLostToANewerKey(t *testing.T) {
+	for version, events := range map[uint64]string{5: "[]", 6: "[]", 7: "[lost a]"} {
+		t.Run(fmt.Sprint(version), func(t *testing.T) {
+			p := newReadyProcess(t)
+			p.shards["a"] = 6
+			p.events = nil
+			p.observe(storage.ShardKey("a"), p.holder("b", "1"), version, true)
+			want(t, "events", p.events, events)
+		})
+	}
+}
+
+// A holder that no leader confirms gives its shards up.
+func TestHolderWithoutALeaderReleasesItsShards(t *testing.T) {
+	p := newReadyProcess(t)
+	p.shards["a"] = 6
+	p.observe(storage.LeaderKey, p.holder("b", "1"), 9, true)
+	p.Tick(p.now)
+	p.registered, p.events = false, nil
+	for range int(leaderContactTimeout / time.Second) {
+		p.renewals = nil
+		p.lease.lastRenewalSent = p.now
+		p.advance(time.Second)
+		if p.now-p.lastLeaderContact <= leaderContactTimeout {
+			want(t, "events", p.events, "[]")
+		}
+	}
+	p.lease.lastRenewalSent = p.now
+	p.advance(100 * time.Millisecond)
+	want(t, "events", p.events, "[released a]")
+}
+
+// Only the member whose name a shard bears gets it back.
+func TestHandover(t *testing.T) {
+	p := newReadyProcess(t)
+	p.shards["b"] = 6
+	p.events = nil
+	p.HandleHandover("c", "b")
+	want(t, "asked by another", p.events, "[]")
+	p.HandleHandover("b", "b")
+	want(t, "asked by its member", p.events, "[released b]")
+}
+
+// Services are refused while a member that can't read them may come to hold a
+// shard; a member that is out of reach for long and holds nothing doesn't count.
+func TestMembersOfAnOlderRecordFormat(t *testing.T) {
+	p := newReadyProcess(t)
+	want(t, "members never seen", p.AllReadServices(p.now), true)
+	p.observe(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b"}), 30, true)
+	want(t, "one of an older format", p.AllReadServices(p.now), false)
+	want(t, "divides limits", p.AllDivideLimits(), false)
+	p.peers["b"].connected = false
+	p.Tick(p.now)
+	want(t, "just out of reach", p.AllReadServices(p.now+unseenMemberTimeout), false)
+	want(t, "out of reach for long", p.AllReadServices(p.now+unseenMemberTimeout+1), true)
+	want(t, "divides limits still", p.AllDivideLimits(), false)
+	p.observe(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b", RecordFormat: storage.QuotaRecordFormat}), 31, true)
+	want(t, "upgraded", p.AllDivideLimits(), true)
+}
+
+func TestReasonsHaveTexts(t *testing.T) {
+	for _, reason := range []fmt.Stringer{LeaderKeyFree, LeaderKeyAlreadyHeld, LeaseSessionExpired, LeaseSessionUnknown,
+		LeaderKeyChanged, WorkersUnreachable, ReleasedToOwnMember, ReleasedWithoutLeader} {
+		if reason.String() == "unknown" {
+			t.Errorf("%T %d has no text", reason, reason)
+		}
+	}
+}
