--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -180,7 +180,6 @@
 }
 
 func (w *finishedTaskWriter) loadTaskRange(p *finishedPage, k taskRangeKey, tasks bitSet, job *RecoveredJob) {
-	markDone(job, k.index*tasksPerRange, tasks)
 	r := w.taskRanges[k]
 	if r == nil {
 		r = &taskRange{page: p, maxSize: maxTaskRangeSize(&job.Job, k.index)}
@@ -190,6 +189,7 @@
 	}
 	r.tasks = union(r.tasks, tasks)
 	p.add(k, r)
+	markDone(job, k.index*tasksPerRange, tasks)
 }
 
 // markDone marks the tasks of a range, from a first task on, as finished.
