--- a/internal/storage/fake_state_service_test.go
+++ b/internal/storage/fake_state_service_test.go
@@ -18,13 +18,13 @@
 	keys               map[string][]byte
 	txnSizes           []int // changes of each transaction
 	totalChanges       int
-	rateLimitedAnswers int           // requests that will be refused for their rate
-	latency            time.Duration // an answer
-	lostAnswers        int           // transactions that will get none
-	lastTimeout        time.Duration // for the last transaction's answer, at the most
+	rateLimitedAnswers int           // how many requests will be refused for their rate
+	latency            time.Duration // of an answer
+	lostAnswers        int           // how many transactions will get none
+	lastTimeout        time.Duration // of the last transaction
 
-	versions map[string]uint64 // heeded as conditions once a test has made it
-	// unsure may leave a transaction without an answer: carried out, not, or later.
+	versions map[string]uint64 // of keys; conditions hold always until a test has made it
+	// loseAnswer may leave a transaction without an answer: carried out, not, or later.
 	loseAnswer func(apply func()) bool
 	// checkPut looks at every value that is written.
 	checkPut func(key string, value []byte)
@@ -115,6 +115,7 @@
 	return nil
 }
 
+// newFakeStateService returns a state service that is its own clock, and a store on it.
 func newFakeStateService(t *testing.T) (*fakeStateService, *Store) {
 	t.Helper()
 	codec, err := protocol.NewCodec()
@@ -126,7 +127,7 @@
 	return s, store
 }
 
-// acquireShard takes the ledger "n" for a holder as a session does.
+// acquireShard takes the shard "n" for a holder, as the election does.
 func (s *fakeStateService) acquireShard(t *testing.T, store *Store, nonce string) *Shard {
 	t.Helper()
 	s.revision++
@@ -135,6 +136,7 @@
 	return NewShard(store, "n", me, 1, s.revision, func() { t.Fatal("lost") })
 }
 
+// smallJob is a job of one task.
 func smallJob(i int) *protocol.Job {
 	return &protocol.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "photo-verify", Team: "vogeluni", Tasks: 1, CPUs: 0.25, MemoryGB: 0.9,
 		Image: "img-04", ImageGB: 0.5, AnyType: true, Spot: true, EstimateS: 150}
--- a/internal/storage/production_records_test.go
+++ b/internal/storage/production_records_test.go
@@ -64,7 +64,7 @@
 }
 
 // unfinishedInOldFormat is what a version that knows only the old schema recovers of a
-// ledger: the names of unfinished jobs with how many of their tasks are done.
+// shard: the names of unfinished jobs with how many of their tasks are done.
 func (s *fakeStateService) unfinishedInOldFormat() map[string]int {
 	type oldJob struct {
 		ID    string `cbor:"id"`
@@ -98,11 +98,11 @@
 		if !strings.HasPrefix(k, "done/n/") {
 			continue
 		}
-		var chunks map[string]string
-		if err := s.codec.Decode(v, &chunks); err != nil {
+		var taskRanges map[string]string
+		if err := s.codec.Decode(v, &taskRanges); err != nil {
 			s.t.Fatal(err)
 		}
-		for name, text := range chunks {
+		for name, text := range taskRanges {
 			id, num, _ := strings.Cut(name, "/")
 			bits, err := base64.StdEncoding.DecodeString(text)
 			if err != nil {
--- a/internal/storage/record_sizes_test.go
+++ b/internal/storage/record_sizes_test.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"slices"
 	"strings"
 	"testing"
 
@@ -11,22 +12,28 @@
 func TestJobFitsItsRecords(t *testing.T) {
 	_, store := newFakeStateService(t)
 	long := strings.Repeat("x", 120)
+	longLabels := protocol.Job{ID: "wk-1", Class: long, Team: long, Image: long, Zone: long, Tasks: 1}
+	manyTasks := protocol.Job{ID: "wk-1", Tasks: protocol.MaxTasks}
+	manyTypes := protocol.Job{ID: "wk-1", Tasks: 1, Types: slices.Repeat([]string{long}, 14)}
 	for _, c := range []struct {
-		bytes int
-		job   protocol.Job
-		fits  bool
+		name       string
+		valueBytes int
+		job        protocol.Job
+		fits       bool
 	}{
-		{2048, *smallJob(1), true},
-		{1024, *smallJob(1), true},
-		{2048, protocol.Job{ID: "wk-1", Class: long, Team: long, Image: long, Zone: long, Tasks: 1}, true},
-		{1024, protocol.Job{ID: "wk-1", Class: long, Team: long, Image: long, Zone: long, Tasks: 1}, false},
-		{2048, protocol.Job{ID: "wk-1", Tasks: protocol.MaxTasks}, true},
-		{1024, protocol.Job{ID: "wk-1", Tasks: protocol.MaxTasks}, false},
-		{2048, protocol.Job{ID: "wk-1", Tasks: 1, Types: []string{long, long, long, long, long, long, long, long, long, long, long, long, long, long}}, false},
+		{"small", 2048, *smallJob(1), true},
+		{"small under a lower limit", 1024, *smallJob(1), true},
+		{"long labels", 2048, longLabels, true},
+		{"long labels under a lower limit", 1024, longLabels, false},
+		{"many tasks", 2048, manyTasks, true},
+		{"many tasks under a lower limit", 1024, manyTasks, false},
+		{"many types", 2048, manyTypes, false},
 	} {
-		store.limits.ValueBytes = c.bytes
-		if got := store.Fits(&c.job); got != c.fits {
-			t.Errorf("%d bytes, %.30s of %d tasks: %v", c.bytes, c.job.Class, c.job.Tasks, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			store.limits.ValueBytes = c.valueBytes
+			if got := store.Fits(&c.job); got != c.fits {
+				t.Errorf("%d bytes, %.30s of %d tasks: %v", c.valueBytes, c.job.Class, c.job.Tasks, got)
+			}
+		})
 	}
 }
--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Whatever becomes of transactions without an answer, and whenever the ledger
+// Whatever becomes of transactions without an answer, and whenever the shard
 // changes hands: a job whose creation was told is recovered until its end was
 // told, and one whose end was told never is.
 func TestRecoveryMatchesAcknowledgedOutcomes(t *testing.T) {
@@ -110,11 +110,11 @@
 			}
 		}
 		if _, ok := created[taken.ID]; ok {
-			t.Fatalf("seed %d: a job of another ledger was created", seed)
+			t.Fatalf("seed %d: a job of another shard was created", seed)
 		}
 	}
 	if foreign == 0 {
-		t.Fatal("no creation met a job of another ledger")
+		t.Fatal("no creation met a job of another shard")
 	}
 }
 
