--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -14,14 +14,28 @@
 // listTimeoutFactor is how many times the usual timeout a page of a listing is given.
 const listTimeoutFactor = 3
 
-// client speaks the state service's protocol: transactions are in transactions.go,
-// leases in leases.go.
+// client is the state service as seen from this process: transactions are in
+// transactions.go, leases in leases.go.
 type client struct {
 	scheduler
 	codec  *protocol.Codec
 	timers []timer
 }
 
+func newClient(caller Caller, clock Clock, codec *protocol.Codec, limits Limits, runLater func(func())) *client {
+	return &client{scheduler: newScheduler(caller, clock, limits, runLater), codec: codec}
+}
+
+// Now is the time of the client's clock.
+func (c *client) Now() time.Duration { return c.clock.Now() }
+
+// Poll runs the functions that are due and sends what the rates allow by now. It is
+// called on every tick.
+func (c *client) Poll() {
+	c.runTimers()
+	c.dispatch()
+}
+
 // timer is a function that is due at a time.
 type timer struct {
 	at time.Duration
@@ -56,11 +70,11 @@
 
 // Get reads one key.
 func (c *client) Get(class Class, key string, done func(GetResult)) {
-	c.getWithDeadline(class, 0, key, done)
+	c.GetBefore(class, noDeadline, key, done)
 }
 
-// getWithDeadline reads one key unless the request still waits at the deadline.
-func (c *client) getWithDeadline(class Class, deadline time.Duration, key string, done func(GetResult)) {
+// GetBefore reads one key unless the request still waits at the deadline; 0 is none.
+func (c *client) GetBefore(class Class, deadline time.Duration, key string, done func(GetResult)) {
 	c.enqueue(request{
 		class: class, deadline: deadline, method: http.MethodGet, path: "/kv/" + key,
 		done: func(r Response) { done(c.getResult(r)) },
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -26,7 +26,7 @@
 // compact rewrites a page that says something in vain, one at a time and only while
 // nothing else is to be written.
 func (w *jobWriter) compact() {
-	now := w.client.clock.Now()
+	now := w.client.Now()
 	if w.inFlight != nil || len(w.queue) > 0 || now < w.nextCompaction || !w.client.idle() {
 		return
 	}
--- a/internal/storage/fake_state_service_test.go
+++ b/internal/storage/fake_state_service_test.go
@@ -11,17 +11,13 @@
 
 // fakeStateService is a state service that applies what it gets and keeps count.
 type fakeStateService struct {
-	t                  *testing.T
-	codec              *protocol.Codec
-	now                time.Duration
-	revision           uint64
-	keys               map[string][]byte
-	txnSizes           []int // changes of each transaction
-	totalChanges       int
-	rateLimitedAnswers int           // how many requests will be refused for their rate
-	latency            time.Duration // of an answer
-	lostAnswers        int           // how many transactions will get none
-	lastTimeout        time.Duration // of the last transaction
+	t            *testing.T
+	codec        *protocol.Codec
+	now          time.Duration
+	revision     uint64
+	keys         map[string][]byte
+	txnSizes     []int // changes of each transaction
+	totalChanges int
 
 	versions map[string]uint64 // of keys; conditions hold always until a test has made it
 	// loseAnswer may leave a transaction without an answer: carried out, not, or later.
@@ -32,22 +28,7 @@
 
 func (s *fakeStateService) Now() time.Duration { return s.now }
 
-func (s *fakeStateService) Call(method, path string, body []byte, timeout time.Duration, done func(Response)) {
-	s.now += s.latency
-	if path == "/multi" {
-		s.lastTimeout = timeout
-		if s.lostAnswers > 0 {
-			s.lostAnswers--
-			s.now += timeout - s.latency
-			done(Response{})
-			return
-		}
-	}
-	if s.rateLimitedAnswers > 0 {
-		s.rateLimitedAnswers--
-		done(Response{Status: 429})
-		return
-	}
+func (s *fakeStateService) Call(_, path string, body []byte, _ time.Duration, done func(Response)) {
 	if key, ok := strings.CutPrefix(path, "/kv/"); ok {
 		if v := s.keys[key]; v != nil {
 			done(Response{Status: 200, Body: s.codec.Encode(protocol.KeyValue{Key: key, Value: v, Version: s.versions[key]})})
--- a/internal/storage/job_batch.go
+++ b/internal/storage/job_batch.go
@@ -52,7 +52,7 @@
 
 // send writes a batch.
 func (w *jobWriter) send(b *batch) {
-	w.inFlight, w.lastBatchAt = b, w.client.clock.Now()
+	w.inFlight, w.lastBatchAt = b, w.client.Now()
 	t := b.txn
 	for _, d := range b.drafts {
 		t.Then = append(t.Then, w.pageChange(d))
--- a/internal/storage/job_lookup.go
+++ b/internal/storage/job_lookup.go
@@ -86,7 +86,7 @@
 
 // start begins the reads that wait, if it is time.
 func (q *jobLookups) start() {
-	now := q.client.clock.Now()
+	now := q.client.Now()
 	for q.mayStartRound(now) {
 		q.startRound(now)
 	}
@@ -139,7 +139,7 @@
 		t.If = append(t.If, protocol.Condition{Key: JobKey(l.jobID), Version: l.known.Version})
 		deadline = max(deadline, l.deadline)
 	}
-	q.client.txnWithDeadline(Read, deadline, t, func(r TxnResult) {
+	q.client.TxnBefore(Read, deadline, t, func(r TxnResult) {
 		for _, l := range round {
 			switch {
 			case r.Outcome == Conflict && r.FailedOn(JobKey(l.jobID)):
@@ -156,7 +156,7 @@
 }
 
 func (q *jobLookups) readRecord(l *jobLookup, lookupEnded func()) {
-	q.client.getWithDeadline(Read, l.deadline, JobKey(l.jobID), func(r GetResult) {
+	q.client.GetBefore(Read, l.deadline, JobKey(l.jobID), func(r GetResult) {
 		record := KnownRecord{Version: r.KeyValue.Version}
 		found, ok := r.Found, r.Err == nil
 		if found && q.client.codec.Decode(r.KeyValue.Value, &record.JobRecord) != nil {
--- a/internal/storage/job_writer.go
+++ b/internal/storage/job_writer.go
@@ -114,7 +114,7 @@
 	if !w.fence.open() || w.inFlight != nil || len(w.queue) == 0 {
 		return
 	}
-	now := w.client.clock.Now()
+	now := w.client.Now()
 	maxChanges := w.maxChanges(now)
 	if maxChanges < minBatchChanges {
 		w.dropAbandoned(now)
--- a/internal/storage/scheduler.go
+++ b/internal/storage/scheduler.go
@@ -50,6 +50,9 @@
 // not be enough for them.
 var dispatchOrder = [...]Class{Foreground, Background, Read}
 
+// noDeadline is the deadline of a request that waits as long as it takes.
+const noDeadline = 0
+
 // request is one request to the state service, sent or queued.
 type request struct {
 	class        Class
@@ -57,7 +60,7 @@
 	body         []byte
 	writes       int           // changes that count for the write rate
 	timeout      time.Duration // for the answer; 0: that of the class
-	deadline     time.Duration // not sent after that; 0: none
+	deadline     time.Duration // not sent after that; noDeadline: none
 	enqueuedAt   time.Duration
 	done         func(Response)
 }
@@ -163,7 +166,7 @@
 func (s *scheduler) dispatchClass(class Class, now time.Duration) {
 	for len(s.queues[class]) > 0 && now >= s.pausedUntil {
 		r := s.queues[class][0]
-		if r.deadline > 0 && now > r.deadline {
+		if r.deadline > noDeadline && now > r.deadline {
 			// Whoever asked has given up; sending it would only make
 			// those behind it late as well.
 			s.queues[class] = s.queues[class][1:]
--- a/internal/storage/scheduler_test.go
+++ b/internal/storage/scheduler_test.go
@@ -10,17 +10,17 @@
 
 // A queue that is full refuses at once instead of growing.
 func TestFullQueueRefusesRequests(t *testing.T) {
-	_, store := newFakeStateService(t)
+	_, client := newFakeCaller(t)
 	refused := 0
 	for range 2000 {
-		store.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(r TxnResult) {
+		client.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(r TxnResult) {
 			if r.Outcome == Refused {
 				refused++
 			}
 		})
 	}
-	if len(store.queues[Foreground]) > maxQueueLength || refused < 1000 {
-		t.Fatalf("%d requests wait, %d were refused", len(store.queues[Foreground]), refused)
+	if len(client.queues[Foreground]) > maxQueueLength || refused < 1000 {
+		t.Fatalf("%d requests wait, %d were refused", len(client.queues[Foreground]), refused)
 	}
 }
 
@@ -28,10 +28,10 @@
 // what nobody waits for any more is not sent; and a request refused for the
 // rate is the next to go.
 func TestRequestOrder(t *testing.T) {
-	s, store := newFakeStateService(t)
+	s, client := newFakeCaller(t)
 	var got []string
 	put := func(class Class, key string, until time.Duration) {
-		store.txnWithDeadline(class, until, protocol.Transaction{Then: []protocol.Change{{Delete: key}}}, func(r TxnResult) {
+		client.TxnBefore(class, until, protocol.Transaction{Then: []protocol.Change{{Delete: key}}}, func(r TxnResult) {
 			got = append(got, fmt.Sprint(key, r.Outcome == Applied))
 		})
 	}
@@ -42,10 +42,10 @@
 	put(Background, "later", 0)
 	put(Foreground, "stale", s.now+50*time.Millisecond)
 	put(Foreground, "user", 0)
-	store.Get(Read, "k", func(GetResult) { got = append(got, "read") })
+	client.Get(Read, "k", func(GetResult) { got = append(got, "read") })
 	for range 20 {
 		s.now += 100 * time.Millisecond
-		store.Poll()
+		client.Poll()
 	}
 	if want := "[read stalefalse usertrue latertrue]"; fmt.Sprint(got) != want {
 		t.Fatalf("got %v, want %s", got, want)
@@ -58,7 +58,7 @@
 	}
 	for range 5 {
 		s.now += 100 * time.Millisecond
-		store.Poll()
+		client.Poll()
 	}
 	if fmt.Sprint(got) != "[againtrue]" {
 		t.Fatalf("got %v", got)
@@ -68,12 +68,12 @@
 // What users wait for is not held up by a lost answer for longer than answers
 // take of late; a service that has become slow is given its time.
 func TestForegroundTimeoutFollowsLatency(t *testing.T) {
-	s, store := newFakeStateService(t)
-	store.limits.Timeout = 1500 * time.Millisecond
+	s, client := newFakeCaller(t)
+	client.limits.Timeout = 1500 * time.Millisecond
 	write := func(n int) {
 		for range n {
 			s.now += time.Second
-			store.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(TxnResult) {})
+			client.Txn(Foreground, protocol.Transaction{Then: []protocol.Change{{Delete: "k"}}}, func(TxnResult) {})
 		}
 	}
 	expect := func(when string, least, most time.Duration) {
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -22,7 +22,7 @@
 // NewShard wraps a shard key that this process has just taken: under a lease, and
 // with the given version. onLost is called once when it turns out to be another's.
 func NewShard(store *Store, name string, holder Holder, lease, version uint64, onLost func()) *Shard {
-	c := &store.client
+	c := store.client
 	fence := &fence{client: c, key: ShardKey(name), holder: holder, lease: lease, version: version, onLost: onLost}
 	return &Shard{
 		name: name, client: c, fence: fence,
--- a/internal/storage/transactions.go
+++ b/internal/storage/transactions.go
@@ -55,11 +55,11 @@
 
 // Txn sends a transaction.
 func (c *client) Txn(class Class, t protocol.Transaction, done func(TxnResult)) {
-	c.txnWithDeadline(class, 0, t, done)
+	c.TxnBefore(class, noDeadline, t, done)
 }
 
-// txnWithDeadline sends a transaction unless it still waits at the deadline.
-func (c *client) txnWithDeadline(class Class, deadline time.Duration, t protocol.Transaction, done func(TxnResult)) {
+// TxnBefore sends a transaction unless it still waits at the deadline; 0 is none.
+func (c *client) TxnBefore(class Class, deadline time.Duration, t protocol.Transaction, done func(TxnResult)) {
 	if t.If == nil {
 		t.If = []protocol.Condition{}
 	}
--- a/internal/storage/transactions_test.go
+++ b/internal/storage/transactions_test.go
@@ -10,7 +10,7 @@
 // What the service answers decides the outcome; what may have been executed is never
 // taken for refused.
 func TestTransactionOutcomes(t *testing.T) {
-	s, store := newFakeStateService(t)
+	s, client := newFakeCaller(t)
 	body := func(r protocol.TransactionResponse) []byte { return s.codec.Encode(r) }
 	applied := body(protocol.TransactionResponse{Revision: 7})
 	conflict := body(protocol.TransactionResponse{Revision: 7, Failed: []string{"a"}})
@@ -34,7 +34,7 @@
 		{"internal error", Response{Status: http.StatusInternalServerError}, Unknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := store.txnResult(c.response)
+			got := client.txnResult(c.response)
 			if got.Outcome != c.want {
 				t.Fatalf("outcome %v, want %v", got.Outcome, c.want)
 			}
