--- a/cmd/cobaltvale/main.go
+++ b/cmd/cobaltvale/main.go
@@ -13,7 +13,6 @@
 	"syscall"
 	"time"
 
-	"github.com/rs/zerolog"
 	"github.com/spf13/pflag"
 
 	"github.com/cobaltvale/cobaltvale/internal/settings"
@@ -99,15 +98,3 @@
 	tune, err := settings.LoadTuning(props)
 	return file, tune, err
 }
-
-func newLogger(w io.Writer, level string) (zerolog.Logger, error) {
-	switch level {
-	case "", "info":
-		return zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Logger(), nil
-	case "error":
-		return zerolog.New(w).Level(zerolog.ErrorLevel).With().Timestamp().Logger(), nil
-	case "debug":
-		return zerolog.New(w).Level(zerolog.DebugLevel).With().Timestamp().Logger(), nil
-	}
-	return zerolog.Nop(), fmt.Errorf("LOG_LEVEL %q is not error, info or debug", level)
-}
