--- a/cmd/cobaltvale/adapters.go
+++ b/cmd/cobaltvale/adapters.go
@@ -6,74 +6,85 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/coordination"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 	"github.com/cobaltvale/cobaltvale/internal/transport"
 )
 
+// Adapters bring what happens on the connections' event loop to the controller's, which
+// alone may call the controller.
+
 // monotonicClock counts from the start of the process.
 type monotonicClock struct{ start time.Time }
 
+// Now implements storage.Clock.
 func (c monotonicClock) Now() time.Duration { return time.Since(c.start) }
 
-// httpCaller calls an outside service and brings the answer to the core's queue.
+// at is the time of a moment on this clock.
+func (c monotonicClock) at(moment time.Duration) time.Time { return c.start.Add(moment) }
+
+// httpCaller calls an outside service for the controller.
 type httpCaller struct {
 	client *transport.HTTPClient
-	queue  *coordination.EventLoop
+	events *coordination.EventLoop
 }
 
+// Call implements storage.Caller.
 func (c httpCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
 	c.client.Do(method, path, body, timeout, func(r transport.HTTPResult) {
-		c.queue.Post(func() {
+		c.events.Post(func() {
 			done(storage.Response{Status: r.Status, Body: r.Body, NotSent: errors.Is(r.Err, transport.ErrNotSent)})
 		})
 	})
 }
 
-// meshEvents brings what happens on the mesh to the core's queue.
+// meshEvents brings the mesh's events to the controller, in their order.
 type meshEvents struct {
-	core  *coordination.Controller
-	queue *coordination.EventLoop
+	controller *coordination.Controller
+	events     *coordination.EventLoop
 }
 
+// MeshUp implements transport.MeshEvents.
 func (m meshEvents) MeshUp(l *transport.MeshLink, member string) {
-	m.queue.Post(func() { m.core.LinkUp(l, member) })
+	m.events.Post(func() { m.controller.LinkUp(l, member) })
 }
 
+// MeshFrames implements transport.MeshEvents.
 func (m meshEvents) MeshFrames(l *transport.MeshLink, frames []*meshpb.Frame) {
-	m.queue.Post(func() {
+	m.events.Post(func() {
 		for _, f := range frames {
-			m.core.LinkFrame(l, f)
+			m.controller.LinkFrame(l, f)
 		}
 	})
 }
 
+// MeshDown implements transport.MeshEvents.
 func (m meshEvents) MeshDown(l *transport.MeshLink) {
-	m.queue.Post(func() { m.core.LinkDown(l) })
+	m.events.Post(func() { m.controller.LinkDown(l) })
 }
 
-// newServer serves users, workers and health checks.
-func newServer(file *settings.File, loop *transport.Loop, queue *coordination.EventLoop, core *coordination.Controller, clock monotonicClock, stateConns int) *transport.Server {
-	sockets := file.Settings.Limits.Sockets
-	return transport.NewServer(transport.ServerConfig{
-		Addr:         file.APIAddr,
-		MaxConns:     sockets - stateConns - maxCloudConns - 4*len(file.Peers) - min(32, sockets/4),
-		MaxHeldBytes: int64(file.Settings.Limits.MemMB*float64(1<<20)) / 4,
-		IdleTimeout:  2 * time.Minute,
-		ReadTimeout:  15 * time.Second,
-	}, loop, func(req *transport.Request, reply func(transport.Response)) {
-		r := &coordination.Request{Method: req.Method, Path: req.Path, Body: req.Body, Conn: req.ConnID, ReceivedAt: clock.Now()}
-		handle := func() {
-			core.HandleHTTP(r, func(r coordination.Response) {
-				out := transport.Response{Status: r.Status, Body: r.Body, RetryAfterS: r.RetryAfterS}
-				if r.ValidUntil > 0 {
-					out.ValidUntil = clock.start.Add(r.ValidUntil)
-				}
-				reply(out)
-			})
-		}
-		if !queue.TryPost(r.Class(), handle) {
-			reply(transport.Response{Status: 503, RetryAfterS: 1})
-		}
-	})
+// apiHandler brings requests of users, workers and health checks to the controller.
+type apiHandler struct {
+	controller *coordination.Controller
+	events     *coordination.EventLoop
+	clock      monotonicClock
+}
+
+// handle is a transport.Handler. While the controller's queue is full it refuses.
+func (a apiHandler) handle(req *transport.Request, reply func(transport.Response)) {
+	request := &coordination.Request{Method: req.Method, Path: req.Path, Body: req.Body, Conn: req.ConnID, ReceivedAt: a.clock.Now()}
+	handle := func() {
+		a.controller.HandleHTTP(request, func(r coordination.Response) { reply(a.response(r)) })
+	}
+	if !a.events.TryPost(request.Class(), handle) {
+		reply(transport.Unavailable())
+	}
+}
+
+// response is the controller's response with the time of day until which it may be sent.
+func (a apiHandler) response(r coordination.Response) transport.Response {
+	out := transport.Response{Status: r.Status, Body: r.Body, RetryAfterS: r.RetryAfterS}
+	if r.ValidUntil > 0 {
+		out.ValidUntil = a.clock.at(r.ValidUntil)
+	}
+	return out
 }
--- a/cmd/cobaltvale/audit.go
+++ b/cmd/cobaltvale/audit.go
@@ -21,37 +21,29 @@
 	auditUnreadable = 2
 )
 
-const defaultGuaranteeWait = 5 * time.Second
+const (
+	defaultGuaranteeWait = 5 * time.Second
+	thousandths          = 1000 // of a CPU or GPU, see quota.Amount
+)
 
-// runAudit is the command that replays histories.
+// runAudit is the command that replays histories. It returns the exit status.
 func runAudit(args []string, stdout, stderr io.Writer) int {
-	flags := pflag.NewFlagSet("cobaltvale audit verify", pflag.ContinueOnError)
-	flags.SetOutput(stderr)
-	wait := flags.Duration("guarantee-wait", defaultGuaranteeWait, "how long a team within its guarantee may be kept waiting by limits")
-	flags.Usage = func() {
-		fmt.Fprint(stdout, "usage: cobaltvale audit verify [--guarantee-wait D] FILE...\n\n", flags.FlagUsages())
+	names, wait, err := parseAuditOptions(args, stdout, stderr)
+	if errors.Is(err, pflag.ErrHelp) {
+		return auditClean
 	}
-	if err := flags.Parse(args); err != nil {
-		if errors.Is(err, pflag.ErrHelp) {
-			return auditClean
-		}
-		fmt.Fprintln(stderr, "cobaltvale:", err)
-		return auditUnreadable
-	}
-	if flags.NArg() < 2 || flags.Arg(0) != "verify" {
-		fmt.Fprintln(stderr, "cobaltvale: audit takes verify and the controllers' files")
-		return auditUnreadable
+	if err != nil {
+		return auditError(stderr, err)
 	}
 	var streams []*audit.Stream
-	for _, name := range flags.Args()[1:] {
-		s, err := audit.ReadFile(name)
+	for _, name := range names {
+		stream, err := audit.ReadFile(name)
 		if err != nil {
-			fmt.Fprintln(stderr, "cobaltvale:", err)
-			return auditUnreadable
+			return auditError(stderr, err)
 		}
-		streams = append(streams, s)
+		streams = append(streams, stream)
 	}
-	report := audit.Verify(streams, *wait)
+	report := audit.Verify(streams, wait)
 	printReport(stdout, streams, report)
 	if len(report.Findings) > 0 {
 		return auditFindings
@@ -59,24 +51,50 @@
 	return auditClean
 }
 
+// auditError tells in one line why no histories could be replayed.
+func auditError(stderr io.Writer, err error) int {
+	fmt.Fprintln(stderr, "cobaltvale:", err)
+	return auditUnreadable
+}
+
+// parseAuditOptions returns the names of the histories, and how long a team within its
+// guarantee may be kept waiting. It returns pflag.ErrHelp after it has written the usage.
+func parseAuditOptions(args []string, stdout, stderr io.Writer) (names []string, guaranteeWait time.Duration, err error) {
+	flags := pflag.NewFlagSet("cobaltvale audit verify", pflag.ContinueOnError)
+	flags.SetOutput(stderr)
+	wait := flags.Duration("guarantee-wait", defaultGuaranteeWait, "how long a team within its guarantee may be kept waiting by limits")
+	flags.Usage = func() {
+		fmt.Fprint(stdout, "usage: cobaltvale audit verify [--guarantee-wait D] FILE...\n\n", flags.FlagUsages())
+	}
+	if err := flags.Parse(args); err != nil {
+		return nil, 0, err
+	}
+	if flags.NArg() < 2 || flags.Arg(0) != "verify" {
+		return nil, 0, errors.New("audit takes verify and the controllers' files")
+	}
+	return flags.Args()[1:], *wait, nil
+}
+
+// printReport writes what the histories show as tables, then the findings.
 func printReport(out io.Writer, streams []*audit.Stream, report *audit.Report) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "controller\tprocess\tstarted\trecords")
-	for _, s := range streams {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\n", s.Header.Member, s.Header.Process, formatTime(s.Header.StartedMs), len(s.Records))
+	for _, stream := range streams {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\n", stream.Header.Member, stream.Header.Process, formatTime(stream.Header.StartedMs), len(stream.Records))
 	}
 	fmt.Fprintln(table, "\nteam\tlimit\thighest use\tat\tadmitted\treleased")
-	for _, t := range report.Teams {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\n", t.Team, formatAmount(t.Limit), formatAmount(t.Peak), formatTime(t.PeakAtMs), t.Admissions, t.Releases)
+	for _, team := range report.Teams {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\n", team.Team, formatAmount(team.Limit), formatAmount(team.Peak), formatTime(team.PeakAtMs), team.Admissions, team.Releases)
 	}
-	// Writing to a terminal or a pipe that is gone is nobody's concern.
+	// An error means that the terminal or the pipe is gone, and nobody is left to tell.
 	_ = table.Flush()
-	for _, f := range report.Findings {
-		fmt.Fprintf(out, "%s: %s %s: %s\n", f.Kind, f.Team, formatTime(f.TimeMs), f.Text)
+	for _, finding := range report.Findings {
+		fmt.Fprintf(out, "%s: %s %s: %s\n", finding.Kind, finding.Team, formatTime(finding.TimeMs), finding.Text)
 	}
 	fmt.Fprintf(out, "%d findings\n", len(report.Findings))
 }
 
+// formatTime writes milliseconds since 1970 as a time of day; 0 is none.
 func formatTime(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -90,7 +108,7 @@
 		if v >= quota.Unlimited {
 			return "any"
 		}
-		return strconv.FormatFloat(float64(v)/1000, 'f', -1, 64)
+		return strconv.FormatFloat(float64(v)/thousandths, 'f', -1, 64)
 	}
 	return part(a.CPUs) + " CPUs " + part(a.GPUs) + " GPUs"
 }
--- a/cmd/cobaltvale/audit_log.go
+++ b/cmd/cobaltvale/audit_log.go
@@ -6,36 +6,37 @@
 	"os"
 	"path/filepath"
 	"strconv"
-	"time"
-
-	"github.com/rs/zerolog"
 
 	"github.com/cobaltvale/cobaltvale/internal/audit"
-	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// auditLog is the history that this process keeps, or nil.
+// incarnationBase is the base in which a file's name has the process's incarnation.
+const incarnationBase = 36
+
+// auditLog is the history that this process keeps. A nil auditLog keeps none.
 type auditLog struct{ writer *audit.Writer }
 
-// openAudit begins this process's history in the directory that quota.audit names.
-func openAudit(member string, tune settings.Tuning, log zerolog.Logger, incarnation uint64, start time.Time) (*auditLog, error) {
-	if tune.QuotaAudit == "" {
+// openAudit begins this process's history in the directory that quota.audit names, or
+// returns nil if it names none. The file belongs to the history, which close closes.
+func openAudit(p process) (*auditLog, error) {
+	if p.tuning.QuotaAudit == "" {
 		return nil, nil
 	}
-	process := strconv.FormatUint(incarnation, 36)
-	name := filepath.Join(tune.QuotaAudit, member+"-"+process+".audit")
-	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	incarnation := strconv.FormatUint(p.incarnation, incarnationBase)
+	name := filepath.Join(p.tuning.QuotaAudit, p.file.Member+"-"+incarnation+".audit")
+	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("quota.audit: %w", err)
 	}
-	w, err := audit.NewWriter(f, audit.Header{Member: member, Process: process, StartedMs: start.UnixMilli()}, func(err error) {
-		log.Error().Err(err).Msg("audit ends, the history has a gap from here on")
+	header := audit.Header{Member: p.file.Member, Process: incarnation, StartedMs: p.start.UnixMilli()}
+	writer, err := audit.NewWriter(file, header, func(err error) {
+		p.log.Error().Err(err).Str("file", name).Msg("audit log failed, records are lost from here on")
 	})
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("quota.audit: %w", err), f.Close())
+		return nil, errors.Join(fmt.Errorf("quota.audit: %w", err), file.Close())
 	}
-	log.Info().Str("file", name).Msg("audit begins")
-	return &auditLog{writer: w}, nil
+	p.log.Info().Str("file", name).Msg("audit log opened")
+	return &auditLog{writer: writer}, nil
 }
 
 // appender returns what takes records, or nil.
--- a/cmd/cobaltvale/logging.go
+++ b/cmd/cobaltvale/logging.go
@@ -7,14 +7,19 @@
 	"github.com/rs/zerolog"
 )
 
-func newLogger(w io.Writer, level string) (zerolog.Logger, error) {
-	switch level {
+// newLogger makes the process's log: one JSON object a line, from the level that
+// LOG_LEVEL names.
+func newLogger(w io.Writer, name string) (zerolog.Logger, error) {
+	var level zerolog.Level
+	switch name {
 	case "", "info":
-		return zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Logger(), nil
+		level = zerolog.InfoLevel
 	case "error":
-		return zerolog.New(w).Level(zerolog.ErrorLevel).With().Timestamp().Logger(), nil
+		level = zerolog.ErrorLevel
 	case "debug":
-		return zerolog.New(w).Level(zerolog.DebugLevel).With().Timestamp().Logger(), nil
+		level = zerolog.DebugLevel
+	default:
+		return zerolog.Nop(), fmt.Errorf("LOG_LEVEL %q is not error, info or debug", name)
 	}
-	return zerolog.Nop(), fmt.Errorf("LOG_LEVEL %q is not error, info or debug", level)
+	return zerolog.New(w).Level(level).With().Timestamp().Logger(), nil
 }
--- a/cmd/cobaltvale/main.go
+++ b/cmd/cobaltvale/main.go
@@ -1,4 +1,6 @@
-// Command cobaltvale is the controller of a cluster of rented machines.
+// Command cobaltvale is a controller of a cluster of rented machines. It owns the
+// process: the command line, the settings, the log, the wiring of the packages, and the
+// way down. What the controller decides is in package coordination.
 package main
 
 import (
@@ -20,81 +22,131 @@
 
 const version = "0.4.0"
 
+// Exit statuses.
+const (
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2 // of the command line or the settings
+)
+
+const (
+	// gcPercent makes collections rare: the heap stays far below its limit.
+	gcPercent = 400
+	// Of the process's memory the heap may take two thirds; the rest is left to stacks, the
+	// runtime and the program itself.
+	heapShareNumerator, heapShareDenominator = 2, 3
+
+	bytesPerMB = 1 << 20
+)
+
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// options is the command line.
+type options struct {
+	config     string
+	properties string
+	check      bool
+	version    bool
+}
+
+// run executes a command line and returns the exit status.
 func run(args []string, stdout, stderr io.Writer) int {
 	if len(args) > 0 && args[0] == "audit" {
 		return runAudit(args[1:], stdout, stderr)
 	}
+	opts, err := parseOptions(args, stdout, stderr)
+	switch {
+	case errors.Is(err, pflag.ErrHelp):
+		return exitOK
+	case err != nil:
+		return usageError(stderr, err)
+	case opts.version:
+		fmt.Fprintln(stdout, "cobaltvale", version)
+		return exitOK
+	}
+	return runController(opts, stdout, stderr)
+}
+
+// usageError tells what is wrong in one line.
+func usageError(stderr io.Writer, err error) int {
+	fmt.Fprintln(stderr, "cobaltvale:", err)
+	return exitUsage
+}
+
+// parseOptions reads the command line. It returns pflag.ErrHelp after it has written the
+// usage.
+func parseOptions(args []string, stdout, stderr io.Writer) (options, error) {
+	var opts options
 	flags := pflag.NewFlagSet("cobaltvale", pflag.ContinueOnError)
 	flags.SetOutput(stderr)
-	config := flags.String("config", "", "settings file of the platform (TOML)")
-	props := flags.String("properties", "", "operators' own settings (Java-style properties)")
-	check := flags.Bool("check", false, "check the settings and end")
+	flags.StringVar(&opts.config, "config", "", "settings file of the platform (TOML)")
+	flags.StringVar(&opts.properties, "properties", "", "operators' own settings (Java-style properties)")
+	flags.BoolVar(&opts.check, "check", false, "check the settings and end")
 	flags.Usage = func() {
 		fmt.Fprint(stdout, "usage: cobaltvale --config FILE [--properties FILE] [--check]\n       cobaltvale audit verify FILE...\n       cobaltvale version\n\n", flags.FlagUsages())
 	}
 	if err := flags.Parse(args); err != nil {
-		if errors.Is(err, pflag.ErrHelp) {
-			return 0
-		}
-		fmt.Fprintln(stderr, "cobaltvale:", err)
-		return 2
-	}
-	if flags.NArg() == 1 && flags.Arg(0) == "version" {
-		fmt.Fprintln(stdout, "cobaltvale", version)
-		return 0
-	}
-	if flags.NArg() > 0 {
-		fmt.Fprintf(stderr, "cobaltvale: unexpected argument %q\n", flags.Arg(0))
-		return 2
+		return opts, err
 	}
-	if *config == "" {
-		fmt.Fprintln(stderr, "cobaltvale: --config is missing")
-		return 2
+	opts.version = flags.NArg() == 1 && flags.Arg(0) == "version"
+	switch {
+	case opts.version:
+	case flags.NArg() > 0:
+		return opts, fmt.Errorf("unexpected argument %q", flags.Arg(0))
+	case opts.config == "":
+		return opts, errors.New("--config is missing")
 	}
-	file, tune, err := loadSettings(*config, *props)
+	return opts, nil
+}
+
+// runController checks the settings and serves until the process ends.
+func runController(opts options, stdout, stderr io.Writer) int {
+	file, tuning, err := loadSettings(opts)
 	if err != nil {
-		fmt.Fprintln(stderr, "cobaltvale:", err)
-		return 2
+		return usageError(stderr, err)
 	}
-	if *check {
+	if opts.check {
 		fmt.Fprintln(stdout, "settings are in order")
-		return 0
+		return exitOK
 	}
 	log, err := newLogger(stderr, os.Getenv("LOG_LEVEL"))
 	if err != nil {
-		fmt.Fprintln(stderr, "cobaltvale:", err)
-		return 2
+		return usageError(stderr, err)
 	}
-	// Two thirds of the limit are the heap's; the rest is left to stacks,
-	// the runtime and the program itself.
-	// The heap stays far below that, so collections can be rare.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(file.Settings.Limits.MemMB * float64(1<<20) * 2 / 3))
+	boundMemory(file.Settings.Limits)
 	ctx := context.Background()
-	if tune.QuotaAudit != "" { // so that the history ends with its last segment
+	if tuning.QuotaAudit != "" {
+		// The history has to end with its last segment. Without one, a signal ends the
+		// process at once.
 		var stop context.CancelFunc
 		ctx, stop = signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 	}
-	if err := serve(ctx, file, tune, log, rand.Uint64(), time.Now()); err != nil {
-		log.Error().Err(err).Msg("ending")
-		return 1
+	err = serve(ctx, process{file: file, tuning: tuning, log: log, incarnation: rand.Uint64(), start: time.Now()})
+	if err != nil {
+		log.Error().Err(err).Msg("controller failed")
+		return exitFailed
 	}
-	return 0
+	return exitOK
+}
+
+// boundMemory keeps the heap within the process's limit.
+func boundMemory(limits settings.Limits) {
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(limits.MemMB * float64(bytesPerMB) * heapShareNumerator / heapShareDenominator))
 }
 
-func loadSettings(config, props string) (*settings.File, settings.Tuning, error) {
-	file, err := settings.Load(config)
+// loadSettings reads the platform's file, and the operators' properties if there are any.
+func loadSettings(opts options) (*settings.File, settings.Tuning, error) {
+	file, err := settings.Load(opts.config)
 	if err != nil {
 		return nil, settings.Tuning{}, err
 	}
-	if props == "" {
+	if opts.properties == "" {
 		return file, settings.DefaultTuning(), nil
 	}
-	tune, err := settings.LoadTuning(props)
-	return file, tune, err
+	tuning, err := settings.LoadTuning(opts.properties)
+	return file, tuning, err
 }
--- a/cmd/cobaltvale/quota_loopback_test.go
+++ b/cmd/cobaltvale/quota_loopback_test.go
@@ -77,7 +77,9 @@
 	tune.QuotaEscrow, tune.QuotaAudit = true, l.dir
 	ctx, cancel := context.WithCancel(l.ctx)
 	done := make(chan error, 1)
-	go func() { done <- serve(ctx, file, tune, zerolog.Nop(), rand.Uint64(), time.Now()) }()
+	go func() {
+		done <- serve(ctx, process{file: file, tuning: tune, log: zerolog.Nop(), incarnation: rand.Uint64(), start: time.Now()})
+	}()
 	var once sync.Once
 	l.stops[member] = func() {
 		once.Do(func() {
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -8,58 +8,118 @@
 
 	"github.com/rs/zerolog"
 
+	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/coordination"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/transport"
 )
 
-// serve wires the layers together and runs until one of them ends, or ctx does.
-func serve(ctx context.Context, file *settings.File, tune settings.Tuning, log zerolog.Logger, incarnation uint64, start time.Time) (err error) {
-	history, err := openAudit(file.Member, tune, log, incarnation, start)
+// process is what a controller's process starts with.
+type process struct {
+	file        *settings.File
+	tuning      settings.Tuning
+	log         zerolog.Logger
+	incarnation uint64 // tells this process from others of the same member
+	start       time.Time
+}
+
+// serve runs a controller until its connections' event loop ends, or ctx does.
+func serve(ctx context.Context, p process) (err error) {
+	history, err := openAudit(p)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, history.close()) }()
-	loop := transport.NewLoop(loopInterval)
-	stateConns := stateConnections(file, tune)
-	queue := coordination.NewEventLoop()
-	clock := monotonicClock{start}
-	core, err := coordination.New(file, tune, coordination.Env{
+	n, err := newNode(p, history.appender())
+	if err != nil {
+		return err
+	}
+	return n.run(ctx)
+}
+
+// node is a controller with its two event loops: that of the connections, and that of the
+// controller, which alone may call it.
+type node struct {
+	process
+	connections *transport.Loop
+	events      *coordination.EventLoop
+	controller  *coordination.Controller
+	mesh        *transport.Mesh
+	server      *transport.Server
+}
+
+// newNode wires the packages together.
+func newNode(p process, record func(audit.Record)) (*node, error) {
+	n := &node{process: p, connections: transport.NewLoop(loopInterval), events: coordination.NewEventLoop()}
+	clock := monotonicClock{p.start}
+	controller, err := coordination.New(p.file, p.tuning, coordination.Env{
 		Clock: clock,
 		Wall:  time.Now,
-		Rand:  rand.New(rand.NewPCG(rand.Uint64(), incarnation)),
-		State: httpCaller{transport.NewHTTPClient(loop, file.External.State, stateConns, clientQueueLength), queue},
-		Cloud: httpCaller{transport.NewHTTPClient(loop, file.External.Cloud, maxCloudConns, clientQueueLength), queue},
-		Log:   log,
-		Audit: history.appender(),
-	}, incarnation)
+		Rand:  rand.New(rand.NewPCG(rand.Uint64(), p.incarnation)),
+		State: n.caller(p.file.External.State, stateConnections(p.file, p.tuning)),
+		Cloud: n.caller(p.file.External.Cloud, maxCloudConns),
+		Log:   p.log,
+		Audit: record,
+	}, p.incarnation)
 	if err != nil {
-		return err
+		return nil, err
 	}
+	n.controller = controller
+	n.mesh = transport.NewMesh(meshConfig(p.file), n.connections, meshEvents{controller, n.events})
+	n.server = transport.NewServer(transport.ServerConfig{
+		Addr:         p.file.APIAddr,
+		MaxConns:     apiConnections(p.file, p.tuning),
+		MaxHeldBytes: heldBytes(p.file),
+		IdleTimeout:  apiIdleTimeout,
+		ReadTimeout:  apiReadTimeout,
+	}, n.connections, apiHandler{controller, n.events, clock}.handle)
+	return n, nil
+}
+
+// caller calls an outside service.
+func (n *node) caller(addr string, maxConns int) httpCaller {
+	return httpCaller{transport.NewHTTPClient(n.connections, addr, maxConns, clientQueueLength), n.events}
+}
+
+func meshConfig(file *settings.File) transport.MeshConfig {
 	peers := make([]transport.MeshPeer, 0, len(file.Peers))
-	for _, p := range file.Peers {
-		peers = append(peers, transport.MeshPeer{Member: p.Member, Addr: p.Address})
+	for _, peer := range file.Peers {
+		peers = append(peers, transport.MeshPeer{Member: peer.Member, Addr: peer.Address})
+	}
+	return transport.MeshConfig{
+		Self: file.Member, Addr: file.MeshAddr, Peers: peers,
+		IdleTimeout: meshIdleTimeout, MaxBacklogBytes: meshBacklogBytes(file),
 	}
-	mesh := transport.NewMesh(transport.MeshConfig{Self: file.Member, Addr: file.MeshAddr,
-		Peers: peers, IdleTimeout: meshIdleTimeout, MaxBacklogBytes: meshBacklogBytes(file)}, loop, meshEvents{core, queue})
-	server := newServer(file, loop, queue, core, clock, stateConns)
-	// Dialing goes on until the event loop has ended, also while ctx ends it.
+}
+
+// run serves until the connections' event loop ends, by itself or since ctx has ended.
+// The controller's event loop runs on the calling goroutine.
+func (n *node) run(ctx context.Context) error {
+	// Dialing goes on until the event loops have ended, also while ctx ends them.
 	dialing, stopDialing := context.WithCancel(context.Background())
 	defer stopDialing()
-	mesh.Start(dialing)
-	var ended error
+	n.mesh.Start(dialing)
+	ended := make(chan error, 1)
+	// Ends with the connections' event loop; n.events.Run below waits for it.
 	go func() {
-		ended = loop.Run(server, mesh)
-		queue.Stop()
+		ended <- n.connections.Run(n.server, n.mesh)
+		n.events.Stop()
 	}()
+	// Ends within stopTimeout; if the connections' event loop has not ended by then,
+	// nobody waits for it any longer.
 	stop := context.AfterFunc(ctx, func() {
-		if err := loop.Stop(stopTimeout); err != nil {
-			log.Error().Err(err).Msg("stopping")
-			queue.Stop()
+		if err := n.connections.Stop(stopTimeout); err != nil {
+			n.log.Error().Err(err).Msg("connections not closed in time")
+			n.events.Stop()
 		}
 	})
 	defer stop()
-	log.Info().Str("member", file.Member).Msg("started")
-	queue.Run(core, loop.WaitTurn)
-	return ended
+	n.log.Info().Str("member", n.file.Member).Msg("controller started")
+	n.events.Run(n.controller, n.connections.WaitTurn)
+	select {
+	case err := <-ended:
+		return err
+	default:
+		return nil
+	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -32,8 +32,8 @@
 	ValidUntil time.Time
 }
 
-// unavailable answers a request that was not carried out.
-func unavailable() Response {
+// Unavailable answers a request that was not carried out and may be repeated.
+func Unavailable() Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfterS: retryAfterOverloadS}
 }
 
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -117,7 +117,7 @@
 	size := requestOverheadBytes + int64(len(m.body))
 	reply := sc.server.replier(c, sc, size, m.close)
 	if sc.server.heldBytes.Add(size) > sc.server.cfg.MaxHeldBytes {
-		reply(unavailable())
+		reply(Unavailable())
 		return
 	}
 	sc.server.handler(request, reply)
--- a/internal/transport/server_outbox.go
+++ b/internal/transport/server_outbox.go
@@ -56,7 +56,7 @@
 	}
 	response := q.response
 	if !response.ValidUntil.IsZero() && now.After(response.ValidUntil) {
-		response = unavailable()
+		response = Unavailable()
 		response.Close = q.response.Close
 	}
 	q.state.mu.Lock()
