--- a/cmd/quotabench/main.go
+++ b/cmd/quotabench/main.go
@@ -1,4 +1,4 @@
-// Command quotabench measures what dividing team limits among the ledgers costs and
+// Command quotabench measures what dividing team limits among the shards costs and
 // brings: three controllers run as processes on loopback against the stand-ins of
 // this repository, once without quota.escrow and once with it.
 //
@@ -55,11 +55,13 @@
 	}
 }
 
+// teams are the teams that share the machines. The guarantee of west is its limit.
 func teams() []standin.Team {
 	return []standin.Team{{Name: "north", Guarantee: 60, Limit: 120}, {Name: "south", Guarantee: 40, Limit: 80}, {Name: "west", Guarantee: 20, Limit: 20}}
 }
 
-func measure(program string, jobs, machines int, escrow bool) (*result, error) {
+// measure runs the controllers once.
+func measure(program string, jobs, machines int, escrow bool) (r *result, err error) {
 	d, err := standin.NewDeployment(machines, teams())
 	if err != nil {
 		return nil, err
@@ -71,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("quotabench: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
 	for _, m := range d.Members {
 		stop, err := startController(ctx, program, dir, m, d.Settings(m), escrow)
 		if err != nil {
@@ -86,8 +88,8 @@
 		return nil, err
 	}
 	d.StartWorkers()
-	time.Sleep(3 * time.Second) // machines report, ledgers settle
-	r := &result{}
+	time.Sleep(3 * time.Second) // machines send heartbeats, shards are reconciled
+	r = &result{}
 	if err := r.measureBurst(ctx, d, jobs); err != nil {
 		return nil, err
 	}
@@ -99,7 +101,7 @@
 	return r, nil
 }
 
-// startController starts one process.
+// startController starts one process. It ends with stop, which waits for it.
 func startController(ctx context.Context, program, dir, member, settings string, escrow bool) (stop func(), err error) {
 	config, props := filepath.Join(dir, member+".toml"), filepath.Join(dir, "p.properties")
 	err = errors.Join(os.WriteFile(config, []byte(settings), 0o600), os.WriteFile(props, fmt.Appendf(nil, "quota.escrow = %v\n", escrow), 0o600))
@@ -153,12 +155,14 @@
 	return nil
 }
 
+// submit has users at each controller hand the jobs in, and waits for them.
 func submit(ctx context.Context, d *standin.Deployment, jobs []*standin.Job) error {
 	work := make(chan int)
 	errs := make(chan error, len(jobs))
 	var users sync.WaitGroup
 	for range usersPerController * len(d.Members) {
 		users.Add(1)
+		// Ends when the work does; users.Wait waits for it.
 		go func() {
 			defer users.Done()
 			for i := range work {
@@ -197,6 +201,7 @@
 	return nil
 }
 
+// print writes a run's figures.
 func (r *result) print(escrow bool) {
 	fmt.Printf("quota.escrow = %v (loopback, three processes, stand-ins of this repository)\n", escrow)
 	fmt.Printf("  admissions: %.0f a second\n", r.admissionsPerS)
