--- a/internal/coordination/circuit_breaker.go
+++ b/internal/coordination/circuit_breaker.go
@@ -5,30 +5,37 @@
 	"time"
 )
 
+// The pause after failures in a row: it begins at failureBackOffBase, grows by
+// failureBackOffGrowth with each failure, and stays below maxFailureBackOff.
+const (
+	failureBackOffBase    = 0.5 // seconds
+	failureBackOffGrowth  = 1.5
+	maxFailureBackOff     = 60 // seconds
+	maxFailureBackOffStep = 20 // failures, beyond which the power isn't taken any more
+)
+
 // failureBackOff grows with the failures in a row.
-func failureBackOff(fails int) time.Duration {
-	return time.Duration(math.Min(60, 0.5*math.Pow(1.5, float64(min(fails, 20)))) * float64(time.Second))
+func failureBackOff(failures int) time.Duration {
+	step := float64(min(failures, maxFailureBackOffStep))
+	return time.Duration(math.Min(maxFailureBackOff, failureBackOffBase*math.Pow(failureBackOffGrowth, step)) * float64(time.Second))
 }
 
 // maxBackOffFailures is up to which of a job's failures in a row the pauses of its tasks
 // grow: they may be due to a few machines, while its other tasks run.
 const maxBackOffFailures = 8
 
-// steadyRuntime is for how long a service's task has to run until its end says
-// nothing against its job.
-const steadyRuntime = 20 * time.Second
-
-const (
-	breakerTrialRuntime = 5 * time.Second // that a task has to run until its job is trusted again, at first
-)
+// breakerTrialRuntime is how long a task has to run until its job is trusted again, at
+// first.
+const breakerTrialRuntime = 5 * time.Second
 
 // circuitBreaker is open while a job seems to have been submitted with a mistake:
 // its tasks have failed on several machines, or often where there are few, and none
 // of it runs. Then one task at a time is tried, after a pause that grows: all at
-// once, again and again, they would keep machines busy and have more rented for
-// them.
+// once, again and again, they would keep machines busy and have the fleet scaled out
+// for them. Its zero value is closed.
 type circuitBreaker struct {
-	failedOn        map[int32]bool // machines that it has failed on since a task ended well
+	failures        int            // in a row
+	failedOn        map[int32]bool // machines that the job has failed on since a task ended well
 	open            bool
 	failedTrials    int           // failed since then, one at a time
 	retryAt         time.Duration // when the next task may start
@@ -36,65 +43,84 @@
 	requiredRuntime time.Duration // how long that has to last
 }
 
-// startable is how many tasks may be started now.
-func (job *ownedJob) startable() int {
+// allowed is how many of a job's pending tasks may be started now, given how many of
+// its tasks are active.
+func (b *circuitBreaker) allowed(pending, active int) int {
 	switch {
-	case job.finalStatus != "":
-		return 0
-	case !job.breaker.open:
-		return job.pending
-	case job.active > 0 || job.breaker.retryAt > 0:
+	case !b.open:
+		return pending
+	case active > 0 || b.retryAt > 0:
 		return 0
 	}
-	return min(1, job.pending)
+	return min(1, pending)
 }
 
-// recordFailure notes that a task of a job has failed on a machine.
-func (o *owner) recordFailure(job *ownedJob, machine int32, now time.Duration) {
-	job.consecutiveFailures++
-	breaker := &job.breaker
-	if breaker.failedOn == nil {
-		breaker.failedOn = make(map[int32]bool)
+// recordFailure notes that a task of a job has failed on a machine, when active and
+// running others of the job were left.
+func (b *circuitBreaker) recordFailure(machine int32, active, running int, now time.Duration) {
+	b.failures++
+	if b.failedOn == nil {
+		b.failedOn = make(map[int32]bool)
 	}
-	if len(breaker.failedOn) < jobFaultMachines {
-		breaker.failedOn[machine] = true
+	if len(b.failedOn) < jobFaultMachines {
+		b.failedOn[machine] = true
 	}
-	if (len(breaker.failedOn) == jobFaultMachines || job.consecutiveFailures >= 2*jobFaultMachines) && job.running == 0 {
-		breaker.open, breaker.runningSince = true, 0
+	if (len(b.failedOn) == jobFaultMachines || b.failures >= 2*jobFaultMachines) && running == 0 {
+		b.open, b.runningSince = true, 0
 	}
-	if breaker.open && job.active == 0 {
-		breaker.failedTrials++
-		breaker.retryAt = now + failureBackOff(breaker.failedTrials)
+	if b.open && active == 0 {
+		b.failedTrials++
+		b.retryAt = now + failureBackOff(b.failedTrials)
 	}
 }
 
-// closeBreaker lets all tasks of a job start again.
-func (o *owner) closeBreaker(job *ownedJob) {
-	if job.breaker.open {
-		o.markChanged(job)
-	}
-	job.breaker = circuitBreaker{requiredRuntime: job.breaker.requiredRuntime}
+// recordSuccess notes that a task of the job ended well: all of them may start again.
+func (b *circuitBreaker) recordSuccess() {
+	b.close()
+	b.failures = 0
 }
 
-// probeBreaker lets a job whose breaker is open try again once its pause is over, and trusts it
+// close lets all tasks of a job start again. The failures still count for the pauses of
+// its tasks.
+func (b *circuitBreaker) close() {
+	*b = circuitBreaker{failures: b.failures, requiredRuntime: b.requiredRuntime}
+}
+
+// backOff is how long a task that has just failed waits before it is tried again.
+func (b *circuitBreaker) backOff() time.Duration {
+	return failureBackOff(min(b.failures, maxBackOffFailures))
+}
+
+// breakerChange is what time has changed of a circuit breaker.
+type breakerChange uint8
+
+const (
+	breakerUnchanged breakerChange = iota
+	breakerRetries                 // one task may be tried
+	breakerClosed                  // all tasks may start
+)
+
+// probe lets a job whose breaker is open try again once its pause is over, and trusts it
 // once a task of it has run for a while. If it fails after that all the same, the
 // next has to run for longer.
-func (o *owner) probeBreaker(job *ownedJob, now time.Duration) {
-	breaker := &job.breaker
-	if !breaker.open {
-		return
+func (b *circuitBreaker) probe(running int, now time.Duration) breakerChange {
+	if !b.open {
+		return breakerUnchanged
 	}
-	if breaker.retryAt > 0 && now >= breaker.retryAt {
-		breaker.retryAt = 0
-		o.markChanged(job)
+	change := breakerUnchanged
+	if b.retryAt > 0 && now >= b.retryAt {
+		b.retryAt = 0
+		change = breakerRetries
 	}
 	switch {
-	case job.running == 0:
-		breaker.runningSince = 0
-	case breaker.runningSince == 0:
-		breaker.runningSince = now
-	case now-breaker.runningSince > max(breaker.requiredRuntime, breakerTrialRuntime):
-		breaker.requiredRuntime = 2 * max(breaker.requiredRuntime, breakerTrialRuntime)
-		o.closeBreaker(job)
+	case running == 0:
+		b.runningSince = 0
+	case b.runningSince == 0:
+		b.runningSince = now
+	case now-b.runningSince > max(b.requiredRuntime, breakerTrialRuntime):
+		b.requiredRuntime = 2 * max(b.requiredRuntime, breakerTrialRuntime)
+		b.close()
+		change = breakerClosed
 	}
+	return change
 }
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -11,28 +11,27 @@
 
 // ownedJob is an unfinished job of one of this process's ledgers.
 type ownedJob struct {
-	id                  string
-	shard               *ownedShard
-	spec                *protocol.Job
-	submittedMs         int64
-	nonce               string
-	tasks               []task
-	pendingOrder        []int32 // waiting tasks, in order; may hold ones that wait no more
-	backingOff          []int32
-	activeByZone        map[string]int // located tasks by zone, for together and apart
-	pending             int
-	active              int
-	running             int
-	finished            int // completed or written
-	durable             int
-	finalStatus         string // the final status that is being written
-	ended               bool
-	consecutiveFailures int // in a row
-	breaker             circuitBreaker
-	changed             bool
-	specUnsent          bool // its description has not been sent to the present leader
-	onEnd               []func(status string)
-	publishedPending    int // waiting tasks that the leader was told of last
+	id               string
+	shard            *ownedShard
+	spec             *protocol.Job
+	submittedMs      int64
+	nonce            string
+	tasks            []task
+	pendingOrder     []int32 // waiting tasks, in order; may hold ones that wait no more
+	backingOff       []int32
+	activeByZone     map[string]int // located tasks by zone, for together and apart
+	pending          int
+	active           int
+	running          int
+	finished         int // completed or written
+	durable          int
+	finalStatus      string // the final status that is being written
+	ended            bool
+	breaker          circuitBreaker
+	changed          bool
+	specUnsent       bool // its description has not been sent to the present leader
+	onEnd            []func(status string)
+	publishedPending int // waiting tasks that the leader was told of last
 }
 
 // ownedShard is a ledger that this process holds.
@@ -317,6 +316,14 @@
 	o.memoryBytes -= estimatedBytes(job.spec)
 }
 
+// startable is how many tasks of a job may be started now.
+func (job *ownedJob) startable() int {
+	if job.finalStatus != "" {
+		return 0
+	}
+	return job.breaker.allowed(job.pending, job.active)
+}
+
 func (o *owner) markChanged(job *ownedJob) {
 	if !job.changed {
 		job.changed = true
@@ -391,7 +398,9 @@
 		shard.records.FlushJobs()
 	}
 	for _, job := range o.jobs {
-		o.probeBreaker(job, now)
+		if job.breaker.probe(job.running, now) != breakerUnchanged {
+			o.markChanged(job)
+		}
 		if len(job.backingOff) == 0 {
 			continue
 		}
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -316,16 +316,14 @@
 	switch why {
 	case protocol.ExitReasonDone:
 		o.unassign(job, i)
-		job.consecutiveFailures = 0
-		o.closeBreaker(job)
+		o.recordSuccess(job)
 		t.state = taskFinished
 		job.finished++
 		o.finishTask(job, i)
 	case protocol.ExitReasonError:
 		o.unassign(job, i)
 		o.clearReplica(s)
-		o.recordFailure(job, s.machine, o.c.now())
-		o.backOff(job, i, failureBackOff(min(job.consecutiveFailures, maxBackOffFailures)))
+		o.retryFailed(job, i, s.machine)
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
 		o.unassign(job, i)
 		o.clearReplica(s)
@@ -347,21 +345,38 @@
 	job.backingOff = append(job.backingOff, i)
 }
 
+// steadyRuntime is for how long a service's task has to run until its end says
+// nothing against its job.
+const steadyRuntime = 20 * time.Second
+
 // onServiceTaskExit has a service's task run again, though it ended by itself. One that
 // ran for a while before is back at once; one that ends again and again waits as a
 // task that fails does, and its job tries one task at a time, see circuitBreaker.
 func (o *owner) onServiceTaskExit(job *ownedJob, i, machine int32) {
-	t, now := &job.tasks[i], o.c.now()
-	ran := t.running && now-t.readyAt > steadyRuntime
+	t := &job.tasks[i]
+	ran := t.running && o.c.now()-t.readyAt > steadyRuntime
 	o.unassign(job, i)
 	if ran {
-		job.consecutiveFailures = 0
-		o.closeBreaker(job)
+		o.recordSuccess(job)
 		o.requeue(job, i)
 		return
 	}
-	o.recordFailure(job, machine, now)
-	o.backOff(job, i, failureBackOff(min(job.consecutiveFailures, maxBackOffFailures)))
+	o.retryFailed(job, i, machine)
+}
+
+// recordSuccess notes that a task of a job ended well, or ran for long enough.
+func (o *owner) recordSuccess(job *ownedJob) {
+	if job.breaker.open {
+		o.markChanged(job)
+	}
+	job.breaker.recordSuccess()
+}
+
+// retryFailed notes that a task has failed on a machine, and has it wait before the
+// next replica.
+func (o *owner) retryFailed(job *ownedJob, i, machine int32) {
+	job.breaker.recordFailure(machine, job.active, job.running, o.c.now())
+	o.backOff(job, i, job.breaker.backOff())
 }
 
 // finishTask has a finished task written, or the whole job when it was the
