--- /dev/null
+++ b/internal/coordination/owned_job.go
@@ -0,0 +1,173 @@
+package coordination
+
+import (
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+)
+
+// ownedJob is an unfinished job of one of this process's shards, with the states of
+// its tasks and how many are in which.
+type ownedJob struct {
+	id           string
+	shard        *ownedShard
+	spec         *protocol.Job
+	submittedMs  int64
+	nonce        string
+	tasks        []task
+	pendingOrder []int32 // pending tasks, in order; may hold ones that are pending no more
+	backingOff   []int32
+	activeByZone map[string]int // active tasks with a known machine by zone; nil: the job asks for no zones
+	pending      int
+	active       int // unreconciled, assigned or placed: a replica may exist on a machine
+	running      int
+	finished     int    // finished or durable
+	finalStatus  string // that is being written
+	ended        bool
+	breaker      circuitBreaker
+	changed      bool // since the leader was told last
+	specUnsent   bool // its description has not been sent to the present leader
+	onEnd        []func(status string)
+	// publishedPending is how many tasks the leader was told of last that may be started.
+	publishedPending int
+}
+
+// newOwnedJob makes a job all of whose tasks are pending.
+func newOwnedJob(shard *ownedShard, spec *protocol.Job, submittedMs int64, nonce string) *ownedJob {
+	job := &ownedJob{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
+		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
+	for i := range job.pendingOrder {
+		job.pendingOrder[i] = int32(i)
+	}
+	if spec.SingleZone || spec.SpreadZones {
+		job.activeByZone = make(map[string]int)
+	}
+	return job
+}
+
+// restore sets the states of a job's tasks as its records tell: those that are not done
+// may be anywhere.
+func (job *ownedJob) restore(done []bool) {
+	for i := range done {
+		if done[i] {
+			job.setState(int32(i), taskDurable)
+		} else {
+			job.setState(int32(i), taskUnreconciled)
+		}
+	}
+	job.pendingOrder = nil
+}
+
+// setState moves a task to another state, and keeps the counts. One that becomes pending
+// goes behind the others.
+func (job *ownedJob) setState(i int32, state taskState) {
+	t := &job.tasks[i]
+	job.count(t.state, -1)
+	job.count(state, 1)
+	t.state = state
+	if state == taskPending {
+		job.pendingOrder = append(job.pendingOrder, i)
+	}
+}
+
+func (job *ownedJob) count(state taskState, n int) {
+	switch state {
+	case taskPending:
+		job.pending += n
+	case taskUnreconciled:
+		job.active += n
+		job.shard.unreconciled += n
+	case taskAssigned, taskPlaced:
+		job.active += n
+	case taskFinished, taskDurable:
+		job.finished += n
+	}
+}
+
+// markRunning notes that a task is seen to run.
+func (job *ownedJob) markRunning(i int32, now time.Duration) {
+	if t := &job.tasks[i]; !t.running {
+		t.running, t.readyAt = true, now
+		job.running++
+	}
+}
+
+// markNotRunning notes that a task is not seen to run.
+func (job *ownedJob) markNotRunning(i int32) {
+	if t := &job.tasks[i]; t.running {
+		t.running = false
+		job.running--
+	}
+}
+
+// nextPending returns the first pending task without taking it, if there is one.
+func (job *ownedJob) nextPending() (i int32, found bool) {
+	for len(job.pendingOrder) > 0 {
+		i := job.pendingOrder[0]
+		if job.tasks[i].state == taskPending {
+			return i, true
+		}
+		job.pendingOrder = job.pendingOrder[1:]
+	}
+	return 0, false
+}
+
+// startable is how many tasks of a job may be started now.
+func (job *ownedJob) startable() int {
+	if job.finalStatus != "" {
+		return 0
+	}
+	return job.breaker.allowed(job.pending, job.active)
+}
+
+// allFinished tells whether every task of a job has ended well.
+func (job *ownedJob) allFinished() bool { return job.finished == len(job.tasks) }
+
+// zoneAllows keeps to a single zone, or spreads over zones, given where the job's other
+// tasks are. While some may be anywhere, nothing is placed.
+func (job *ownedJob) zoneAllows(zone string) bool {
+	if job.activeByZone == nil {
+		return true
+	}
+	known := 0
+	for z, n := range job.activeByZone {
+		known += n
+		if job.spec.SingleZone && n > 0 && z != zone {
+			return false
+		}
+	}
+	if known != job.active {
+		return false
+	}
+	return !job.spec.SpreadZones || job.activeByZone[zone]+1 <= (job.spec.Tasks+1)/2
+}
+
+// backOff has a task that backs off wait for a while before it is pending again.
+func (job *ownedJob) backOff(i int32, until time.Duration) {
+	job.tasks[i].readyAt = until
+	job.backingOff = append(job.backingOff, i)
+}
+
+// endBackOffs makes the tasks pending whose pauses are over, and tells whether there
+// were any.
+func (job *ownedJob) endBackOffs(now time.Duration) bool {
+	if len(job.backingOff) == 0 {
+		return false
+	}
+	ended := false
+	kept := job.backingOff[:0]
+	for _, i := range job.backingOff {
+		t := &job.tasks[i]
+		if t.state != taskBackingOff {
+			continue
+		}
+		if t.readyAt > now {
+			kept = append(kept, i)
+			continue
+		}
+		job.setState(i, taskPending)
+		ended = true
+	}
+	job.backingOff = kept
+	return ended
+}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -9,31 +9,6 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// ownedJob is an unfinished job of one of this process's ledgers.
-type ownedJob struct {
-	id               string
-	shard            *ownedShard
-	spec             *protocol.Job
-	submittedMs      int64
-	nonce            string
-	tasks            []task
-	pendingOrder     []int32 // waiting tasks, in order; may hold ones that wait no more
-	backingOff       []int32
-	activeByZone     map[string]int // located tasks by zone, for together and apart
-	pending          int
-	active           int
-	running          int
-	finished         int // completed or written
-	durable          int
-	finalStatus      string // the final status that is being written
-	ended            bool
-	breaker          circuitBreaker
-	changed          bool
-	specUnsent       bool // its description has not been sent to the present leader
-	onEnd            []func(status string)
-	publishedPending int // waiting tasks that the leader was told of last
-}
-
 // ownedShard is a ledger that this process holds.
 type ownedShard struct {
 	name                 string
@@ -164,31 +139,13 @@
 
 func (o *owner) restoreJob(shard *ownedShard, r *storage.RecoveredJob) {
 	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
-	for i, done := range r.Done {
-		if done {
-			job.tasks[i].state = taskDurable
-			job.finished++
-			job.durable++
-		} else {
-			job.tasks[i].state = taskUnreconciled
-			job.active++
-			shard.unreconciled++
-		}
-	}
+	job.restore(r.Done)
 	o.c.admission.countInherited(job, job.active)
-	job.pending, job.pendingOrder = 0, nil
 }
 
 // addJob adds a job whose tasks all wait.
 func (o *owner) addJob(shard *ownedShard, spec *protocol.Job, atMs int64, nonce string) *ownedJob {
-	job := &ownedJob{id: spec.ID, shard: shard, spec: spec, submittedMs: atMs, nonce: nonce, specUnsent: true,
-		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
-	for i := range job.pendingOrder {
-		job.pendingOrder[i] = int32(i)
-	}
-	if spec.SingleZone || spec.SpreadZones {
-		job.activeByZone = make(map[string]int)
-	}
+	job := newOwnedJob(shard, spec, atMs, nonce)
 	shard.jobs[job.id] = job
 	o.jobs[job.id] = job
 	o.memoryBytes += estimatedBytes(spec)
@@ -316,14 +273,6 @@
 	o.memoryBytes -= estimatedBytes(job.spec)
 }
 
-// startable is how many tasks of a job may be started now.
-func (job *ownedJob) startable() int {
-	if job.finalStatus != "" {
-		return 0
-	}
-	return job.breaker.allowed(job.pending, job.active)
-}
-
 func (o *owner) markChanged(job *ownedJob) {
 	if !job.changed {
 		job.changed = true
@@ -398,21 +347,9 @@
 		shard.records.FlushJobs()
 	}
 	for _, job := range o.jobs {
-		if job.breaker.probe(job.running, now) != breakerUnchanged {
+		probed := job.breaker.probe(job.running, now)
+		if ready := job.endBackOffs(now); ready || probed != breakerUnchanged {
 			o.markChanged(job)
 		}
-		if len(job.backingOff) == 0 {
-			continue
-		}
-		kept := job.backingOff[:0]
-		for _, i := range job.backingOff {
-			t := &job.tasks[i]
-			if t.state == taskBackingOff && t.readyAt > now {
-				kept = append(kept, i)
-			} else if t.state == taskBackingOff {
-				o.requeue(job, i)
-			}
-		}
-		job.backingOff = kept
 	}
 }
--- /dev/null
+++ b/internal/coordination/task_state.go
@@ -0,0 +1,46 @@
+package coordination
+
+import (
+	"strconv"
+	"time"
+)
+
+// taskState is where the owner knows a task to be (the paper's OnNode and
+// InTransition, section 4.2), with what lies before and after.
+type taskState uint8
+
+const (
+	taskPending      taskState = iota // no replica exists anywhere
+	taskUnreconciled                  // recovered: a replica may be on any machine
+	taskAssigned                      // a start was handed to a machine's heartbeat response
+	taskPlaced                        // the machine's status lists it
+	taskBackingOff                    // failed; waits for its pause to end
+	taskFinished                      // its result is there but not yet written
+	taskDurable                       // its end is durable
+)
+
+var taskStateNames = [...]string{"pending", "unreconciled", "assigned", "placed", "backing_off", "finished", "durable"}
+
+func (s taskState) String() string {
+	if int(s) < len(taskStateNames) {
+		return taskStateNames[s]
+	}
+	return "taskState(" + strconv.Itoa(int(s)) + ")"
+}
+
+// task is one task's supervision state (the paper's SupervisedTaskState).
+type task struct {
+	state    taskState
+	running  bool
+	machine  int32
+	replica  uint64        // replica number of the replica that counts
+	epoch    uint64        // of the heartbeat whose response carried the start
+	sequence uint64        // the same heartbeat's
+	readyAt  time.Duration // backing off: when it is pending again; running: since when it is seen to
+}
+
+// taskRef names a task of a job in memory.
+type taskRef struct {
+	job  *ownedJob
+	task int32
+}
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -7,36 +7,6 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// taskState is where the owner knows a task to be (the paper's OnNode and
-// InTransition, section 4.2), with what lies before and after.
-type taskState uint8
-
-const (
-	taskPending      taskState = iota // no copy exists anywhere
-	taskUnreconciled                  // recovered: a copy may be on any machine
-	taskAssigned                      // a start was handed to a machine's answer
-	taskPlaced                        // the machine's report lists it
-	taskBackingOff                    // failed; waits for its pause to end
-	taskFinished                      // its result is there but not yet written
-	taskDurable                       // its end is durable
-)
-
-// task is one task's supervision state (the paper's SupervisedTaskState).
-type task struct {
-	state    taskState
-	running  bool
-	machine  int32
-	replica  uint64 // replica number of the copy that counts
-	epoch    uint64 // of the report whose answer carried the start
-	sequence uint64
-	readyAt  time.Duration // cooling: when it waits again; running: since when it is seen to
-}
-
-type taskRef struct {
-	job  *ownedJob
-	task int32
-}
-
 func (o *owner) setReplicas(machine int32, refs []taskRef) {
 	if len(refs) == 0 {
 		delete(o.replicas, machine)
@@ -49,23 +19,17 @@
 func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
 	t := &job.tasks[i]
 	switch t.state {
-	case taskPending:
-		job.pending--
-		job.active++
-	case taskBackingOff:
-		job.active++
-	case taskUnreconciled:
-		job.shard.unreconciled--
+	case taskFinished, taskDurable:
+		return
 	case taskAssigned, taskPlaced:
 		if t.machine == machine {
-			t.state = state
+			job.setState(i, state)
 			return
 		}
 		o.removeReplica(job, i)
-	default:
-		return
 	}
-	t.state, t.machine = state, machine
+	job.setState(i, state)
+	t.machine = machine
 	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
 	if job.activeByZone != nil {
 		job.activeByZone[o.c.subscription.zoneOf(machine)]++
@@ -88,61 +52,31 @@
 	}
 }
 
-// unassign takes a located task off wherever it was: the caller has proof that no
-// copy of it is left.
-func (o *owner) unassign(job *ownedJob, i int32) {
-	t := &job.tasks[i]
-	switch t.state {
-	case taskUnreconciled:
-		job.shard.unreconciled--
-	case taskAssigned, taskPlaced:
+// unassign takes an active task off wherever it was, into the given state: the caller
+// has proof that no replica of it is left.
+func (o *owner) unassign(job *ownedJob, i int32, state taskState) {
+	if s := job.tasks[i].state; s == taskAssigned || s == taskPlaced {
 		o.removeReplica(job, i)
-	default:
-		return
 	}
-	o.setRunning(job, i, false)
-	job.active--
+	job.markNotRunning(i)
+	job.setState(i, state)
 	o.c.admission.release(job, i)
 	o.markChanged(job)
 }
 
-func (o *owner) setRunning(job *ownedJob, i int32, running bool) {
-	t := &job.tasks[i]
-	if t.running != running {
-		t.running = running
-		if running {
-			t.readyAt = o.c.now()
-			job.running++
-		} else {
-			job.running--
-		}
-	}
-}
-
-// requeue makes a task that has no copy left wait for its next replica.
-func (o *owner) requeue(job *ownedJob, i int32) {
-	job.tasks[i].state = taskPending
-	job.pending++
-	job.pendingOrder = append(job.pendingOrder, i)
-	o.markChanged(job)
-}
-
-// replicaLost replicates a task whose copy is proven gone. Was it given out by an
-// earlier holder of the ledger, there may be a newer one somewhere, until every
-// machine is accounted for.
+// replicaLost replicates a task whose replica is proven lost. Was it started by an
+// earlier holder of the shard, there may be a newer one somewhere, until every
+// machine is reconciled.
 func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
 	t := &job.tasks[i]
 	o.losses.add(int(reason))
 	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", o.losses.keys[reason]).Msg("copy is gone")
-	o.unassign(job, i)
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
-		t.state = taskUnreconciled
-		job.active++
-		job.shard.unreconciled++
+		o.unassign(job, i, taskUnreconciled)
 		o.c.admission.countInherited(job, 1)
 		return
 	}
-	o.requeue(job, i)
+	o.unassign(job, i, taskPending)
 }
 
 func (o *owner) machineTerminated(machine int32) {
@@ -238,19 +172,31 @@
 		return
 	}
 	if !s.exited() {
-		o.setRunning(job, i, protocol.TaskState(s.status.State) != protocol.TaskFetching)
+		o.observeProgress(s)
 		return
 	}
 	o.onTaskExit(s)
 }
 
+// observeProgress notes whether a listed replica runs, or only fetches its image yet.
+func (o *owner) observeProgress(s *taskStatus) {
+	job, i := s.ref.job, s.ref.task
+	switch {
+	case protocol.TaskState(s.status.State) == protocol.TaskFetching:
+		job.markNotRunning(i)
+	case !job.tasks[i].running:
+		job.markRunning(i, o.c.now())
+	}
+}
+
 // confirmPlacement notes that the copy of a job that is ending is on its machine. Without
 // that the next report, whose list is the same, would be taken for proof that the
 // start never arrived, and the copy's use given to others while it still runs.
 func (o *owner) confirmPlacement(s *taskStatus) {
 	t := &s.ref.job.tasks[s.ref.task]
 	if t.state == taskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
-		t.state, t.epoch = taskPlaced, s.epoch
+		s.ref.job.setState(s.ref.task, taskPlaced)
+		t.epoch = s.epoch
 	}
 }
 
@@ -288,7 +234,7 @@
 		if attempt > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone) {
 			// Of a recovered task an older copy was heard of first. Earlier
 			// holders gave this one out once that was proven gone.
-			o.setRunning(job, i, false)
+			job.markNotRunning(i)
 			t.replica = attempt
 			job.shard.lastReplica = max(job.shard.lastReplica, attempt)
 		} else if attempt != t.replica || t.machine != s.machine {
@@ -312,22 +258,19 @@
 		o.clearReplica(s)
 		return
 	}
-	t := &job.tasks[i]
 	switch why {
 	case protocol.ExitReasonDone:
-		o.unassign(job, i)
+		o.unassign(job, i, taskFinished)
 		o.recordSuccess(job)
-		t.state = taskFinished
-		job.finished++
 		o.finishTask(job, i)
 	case protocol.ExitReasonError:
-		o.unassign(job, i)
+		o.unassign(job, i, taskBackingOff)
 		o.clearReplica(s)
 		o.retryFailed(job, i, s.machine)
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
-		o.unassign(job, i)
+		o.unassign(job, i, taskBackingOff)
 		o.clearReplica(s)
-		o.backOff(job, i, refusedStartBackOff)
+		job.backOff(i, o.c.now()+refusedStartBackOff)
 	default:
 		o.clearReplica(s)
 		o.replicaLost(job, i, lossStopped)
@@ -337,14 +280,6 @@
 // refusedStartBackOff is after how long a start that a machine refused is tried again.
 const refusedStartBackOff = time.Second
 
-// backOff has a task wait for a while before it is placed anew.
-func (o *owner) backOff(job *ownedJob, i int32, pause time.Duration) {
-	t := &job.tasks[i]
-	t.state = taskBackingOff
-	t.readyAt = o.c.now() + pause
-	job.backingOff = append(job.backingOff, i)
-}
-
 // steadyRuntime is for how long a service's task has to run until its end says
 // nothing against its job.
 const steadyRuntime = 20 * time.Second
@@ -355,12 +290,12 @@
 func (o *owner) onServiceTaskExit(job *ownedJob, i, machine int32) {
 	t := &job.tasks[i]
 	ran := t.running && o.c.now()-t.readyAt > steadyRuntime
-	o.unassign(job, i)
 	if ran {
+		o.unassign(job, i, taskPending)
 		o.recordSuccess(job)
-		o.requeue(job, i)
 		return
 	}
+	o.unassign(job, i, taskBackingOff)
 	o.retryFailed(job, i, machine)
 }
 
@@ -375,29 +310,29 @@
 // retryFailed notes that a task has failed on a machine, and has it wait before the
 // next replica.
 func (o *owner) retryFailed(job *ownedJob, i, machine int32) {
-	job.breaker.recordFailure(machine, job.active, job.running, o.c.now())
-	o.backOff(job, i, job.breaker.backOff())
+	now := o.c.now()
+	job.breaker.recordFailure(machine, job.active, job.running, now)
+	job.backOff(i, now+job.breaker.backOff())
 }
 
 // finishTask has a finished task written, or the whole job when it was the
 // last one.
 func (o *owner) finishTask(job *ownedJob, i int32) {
 	o.markChanged(job)
-	if job.finished == len(job.tasks) {
+	if job.allFinished() {
 		o.endIfFinished(job)
 		return
 	}
 	job.shard.records.FinishTask(job.spec, int(i), func() {
 		if t := &job.tasks[i]; t.state == taskFinished {
-			t.state = taskDurable
-			job.durable++
+			job.setState(i, taskDurable)
 			o.c.subscription.command(t.machine, job.id, uint32(i), t.replica, true)
 		}
 	})
 }
 
 func (o *owner) endIfFinished(job *ownedJob) {
-	if job.finished == len(job.tasks) {
+	if job.allFinished() {
 		o.endJob(job, protocol.StatusDone)
 	}
 }
@@ -409,18 +344,14 @@
 		return nil
 	}
 	n = min(n, o.admissible(job))
-	for len(picks) < n && len(job.pendingOrder) > 0 {
-		i := job.pendingOrder[0]
-		t := &job.tasks[i]
-		if t.state != taskPending {
-			job.pendingOrder = job.pendingOrder[1:]
-			continue
-		}
-		if !job.zoneAllows(zone) || !o.c.admission.admit(job, i, job.shard.lastReplica+1) {
+	for len(picks) < n {
+		i, found := job.nextPending()
+		if !found || !job.zoneAllows(zone) || !o.c.admission.admit(job, i, job.shard.lastReplica+1) {
 			break
 		}
 		job.pendingOrder = job.pendingOrder[1:]
 		job.shard.lastReplica++
+		t := &job.tasks[i]
 		t.replica, t.epoch, t.sequence = job.shard.lastReplica, session, seq
 		o.place(job, i, machine, taskAssigned)
 		picks = append(picks, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
@@ -428,25 +359,6 @@
 	return picks
 }
 
-// zoneAllows keeps to together and apart, given where the job's
-// other tasks are. While some may be anywhere, nothing is placed.
-func (job *ownedJob) zoneAllows(zone string) bool {
-	if job.activeByZone == nil {
-		return true
-	}
-	known := 0
-	for z, n := range job.activeByZone {
-		known += n
-		if job.spec.SingleZone && n > 0 && z != zone {
-			return false
-		}
-	}
-	if known != job.active {
-		return false
-	}
-	return !job.spec.SpreadZones || job.activeByZone[zone]+1 <= (job.spec.Tasks+1)/2
-}
-
 // returnBindings returns picks that were never sent.
 func (o *owner) returnBindings(picks []*meshpb.Binding) {
 	for _, p := range picks {
