--- a/internal/coordination/admission.go
+++ b/internal/coordination/admission.go
@@ -44,7 +44,7 @@
 
 func (a *admission) init(c *Controller) error {
 	a.c = c
-	a.orphans.init(a)
+	a.orphans.init(a.refund)
 	if !c.tuning.QuotaEscrow {
 		return nil
 	}
@@ -154,6 +154,22 @@
 	}
 }
 
+// keepOrphans keeps what may be left of a job that is about to be removed.
+func (a *admission) keepOrphans(job *ownedJob) {
+	if a.limited(job) {
+		a.orphans.keep(job, taskAmount(job.spec))
+	}
+}
+
+// refund gives back what an orphaned replica used that is proven lost.
+func (a *admission) refund(orphan *orphanedReplica) {
+	shard := orphan.shard
+	before := a.manager.Spent(shard.name, orphan.team)
+	a.manager.Release(shard.name, orphan.team, orphan.amount)
+	a.record(audit.Record{Kind: audit.Released, Shard: shard.name, FencingToken: shard.fencingToken, Team: orphan.team, Job: orphan.job,
+		Task: orphan.task, Replica: orphan.replica, Amount: a.manager.LimitedPart(orphan.team, orphan.amount), SpentBefore: before})
+}
+
 // countInherited adds tasks of a job of which a copy may run that an earlier holder admitted.
 func (a *admission) countInherited(job *ownedJob, n int) {
 	if a.limited(job) && n > 0 {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -186,7 +186,7 @@
 // batchPending tells whether the batch has left anything to do in this process.
 func (c *Controller) batchPending() bool {
 	return len(c.deferred) > 0 || len(c.loopback) > 0 ||
-		len(c.owner.changed) > 0 || len(c.subscription.commands) > 0 || c.selfPeer.machineStatuses != nil
+		len(c.owner.changed) > 0 || len(c.owner.commands) > 0 || c.selfPeer.machineStatuses != nil
 }
 
 // runDeferred delivers the frames to this very process and calls what was put
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -353,7 +353,7 @@
 	want(t, "running", len(agent.running()), 2)
 	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.run(8 * time.Second)
-	if shard := follower.controller.owner.shards[follower.name]; shard == nil || !shard.registered {
+	if shard := follower.controller.owner.shards[follower.name]; shard == nil || !shard.registration.sent {
 		t.Fatal("the ledger has not joined")
 	}
 	code, status := follower.cancel("wk-1")
--- a/internal/coordination/loss_proof.go
+++ b/internal/coordination/loss_proof.go
@@ -2,80 +2,93 @@
 
 import (
 	"slices"
+	"strconv"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// An owner replaces a task's copy only once the copy is proven gone. This file
-// holds what a report that the leader passes on proves by not listing a copy, and
-// the reasons for which copies were judged gone.
+// An owner replaces a task's replica only once the replica is proven lost. This file
+// holds what a status that the leader passes on proves by not listing a replica, and
+// the reasons for which replicas were judged lost. Its functions go by values alone.
 
-// absenceProof is what it proves that a machine's report does not list a copy.
+// absenceProof is what it proves that a machine's status does not list a replica.
 type absenceProof uint8
 
 const (
-	absenceProvesNothing   absenceProof = iota // the list may lack copies of the ledger
-	absenceProvesNoArrival                     // the list is the one before, and complete: a start sent in between did not arrive
-	absenceProvesEnd                           // the list is complete: the copy is gone
+	absenceProvesNothing   absenceProof = iota // the status may lack replicas of the shard
+	absenceProvesNoArrival                     // the status is the one before, and complete: a start sent in between did not arrive
+	absenceProvesEnd                           // the status is complete: the replica is gone
 )
 
-// absenceProof tells what a report proves by what it does not list of a ledger. Nothing
-// else concludes from a list that lacks a copy.
-func (s *subscription) absenceProof(machine int32, r *meshpb.MachineStatus, shard *ownedShard) absenceProof {
-	switch {
-	case !r.Current || !s.listComplete(machine, r, shard):
-		return absenceProvesNothing
-	case r.Unchanged:
-		return absenceProvesNoArrival
-	}
-	return absenceProvesEnd
+// machineObservation is a machine's status as the leader passed it on, with what bears
+// on its completeness.
+type machineObservation struct {
+	machine int32
+	status  *meshpb.MachineStatus
+	// heardSinceRegistration tells whether the machine has surely sent a heartbeat since
+	// the last shard of this process was registered, see observedSince.
+	heardSinceRegistration bool
+}
+
+// observedSince tells whether a machine has surely sent a heartbeat since the last shard
+// of this process was registered, by the leader's clock: the leader has told of it twice
+// since, at different times.
+func observedSince(lastRegisteredAtUs, heardBeforeUs int64) bool {
+	return lastRegisteredAtUs > 0 && heardBeforeUs >= lastRegisteredAtUs
 }
 
-// listComplete tells whether a machine's list has all that the machine holds of a
-// ledger. A leader of a version that does not say so leaves out tasks of jobs that
-// it did not know when the machine reported. It knows those of a ledger once that
-// has joined, so a list of its is complete if the machine has reported since; what
-// it tells of a machine first may be from before the join, see reportedSince.
-func (s *subscription) listComplete(machine int32, r *meshpb.MachineStatus, shard *ownedShard) bool {
-	if s.registeredAtUs[shard.name] <= 0 {
+// completeFor tells whether a status lists all that the machine holds of a shard. A
+// leader of a version that does not say so leaves out tasks of jobs that it did not know
+// when the machine sent it. It knows those of a shard once that is registered, so a
+// status of its is complete if the machine has sent one since; what it tells of a
+// machine first may be from before the registration.
+func (o *machineObservation) completeFor(r *registration) bool {
+	if !r.confirmed() {
 		return false
 	}
-	if shard.leaderNumber != 0 {
-		return slices.Contains(r.CompleteForShards, shard.leaderNumber)
+	if r.number != 0 {
+		return slices.Contains(o.status.CompleteForShards, r.number)
 	}
-	return s.heardSinceRegistration(machine)
+	return o.heardSinceRegistration
 }
 
-// heardSinceRegistration tells whether a machine has surely reported since the last ledger of
-// this process joined: the leader has told of it twice since, at different times.
-func (s *subscription) heardSinceRegistration(machine int32) bool {
-	return s.lastRegisteredAtUs > 0 && s.machine(machine).heardBeforeUs >= s.lastRegisteredAtUs
-}
-
-// allHeardSinceRegistration tells whether every machine that the leader has told of has
-// reported since the last ledger joined, or has lost its lease.
-func (s *subscription) allHeardSinceRegistration(clockUs int64) bool {
-	span := s.c.workerLeaseTimeout().Microseconds()
-	for _, machine := range s.localIndexes {
-		if machine != unknownMachine && !s.heardSinceRegistration(machine) && clockUs-max(s.machine(machine).heardAtUs, s.lastRegisteredAtUs) <= span {
-			return false
-		}
+// absence tells what a status proves by what it does not list of a shard. Nothing
+// else concludes from a status that lacks a replica.
+func (o *machineObservation) absence(r *registration) absenceProof {
+	switch {
+	case !o.status.Current || !o.completeFor(r):
+		return absenceProvesNothing
+	case o.status.Unchanged:
+		return absenceProvesNoArrival
 	}
-	return true
+	return absenceProvesEnd
 }
 
-// checkReconciled takes a leader's word that a ledger is settled, which a leader of a
-// version that does not say which lists are complete gives too early, once every
-// machine has reported since the ledger joined.
-func (s *subscription) checkReconciled(clockUs int64) {
-	for _, shard := range s.c.owner.shards {
-		if shard.reconciledUnchecked && !shard.reconciled && s.allHeardSinceRegistration(clockUs) {
-			s.c.owner.reconciled(shard)
+// proveLoss tells whether a status proves that the replica of an assigned or placed task
+// which it does not list is lost, and by what.
+func (o *machineObservation) proveLoss(t *task, r *registration) lossReason {
+	status := o.status
+	if status.Epoch > t.epoch {
+		return lossLaterEpoch
+	}
+	if !status.Current || (status.Unchanged && t.state == taskPlaced) {
+		return notLost // listed as it was before
+	}
+	if o.absence(r) == absenceProvesNothing {
+		if status.Unchanged {
+			return notLost
 		}
+		return lossUnproven
 	}
+	// Of a start on its way only a status that was sent after it says anything.
+	sentBefore := status.Epoch < t.epoch || status.Seq <= t.sequence
+	if t.state == taskPlaced || !sentBefore {
+		return lossNotListed
+	}
+	return notLost
 }
 
-// lossReason is why a copy was judged gone.
+// lossReason is why a replica was judged lost, or was not.
 type lossReason int
 
 const (
@@ -86,33 +99,21 @@
 	lossMachineTerminated
 	lossNotSent
 	lossStopped
-	unprovenAbsence // none: a list lacked the copy, but proved nothing
+	lossUnproven // none: a status lacked the replica, but proved nothing
+	notLost      // none; not counted
 )
 
-// newLossCounter counts the tasks that were placed anew, by reason.
-func newLossCounter() eventCounter {
-	return newEventCounter("tasks placed anew", "lease_over", "settled", "not_listed", "later_session", "machine_gone", "not_sent", "stopped",
-		"unproven")
-}
+// lossReasonNames are keys of log lines.
+var lossReasonNames = [...]string{"lease_over", "settled", "not_listed", "later_session", "machine_gone", "not_sent", "stopped", "unproven"}
 
-// proveLoss tells whether a report proves that the copy of a task which it does not
-// list is gone, and why.
-func (o *owner) proveLoss(machine int32, r *meshpb.MachineStatus, ref taskRef) (gone bool, reason lossReason) {
-	t := &ref.job.tasks[ref.task]
-	if r.Epoch > t.epoch {
-		return true, lossLaterEpoch
-	}
-	if !r.Current || (r.Unchanged && t.state == taskPlaced) {
-		return false, lossNotListed // listed as it was before
+func (r lossReason) String() string {
+	if r >= 0 && int(r) < len(lossReasonNames) {
+		return lossReasonNames[r]
 	}
-	if o.c.subscription.absenceProof(machine, r, ref.job.shard) == absenceProvesNothing {
-		if !r.Unchanged {
-			o.losses.add(int(unprovenAbsence))
-			o.c.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.replica).Msg("a list that may be incomplete lacks a task")
-		}
-		return false, lossNotListed
-	}
-	// Of a start on its way only a report that was sent after it says anything.
-	sentBefore := r.Epoch < t.epoch || r.Seq <= t.sequence
-	return t.state == taskPlaced || !sentBefore, lossNotListed
+	return "lossReason(" + strconv.Itoa(int(r)) + ")"
+}
+
+// newLossCounter counts the tasks that were placed anew, by reason.
+func newLossCounter() eventCounter {
+	return newEventCounter("tasks placed anew", lossReasonNames[:]...)
 }
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -1,42 +1,38 @@
 package coordination
 
 import (
-	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// orphans holds the copies that may be left of jobs that are over: they count for
-// their teams until their machines have proved them gone, by the same proofs as the
-// copies of jobs that go on.
+// orphans holds the replicas that may be left of jobs that have ended: they count for
+// their teams until their machines have proved them lost, by the same proofs as the
+// replicas of jobs that go on.
 type orphans struct {
-	admission *admission
-	byMachine map[int32][]*orphanedReplica // by machine; nobody: it is not known which
+	byMachine map[int32][]*orphanedReplica // under unknownMachine those of which it is not known where they are
+	refund    func(*orphanedReplica)       // gives back what one used that is proven lost
 }
 
-// orphanedReplica is a copy of a task whose job is over.
+// orphanedReplica is a replica of a task whose job has ended.
 type orphanedReplica struct {
 	shard           *ownedShard
 	team, job       string
 	task            uint32
 	replica         uint64
 	epoch, sequence uint64
-	assigned        bool // its start has not been acknowledged by a report
-	knownToLeader   bool // the present leader has known the job while it went on, and tells of its copies
+	assigned        bool // its start has not been acknowledged by a status
+	knownToLeader   bool // the present leader has known the job while it went on, and tells of its replicas
 	amount          quota.Amount
 }
 
-func (o *orphans) init(a *admission) {
-	o.admission = a
+func (o *orphans) init(refund func(*orphanedReplica)) {
 	o.byMachine = make(map[int32][]*orphanedReplica)
+	o.refund = refund
 }
 
-// keepOrphans keeps what may be left of a job that is about to be forgotten.
-func (a *admission) keepOrphans(job *ownedJob) {
-	if !a.limited(job) {
-		return
-	}
+// keep keeps what may be left of a job that is about to be removed.
+func (o *orphans) keep(job *ownedJob, amount quota.Amount) {
 	for i := range job.tasks {
 		t := &job.tasks[i]
 		machine := t.machine
@@ -47,28 +43,27 @@
 		default:
 			continue
 		}
-		a.orphans.byMachine[machine] = append(a.orphans.byMachine[machine], &orphanedReplica{shard: job.shard, team: job.spec.Team, job: job.id, task: uint32(i),
-			replica: t.replica, epoch: t.epoch, sequence: t.sequence, assigned: t.state == taskAssigned, knownToLeader: job.shard.registered && !job.specUnsent,
-			amount: taskAmount(job.spec)})
+		o.byMachine[machine] = append(o.byMachine[machine], &orphanedReplica{
+			shard: job.shard, team: job.spec.Team, job: job.id, task: uint32(i),
+			replica: t.replica, epoch: t.epoch, sequence: t.sequence,
+			assigned: t.state == taskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent,
+			amount: amount})
 	}
 }
 
-// release gives back what the copies used for which gone holds.
-func (o *orphans) release(machine int32, gone func(orphan *orphanedReplica) bool) {
+// release gives back what the replicas on a machine used for which lost holds.
+func (o *orphans) release(machine int32, lost func(orphan *orphanedReplica) bool) {
 	list := o.byMachine[machine]
 	if len(list) == 0 {
 		return
 	}
 	kept := list[:0]
 	for _, orphan := range list {
-		if !gone(orphan) {
+		if !lost(orphan) {
 			kept = append(kept, orphan)
 			continue
 		}
-		before := o.admission.manager.Spent(orphan.shard.name, orphan.team)
-		o.admission.manager.Release(orphan.shard.name, orphan.team, orphan.amount)
-		o.admission.record(audit.Record{Kind: audit.Released, Shard: orphan.shard.name, FencingToken: orphan.shard.fencingToken, Team: orphan.team, Job: orphan.job, Task: orphan.task,
-			Replica: orphan.replica, Amount: o.admission.manager.LimitedPart(orphan.team, orphan.amount), SpentBefore: before})
+		o.refund(orphan)
 	}
 	clear(list[len(kept):])
 	if o.byMachine[machine] = kept; len(kept) == 0 {
@@ -111,52 +106,67 @@
 	}
 }
 
-// onMachineStatus judges by a machine's report what is left on it, see owner.reported.
-func (o *orphans) onMachineStatus(machine int32, r *meshpb.MachineStatus) {
-	if !o.mayHold(machine) {
+// onMachineStatus judges by a machine's status what is left on it.
+func (o *orphans) onMachineStatus(observation *machineObservation) {
+	if !o.mayHold(observation.machine) {
 		return
 	}
-	live := make(map[replicaKey]bool, len(r.Tasks))
-	for _, s := range r.Tasks {
-		if protocol.TaskState(s.State) != protocol.TaskExited {
-			live[replicaKey{s.Job, s.Task, s.Replica}] = true
-		}
-	}
-	o.release(machine, func(orphan *orphanedReplica) bool {
-		switch {
-		case r.Epoch > orphan.epoch:
-			return true
-		case !r.Current || !orphan.knownToLeader || r.Epoch < orphan.epoch:
-			return false
-		case live[replicaKey{orphan.job, orphan.task, orphan.replica}]:
+	live := liveReplicas(observation.status)
+	o.release(observation.machine, func(orphan *orphanedReplica) bool {
+		if live[orphan.key()] && observation.status.Epoch == orphan.epoch && observation.status.Current && orphan.knownToLeader {
 			orphan.assigned = false
 			return false
 		}
-		proof := o.admission.c.subscription.absenceProof(machine, r, orphan.shard)
-		if orphan.assigned {
-			return proof != absenceProvesNothing && r.Seq > orphan.sequence
-		}
-		return proof == absenceProvesEnd
+		return orphan.provenLost(observation)
 	})
 }
 
+// liveReplicas returns the replicas that a status lists as not exited.
+func liveReplicas(status *meshpb.MachineStatus) map[replicaKey]bool {
+	live := make(map[replicaKey]bool, len(status.Tasks))
+	for _, s := range status.Tasks {
+		if protocol.TaskState(s.State) != protocol.TaskExited {
+			live[replicaKey{s.Job, s.Task, s.Replica}] = true
+		}
+	}
+	return live
+}
+
+func (orphan *orphanedReplica) key() replicaKey {
+	return replicaKey{orphan.job, orphan.task, orphan.replica}
+}
+
+// provenLost tells whether a status that does not list an orphan proves that it is lost.
+func (orphan *orphanedReplica) provenLost(observation *machineObservation) bool {
+	status := observation.status
+	switch {
+	case status.Epoch > orphan.epoch:
+		return true
+	case !status.Current || !orphan.knownToLeader || status.Epoch < orphan.epoch:
+		return false
+	}
+	proof := observation.absence(&orphan.shard.registration)
+	if orphan.assigned {
+		return proof != absenceProvesNothing && status.Seq > orphan.sequence
+	}
+	return proof == absenceProvesEnd
+}
+
 // machineTerminated releases what was on a machine that has ended for good.
 func (o *orphans) machineTerminated(machine int32) {
 	o.release(machine, func(*orphanedReplica) bool { return true })
 }
 
 // releaseExpired releases what was on machines whose leases are surely over, by the
-// leader's clock, see subscription.onHeartbeat.
-func (o *orphans) releaseExpired(clockUs, spanUs int64) {
-	s := &o.admission.c.subscription
+// leader's clock.
+func (o *orphans) releaseExpired(machines *observedMachines, clockUs, timeoutUs int64) {
 	for machine := range o.byMachine {
 		if machine == unknownMachine {
 			continue
 		}
-		last := s.machine(machine).heardAtUs
+		heardAtUs := machines.at(machine).heardAtUs
 		o.release(machine, func(orphan *orphanedReplica) bool {
-			start := s.registeredAtUs[orphan.shard.name]
-			return start > 0 && clockUs-max(last, start) > spanUs
+			return orphan.shard.registration.leaseExpired(heardAtUs, clockUs, timeoutUs)
 		})
 	}
 }
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -13,19 +13,16 @@
 type ownedShard struct {
 	name                 string
 	records              *storage.Shard
-	recovered            bool   // recovered
-	registered           bool   // the present leader counts it
-	leaderNumber         uint32 // in the present leader's lists, see Report.complete_for; 0: it gave none
+	recovered            bool         // recovered
+	registration         registration // at the present leader
 	jobs                 map[string]*ownedJob
 	admissionComplete    bool   // all of earlier holders is counted or proven gone
 	fencingToken         uint64 // the stamp that it was taken with
 	lastReplica          uint64 // the highest replica number of the ledger
 	lastInheritedReplica uint64 // copies up to this number were given out by earlier holders
 	reconciled           bool   // no copy of earlier holders is left that is not known of
-	// A leader that does not say which lists are complete has called it settled.
-	reconciledUnchecked bool
-	unreconciled        int // recovered tasks that may be anywhere
-	creations           map[string]*pendingCreation
+	unreconciled         int    // recovered tasks that may be anywhere
+	creations            map[string]*pendingCreation
 }
 
 type pendingCreation struct {
@@ -38,12 +35,16 @@
 	c           *Controller
 	shards      map[string]*ownedShard
 	jobs        map[string]*ownedJob
-	machines    nameIndex // names of machines, dense
+	machines    observedMachines
 	replicas    map[int32][]taskRef
 	changed     []*ownedJob
 	lastNonce   uint64
 	losses      eventCounter // by lossReason
 	memoryBytes int64        // what the unfinished jobs take, roughly
+
+	lastRegisteredAtUs int64                    // the latest of the shards' registrations
+	commands           []*meshpb.MachineCommand // gathered for the leader
+	nextSweepAt        time.Duration
 }
 
 // replicaBits is how many replica numbers a holder of a ledger has, as a power of
@@ -63,40 +64,6 @@
 	return o.memoryBytes+estimatedBytes(spec) > int64(o.c.cfg.Settings.Limits.MemMB*float64(1<<20)/4)
 }
 
-// nameIndex maps names to dense indices, which are used again once released.
-type nameIndex struct {
-	byName map[string]int32
-	names  []string
-	free   []int32
-}
-
-func (r *nameIndex) index(name string) int32 {
-	if r.byName == nil {
-		r.byName = make(map[string]int32)
-	}
-	i, ok := r.byName[name]
-	switch {
-	case ok:
-		return i
-	case len(r.free) > 0:
-		i = r.free[len(r.free)-1]
-		r.free = r.free[:len(r.free)-1]
-		r.names[i] = name
-	default:
-		i = int32(len(r.names))
-		r.names = append(r.names, name)
-	}
-	r.byName[name] = i
-	return i
-}
-
-func (r *nameIndex) release(name string) {
-	if i, ok := r.byName[name]; ok {
-		delete(r.byName, name)
-		r.free = append(r.free, i)
-	}
-}
-
 func (o *owner) init(c *Controller) {
 	o.c = c
 	o.shards = make(map[string]*ownedShard)
@@ -162,8 +129,6 @@
 	shard.records.Close()
 	delete(o.shards, name)
 	o.c.admission.closeShard(name)
-	// Taken up again under the same leader, it has to join again.
-	delete(o.c.subscription.registeredAtUs, name)
 	for _, job := range shard.jobs {
 		job.ended = true
 		delete(o.jobs, job.id)
@@ -284,14 +249,16 @@
 // their team.
 func (o *owner) admissible(job *ownedJob) int { return min(job.startable(), o.c.admission.fits(job)) }
 
-// jobSummary is what the leader has to know of a job.
-func (o *owner) jobSummary(job *ownedJob, spec bool) *meshpb.JobSummary {
+// summarize is what the leader has to know of a job whose description it has.
+func (o *owner) summarize(job *ownedJob) *meshpb.JobSummary {
 	job.publishedPending = o.admissible(job)
-	summary := &meshpb.JobSummary{Job: job.id, Pending: uint32(job.publishedPending), Assigned: uint32(job.active), Ended: job.ended,
+	return &meshpb.JobSummary{Job: job.id, Pending: uint32(job.publishedPending), Assigned: uint32(job.active), Ended: job.ended,
 		Cancelling: job.finalStatus == protocol.StatusCancelled}
-	if !spec {
-		return summary
-	}
+}
+
+// describe is a summary of a job with its description.
+func (o *owner) describe(job *ownedJob) *meshpb.JobSummary {
+	summary := o.summarize(job)
 	s := job.spec
 	summary.HasSpec, summary.Team, summary.Priority, summary.Class = true, s.Team, uint32(s.Priority), s.Class
 	summary.Cpus, summary.Gpus, summary.MemoryGb = s.CPUs, s.GPUs, s.MemoryGB
@@ -314,24 +281,25 @@
 	for _, job := range o.changed {
 		job.changed = false
 		if o.shards[job.shard.name] != job.shard {
-			continue // dropped in this batch: the job goes on with the ledger's next holder
+			continue // removed in this batch: the job goes on with the shard's next holder
 		}
-		if job.shard.registered {
-			summaries[job.shard] = append(summaries[job.shard], o.jobSummary(job, job.specUnsent))
-			job.specUnsent = false
+		if job.shard.registration.sent {
+			summaries[job.shard] = append(summaries[job.shard], o.changeOf(job))
 		}
 	}
 	o.changed = o.changed[:0]
-	if o.c.subscription.leader == nil || o.c.subscription.leader.link == nil {
-		return
-	}
 	for shard, jobs := range summaries {
-		for len(jobs) > 0 {
-			n := summariesThatFit(jobs)
-			o.c.subscription.leader.send(&meshpb.Frame{Body: &meshpb.Frame_JobSummaries{JobSummaries: &meshpb.JobSummaries{Shard: shard.name, Jobs: jobs[:n]}}})
-			jobs = jobs[n:]
-		}
+		o.c.subscription.publishSummaries(shard.name, jobs)
+	}
+}
+
+// changeOf is what the leader is told of a job that has changed.
+func (o *owner) changeOf(job *ownedJob) *meshpb.JobSummary {
+	if !job.specUnsent {
+		return o.summarize(job)
 	}
+	job.specUnsent = false
+	return o.describe(job)
 }
 
 func (o *owner) flushRecords() {
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -111,9 +111,10 @@
 	lead, follower := sim.leader(), sim.follower()
 	g := lead.controller.leader.shards[follower.name]
 	g.owner, g.link, g.version = nil, nil, 0
-	follower.controller.subscription.registeredAtUs[follower.name] = -1
+	registration := &follower.controller.owner.shards[follower.name].registration
+	registration.atUs = registrationRequested
 	sim.advance(3 * time.Second)
-	if g.owner == nil || follower.controller.subscription.registeredAtUs[follower.name] <= 0 {
+	if g.owner == nil || !registration.confirmed() {
 		t.Fatal("the ledger is not joined")
 	}
 }
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -32,7 +32,7 @@
 	t.machine = machine
 	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
 	if job.activeByZone != nil {
-		job.activeByZone[o.c.subscription.zoneOf(machine)]++
+		job.activeByZone[o.machines.zoneOf(machine)]++
 	}
 	o.markChanged(job)
 }
@@ -48,7 +48,7 @@
 		}
 	}
 	if job.activeByZone != nil {
-		job.activeByZone[o.c.subscription.zoneOf(t.machine)]--
+		job.activeByZone[o.machines.zoneOf(t.machine)]--
 	}
 }
 
@@ -70,7 +70,7 @@
 func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
 	t := &job.tasks[i]
 	o.losses.add(int(reason))
-	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", o.losses.keys[reason]).Msg("copy is gone")
+	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
 		o.unassign(job, i, taskUnreconciled)
 		o.c.admission.countInherited(job, 1)
@@ -79,16 +79,8 @@
 	o.unassign(job, i, taskPending)
 }
 
-func (o *owner) machineTerminated(machine int32) {
-	o.c.admission.orphans.machineTerminated(machine)
-	refs := append([]taskRef(nil), o.replicas[machine]...)
-	for _, r := range refs {
-		o.replicaLost(r.job, r.task, lossMachineTerminated)
-	}
-}
-
-// reconciled puts every recovered task that no machine listed back in line.
-func (o *owner) reconciled(shard *ownedShard) {
+// reconcile makes every recovered task pending that no machine listed.
+func (o *owner) reconcile(shard *ownedShard) {
 	shard.reconciled = true
 	o.c.log.Info().Str("ledger", shard.name).Int("unlisted", shard.unreconciled).Msg("ledger settled")
 	if shard.unreconciled == 0 {
@@ -103,45 +95,6 @@
 	}
 }
 
-// onMachineStatus takes what the leader passes on of a machine. Only a current report
-// tells what is on it, as it was sent by a worker that follows the present leader;
-// what its absence proves is told by absence. One of a later session, however old,
-// proves that all that the machine held before is gone.
-func (o *owner) onMachineStatus(machine int32, r *meshpb.MachineStatus) {
-	whole := r.Current && !r.Unchanged
-	var listed map[taskRef]bool
-	if whole && len(r.Tasks) > 0 {
-		listed = make(map[taskRef]bool, len(r.Tasks))
-		for _, s := range r.Tasks {
-			job := o.jobs[s.Job]
-			if _, over := o.c.userAPI.finalStates[s.Job]; job == nil && over {
-				// The leader should know that the job is over; in case it does
-				// not, what is left of it must still go (ran_cancelled).
-				o.c.subscription.command(machine, s.Job, s.Task, s.Replica, protocol.TaskState(s.State) == protocol.TaskExited)
-			}
-			if job == nil || int(s.Task) >= len(job.tasks) {
-				continue
-			}
-			i := int32(s.Task)
-			o.onTaskStatus(&taskStatus{ref: taskRef{job, i}, machine: machine, epoch: r.Epoch, status: s})
-			if s.Replica == job.tasks[i].replica {
-				listed[taskRef{job, i}] = true
-			}
-		}
-	}
-	o.c.admission.orphans.onMachineStatus(machine, r)
-	refs := o.replicas[machine]
-	for k := len(refs) - 1; k >= 0; k-- {
-		ref := refs[k]
-		if r.Epoch <= ref.job.tasks[ref.task].epoch && listed[ref] {
-			continue
-		}
-		if gone, why := o.proveLoss(machine, r, ref); gone {
-			o.replicaLost(ref.job, ref.task, why)
-		}
-	}
-}
-
 // taskStatus is one task as a machine lists it.
 type taskStatus struct {
 	ref     taskRef
@@ -158,7 +111,7 @@
 
 // clearReplica has the machine stop or forget the copy that it lists.
 func (o *owner) clearReplica(s *taskStatus) {
-	o.c.subscription.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, s.exited())
+	o.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, clearingOf(s.status))
 }
 
 // onTaskStatus takes one listed task.
@@ -326,7 +279,7 @@
 	job.shard.records.FinishTask(job.spec, int(i), func() {
 		if t := &job.tasks[i]; t.state == taskFinished {
 			job.setState(i, taskDurable)
-			o.c.subscription.command(t.machine, job.id, uint32(i), t.replica, true)
+			o.command(t.machine, job.id, uint32(i), t.replica, forgetReplica)
 		}
 	})
 }
@@ -337,14 +290,30 @@
 	}
 }
 
-// bindTasks chooses up to n waiting tasks of a job for a machine.
-func (o *owner) bindTasks(job *ownedJob, n int, machine int32, zone string, session, seq uint64) []*meshpb.Binding {
-	var picks []*meshpb.Binding
-	if !job.shard.registered {
-		return nil
+// bind adds to the bindings the tasks that go to an offered machine, and how the jobs
+// stand then.
+func (o *owner) bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
+	machine := o.machines.local(offer.MachineIndex)
+	if machine == unknownMachine {
+		return
+	}
+	for _, item := range offer.Items {
+		job := o.jobs[item.Job]
+		if job == nil {
+			continue
+		}
+		bindings.Bindings = o.bindTasks(bindings.Bindings, job, int(item.Count), offer, machine)
+		bindings.Jobs = append(bindings.Jobs, o.summarize(job))
+	}
+}
+
+// bindTasks appends bindings of up to n pending tasks of a job to an offered machine.
+func (o *owner) bindTasks(bindings []*meshpb.Binding, job *ownedJob, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
+	if !job.shard.registration.sent {
+		return bindings
 	}
-	n = min(n, o.admissible(job))
-	for len(picks) < n {
+	zone := o.machines.zoneOf(machine)
+	for n = min(n, o.admissible(job)); n > 0; n-- {
 		i, found := job.nextPending()
 		if !found || !job.zoneAllows(zone) || !o.c.admission.admit(job, i, job.shard.lastReplica+1) {
 			break
@@ -352,11 +321,11 @@
 		job.pendingOrder = job.pendingOrder[1:]
 		job.shard.lastReplica++
 		t := &job.tasks[i]
-		t.replica, t.epoch, t.sequence = job.shard.lastReplica, session, seq
+		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
 		o.place(job, i, machine, taskAssigned)
-		picks = append(picks, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
+		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
 	}
-	return picks
+	return bindings
 }
 
 // returnBindings returns picks that were never sent.
