--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -99,9 +99,9 @@
 		if !n.up || n.paused || !n.controller.election.MayAct(scenario.now) {
 			continue
 		}
-		for ledger, shard := range n.controller.owner.shards {
-			got, _, _ := n.controller.admission.manager.Allocation(ledger, "red")
-			if shard.admissionComplete && !got.Within(r.Shares[ledger].Allocation) {
+		for ledger := range n.controller.owner.shards {
+			got := n.controller.admission.Allocation(ledger, "red")
+			if n.controller.admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
 				scenario.t.Fatalf("%s counts on %v for ledger %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
 			}
 		}
@@ -523,9 +523,9 @@
 		"old":              {Seq: 0},
 	} {
 		p.quotaSequence = 0
-		before := c.admission.dropped
+		before := c.admission.Dropped()
 		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
-		want(t, what+": dropped", c.admission.dropped, before+1)
+		want(t, what+": dropped", c.admission.Dropped(), before+1)
 	}
 	sim.state.revision++
 	key := storage.QuotaKey("red")
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -17,6 +17,7 @@
 
 	"github.com/rs/zerolog"
 
+	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
@@ -66,7 +67,7 @@
 	peerByLink map[Link]*peer
 
 	owner        owner
-	admission    admission
+	admission    *admission.Control
 	userAPI      userAPI
 	leader       *leader // nil unless this process leads
 	subscription subscription
@@ -102,10 +103,11 @@
 		c.peers[p.Member] = &peer{member: p.Member, index: i + 1}
 	}
 	c.selfPeer = &peer{member: cfg.Member, link: loopbackLink{c}, stateServiceReachable: true}
-	c.owner.init(c)
-	if err := c.admission.init(c); err != nil {
+	if c.admission, err = c.newAdmission(); err != nil {
 		return nil, err
 	}
+	c.owner.init(c)
+	c.admission.SetShards(&c.owner)
 	c.userAPI.init(c)
 	c.forwarder.init(c)
 	c.subscription.c = c
@@ -155,7 +157,7 @@
 		c.owner.flushRecords()
 	}
 	c.owner.tick(now)
-	c.admission.tick(now)
+	c.tickAdmission(now)
 	c.userAPI.tick(now)
 	c.forwarder.tick(now)
 	c.fleet.tick(now)
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -31,7 +31,7 @@
 	case *meshpb.Frame_HeartbeatResponses:
 		c.forwarder.onResponses(from, body.HeartbeatResponses)
 	case *meshpb.Frame_QuotaDemands:
-		c.admission.onDemands(from, body.QuotaDemands)
+		c.onQuotaDemands(from, body.QuotaDemands)
 	}
 }
 
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -85,10 +85,10 @@
 func (o electionObserver) ViewChanged() { o.c.subscription.registerShards() }
 
 func (o electionObserver) QuotaRecordChanged(team string, value []byte, version uint64, present bool) {
-	o.c.admission.observeRecord(team, value, version, present)
+	o.c.admission.ObserveRecord(team, value, version, present)
 }
 
-func (o electionObserver) KeysListed(items []protocol.KeyValue) { o.c.admission.observeAll(items) }
+func (o electionObserver) KeysListed(items []protocol.KeyValue) { o.c.admission.ObserveAll(items) }
 
 // Member is the peer's name.
 func (p *peer) Member() string { return p.member }
--- a/internal/coordination/leader_stream.go
+++ b/internal/coordination/leader_stream.go
@@ -20,7 +20,7 @@
 	for _, shard := range o.shards {
 		shard.registration = registration{}
 	}
-	o.c.admission.orphans.detachAll()
+	o.orphans.detachAll()
 }
 
 // beginRegistration returns what the leader has to know of a shard's jobs as it is
@@ -72,7 +72,7 @@
 	}
 	observation := machineObservation{machine: machine, status: status,
 		heardSinceRegistration: observedSince(o.lastRegisteredAtUs, o.machines.at(machine).heardBeforeUs)}
-	o.c.admission.orphans.onMachineStatus(&observation)
+	o.orphans.onMachineStatus(&observation)
 	refs := o.replicas[machine]
 	for k := len(refs) - 1; k >= 0; k-- {
 		ref := refs[k]
@@ -173,7 +173,7 @@
 		}
 	}
 	o.reconcileUnchecked(clockUs, timeout)
-	o.c.admission.orphans.releaseExpired(&o.machines, clockUs, timeout)
+	o.orphans.releaseExpired(&o.machines, clockUs, timeout)
 	if machines > 0 { // hundreds may be lost together: one line for all
 		o.c.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machines lost, their leases are over")
 	}
@@ -225,7 +225,7 @@
 		if m.named || now-m.lastSeen <= tombstoneTTL {
 			continue
 		}
-		if len(o.replicas[machine]) == 0 && !o.c.admission.orphans.mayHold(machine) {
+		if len(o.replicas[machine]) == 0 && !o.orphans.mayHold(machine) {
 			o.machines.forget(name, machine)
 		}
 	}
@@ -237,7 +237,7 @@
 	if !known {
 		return
 	}
-	o.c.admission.orphans.machineTerminated(machine)
+	o.orphans.machineTerminated(machine)
 	for _, ref := range append([]taskRef(nil), o.replicas[machine]...) {
 		o.replicaLost(ref.job, ref.task, lossMachineTerminated)
 	}
@@ -256,6 +256,20 @@
 		o.reconcile(shard)
 	}
 	if word.NoUnknownReplicas {
-		o.c.admission.onReconciled(shard)
+		o.onNoUnknownReplicas(shard)
 	}
 }
+
+// onNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
+// that is not known of.
+func (o *owner) onNoUnknownReplicas(shard *ownedShard) {
+	if !o.c.admission.Enabled() {
+		return
+	}
+	if o.orphans.detachUnreconciled(shard.name) {
+		o.c.subscription.registerShard(shard)
+		return
+	}
+	o.orphans.releaseReconciled(shard.name)
+	o.c.admission.Complete(shard.name)
+}
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
+	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
 // orphans holds the replicas that may be left of jobs that have ended: they count for
@@ -17,13 +17,12 @@
 // orphanedReplica is a replica of a task whose job has ended.
 type orphanedReplica struct {
 	shard           *ownedShard
-	team, job       string
-	task            uint32
+	claim           admission.Claim
+	task            int32
 	replica         uint64
 	epoch, sequence uint64
 	assigned        bool // its start has not been acknowledged by a status
 	knownToLeader   bool // the present leader has known the job while it went on, and tells of its replicas
-	amount          quota.Amount
 }
 
 func (o *orphans) init(refund func(*orphanedReplica)) {
@@ -32,7 +31,7 @@
 }
 
 // keep keeps what may be left of a job that is about to be removed.
-func (o *orphans) keep(job *ownedJob, amount quota.Amount) {
+func (o *orphans) keep(job *ownedJob) {
 	for i := range job.tasks {
 		t := &job.tasks[i]
 		machine := t.machine
@@ -44,10 +43,9 @@
 			continue
 		}
 		o.byMachine[machine] = append(o.byMachine[machine], &orphanedReplica{
-			shard: job.shard, team: job.spec.Team, job: job.id, task: uint32(i),
+			shard: job.shard, claim: job.claim, task: int32(i),
 			replica: t.replica, epoch: t.epoch, sequence: t.sequence,
-			assigned: t.state == taskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent,
-			amount: amount})
+			assigned: t.state == taskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent})
 	}
 }
 
@@ -133,7 +131,7 @@
 }
 
 func (orphan *orphanedReplica) key() replicaKey {
-	return replicaKey{orphan.job, orphan.task, orphan.replica}
+	return replicaKey{orphan.claim.Job, uint32(orphan.task), orphan.replica}
 }
 
 // provenLost tells whether a status that does not list an orphan proves that it is lost.
@@ -175,7 +173,7 @@
 func (o *orphans) releaseUnsent(p *meshpb.Binding) {
 	for machine := range o.byMachine {
 		o.release(machine, func(orphan *orphanedReplica) bool {
-			return orphan.assigned && orphan.job == p.Job && orphan.task == p.Task && orphan.replica == p.Replica
+			return orphan.assigned && orphan.key() == replicaKey{p.Job, p.Task, p.Replica}
 		})
 	}
 }
--- a/internal/coordination/owned_job.go
+++ b/internal/coordination/owned_job.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
@@ -14,6 +15,7 @@
 	spec         *protocol.Job
 	submittedMs  int64
 	nonce        string
+	claim        admission.Claim // what each of its replicas takes of its team's limit
 	tasks        []task
 	pendingOrder []int32 // pending tasks, in order; may hold ones that are pending no more
 	backingOff   []int32
@@ -36,6 +38,7 @@
 func newOwnedJob(shard *ownedShard, spec *protocol.Job, submittedMs int64, nonce string) *ownedJob {
 	job := &ownedJob{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
 		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
+	job.claim = admission.Claim{Shard: shard.name, FencingToken: shard.fencingToken, Team: spec.Team, Job: spec.ID, Amount: admission.AmountOf(spec)}
 	for i := range job.pendingOrder {
 		job.pendingOrder[i] = int32(i)
 	}
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -1,9 +1,11 @@
 package coordination
 
 import (
+	"iter"
 	"strconv"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
@@ -16,7 +18,6 @@
 	recovered            bool         // recovered
 	registration         registration // at the present leader
 	jobs                 map[string]*ownedJob
-	admissionComplete    bool   // all of earlier holders is counted or proven gone
 	fencingToken         uint64 // the stamp that it was taken with
 	lastReplica          uint64 // the highest replica number of the ledger
 	lastInheritedReplica uint64 // copies up to this number were given out by earlier holders
@@ -40,7 +41,8 @@
 	changed     []*ownedJob
 	lastNonce   uint64
 	losses      eventCounter // by lossReason
-	memoryBytes int64        // what the unfinished jobs take, roughly
+	orphans     orphans
+	memoryBytes int64 // what the unfinished jobs take, roughly
 
 	lastRegisteredAtUs int64                    // the latest of the shards' registrations
 	commands           []*meshpb.MachineCommand // gathered for the leader
@@ -70,6 +72,9 @@
 	o.jobs = make(map[string]*ownedJob)
 	o.replicas = make(map[int32][]taskRef)
 	o.losses = newLossCounter()
+	o.orphans.init(func(orphan *orphanedReplica) {
+		o.c.admission.Release(&orphan.claim, orphan.task, orphan.replica)
+	})
 }
 
 // acquire takes up a ledger whose key this process has just written, and reads
@@ -86,7 +91,7 @@
 	shard.lastReplica = version << replicaBits
 	shard.lastInheritedReplica = shard.lastReplica
 	o.shards[name] = shard
-	o.c.admission.openShard(shard, version)
+	o.c.admission.OpenShard(name, version)
 	shard.records.Recover(func(jobs []storage.RecoveredJob) {
 		for i := range jobs {
 			o.restoreJob(shard, &jobs[i])
@@ -107,7 +112,7 @@
 func (o *owner) restoreJob(shard *ownedShard, r *storage.RecoveredJob) {
 	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
 	job.restore(r.Done)
-	o.c.admission.countInherited(job, job.active)
+	o.c.admission.ChargeInherited(&job.claim, job.active)
 }
 
 // addJob adds a job whose tasks all wait.
@@ -128,7 +133,8 @@
 	}
 	shard.records.Close()
 	delete(o.shards, name)
-	o.c.admission.closeShard(name)
+	o.c.admission.CloseShard(name)
+	o.orphans.removeShard(name)
 	for _, job := range shard.jobs {
 		job.ended = true
 		delete(o.jobs, job.id)
@@ -224,7 +230,9 @@
 // removeJob takes a finished job out of the tables. What is left of it on
 // machines is the leader's to clear.
 func (o *owner) removeJob(job *ownedJob) {
-	o.c.admission.keepOrphans(job)
+	if o.c.admission.Limited(&job.claim) {
+		o.orphans.keep(job)
+	}
 	for i := range job.tasks {
 		switch job.tasks[i].state {
 		case taskUnreconciled:
@@ -247,7 +255,9 @@
 
 // admissible is how many tasks may be started now, and find room in the allocation of
 // their team.
-func (o *owner) admissible(job *ownedJob) int { return min(job.startable(), o.c.admission.fits(job)) }
+func (o *owner) admissible(job *ownedJob) int {
+	return o.c.admission.Admissible(&job.claim, job.startable())
+}
 
 // summarize is what the leader has to know of a job whose description it has.
 func (o *owner) summarize(job *ownedJob) *meshpb.JobSummary {
@@ -321,3 +331,33 @@
 		}
 	}
 }
+
+// StartableTasks implements admission.Shards.
+func (o *owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
+	for _, job := range o.jobs {
+		if n := job.startable(); n > 0 {
+			visit(&job.claim, n)
+		}
+	}
+}
+
+// KeyVersions implements admission.Shards.
+func (o *owner) KeyVersions() iter.Seq2[string, uint64] {
+	return func(yield func(string, uint64) bool) {
+		for name, shard := range o.shards {
+			if !yield(name, shard.records.Version()) {
+				return
+			}
+		}
+	}
+}
+
+// AllocationsChanged implements admission.Shards: the leader is told of jobs of which more
+// or fewer tasks may start than it knows.
+func (o *owner) AllocationsChanged() {
+	for _, job := range o.jobs {
+		if o.c.admission.Limited(&job.claim) && job.publishedPending != o.admissible(job) {
+			o.markChanged(job)
+		}
+	}
+}
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -60,7 +60,7 @@
 	}
 	job.markNotRunning(i)
 	job.setState(i, state)
-	o.c.admission.release(job, i)
+	o.c.admission.Release(&job.claim, i, job.tasks[i].replica)
 	o.markChanged(job)
 }
 
@@ -73,7 +73,7 @@
 	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
 		o.unassign(job, i, taskUnreconciled)
-		o.c.admission.countInherited(job, 1)
+		o.c.admission.ChargeInherited(&job.claim, 1)
 		return
 	}
 	o.unassign(job, i, taskPending)
@@ -181,7 +181,7 @@
 		t.replica = attempt
 		job.shard.lastReplica = max(job.shard.lastReplica, attempt)
 		if !s.exited() {
-			o.c.admission.recordFound(job, i)
+			o.c.admission.RecordFound(&job.claim, i, t.replica)
 		}
 	case taskAssigned, taskPlaced:
 		if attempt > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone) {
@@ -315,7 +315,7 @@
 	zone := o.machines.zoneOf(machine)
 	for n = min(n, o.admissible(job)); n > 0; n-- {
 		i, found := job.nextPending()
-		if !found || !job.zoneAllows(zone) || !o.c.admission.admit(job, i, job.shard.lastReplica+1) {
+		if !found || !job.zoneAllows(zone) || !o.c.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
 			break
 		}
 		job.pendingOrder = job.pendingOrder[1:]
@@ -333,7 +333,7 @@
 	for _, p := range picks {
 		job := o.jobs[p.Job]
 		if job == nil || int(p.Task) >= len(job.tasks) {
-			o.c.admission.orphans.releaseUnsent(p)
+			o.orphans.releaseUnsent(p)
 			continue
 		}
 		if t := &job.tasks[p.Task]; t.state == taskAssigned && t.replica == p.Replica {
