--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -20,6 +20,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/eventcount"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
@@ -74,7 +75,7 @@
 	forwarder    heartbeatForwarder
 	fleet        cloudInventory // what the cloud says; every member keeps the catalogue
 
-	responseEvents    eventCounter // by responseEvent
+	responseEvents    eventcount.Counter // by responseEvent
 	lastPeerHeartbeat time.Duration
 	lastFlush         time.Duration
 }
@@ -161,7 +162,7 @@
 	c.userAPI.tick(now)
 	c.forwarder.tick(now)
 	c.fleet.tick(now)
-	c.responseEvents.log(now, &c.log)
+	c.responseEvents.Log(now, &c.log)
 	if c.leader != nil {
 		c.leader.tick(now)
 	}
--- a/internal/coordination/leader_stream.go
+++ b/internal/coordination/leader_stream.go
@@ -83,7 +83,7 @@
 		switch reason := observation.proveLoss(t, &ref.job.shard.registration); reason {
 		case notLost:
 		case lossUnproven:
-			o.losses.add(int(lossUnproven))
+			o.losses.Add(int(lossUnproven))
 			o.c.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.replica).Msg("a list that may be incomplete lacks a task")
 		default:
 			o.replicaLost(ref.job, ref.task, reason)
--- a/internal/coordination/loss_proof.go
+++ b/internal/coordination/loss_proof.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strconv"
 
+	"github.com/cobaltvale/cobaltvale/internal/eventcount"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
@@ -114,6 +115,6 @@
 }
 
 // newLossCounter counts the tasks that were placed anew, by reason.
-func newLossCounter() eventCounter {
-	return newEventCounter("tasks placed anew", lossReasonNames[:]...)
+func newLossCounter() eventcount.Counter {
+	return eventcount.New("tasks placed anew", lossReasonNames[:]...)
 }
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/admission"
+	"github.com/cobaltvale/cobaltvale/internal/eventcount"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
@@ -40,7 +41,7 @@
 	replicas    map[int32][]taskRef
 	changed     []*ownedJob
 	lastNonce   uint64
-	losses      eventCounter // by lossReason
+	losses      eventcount.Counter // by lossReason
 	orphans     orphans
 	memoryBytes int64 // what the unfinished jobs take, roughly
 
@@ -320,7 +321,7 @@
 
 // tick writes what has gathered, and ends the pauses of failed tasks.
 func (o *owner) tick(now time.Duration) {
-	o.losses.log(now, &o.c.log)
+	o.losses.Log(now, &o.c.log)
 	for _, shard := range o.shards {
 		shard.records.FlushJobs()
 	}
--- a/internal/coordination/response_counter.go
+++ b/internal/coordination/response_counter.go
@@ -1,5 +1,7 @@
 package coordination
 
+import "github.com/cobaltvale/cobaltvale/internal/eventcount"
+
 // responseEvent is a report's answer, or a start, that was refused or given although
 // there was doubt.
 type responseEvent int
@@ -13,9 +15,9 @@
 	startPresumed                                  // offers were made though only the report's time shows that answers arrive
 )
 
-func newResponseCounter() eventCounter {
-	return newEventCounter("answers refused or given in doubt", "machine_returned", "late_report", "superseded", "not_entitled",
+func newResponseCounter() eventcount.Counter {
+	return eventcount.New("answers refused or given in doubt", "machine_returned", "late_report", "superseded", "not_entitled",
 		"starts_not_sent", "presumed_in_reach")
 }
 
-func (c *Controller) countResponse(e responseEvent) { c.responseEvents.add(int(e)) }
+func (c *Controller) countResponse(e responseEvent) { c.responseEvents.Add(int(e)) }
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/tasks.go
@@ -69,7 +69,7 @@
 // machine is reconciled.
 func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
 	t := &job.tasks[i]
-	o.losses.add(int(reason))
+	o.losses.Add(int(reason))
 	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
 		o.unassign(job, i, taskUnreconciled)
