--- /dev/null
+++ b/internal/coordination/bindings.go
@@ -0,0 +1,57 @@
+package coordination
+
+import (
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+// bind adds to the bindings the tasks that go to an offered machine, and how the jobs
+// stand then.
+func (o *owner) bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
+	machine := o.machines.local(offer.MachineIndex)
+	if machine == unknownMachine {
+		return
+	}
+	for _, item := range offer.Items {
+		job := o.jobs[item.Job]
+		if job == nil {
+			continue
+		}
+		bindings.Bindings = o.bindTasks(bindings.Bindings, job, int(item.Count), offer, machine)
+		bindings.Jobs = append(bindings.Jobs, o.summarize(job))
+	}
+}
+
+// bindTasks appends bindings of up to n pending tasks of a job to an offered machine.
+func (o *owner) bindTasks(bindings []*meshpb.Binding, job *ownedJob, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
+	if !job.shard.registration.sent {
+		return bindings
+	}
+	zone := o.machines.zoneOf(machine)
+	for n = min(n, o.admissible(job)); n > 0; n-- {
+		i, found := job.nextPending()
+		if !found || !job.zoneAllows(zone) || !o.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
+			break
+		}
+		job.pendingOrder = job.pendingOrder[1:]
+		job.shard.lastReplica++
+		t := &job.tasks[i]
+		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
+		o.place(job, i, machine, taskAssigned)
+		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
+	}
+	return bindings
+}
+
+// returnBindings returns picks that were never sent.
+func (o *owner) returnBindings(picks []*meshpb.Binding) {
+	for _, p := range picks {
+		job := o.jobs[p.Job]
+		if job == nil || int(p.Task) >= len(job.tasks) {
+			o.orphans.releaseUnsent(p)
+			continue
+		}
+		if t := &job.tasks[p.Task]; t.state == taskAssigned && t.replica == p.Replica {
+			o.replicaLost(job, int32(p.Task), lossNotSent)
+		}
+	}
+}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -67,7 +67,7 @@
 	selfPeer   *peer            // this member
 	peerByLink map[Link]*peer
 
-	owner        owner
+	owner        *owner
 	admission    *admission.Control
 	userAPI      userAPI
 	leader       *leader // nil unless this process leads
@@ -107,8 +107,7 @@
 	if c.admission, err = c.newAdmission(); err != nil {
 		return nil, err
 	}
-	c.owner.init(c)
-	c.admission.SetShards(&c.owner)
+	c.owner = c.newOwner()
 	c.userAPI.init(c)
 	c.forwarder.init(c)
 	c.subscription.c = c
@@ -189,7 +188,7 @@
 // batchPending tells whether the batch has left anything to do in this process.
 func (c *Controller) batchPending() bool {
 	return len(c.deferred) > 0 || len(c.loopback) > 0 ||
-		len(c.owner.changed) > 0 || len(c.owner.commands) > 0 || c.selfPeer.machineStatuses != nil
+		c.owner.hasUnpublished() || c.selfPeer.machineStatuses != nil
 }
 
 // runDeferred delivers the frames to this very process and calls what was put
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -26,7 +26,7 @@
 		Log:           c.log,
 		State:         c.store,
 		Peers:         peers,
-		Shards:        electionShards{&c.owner},
+		Shards:        electionShards{c.owner},
 		Registrations: electionRegistrations{c},
 		Observer:      electionObserver{c},
 	})
@@ -37,8 +37,8 @@
 
 func (s electionShards) Held() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
-		for name, shard := range s.owner.shards {
-			if !yield(name, shard.records.Version()) {
+		for shard := range s.owner.heldShards() {
+			if !yield(shard.Name(), shard.KeyVersion()) {
 				return
 			}
 		}
@@ -46,11 +46,11 @@
 }
 
 func (s electionShards) Version(name string) (version uint64, held bool) {
-	shard := s.owner.shards[name]
+	shard := s.owner.shard(name)
 	if shard == nil {
 		return 0, false
 	}
-	return shard.records.Version(), true
+	return shard.KeyVersion(), true
 }
 
 func (s electionShards) Acquire(name string, lease, version uint64) {
@@ -58,8 +58,7 @@
 }
 
 func (s electionShards) Release(name string, done func(storage.TxnResult)) {
-	s.owner.shards[name].records.Release(done)
-	s.owner.removeShard(name)
+	s.owner.release(name, done)
 }
 
 func (s electionShards) Lose(name string) { s.owner.removeShard(name) }
--- /dev/null
+++ b/internal/coordination/job_lifecycle.go
@@ -0,0 +1,121 @@
+package coordination
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// What an unfinished job takes of this process's memory, roughly.
+const (
+	bytesPerJob  = 4 << 10
+	bytesPerTask = 72
+)
+
+func estimatedBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
+
+// statusUnknown is what is told of a job's end that can't be said here.
+const statusUnknown = ""
+
+// memoryFull tells whether one more job would take more than new jobs may; shards that
+// are taken over need room too.
+func (o *owner) memoryFull(spec *protocol.Job) bool {
+	return o.memoryBytes+estimatedBytes(spec) > o.config.MemoryLimit
+}
+
+// addJob adds a job whose tasks are all pending.
+func (o *owner) addJob(shard *ownedShard, spec *protocol.Job, submittedMs int64, nonce string) *ownedJob {
+	job := newOwnedJob(shard, spec, submittedMs, nonce)
+	shard.jobs[job.id] = job
+	o.jobs[job.id] = job
+	o.memoryBytes += estimatedBytes(spec)
+	o.markChanged(job)
+	return job
+}
+
+// createJob writes a new job to this member's own shard.
+func (o *owner) createJob(spec *protocol.Job, submittedMs int64, deadline time.Duration, done func(storage.CreateResult)) {
+	shard := o.ownShard()
+	if shard == nil {
+		done(storage.Unavailable)
+		return
+	}
+	if o.jobs[spec.ID] != nil {
+		// A repeat while the end is being written: in one batch with the end it
+		// ended the process.
+		done(storage.AlreadyExists)
+		return
+	}
+	if pending := shard.creations[spec.ID]; pending != nil {
+		pending.waiters = append(pending.waiters, done)
+		return
+	}
+	o.lastNonce++
+	nonce := o.config.ProcessNonce + "-" + strconv.FormatUint(o.lastNonce, 36)
+	pending := &pendingCreation{nonce: nonce, waiters: []func(storage.CreateResult){done}}
+	shard.creations[spec.ID] = pending
+	shard.records.CreateJob(spec, submittedMs, nonce, deadline, func(result storage.CreateResult) {
+		delete(shard.creations, spec.ID)
+		if result == storage.Created && shard.jobs[spec.ID] == nil {
+			o.addJob(shard, spec, submittedMs, nonce)
+		}
+		for _, fn := range pending.waiters {
+			fn(result)
+		}
+	})
+}
+
+// cancel ends a job as its user asks; done gets its final status, or none
+// if that cannot be said here. The leader stops its tasks from now on: the end
+// may be written without this owner learning of it for as long as an outage
+// lasts, while others read it and tell the user (ran_cancelled).
+func (o *owner) cancel(job *ownedJob, done func(status string)) {
+	job.onEnd = append(job.onEnd, done)
+	o.endJob(job, protocol.StatusCancelled)
+}
+
+func (o *owner) endJob(job *ownedJob, status string) {
+	if job.Ending() {
+		return
+	}
+	job.finalStatus = status
+	o.markChanged(job)
+	job.shard.records.EndJob(job.spec, job.nonce, status, func() {
+		if job.ended {
+			return
+		}
+		job.ended = true
+		o.markChanged(job)
+		o.removeJob(job)
+		o.config.FinalStatuses.Remember(job.id, status, job.spec.Tasks)
+		job.notifyEnd(status)
+	})
+}
+
+// endIfFinished ends a job all of whose tasks have ended well.
+func (o *owner) endIfFinished(job *ownedJob) {
+	if job.allFinished() {
+		o.endJob(job, protocol.StatusDone)
+	}
+}
+
+// removeJob takes an ended job out of the tables. What is left of it on
+// machines is the leader's to clear.
+func (o *owner) removeJob(job *ownedJob) {
+	if o.admission.Limited(&job.claim) {
+		o.orphans.keep(job)
+	}
+	for i := range job.tasks {
+		switch job.tasks[i].state {
+		case taskUnreconciled:
+			job.shard.unreconciled--
+		case taskAssigned, taskPlaced:
+			o.removeReplica(job, int32(i))
+		}
+	}
+	delete(job.shard.jobs, job.id)
+	delete(o.jobs, job.id)
+	o.memoryBytes -= estimatedBytes(job.spec)
+}
--- /dev/null
+++ b/internal/coordination/job_summary.go
@@ -0,0 +1,72 @@
+package coordination
+
+import (
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+// admissible is how many tasks may be started now, and find room in the allocation of
+// their team.
+func (o *owner) admissible(job *ownedJob) int {
+	return o.admission.Admissible(&job.claim, job.startable())
+}
+
+// summarize is what the leader has to know of a job whose description it has.
+func (o *owner) summarize(job *ownedJob) *meshpb.JobSummary {
+	job.publishedPending = o.admissible(job)
+	return &meshpb.JobSummary{Job: job.id, Pending: uint32(job.publishedPending), Assigned: uint32(job.active), Ended: job.ended,
+		Cancelling: job.finalStatus == protocol.StatusCancelled}
+}
+
+// describe is a summary of a job with its description.
+func (o *owner) describe(job *ownedJob) *meshpb.JobSummary {
+	summary := o.summarize(job)
+	s := job.spec
+	summary.HasSpec, summary.Team, summary.Priority, summary.Class = true, s.Team, uint32(s.Priority), s.Class
+	summary.Cpus, summary.Gpus, summary.MemoryGb = s.CPUs, s.GPUs, s.MemoryGB
+	summary.Image, summary.ImageGb, summary.Types, summary.AnyType = s.Image, s.ImageGB, s.Types, s.AnyType
+	summary.Zone, summary.SingleZone, summary.SpreadZones, summary.Spot = s.Zone, s.SingleZone, s.SpreadZones, s.Spot
+	summary.EstimateS, summary.CheckpointDurationS, summary.CheckpointIntervalS = s.EstimateS, s.CheckpointDurationS, s.CheckpointIntervalS
+	summary.SubmittedMs, summary.Tasks, summary.Service = job.submittedMs, uint32(s.Tasks), s.Service
+	if s.HasDeadline {
+		summary.DeadlineMs = job.submittedMs + int64(s.DeadlineS*1000)
+	}
+	return summary
+}
+
+// changeOf is what the leader is told of a job that has changed.
+func (o *owner) changeOf(job *ownedJob) *meshpb.JobSummary {
+	if !job.specUnsent {
+		return o.summarize(job)
+	}
+	job.specUnsent = false
+	return o.describe(job)
+}
+
+// publish tells the leader which jobs have changed since it was called last.
+func (o *owner) publish() {
+	if len(o.changed) == 0 {
+		return
+	}
+	summaries := make(map[*ownedShard][]*meshpb.JobSummary)
+	for _, job := range o.changed {
+		job.changed = false
+		if o.shards[job.shard.name] != job.shard {
+			continue // removed in this batch: the job goes on with the shard's next holder
+		}
+		if job.shard.registration.sent {
+			summaries[job.shard] = append(summaries[job.shard], o.changeOf(job))
+		}
+	}
+	o.changed = o.changed[:0]
+	for shard, jobs := range summaries {
+		o.config.Leader.PublishSummaries(shard.name, jobs)
+	}
+}
+
+// takeCommands returns the commands to machines that have gathered for the leader.
+func (o *owner) takeCommands() []*meshpb.MachineCommand {
+	commands := o.commands
+	o.commands = nil
+	return commands
+}
--- a/internal/coordination/leader_stream.go
+++ b/internal/coordination/leader_stream.go
@@ -50,7 +50,7 @@
 	for _, n := range f.Names {
 		o.machines.name(n)
 	}
-	now := o.c.now()
+	now := o.now()
 	for _, status := range f.Statuses {
 		machine := o.machines.local(status.MachineIndex)
 		if machine == unknownMachine {
@@ -84,7 +84,7 @@
 		case notLost:
 		case lossUnproven:
 			o.losses.Add(int(lossUnproven))
-			o.c.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.replica).Msg("a list that may be incomplete lacks a task")
+			o.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.replica).Msg("a list that may be incomplete lacks a task")
 		default:
 			o.replicaLost(ref.job, ref.task, reason)
 		}
@@ -116,7 +116,7 @@
 // onTaskOfUnknownJob has what is left of a job that has ended cleared. The leader should
 // know that it has; in case it does not, its tasks must still go (ran_cancelled).
 func (o *owner) onTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
-	if _, ended := o.c.userAPI.finalStates[s.Job]; ended {
+	if o.config.FinalStatuses.Ended(s.Job) {
 		o.command(machine, s.Job, s.Task, s.Replica, clearingOf(s))
 	}
 }
@@ -140,18 +140,11 @@
 	}
 }
 
-// takeCommands returns the commands that have gathered.
-func (o *owner) takeCommands() []*meshpb.MachineCommand {
-	commands := o.commands
-	o.commands = nil
-	return commands
-}
-
 // expireLeases judges losses by the leader's clock: every heartbeat that the leader
 // answered before it has been passed on already. A machine whose last heartbeat
 // on this stream lies more than a lease before it has lost its lease.
 func (o *owner) expireLeases(clockUs int64) {
-	timeout := o.c.workerLeaseTimeout().Microseconds()
+	timeout := o.config.WorkerLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
 	for machine, refs := range o.replicas {
 		last := o.machines.at(machine).heardAtUs
@@ -175,7 +168,7 @@
 	o.reconcileUnchecked(clockUs, timeout)
 	o.orphans.releaseExpired(&o.machines, clockUs, timeout)
 	if machines > 0 { // hundreds may be lost together: one line for all
-		o.c.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machines lost, their leases are over")
+		o.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machines lost, their leases are over")
 	}
 	o.forgetUnnamedMachines()
 }
@@ -215,14 +208,14 @@
 
 // forgetUnnamedMachines forgets machines that only earlier leaders told of.
 func (o *owner) forgetUnnamedMachines() {
-	now := o.c.now()
+	now := o.now()
 	if now < o.nextSweepAt {
 		return
 	}
 	o.nextSweepAt = now + forgetMachinesInterval
 	for name, machine := range o.machines.names.byName {
 		m := o.machines.at(machine)
-		if m.named || now-m.lastSeen <= tombstoneTTL {
+		if m.named || now-m.lastSeen <= o.config.MachineTTL {
 			continue
 		}
 		if len(o.replicas[machine]) == 0 && !o.orphans.mayHold(machine) {
@@ -263,13 +256,13 @@
 // onNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
 // that is not known of.
 func (o *owner) onNoUnknownReplicas(shard *ownedShard) {
-	if !o.c.admission.Enabled() {
+	if !o.admission.Enabled() {
 		return
 	}
 	if o.orphans.detachUnreconciled(shard.name) {
-		o.c.subscription.registerShard(shard)
+		o.config.Leader.RegisterShard(shard)
 		return
 	}
 	o.orphans.releaseReconciled(shard.name)
-	o.c.admission.Complete(shard.name)
+	o.admission.Complete(shard.name)
 }
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -47,13 +48,13 @@
 	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
 	sim.crash(follower.name)
 	sim.run(10 * time.Second)
-	if sim.leader().controller.owner.shards[follower.name] == nil {
+	if sim.leader().controller.owner.shard(follower.name) == nil {
 		t.Fatal("the leader did not take the ledger")
 	}
 	want(t, "running", sim.runningTasks(), 2)
 	sim.start(follower.name)
 	sim.run(10 * time.Second)
-	if sim.leader().controller.owner.shards[follower.name] != nil || follower.controller.owner.shards[follower.name] == nil {
+	if sim.leader().controller.owner.shard(follower.name) != nil || follower.controller.owner.shard(follower.name) == nil {
 		t.Fatal("the ledger did not go back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -71,7 +72,7 @@
 	if lead.controller.leader == nil || lead.controller.leader.fencingToken <= old {
 		t.Fatal("the restarted leader does not lead under a new token")
 	}
-	if shard := lead.controller.owner.shards[lead.name]; shard == nil || !shard.recovered {
+	if shard := lead.controller.owner.shard(lead.name); shard == nil || !shard.Recovered() {
 		t.Fatal("the restarted member has no ledger")
 	}
 }
@@ -253,8 +254,8 @@
 				if x.controller.leader != nil {
 					leaders++
 				}
-				for l := range x.controller.owner.shards {
-					held[l]++
+				for shard := range x.controller.owner.heldShards() {
+					held[shard.Name()]++
 				}
 			}
 			for l, k := range held {
@@ -329,13 +330,13 @@
 	sim.run(2 * time.Second)
 	sim.disconnect(follower.name, lead.name)
 	sim.run(15 * time.Second)
-	if len(follower.controller.owner.shards) != 0 || lead.controller.owner.shards[follower.name] == nil {
+	if len(slices.Collect(follower.controller.owner.heldShards())) != 0 || lead.controller.owner.shard(follower.name) == nil {
 		t.Fatal("the ledger did not move to the leader")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 	sim.connect(follower.name, lead.name)
 	sim.run(8 * time.Second)
-	if follower.controller.owner.shards[follower.name] == nil {
+	if follower.controller.owner.shard(follower.name) == nil {
 		t.Fatal("the ledger did not come back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -353,7 +354,7 @@
 	want(t, "running", len(agent.running()), 2)
 	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.run(8 * time.Second)
-	if shard := follower.controller.owner.shards[follower.name]; shard == nil || !shard.registration.sent {
+	if shard := follower.controller.owner.shard(follower.name); shard == nil || !shard.Registered() {
 		t.Fatal("the ledger has not joined")
 	}
 	code, status := follower.cancel("wk-1")
--- a/internal/coordination/observed_machines.go
+++ b/internal/coordination/observed_machines.go
@@ -27,6 +27,7 @@
 	names         nameIndex
 	machines      []observedMachine // by this process's index
 	byLeaderIndex []int32
+	maxMachines   uint32 // that the leader's indices may go up to
 }
 
 // resetStream notes that the leader's stream has ended.
@@ -61,7 +62,7 @@
 
 // name takes the index under which the leader tells of a machine from now on.
 func (t *observedMachines) name(n *meshpb.MachineName) {
-	if n.MachineIndex >= maxMachines {
+	if n.MachineIndex >= t.maxMachines {
 		return
 	}
 	for int(n.MachineIndex) >= len(t.byLeaderIndex) {
--- a/internal/coordination/owned_job.go
+++ b/internal/coordination/owned_job.go
@@ -48,6 +48,38 @@
 	return job
 }
 
+// ID returns the job's identifier.
+func (job *ownedJob) ID() string { return job.id }
+
+// Spec returns what the job's user asks for. It must not be changed.
+func (job *ownedJob) Spec() *protocol.Job { return job.spec }
+
+// Shard returns the shard that the job belongs to.
+func (job *ownedJob) Shard() *ownedShard { return job.shard }
+
+// Running returns how many tasks are seen to run.
+func (job *ownedJob) Running() int { return job.running }
+
+// Active returns of how many tasks a replica may exist on a machine.
+func (job *ownedJob) Active() int { return job.active }
+
+// Finished returns how many tasks have ended well.
+func (job *ownedJob) Finished() int { return job.finished }
+
+// TaskState returns where a task stands.
+func (job *ownedJob) TaskState(task int) taskState { return job.tasks[task].state }
+
+// BreakerOpen tells whether the job's circuit breaker is open.
+func (job *ownedJob) BreakerOpen() bool { return job.breaker.open }
+
+// WireStatus returns the job's status as users are told it, while it is unfinished.
+func (job *ownedJob) WireStatus() string {
+	if job.running > 0 {
+		return protocol.StatusRunning
+	}
+	return protocol.StatusPending
+}
+
 // restore sets the states of a job's tasks as its records tell: those that are not done
 // may be anywhere.
 func (job *ownedJob) restore(done []bool) {
@@ -117,12 +149,23 @@
 
 // startable is how many tasks of a job may be started now.
 func (job *ownedJob) startable() int {
-	if job.finalStatus != "" {
+	if job.Ending() {
 		return 0
 	}
 	return job.breaker.allowed(job.pending, job.active)
 }
 
+// Ending tells whether a job's end is being written, or is.
+func (job *ownedJob) Ending() bool { return job.finalStatus != "" }
+
+// notifyEnd tells those who wait for a job's end.
+func (job *ownedJob) notifyEnd(status string) {
+	for _, fn := range job.onEnd {
+		fn(status)
+	}
+	job.onEnd = nil
+}
+
 // allFinished tells whether every task of a job has ended well.
 func (job *ownedJob) allFinished() bool { return job.finished == len(job.tasks) }
 
--- /dev/null
+++ b/internal/coordination/owned_shard.go
@@ -0,0 +1,143 @@
+package coordination
+
+import (
+	"iter"
+
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// replicaBits is how many replica numbers a holder of a shard has, as a power of
+// two. Each holder's begin at its fencing token, so they go up from holder to holder.
+const replicaBits = 20
+
+// ownedShard is a shard that this process holds.
+type ownedShard struct {
+	name                 string
+	records              shardRecords
+	recovered            bool         // its unfinished jobs were read
+	registration         registration // at the present leader
+	jobs                 map[string]*ownedJob
+	fencingToken         uint64 // the version that its key was taken with
+	lastReplica          uint64 // the highest replica number of the shard
+	lastInheritedReplica uint64 // replicas up to this number were started by earlier holders
+	reconciled           bool   // no replica of earlier holders is left that is not known of
+	unreconciled         int    // recovered tasks that may be anywhere
+	creations            map[string]*pendingCreation
+}
+
+// pendingCreation is a new job that is being written.
+type pendingCreation struct {
+	nonce   string
+	waiters []func(storage.CreateResult)
+}
+
+// Name returns the shard's name, which is that of a member.
+func (shard *ownedShard) Name() string { return shard.name }
+
+// KeyVersion returns the present version of the shard's key.
+func (shard *ownedShard) KeyVersion() uint64 { return shard.records.Version() }
+
+// Recovered tells whether the shard's unfinished jobs were read.
+func (shard *ownedShard) Recovered() bool { return shard.recovered }
+
+// Registered tells whether the present leader was told of the shard.
+func (shard *ownedShard) Registered() bool { return shard.registration.sent }
+
+// RegistrationConfirmed tells whether the present leader has answered that it counts the
+// shard.
+func (shard *ownedShard) RegistrationConfirmed() bool { return shard.registration.confirmed() }
+
+// Reconciled tells whether no replica of earlier holders is left that is not known of.
+func (shard *ownedShard) Reconciled() bool { return shard.reconciled }
+
+// acquire takes a shard over whose key this process has just written, and reads what is
+// unfinished in it.
+func (o *owner) acquire(name string, lease, version uint64) {
+	o.removeShard(name)
+	acquiredAt := o.now()
+	shard := &ownedShard{name: name, jobs: make(map[string]*ownedJob), creations: make(map[string]*pendingCreation),
+		fencingToken: version, lastReplica: version << replicaBits, lastInheritedReplica: version << replicaBits}
+	shard.records = o.config.OpenRecords(name, lease, version, func() {
+		o.log.Error().Str("shard", name).Uint64("fencing_token", version).Msg("shard lost")
+		o.removeShard(name)
+	})
+	o.shards[name] = shard
+	o.admission.OpenShard(name, version)
+	shard.records.Recover(func(jobs []storage.RecoveredJob) {
+		for i := range jobs {
+			o.restoreJob(shard, &jobs[i])
+		}
+		shard.recovered = true
+		if keys := shard.records.Unreadable(); len(keys) > 0 {
+			o.log.Error().Str("shard", name).Strs("keys", keys).Msg("unreadable records left alone")
+		}
+		o.log.Info().Str("shard", name).Uint64("fencing_token", version).Int("jobs", len(jobs)).Int("reads", shard.records.RecoveryReads()).
+			Int64("after_ms", (o.now() - acquiredAt).Milliseconds()).Msg("shard recovered")
+		for _, job := range shard.jobs {
+			o.endIfFinished(job)
+		}
+		o.config.Leader.RegisterShards()
+	})
+}
+
+func (o *owner) restoreJob(shard *ownedShard, r *storage.RecoveredJob) {
+	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
+	job.restore(r.Done)
+	o.admission.ChargeInherited(&job.claim, job.active)
+}
+
+// release gives a shard's key up and forgets the shard.
+func (o *owner) release(name string, done func(storage.TxnResult)) {
+	o.shards[name].records.Release(done)
+	o.removeShard(name)
+}
+
+// removeShard forgets a shard that is held no more.
+func (o *owner) removeShard(name string) {
+	shard := o.shards[name]
+	if shard == nil {
+		return
+	}
+	shard.records.Close()
+	delete(o.shards, name)
+	o.admission.CloseShard(name)
+	o.orphans.removeShard(name)
+	for _, job := range shard.jobs {
+		job.ended = true
+		delete(o.jobs, job.id)
+		o.memoryBytes -= estimatedBytes(job.spec)
+		job.notifyEnd(statusUnknown)
+	}
+	for _, pending := range shard.creations {
+		for _, fn := range pending.waiters {
+			fn(storage.Unavailable)
+		}
+	}
+	for machine, refs := range o.replicas {
+		kept := refs[:0]
+		for _, ref := range refs {
+			if ref.job.shard != shard {
+				kept = append(kept, ref)
+			}
+		}
+		o.setReplicas(machine, kept)
+	}
+}
+
+// removeAllShards forgets all shards.
+func (o *owner) removeAllShards() {
+	for name := range o.shards {
+		o.removeShard(name)
+	}
+}
+
+// heldShards yields the shards that this process holds. They may be removed meanwhile.
+func (o *owner) heldShards() iter.Seq[*ownedShard] {
+	return func(yield func(*ownedShard) bool) {
+		for _, shard := range o.shards {
+			if !yield(shard) {
+				return
+			}
+		}
+	}
+}
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -111,10 +111,10 @@
 	lead, follower := sim.leader(), sim.follower()
 	g := lead.controller.leader.shards[follower.name]
 	g.owner, g.link, g.version = nil, nil, 0
-	registration := &follower.controller.owner.shards[follower.name].registration
-	registration.atUs = registrationRequested
+	shard := follower.controller.owner.shard(follower.name)
+	follower.controller.owner.beginRegistration(shard) // and nothing is sent
 	sim.advance(3 * time.Second)
-	if g.owner == nil || !registration.confirmed() {
+	if g.owner == nil || !shard.RegistrationConfirmed() {
 		t.Fatal("the ledger is not joined")
 	}
 }
@@ -228,15 +228,15 @@
 	sim.connect("a", "b")
 	pass(12 * time.Second)
 	lost := 0
-	for i := range follower.controller.owner.jobs["wk-1"].tasks {
-		if p := follower.controller.owner.jobs["wk-1"].tasks[i].state; p != taskPlaced {
+	for i := range follower.controller.owner.job("wk-1").Spec().Tasks {
+		if p := follower.controller.owner.job("wk-1").TaskState(i); p != taskPlaced {
 			lost++
 		}
 	}
 	want(t, "tasks judged lost", lost, 0)
 	alive.silent = true
 	sim.advance(9 * time.Second)
-	want(t, "located once a lease has passed on the new stream", follower.controller.owner.jobs["wk-1"].active, 0)
+	want(t, "located once a lease has passed on the new stream", follower.controller.owner.job("wk-1").Active(), 0)
 }
 
 func TestSilentMachineIsReturnedAndReplicatedAtOnce(t *testing.T) {
@@ -313,7 +313,7 @@
 	follower := sim.follower()
 	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
 	sim.run(2 * time.Second)
-	j := follower.controller.owner.jobs["wk-1"]
+	j := follower.controller.owner.job("wk-1")
 	follower.controller.owner.markChanged(j)
 	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.deliverAll()
--- /dev/null
+++ b/internal/coordination/replicas.go
@@ -0,0 +1,89 @@
+package coordination
+
+func (o *owner) setReplicas(machine int32, refs []taskRef) {
+	if len(refs) == 0 {
+		delete(o.replicas, machine)
+		return
+	}
+	o.replicas[machine] = refs
+}
+
+// place notes that a copy of a task is on its way to, or on, a machine.
+func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
+	t := &job.tasks[i]
+	switch t.state {
+	case taskFinished, taskDurable:
+		return
+	case taskAssigned, taskPlaced:
+		if t.machine == machine {
+			job.setState(i, state)
+			return
+		}
+		o.removeReplica(job, i)
+	}
+	job.setState(i, state)
+	t.machine = machine
+	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
+	if job.activeByZone != nil {
+		job.activeByZone[o.machines.zoneOf(machine)]++
+	}
+	o.markChanged(job)
+}
+
+func (o *owner) removeReplica(job *ownedJob, i int32) {
+	t := &job.tasks[i]
+	refs := o.replicas[t.machine]
+	for k, r := range refs {
+		if r.job == job && r.task == i {
+			refs[k] = refs[len(refs)-1]
+			o.setReplicas(t.machine, refs[:len(refs)-1])
+			break
+		}
+	}
+	if job.activeByZone != nil {
+		job.activeByZone[o.machines.zoneOf(t.machine)]--
+	}
+}
+
+// unassign takes an active task off wherever it was, into the given state: the caller
+// has proof that no replica of it is left.
+func (o *owner) unassign(job *ownedJob, i int32, state taskState) {
+	if s := job.tasks[i].state; s == taskAssigned || s == taskPlaced {
+		o.removeReplica(job, i)
+	}
+	job.markNotRunning(i)
+	job.setState(i, state)
+	o.admission.Release(&job.claim, i, job.tasks[i].replica)
+	o.markChanged(job)
+}
+
+// replicaLost replicates a task whose replica is proven lost. Was it started by an
+// earlier holder of the shard, there may be a newer one somewhere, until every
+// machine is reconciled.
+func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
+	t := &job.tasks[i]
+	o.losses.Add(int(reason))
+	o.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
+	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
+		o.unassign(job, i, taskUnreconciled)
+		o.admission.ChargeInherited(&job.claim, 1)
+		return
+	}
+	o.unassign(job, i, taskPending)
+}
+
+// reconcile makes every recovered task pending that no machine listed.
+func (o *owner) reconcile(shard *ownedShard) {
+	shard.reconciled = true
+	o.log.Info().Str("ledger", shard.name).Int("unlisted", shard.unreconciled).Msg("ledger settled")
+	if shard.unreconciled == 0 {
+		return
+	}
+	for _, job := range shard.jobs {
+		for i := range job.tasks {
+			if job.tasks[i].state == taskUnreconciled {
+				o.replicaLost(job, int32(i), lossReconciled)
+			}
+		}
+	}
+}
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -64,11 +64,11 @@
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
-			j := to.controller.owner.jobs[key.job]
+			j := to.controller.owner.job(key.job)
 			if j == nil || has[key] {
 				continue
 			}
-			if g := l.shards[j.shard.name]; g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
+			if g := l.shards[j.Shard().Name()]; g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
 				sim.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
 			}
 		}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -28,7 +28,7 @@
 		api.lookUp(job.ID, 200, func() Response { return refused }, reply)
 		return
 	}
-	if shard := c.owner.shards[c.cfg.Member]; shard == nil || !shard.recovered || !c.election.MayAct(c.now()) || c.store.Failing() {
+	if c.owner.ownShard() == nil || !c.election.MayAct(c.now()) || c.store.Failing() {
 		if c.store.Failing() {
 			reply(c.errorResponse(503, "state service is away", 1))
 			return
@@ -96,13 +96,13 @@
 		reply(c.finalStatusResponse(code, id, final))
 		return true
 	}
-	j := c.owner.jobs[id]
-	if j == nil || j.finalStatus != "" || !c.election.MayAct(c.now()) {
+	j := c.owner.job(id)
+	if j == nil || j.Ending() || !c.election.MayAct(c.now()) {
 		// While the end is being written, other nodes may read it already and
 		// tell it; only a fresh read is sure not to be older than that.
 		return false
 	}
-	r := c.statusResponse(code, id, j.wireStatus(), j.finished, j.running)
+	r := c.statusResponse(code, id, j.WireStatus(), j.Finished(), j.Running())
 	r.ValidUntil = c.election.MayActUntil()
 	reply(r)
 	return true
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -81,12 +81,13 @@
 	}
 }
 
+// registerShard tells the leader of a shard and its jobs.
 func (s *subscription) registerShard(shard *ownedShard) {
 	jobs := s.c.owner.beginRegistration(shard)
 	for {
 		n := summariesThatFit(jobs)
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_RegisterShard{RegisterShard: &meshpb.RegisterShard{
-			Shard: shard.name, Version: shard.records.Version(), FencingToken: s.fencingToken, Jobs: jobs[:n], More: n < len(jobs)}}})
+			Shard: shard.Name(), Version: shard.KeyVersion(), FencingToken: s.fencingToken, Jobs: jobs[:n], More: n < len(jobs)}}})
 		jobs = jobs[n:]
 		if len(jobs) == 0 {
 			return
--- a/internal/coordination/tasks.go
+++ b/internal/coordination/task_status.go
@@ -7,94 +7,6 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-func (o *owner) setReplicas(machine int32, refs []taskRef) {
-	if len(refs) == 0 {
-		delete(o.replicas, machine)
-		return
-	}
-	o.replicas[machine] = refs
-}
-
-// place notes that a copy of a task is on its way to, or on, a machine.
-func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
-	t := &job.tasks[i]
-	switch t.state {
-	case taskFinished, taskDurable:
-		return
-	case taskAssigned, taskPlaced:
-		if t.machine == machine {
-			job.setState(i, state)
-			return
-		}
-		o.removeReplica(job, i)
-	}
-	job.setState(i, state)
-	t.machine = machine
-	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
-	if job.activeByZone != nil {
-		job.activeByZone[o.machines.zoneOf(machine)]++
-	}
-	o.markChanged(job)
-}
-
-func (o *owner) removeReplica(job *ownedJob, i int32) {
-	t := &job.tasks[i]
-	refs := o.replicas[t.machine]
-	for k, r := range refs {
-		if r.job == job && r.task == i {
-			refs[k] = refs[len(refs)-1]
-			o.setReplicas(t.machine, refs[:len(refs)-1])
-			break
-		}
-	}
-	if job.activeByZone != nil {
-		job.activeByZone[o.machines.zoneOf(t.machine)]--
-	}
-}
-
-// unassign takes an active task off wherever it was, into the given state: the caller
-// has proof that no replica of it is left.
-func (o *owner) unassign(job *ownedJob, i int32, state taskState) {
-	if s := job.tasks[i].state; s == taskAssigned || s == taskPlaced {
-		o.removeReplica(job, i)
-	}
-	job.markNotRunning(i)
-	job.setState(i, state)
-	o.c.admission.Release(&job.claim, i, job.tasks[i].replica)
-	o.markChanged(job)
-}
-
-// replicaLost replicates a task whose replica is proven lost. Was it started by an
-// earlier holder of the shard, there may be a newer one somewhere, until every
-// machine is reconciled.
-func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
-	t := &job.tasks[i]
-	o.losses.Add(int(reason))
-	o.c.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
-	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
-		o.unassign(job, i, taskUnreconciled)
-		o.c.admission.ChargeInherited(&job.claim, 1)
-		return
-	}
-	o.unassign(job, i, taskPending)
-}
-
-// reconcile makes every recovered task pending that no machine listed.
-func (o *owner) reconcile(shard *ownedShard) {
-	shard.reconciled = true
-	o.c.log.Info().Str("ledger", shard.name).Int("unlisted", shard.unreconciled).Msg("ledger settled")
-	if shard.unreconciled == 0 {
-		return
-	}
-	for _, job := range shard.jobs {
-		for i := range job.tasks {
-			if job.tasks[i].state == taskUnreconciled {
-				o.replicaLost(job, int32(i), lossReconciled)
-			}
-		}
-	}
-}
-
 // taskStatus is one task as a machine lists it.
 type taskStatus struct {
 	ref     taskRef
@@ -117,7 +29,7 @@
 // onTaskStatus takes one listed task.
 func (o *owner) onTaskStatus(s *taskStatus) {
 	job, i := s.ref.job, s.ref.task
-	if job.finalStatus != "" && job.tasks[i].state != taskDurable {
+	if job.Ending() && job.tasks[i].state != taskDurable {
 		o.confirmPlacement(s)
 		return // the leader clears machines of jobs that are over
 	}
@@ -138,7 +50,7 @@
 	case protocol.TaskState(s.status.State) == protocol.TaskFetching:
 		job.markNotRunning(i)
 	case !job.tasks[i].running:
-		job.markRunning(i, o.c.now())
+		job.markRunning(i, o.now())
 	}
 }
 
@@ -181,7 +93,7 @@
 		t.replica = attempt
 		job.shard.lastReplica = max(job.shard.lastReplica, attempt)
 		if !s.exited() {
-			o.c.admission.RecordFound(&job.claim, i, t.replica)
+			o.admission.RecordFound(&job.claim, i, t.replica)
 		}
 	case taskAssigned, taskPlaced:
 		if attempt > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone) {
@@ -223,7 +135,7 @@
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
 		o.unassign(job, i, taskBackingOff)
 		o.clearReplica(s)
-		job.backOff(i, o.c.now()+refusedStartBackOff)
+		job.backOff(i, o.now()+refusedStartBackOff)
 	default:
 		o.clearReplica(s)
 		o.replicaLost(job, i, lossStopped)
@@ -242,7 +154,7 @@
 // task that fails does, and its job tries one task at a time, see circuitBreaker.
 func (o *owner) onServiceTaskExit(job *ownedJob, i, machine int32) {
 	t := &job.tasks[i]
-	ran := t.running && o.c.now()-t.readyAt > steadyRuntime
+	ran := t.running && o.now()-t.readyAt > steadyRuntime
 	if ran {
 		o.unassign(job, i, taskPending)
 		o.recordSuccess(job)
@@ -263,7 +175,7 @@
 // retryFailed notes that a task has failed on a machine, and has it wait before the
 // next replica.
 func (o *owner) retryFailed(job *ownedJob, i, machine int32) {
-	now := o.c.now()
+	now := o.now()
 	job.breaker.recordFailure(machine, job.active, job.running, now)
 	job.backOff(i, now+job.breaker.backOff())
 }
@@ -283,61 +195,3 @@
 		}
 	})
 }
-
-func (o *owner) endIfFinished(job *ownedJob) {
-	if job.allFinished() {
-		o.endJob(job, protocol.StatusDone)
-	}
-}
-
-// bind adds to the bindings the tasks that go to an offered machine, and how the jobs
-// stand then.
-func (o *owner) bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
-	machine := o.machines.local(offer.MachineIndex)
-	if machine == unknownMachine {
-		return
-	}
-	for _, item := range offer.Items {
-		job := o.jobs[item.Job]
-		if job == nil {
-			continue
-		}
-		bindings.Bindings = o.bindTasks(bindings.Bindings, job, int(item.Count), offer, machine)
-		bindings.Jobs = append(bindings.Jobs, o.summarize(job))
-	}
-}
-
-// bindTasks appends bindings of up to n pending tasks of a job to an offered machine.
-func (o *owner) bindTasks(bindings []*meshpb.Binding, job *ownedJob, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
-	if !job.shard.registration.sent {
-		return bindings
-	}
-	zone := o.machines.zoneOf(machine)
-	for n = min(n, o.admissible(job)); n > 0; n-- {
-		i, found := job.nextPending()
-		if !found || !job.zoneAllows(zone) || !o.c.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
-			break
-		}
-		job.pendingOrder = job.pendingOrder[1:]
-		job.shard.lastReplica++
-		t := &job.tasks[i]
-		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
-		o.place(job, i, machine, taskAssigned)
-		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
-	}
-	return bindings
-}
-
-// returnBindings returns picks that were never sent.
-func (o *owner) returnBindings(picks []*meshpb.Binding) {
-	for _, p := range picks {
-		job := o.jobs[p.Job]
-		if job == nil || int(p.Task) >= len(job.tasks) {
-			o.orphans.releaseUnsent(p)
-			continue
-		}
-		if t := &job.tasks[p.Task]; t.state == taskAssigned && t.replica == p.Replica {
-			o.replicaLost(job, int32(p.Task), lossNotSent)
-		}
-	}
-}
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -72,7 +72,7 @@
 }
 
 func (api *userAPI) tick(now time.Duration) {
-	if shard := api.controller.owner.shards[api.controller.cfg.Member]; shard != nil && shard.recovered && api.controller.election.MayAct(now) {
+	if api.controller.owner.ownShard() != nil && api.controller.election.MayAct(now) {
 		api.notReadySince = 0
 	} else if api.notReadySince == 0 {
 		api.notReadySince = now
@@ -173,8 +173,8 @@
 // cannot ask any: then it is most likely alone with its workers and users.
 func (api *userAPI) ready(reply func(Response)) {
 	c, now := api.controller, api.controller.now()
-	shard := c.owner.shards[c.cfg.Member]
-	if shard != nil && shard.recovered && c.election.MayAct(now) {
+	shard := c.owner.ownShard()
+	if shard != nil && c.election.MayAct(now) {
 		reply(Response{Status: 200})
 		return
 	}
@@ -183,20 +183,13 @@
 		better = better || (p.link != nil && p.stateServiceReachable)
 		alone = alone && p.link == nil
 	}
-	if shard != nil && shard.recovered && ((!better && !alone) || now-api.notReadySince < notReadyDelay) {
+	if shard != nil && ((!better && !alone) || now-api.notReadySince < notReadyDelay) {
 		reply(Response{Status: 200})
 		return
 	}
 	reply(c.errorResponse(503, "not ready", 1))
 }
 
-func (j *ownedJob) wireStatus() string {
-	if j.running > 0 {
-		return protocol.StatusRunning
-	}
-	return protocol.StatusPending
-}
-
 // lookUp reads a job's record afresh, and asks its owner if it goes on.
 // Nothing less than a fresh read may say that a job is unknown, and nothing
 // less than that or its owner that it goes on.
@@ -288,7 +281,7 @@
 		reply(c.finalStatusResponse(200, id, final))
 		return
 	}
-	if j := c.owner.jobs[id]; j != nil {
+	if j := c.owner.job(id); j != nil {
 		api.cancelOwned(j, reply)
 		return
 	}
@@ -302,7 +295,7 @@
 			api.rememberFinal(id, record.Status, record.Tasks)
 			reply(c.finalStatusResponse(200, id, finalState{record.Status, record.Tasks}))
 		default:
-			if j := c.owner.jobs[id]; j != nil {
+			if j := c.owner.job(id); j != nil {
 				api.cancelOwned(j, reply)
 				return
 			}
@@ -324,7 +317,7 @@
 			reply(api.controller.errorResponse(503, "the job's owner changes", 1))
 			return
 		}
-		reply(api.controller.finalStatusResponse(200, j.id, finalState{status, j.spec.Tasks}))
+		reply(api.controller.finalStatusResponse(200, j.ID(), finalState{status, j.Spec().Tasks}))
 	})
 }
 
@@ -361,17 +354,17 @@
 		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: final.status, Done: uint32(done)})
 		return
 	}
-	j := api.controller.owner.jobs[f.Job]
+	j := api.controller.owner.job(f.Job)
 	if j == nil || !api.controller.election.MayAct(api.controller.now()) {
 		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
 	}
-	if !f.Cancel && j.finalStatus != "" {
+	if !f.Cancel && j.Ending() {
 		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
 	}
 	if !f.Cancel {
-		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: j.wireStatus(), Done: uint32(j.finished), Running: uint32(j.running)})
+		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: j.WireStatus(), Done: uint32(j.Finished()), Running: uint32(j.Running())})
 		return
 	}
 	api.controller.owner.cancel(j, func(status string) {
@@ -379,7 +372,7 @@
 			answer(&meshpb.JobQueryResult{HttpStatus: 503})
 			return
 		}
-		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: status, Done: uint32(j.finished)})
+		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: status, Done: uint32(j.Finished())})
 	})
 }
 
