--- a/internal/coordination/leader_stream.go
+++ b/internal/coordination/leader_stream.go
@@ -84,7 +84,8 @@
 		case notLost:
 		case lossUnproven:
 			o.losses.Add(int(lossUnproven))
-			o.log.Debug().Str("job", ref.job.id).Int32("task", ref.task).Uint64("attempt", t.replica).Msg("a list that may be incomplete lacks a task")
+			o.log.Debug().Str("shard", ref.job.shard.name).Str("job", ref.job.id).Int32("task", ref.task).Uint64("replica", t.replica).
+				Msg("replica missing from a status that may be incomplete")
 		default:
 			o.replicaLost(ref.job, ref.task, reason)
 		}
@@ -168,7 +169,7 @@
 	o.reconcileUnchecked(clockUs, timeout)
 	o.orphans.releaseExpired(&o.machines, clockUs, timeout)
 	if machines > 0 { // hundreds may be lost together: one line for all
-		o.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machines lost, their leases are over")
+		o.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machine leases expired")
 	}
 	o.forgetUnnamedMachines()
 }
--- a/internal/coordination/loss_proof.go
+++ b/internal/coordination/loss_proof.go
@@ -105,7 +105,7 @@
 )
 
 // lossReasonNames are keys of log lines.
-var lossReasonNames = [...]string{"lease_over", "settled", "not_listed", "later_session", "machine_gone", "not_sent", "stopped", "unproven"}
+var lossReasonNames = [...]string{"lease_expired", "reconciled", "not_listed", "later_epoch", "machine_terminated", "not_sent", "stopped", "unproven"}
 
 func (r lossReason) String() string {
 	if r >= 0 && int(r) < len(lossReasonNames) {
@@ -114,7 +114,7 @@
 	return "lossReason(" + strconv.Itoa(int(r)) + ")"
 }
 
-// newLossCounter counts the tasks that were placed anew, by reason.
+// newLossCounter counts the replicas that were judged lost, by reason.
 func newLossCounter() eventcount.Counter {
-	return eventcount.New("tasks placed anew", lossReasonNames[:]...)
+	return eventcount.New("replicas lost", lossReasonNames[:]...)
 }
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -1,5 +1,6 @@
 package coordination
 
+// setReplicas sets which tasks have a replica on a machine.
 func (o *owner) setReplicas(machine int32, refs []taskRef) {
 	if len(refs) == 0 {
 		delete(o.replicas, machine)
@@ -8,7 +9,7 @@
 	o.replicas[machine] = refs
 }
 
-// place notes that a copy of a task is on its way to, or on, a machine.
+// place notes that a replica of a task is on its way to, or on, a machine.
 func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
 	t := &job.tasks[i]
 	switch t.state {
@@ -30,6 +31,7 @@
 	o.markChanged(job)
 }
 
+// removeReplica takes an assigned or placed task off its machine.
 func (o *owner) removeReplica(job *ownedJob, i int32) {
 	t := &job.tasks[i]
 	refs := o.replicas[t.machine]
@@ -63,7 +65,7 @@
 func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
 	t := &job.tasks[i]
 	o.losses.Add(int(reason))
-	o.log.Debug().Str("job", job.id).Int32("task", i).Uint64("attempt", t.replica).Str("why", reason.String()).Msg("copy is gone")
+	o.log.Debug().Str("shard", job.shard.name).Str("job", job.id).Int32("task", i).Uint64("replica", t.replica).Stringer("reason", reason).Msg("replica lost")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
 		o.unassign(job, i, taskUnreconciled)
 		o.admission.ChargeInherited(&job.claim, 1)
@@ -75,7 +77,7 @@
 // reconcile makes every recovered task pending that no machine listed.
 func (o *owner) reconcile(shard *ownedShard) {
 	shard.reconciled = true
-	o.log.Info().Str("ledger", shard.name).Int("unlisted", shard.unreconciled).Msg("ledger settled")
+	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciled).Msg("shard reconciled")
 	if shard.unreconciled == 0 {
 		return
 	}
