--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -73,7 +73,7 @@
 func (o *orphans) mayHold(machine int32) bool { return len(o.byMachine[machine]) > 0 }
 
 // detachAll notes that the stream from the leader has ended. The next leader may not
-// know the jobs, and so not tell of their copies: it says when none is left.
+// know the jobs, and so not tell of their replicas: it says when none is left.
 func (o *orphans) detachAll() {
 	for _, list := range o.byMachine {
 		for _, orphan := range list {
@@ -82,10 +82,10 @@
 	}
 }
 
-// detachUnreconciled detaches the copies of a ledger of which it is not known where they are
-// although the leader has known their jobs, and tells whether there are any. Their
-// jobs were over while the ledger was being settled: only after joining once more
-// does the leader's word cover them.
+// detachUnreconciled detaches the replicas of a shard of which it is not known where they
+// are although the leader has known their jobs, and tells whether there are any. Their
+// jobs ended while the shard was being reconciled: only after another registration does
+// the leader's word cover them.
 func (o *orphans) detachUnreconciled(shard string) bool {
 	found := false
 	for _, orphan := range o.byMachine[unknownMachine] {
@@ -96,8 +96,8 @@
 	return found
 }
 
-// releaseReconciled releases what was left of jobs that were over when the ledger joined the
-// present leader, which says that no machine holds any of it.
+// releaseReconciled releases what was left of jobs that had ended when the shard was
+// registered with the present leader, which says that no machine holds any of it.
 func (o *orphans) releaseReconciled(shard string) {
 	for machine := range o.byMachine {
 		o.release(machine, func(orphan *orphanedReplica) bool { return !orphan.knownToLeader && orphan.shard.name == shard })
@@ -169,7 +169,7 @@
 	}
 }
 
-// releaseUnsent releases a copy whose start was never sent.
+// releaseUnsent releases a replica whose start was never sent.
 func (o *orphans) releaseUnsent(p *meshpb.Binding) {
 	for machine := range o.byMachine {
 		o.release(machine, func(orphan *orphanedReplica) bool {
@@ -178,7 +178,7 @@
 	}
 }
 
-// removeShard forgets what is left of a ledger that is held no more.
+// removeShard forgets what is left of a shard that is held no more.
 func (o *orphans) removeShard(shard string) {
 	for machine, list := range o.byMachine {
 		kept := list[:0]
--- a/internal/coordination/owned_job.go
+++ b/internal/coordination/owned_job.go
@@ -119,6 +119,13 @@
 	}
 }
 
+// setReplica notes which replica of a task counts, one that an earlier holder of the shard
+// may have started.
+func (job *ownedJob) setReplica(i int32, replica uint64) {
+	job.tasks[i].replica = replica
+	job.shard.lastReplica = max(job.shard.lastReplica, replica)
+}
+
 // markRunning notes that a task is seen to run.
 func (job *ownedJob) markRunning(i int32, now time.Duration) {
 	if t := &job.tasks[i]; !t.running {
--- a/internal/coordination/task_status.go
+++ b/internal/coordination/task_status.go
@@ -21,7 +21,7 @@
 	return protocol.ExitReason(s.status.ExitReason)
 }
 
-// clearReplica has the machine stop or forget the copy that it lists.
+// clearReplica has the machine stop or forget the replica that it lists.
 func (o *owner) clearReplica(s *taskStatus) {
 	o.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, clearingOf(s.status))
 }
@@ -54,9 +54,9 @@
 	}
 }
 
-// confirmPlacement notes that the copy of a job that is ending is on its machine. Without
-// that the next report, whose list is the same, would be taken for proof that the
-// start never arrived, and the copy's use given to others while it still runs.
+// confirmPlacement notes that a replica of a job that is ending is on its machine. Without
+// that the next status, which lists the same, would be taken for proof that the start
+// never arrived, and what the replica uses given to others while it still runs.
 func (o *owner) confirmPlacement(s *taskStatus) {
 	t := &s.ref.job.tasks[s.ref.task]
 	if t.state == taskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
@@ -65,56 +65,72 @@
 	}
 }
 
-// acknowledge notes where a listed copy is, and tells whether it is the replica
-// that counts.
+// acknowledge notes where a listed replica is, and tells whether it is the one that
+// counts. Others are cleared.
 func (o *owner) acknowledge(s *taskStatus) bool {
 	job, i := s.ref.job, s.ref.task
-	t, attempt := &job.tasks[i], s.status.Replica
-	switch t.state {
-	case taskDurable, taskPending, taskBackingOff:
-		// Its result is written, or every copy was proven gone and this is a late
-		// list of one.
+	counts := false
+	switch job.tasks[i].state {
+	case taskPending, taskBackingOff, taskDurable:
+		// Its result is written, or every replica was proven lost and this is a late
+		// status of one.
 		o.clearReplica(s)
-		return false
 	case taskFinished:
-		// Its own copy stays listed until the result is written.
-		if attempt != t.replica {
+		// Its own replica stays listed until the result is written.
+		if s.status.Replica != job.tasks[i].replica {
 			o.clearReplica(s)
 		}
-		return false
 	case taskUnreconciled:
-		// A newer copy was proven gone already; or an older one that ended says
-		// nothing of a newer one, which may run on a machine that has not been
-		// heard of yet.
-		if attempt < t.replica || (s.exited() && s.exitReason() != protocol.ExitReasonDone) {
-			o.clearReplica(s)
-			return false
-		}
-		t.replica = attempt
-		job.shard.lastReplica = max(job.shard.lastReplica, attempt)
-		if !s.exited() {
-			o.admission.RecordFound(&job.claim, i, t.replica)
-		}
+		counts = o.acknowledgeUnreconciled(s)
 	case taskAssigned, taskPlaced:
-		if attempt > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone) {
-			// Of a recovered task an older copy was heard of first. Earlier
-			// holders gave this one out once that was proven gone.
-			job.markNotRunning(i)
-			t.replica = attempt
-			job.shard.lastReplica = max(job.shard.lastReplica, attempt)
-		} else if attempt != t.replica || t.machine != s.machine {
-			// Not the replica that counts: its result is ignored.
-			if attempt < t.replica || t.machine != s.machine {
-				o.clearReplica(s)
-			}
-			return false
-		}
+		counts = o.acknowledgeActive(s)
+	}
+	if counts {
+		o.place(job, i, s.machine, taskPlaced)
+		job.tasks[i].epoch = s.epoch
+	}
+	return counts
+}
+
+// acknowledgeUnreconciled takes a listed replica of a recovered task that may be
+// anywhere, and tells whether it counts.
+func (o *owner) acknowledgeUnreconciled(s *taskStatus) bool {
+	job, i := s.ref.job, s.ref.task
+	// A newer replica was proven lost already; or an older one that ended says
+	// nothing of a newer one, which may run on a machine that has not been
+	// heard of yet.
+	if s.status.Replica < job.tasks[i].replica || (s.exited() && s.exitReason() != protocol.ExitReasonDone) {
+		o.clearReplica(s)
+		return false
+	}
+	job.setReplica(i, s.status.Replica)
+	if !s.exited() {
+		o.admission.RecordFound(&job.claim, i, s.status.Replica)
 	}
-	o.place(job, i, s.machine, taskPlaced)
-	t.epoch = s.epoch
 	return true
 }
 
+// acknowledgeActive takes a listed replica of a task that is assigned or placed, and
+// tells whether it counts.
+func (o *owner) acknowledgeActive(s *taskStatus) bool {
+	job, i := s.ref.job, s.ref.task
+	t, replica := &job.tasks[i], s.status.Replica
+	switch {
+	case replica > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone):
+		// Of a recovered task an older replica was heard of first. Earlier
+		// holders started this one once that was proven lost.
+		job.markNotRunning(i)
+		job.setReplica(i, replica)
+		return true
+	case replica == t.replica && t.machine == s.machine:
+		return true
+	case replica < t.replica || t.machine != s.machine:
+		// Not the replica that counts: its result is ignored.
+		o.clearReplica(s)
+	}
+	return false
+}
+
 // onTaskExit takes the end of the replica that counts.
 func (o *owner) onTaskExit(s *taskStatus) {
 	job, i, why := s.ref.job, s.ref.task, s.exitReason()
