--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -99,7 +99,7 @@
 		if !n.up || n.paused || !n.controller.election.MayAct(scenario.now) {
 			continue
 		}
-		for shard := range n.controller.owner.heldShards() {
+		for shard := range n.controller.owner.Shards() {
 			ledger := shard.Name()
 			got := n.controller.admission.Allocation(ledger, "red")
 			if n.controller.admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
@@ -537,7 +537,7 @@
 	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 2).with("crew", "red")).Status, 201)
 	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-2", 2)).Status, 201)
 	sim.run(6 * time.Second)
-	want(t, "running", fmt.Sprint(sim.nodes["a"].controller.owner.job("wk-1").Running(), sim.nodes["a"].controller.owner.job("wk-2").Running()), "0 2")
+	want(t, "running", fmt.Sprint(sim.nodes["a"].controller.owner.Job("wk-1").Running(), sim.nodes["a"].controller.owner.Job("wk-2").Running()), "0 2")
 }
 
 // A team's name may be longer than a key.
--- a/internal/coordination/bindings.go
+++ b/internal/coordination/bindings.go
@@ -4,9 +4,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// bind adds to the bindings the tasks that go to an offered machine, and how the jobs
+// Bind adds to the bindings the tasks that go to an offered machine, and how the jobs
 // stand then.
-func (o *owner) bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
+func (o *Owner) Bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
 	machine := o.machines.local(offer.MachineIndex)
 	if machine == unknownMachine {
 		return
@@ -22,7 +22,7 @@
 }
 
 // bindTasks appends bindings of up to n pending tasks of a job to an offered machine.
-func (o *owner) bindTasks(bindings []*meshpb.Binding, job *ownedJob, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
+func (o *Owner) bindTasks(bindings []*meshpb.Binding, job *Job, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
 	if !job.shard.registration.sent {
 		return bindings
 	}
@@ -36,21 +36,21 @@
 		job.shard.lastReplica++
 		t := &job.tasks[i]
 		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
-		o.place(job, i, machine, taskAssigned)
+		o.place(job, i, machine, TaskAssigned)
 		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
 	}
 	return bindings
 }
 
-// returnBindings returns picks that were never sent.
-func (o *owner) returnBindings(picks []*meshpb.Binding) {
+// ReturnBindings returns picks that were never sent.
+func (o *Owner) ReturnBindings(picks []*meshpb.Binding) {
 	for _, p := range picks {
 		job := o.jobs[p.Job]
 		if job == nil || int(p.Task) >= len(job.tasks) {
 			o.orphans.releaseUnsent(p)
 			continue
 		}
-		if t := &job.tasks[p.Task]; t.state == taskAssigned && t.replica == p.Replica {
+		if t := &job.tasks[p.Task]; t.state == TaskAssigned && t.replica == p.Replica {
 			o.replicaLost(job, int32(p.Task), lossNotSent)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -67,7 +67,7 @@
 	selfPeer   *peer            // this member
 	peerByLink map[Link]*peer
 
-	owner        *owner
+	owner        *Owner
 	admission    *admission.Control
 	userAPI      userAPI
 	leader       *leader // nil unless this process leads
@@ -154,9 +154,9 @@
 	}
 	if now-c.lastFlush >= storage.FlushInterval {
 		c.lastFlush = now
-		c.owner.flushRecords()
+		c.owner.FlushRecords()
 	}
-	c.owner.tick(now)
+	c.owner.Tick(now)
 	c.tickAdmission(now)
 	c.userAPI.tick(now)
 	c.forwarder.tick(now)
@@ -172,7 +172,7 @@
 func (c *Controller) EndBatch() {
 	for c.batchPending() {
 		c.runDeferred()
-		c.owner.publish()
+		c.owner.Publish()
 		c.subscription.flushCommands()
 		c.selfPeer.flush()
 	}
@@ -188,7 +188,7 @@
 // batchPending tells whether the batch has left anything to do in this process.
 func (c *Controller) batchPending() bool {
 	return len(c.deferred) > 0 || len(c.loopback) > 0 ||
-		c.owner.hasUnpublished() || c.selfPeer.machineStatuses != nil
+		c.owner.HasUnpublished() || c.selfPeer.machineStatuses != nil
 }
 
 // runDeferred delivers the frames to this very process and calls what was put
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -33,11 +33,11 @@
 }
 
 // electionShards are the shards that this process holds.
-type electionShards struct{ owner *owner }
+type electionShards struct{ owner *Owner }
 
 func (s electionShards) Held() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
-		for shard := range s.owner.heldShards() {
+		for shard := range s.owner.Shards() {
 			if !yield(shard.Name(), shard.KeyVersion()) {
 				return
 			}
@@ -46,7 +46,7 @@
 }
 
 func (s electionShards) Version(name string) (version uint64, held bool) {
-	shard := s.owner.shard(name)
+	shard := s.owner.Shard(name)
 	if shard == nil {
 		return 0, false
 	}
@@ -54,16 +54,16 @@
 }
 
 func (s electionShards) Acquire(name string, lease, version uint64) {
-	s.owner.acquire(name, lease, version)
+	s.owner.Acquire(name, lease, version)
 }
 
 func (s electionShards) Release(name string, done func(storage.TxnResult)) {
-	s.owner.release(name, done)
+	s.owner.Release(name, done)
 }
 
-func (s electionShards) Lose(name string) { s.owner.removeShard(name) }
+func (s electionShards) Lose(name string) { s.owner.RemoveShard(name) }
 
-func (s electionShards) LoseAll() { s.owner.removeAllShards() }
+func (s electionShards) LoseAll() { s.owner.RemoveAllShards() }
 
 // electionRegistrations tells which shards are registered with a leader.
 type electionRegistrations struct{ c *Controller }
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -90,7 +90,7 @@
 		sim.run(time.Second)
 		sim.failJobs("wk-1")
 	}
-	want(t, "breaker is open", sim.nodes["a"].controller.owner.job("wk-1").BreakerOpen(), true)
+	want(t, "breaker is open", sim.nodes["a"].controller.owner.Job("wk-1").BreakerOpen(), true)
 	sim.run(30 * time.Second)
 	want(t, "running", sim.runningTasks(), 20)
 }
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -199,7 +199,7 @@
 	if scenario.knownStatus[id] == "" || (final && scenario.knownStatus[id] == statusAccepted) {
 		scenario.knownStatus[id], scenario.knownSince[id] = news, scenario.now
 		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.now + 500*time.Millisecond})
-		if scenario.crashOnConfirm && news == protocol.StatusCancelled && n.controller.owner.job(id) == nil {
+		if scenario.crashOnConfirm && news == protocol.StatusCancelled && n.controller.owner.Job(id) == nil {
 			scenario.crashOnConfirm, n.up = false, false // nothing that it has not sent yet is sent
 			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now, func() { scenario.crash(n.name) }})
 		}
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -101,7 +101,7 @@
 	if machineType == nil {
 		return
 	}
-	for _, im := range l.c.owner.imagesOf(m.name) {
+	for _, im := range l.c.owner.ImagesOf(m.name) {
 		m.useImage(l.images.get(im.Name, im.SizeGb), machineType.CacheGB, l.electedAt)
 	}
 }
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -70,7 +70,7 @@
 		sim.heartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
 		sim.heartbeatFor(5, busy, idle)
 		want(t, "leader", sim.leader().name, "a")
-		want(t, "settled", sim.nodes["b"].controller.owner.shard("b").Reconciled(), true)
+		want(t, "settled", sim.nodes["b"].controller.owner.Shard("b").Reconciled(), true)
 		sim.heartbeatFor(15, busy, idle)
 		want(t, "copies on the other machine", idle.starts, 0)
 		want(t, "still running", len(busy.running()), 1)
@@ -119,8 +119,8 @@
 	l.setShardOwner(l.shards[owner.name], l.c.selfPeer)
 	busy.tasks["other#1"] = &agentTask{name: "wk-9/0", replica: 1, state: "ended", cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
-	job := owner.controller.owner.job("wk-1")
-	want(t, "the task is on its machine still", job.TaskState(0), taskPlaced)
+	job := owner.controller.owner.Job("wk-1")
+	want(t, "the task is on its machine still", job.TaskState(0), TaskPlaced)
 	l.setShardOwner(l.shards[owner.name], l.c.peers[owner.name])
 	sim.heartbeatFor(15, busy, idle)
 	want(t, "copies on the other machine", idle.starts, 0)
@@ -162,7 +162,7 @@
 	want(t, "running", sim.runningTasks(), 8)
 	sim.crash(gone)
 	sim.run(25 * time.Second)
-	want(t, "ledgers of the leader", len(slices.Collect(lead.controller.owner.heldShards())), 2)
+	want(t, "ledgers of the leader", len(slices.Collect(lead.controller.owner.Shards())), 2)
 	started := first.starts + second.starts + idle.starts
 	var next string
 	for _, name := range sim.names {
--- a/internal/coordination/job_lifecycle.go
+++ b/internal/coordination/job_lifecycle.go
@@ -19,25 +19,25 @@
 // statusUnknown is what is told of a job's end that can't be said here.
 const statusUnknown = ""
 
-// memoryFull tells whether one more job would take more than new jobs may; shards that
+// MemoryFull tells whether one more job would take more than new jobs may; shards that
 // are taken over need room too.
-func (o *owner) memoryFull(spec *protocol.Job) bool {
+func (o *Owner) MemoryFull(spec *protocol.Job) bool {
 	return o.memoryBytes+estimatedBytes(spec) > o.config.MemoryLimit
 }
 
 // addJob adds a job whose tasks are all pending.
-func (o *owner) addJob(shard *ownedShard, spec *protocol.Job, submittedMs int64, nonce string) *ownedJob {
+func (o *Owner) addJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
 	job := newOwnedJob(shard, spec, submittedMs, nonce)
 	shard.jobs[job.id] = job
 	o.jobs[job.id] = job
 	o.memoryBytes += estimatedBytes(spec)
-	o.markChanged(job)
+	o.MarkChanged(job)
 	return job
 }
 
-// createJob writes a new job to this member's own shard.
-func (o *owner) createJob(spec *protocol.Job, submittedMs int64, deadline time.Duration, done func(storage.CreateResult)) {
-	shard := o.ownShard()
+// CreateJob writes a new job to this member's own shard.
+func (o *Owner) CreateJob(spec *protocol.Job, submittedMs int64, deadline time.Duration, done func(storage.CreateResult)) {
+	shard := o.OwnShard()
 	if shard == nil {
 		done(storage.Unavailable)
 		return
@@ -67,27 +67,27 @@
 	})
 }
 
-// cancel ends a job as its user asks; done gets its final status, or none
+// Cancel ends a job as its user asks; done gets its final status, or none
 // if that cannot be said here. The leader stops its tasks from now on: the end
 // may be written without this owner learning of it for as long as an outage
 // lasts, while others read it and tell the user (ran_cancelled).
-func (o *owner) cancel(job *ownedJob, done func(status string)) {
+func (o *Owner) Cancel(job *Job, done func(status string)) {
 	job.onEnd = append(job.onEnd, done)
 	o.endJob(job, protocol.StatusCancelled)
 }
 
-func (o *owner) endJob(job *ownedJob, status string) {
+func (o *Owner) endJob(job *Job, status string) {
 	if job.Ending() {
 		return
 	}
 	job.finalStatus = status
-	o.markChanged(job)
+	o.MarkChanged(job)
 	job.shard.records.EndJob(job.spec, job.nonce, status, func() {
 		if job.ended {
 			return
 		}
 		job.ended = true
-		o.markChanged(job)
+		o.MarkChanged(job)
 		o.removeJob(job)
 		o.config.FinalStatuses.Remember(job.id, status, job.spec.Tasks)
 		job.notifyEnd(status)
@@ -95,7 +95,7 @@
 }
 
 // endIfFinished ends a job all of whose tasks have ended well.
-func (o *owner) endIfFinished(job *ownedJob) {
+func (o *Owner) endIfFinished(job *Job) {
 	if job.allFinished() {
 		o.endJob(job, protocol.StatusDone)
 	}
@@ -103,15 +103,15 @@
 
 // removeJob takes an ended job out of the tables. What is left of it on
 // machines is the leader's to clear.
-func (o *owner) removeJob(job *ownedJob) {
+func (o *Owner) removeJob(job *Job) {
 	if o.admission.Limited(&job.claim) {
 		o.orphans.keep(job)
 	}
 	for i := range job.tasks {
 		switch job.tasks[i].state {
-		case taskUnreconciled:
+		case TaskUnreconciled:
 			job.shard.unreconciled--
-		case taskAssigned, taskPlaced:
+		case TaskAssigned, TaskPlaced:
 			o.removeReplica(job, int32(i))
 		}
 	}
--- a/internal/coordination/job_summary.go
+++ b/internal/coordination/job_summary.go
@@ -7,19 +7,19 @@
 
 // admissible is how many tasks may be started now, and find room in the allocation of
 // their team.
-func (o *owner) admissible(job *ownedJob) int {
+func (o *Owner) admissible(job *Job) int {
 	return o.admission.Admissible(&job.claim, job.startable())
 }
 
 // summarize is what the leader has to know of a job whose description it has.
-func (o *owner) summarize(job *ownedJob) *meshpb.JobSummary {
+func (o *Owner) summarize(job *Job) *meshpb.JobSummary {
 	job.publishedPending = o.admissible(job)
 	return &meshpb.JobSummary{Job: job.id, Pending: uint32(job.publishedPending), Assigned: uint32(job.active), Ended: job.ended,
 		Cancelling: job.finalStatus == protocol.StatusCancelled}
 }
 
 // describe is a summary of a job with its description.
-func (o *owner) describe(job *ownedJob) *meshpb.JobSummary {
+func (o *Owner) describe(job *Job) *meshpb.JobSummary {
 	summary := o.summarize(job)
 	s := job.spec
 	summary.HasSpec, summary.Team, summary.Priority, summary.Class = true, s.Team, uint32(s.Priority), s.Class
@@ -35,7 +35,7 @@
 }
 
 // changeOf is what the leader is told of a job that has changed.
-func (o *owner) changeOf(job *ownedJob) *meshpb.JobSummary {
+func (o *Owner) changeOf(job *Job) *meshpb.JobSummary {
 	if !job.specUnsent {
 		return o.summarize(job)
 	}
@@ -43,12 +43,12 @@
 	return o.describe(job)
 }
 
-// publish tells the leader which jobs have changed since it was called last.
-func (o *owner) publish() {
+// Publish tells the leader which jobs have changed since it was called last.
+func (o *Owner) Publish() {
 	if len(o.changed) == 0 {
 		return
 	}
-	summaries := make(map[*ownedShard][]*meshpb.JobSummary)
+	summaries := make(map[*Shard][]*meshpb.JobSummary)
 	for _, job := range o.changed {
 		job.changed = false
 		if o.shards[job.shard.name] != job.shard {
@@ -64,8 +64,8 @@
 	}
 }
 
-// takeCommands returns the commands to machines that have gathered for the leader.
-func (o *owner) takeCommands() []*meshpb.MachineCommand {
+// TakeCommands returns the commands to machines that have gathered for the leader.
+func (o *Owner) TakeCommands() []*meshpb.MachineCommand {
 	commands := o.commands
 	o.commands = nil
 	return commands
--- a/internal/coordination/leader_stream.go
+++ b/internal/coordination/leader_stream.go
@@ -11,9 +11,9 @@
 // earlier leaders told of.
 const forgetMachinesInterval = time.Minute
 
-// resetStream notes that the leader's stream has ended: the next one starts every
+// ResetStream notes that the leader's stream has ended: the next one starts every
 // clock anew.
-func (o *owner) resetStream() {
+func (o *Owner) ResetStream() {
 	o.lastRegisteredAtUs = 0
 	o.commands = nil
 	o.machines.resetStream()
@@ -23,9 +23,9 @@
 	o.orphans.detachAll()
 }
 
-// beginRegistration returns what the leader has to know of a shard's jobs as it is
+// BeginRegistration returns what the leader has to know of a shard's jobs as it is
 // registered.
-func (o *owner) beginRegistration(shard *ownedShard) []*meshpb.JobSummary {
+func (o *Owner) BeginRegistration(shard *Shard) []*meshpb.JobSummary {
 	shard.registration.request()
 	jobs := make([]*meshpb.JobSummary, 0, len(shard.jobs))
 	for _, job := range shard.jobs {
@@ -35,8 +35,8 @@
 	return jobs
 }
 
-// confirmRegistration takes the leader's answer to a registration.
-func (o *owner) confirmRegistration(answer *meshpb.ShardRegistered) {
+// ConfirmRegistration takes the leader's answer to a registration.
+func (o *Owner) ConfirmRegistration(answer *meshpb.ShardRegistered) {
 	shard := o.shards[answer.Shard]
 	if shard == nil || shard.registration.atUs == 0 {
 		return
@@ -45,8 +45,8 @@
 	o.lastRegisteredAtUs = max(o.lastRegisteredAtUs, answer.ClockUs)
 }
 
-// onMachineStatuses takes what the leader passes on of machines.
-func (o *owner) onMachineStatuses(f *meshpb.MachineStatuses) {
+// OnMachineStatuses takes what the leader passes on of machines.
+func (o *Owner) OnMachineStatuses(f *meshpb.MachineStatuses) {
 	for _, n := range f.Names {
 		o.machines.name(n)
 	}
@@ -65,7 +65,7 @@
 // tells what is on it, as it was sent by an agent that follows the present leader;
 // what its absence proves is told by machineObservation. One of a later epoch, however
 // old, proves that all that the machine held before is gone.
-func (o *owner) onMachineStatus(machine int32, status *meshpb.MachineStatus) {
+func (o *Owner) onMachineStatus(machine int32, status *meshpb.MachineStatus) {
 	var listed map[taskRef]bool
 	if status.Current && !status.Unchanged && len(status.Tasks) > 0 {
 		listed = o.onTaskStatuses(machine, status)
@@ -94,7 +94,7 @@
 
 // onTaskStatuses takes the tasks that a machine lists, and returns those whose listed
 // replica is the one that counts.
-func (o *owner) onTaskStatuses(machine int32, status *meshpb.MachineStatus) map[taskRef]bool {
+func (o *Owner) onTaskStatuses(machine int32, status *meshpb.MachineStatus) map[taskRef]bool {
 	listed := make(map[taskRef]bool, len(status.Tasks))
 	for _, s := range status.Tasks {
 		job := o.jobs[s.Job]
@@ -116,7 +116,7 @@
 
 // onTaskOfUnknownJob has what is left of a job that has ended cleared. The leader should
 // know that it has; in case it does not, its tasks must still go (ran_cancelled).
-func (o *owner) onTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
+func (o *Owner) onTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
 	if o.config.FinalStatuses.Ended(s.Job) {
 		o.command(machine, s.Job, s.Task, s.Replica, clearingOf(s))
 	}
@@ -135,16 +135,16 @@
 }
 
 // command asks the leader to have a replica stopped or forgotten.
-func (o *owner) command(machine int32, job string, task uint32, replica uint64, how clearing) {
+func (o *Owner) command(machine int32, job string, task uint32, replica uint64, how clearing) {
 	if m := o.machines.at(machine); m.named {
 		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(how)})
 	}
 }
 
-// expireLeases judges losses by the leader's clock: every heartbeat that the leader
+// ExpireLeases judges losses by the leader's clock: every heartbeat that the leader
 // answered before it has been passed on already. A machine whose last heartbeat
 // on this stream lies more than a lease before it has lost its lease.
-func (o *owner) expireLeases(clockUs int64) {
+func (o *Owner) ExpireLeases(clockUs int64) {
 	timeout := o.config.WorkerLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
 	for machine, refs := range o.replicas {
@@ -183,7 +183,7 @@
 // reconcileUnchecked takes a leader's word that a shard is reconciled, which a leader of
 // a version that does not say which statuses are complete gives too early, once every
 // machine has sent a heartbeat since the shard was registered.
-func (o *owner) reconcileUnchecked(clockUs, timeoutUs int64) {
+func (o *Owner) reconcileUnchecked(clockUs, timeoutUs int64) {
 	for _, shard := range o.shards {
 		if shard.registration.reconciledUnchecked && !shard.reconciled && o.allObservedSinceRegistration(clockUs, timeoutUs) {
 			o.reconcile(shard)
@@ -193,7 +193,7 @@
 
 // allObservedSinceRegistration tells whether every machine that the leader has told of
 // has sent a heartbeat since the last shard was registered, or has lost its lease.
-func (o *owner) allObservedSinceRegistration(clockUs, timeoutUs int64) bool {
+func (o *Owner) allObservedSinceRegistration(clockUs, timeoutUs int64) bool {
 	last := o.lastRegisteredAtUs
 	for _, machine := range o.machines.byLeaderIndex {
 		if machine == unknownMachine {
@@ -208,7 +208,7 @@
 }
 
 // forgetUnnamedMachines forgets machines that only earlier leaders told of.
-func (o *owner) forgetUnnamedMachines() {
+func (o *Owner) forgetUnnamedMachines() {
 	now := o.now()
 	if now < o.nextSweepAt {
 		return
@@ -225,8 +225,8 @@
 	}
 }
 
-// onMachineTerminated takes the leader's word that a machine has ended for good.
-func (o *owner) onMachineTerminated(name string) {
+// OnMachineTerminated takes the leader's word that a machine has ended for good.
+func (o *Owner) OnMachineTerminated(name string) {
 	machine, known := o.machines.byName(name)
 	if !known {
 		return
@@ -238,9 +238,9 @@
 	o.machines.forget(name, machine)
 }
 
-// onReconciled takes the leader's word that no machine holds a replica of a shard's
+// OnReconciled takes the leader's word that no machine holds a replica of a shard's
 // recovered tasks that it has not told of, or none at all that is not known of.
-func (o *owner) onReconciled(word *meshpb.Reconciled) {
+func (o *Owner) OnReconciled(word *meshpb.Reconciled) {
 	shard := o.shards[word.Shard]
 	if shard == nil || !shard.registration.confirmed() {
 		return
@@ -256,7 +256,7 @@
 
 // onNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
 // that is not known of.
-func (o *owner) onNoUnknownReplicas(shard *ownedShard) {
+func (o *Owner) onNoUnknownReplicas(shard *Shard) {
 	if !o.admission.Enabled() {
 		return
 	}
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -48,13 +48,13 @@
 	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
 	sim.crash(follower.name)
 	sim.run(10 * time.Second)
-	if sim.leader().controller.owner.shard(follower.name) == nil {
+	if sim.leader().controller.owner.Shard(follower.name) == nil {
 		t.Fatal("the leader did not take the ledger")
 	}
 	want(t, "running", sim.runningTasks(), 2)
 	sim.start(follower.name)
 	sim.run(10 * time.Second)
-	if sim.leader().controller.owner.shard(follower.name) != nil || follower.controller.owner.shard(follower.name) == nil {
+	if sim.leader().controller.owner.Shard(follower.name) != nil || follower.controller.owner.Shard(follower.name) == nil {
 		t.Fatal("the ledger did not go back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -72,7 +72,7 @@
 	if lead.controller.leader == nil || lead.controller.leader.fencingToken <= old {
 		t.Fatal("the restarted leader does not lead under a new token")
 	}
-	if shard := lead.controller.owner.shard(lead.name); shard == nil || !shard.Recovered() {
+	if shard := lead.controller.owner.Shard(lead.name); shard == nil || !shard.Recovered() {
 		t.Fatal("the restarted member has no ledger")
 	}
 }
@@ -254,7 +254,7 @@
 				if x.controller.leader != nil {
 					leaders++
 				}
-				for shard := range x.controller.owner.heldShards() {
+				for shard := range x.controller.owner.Shards() {
 					held[shard.Name()]++
 				}
 			}
@@ -330,13 +330,13 @@
 	sim.run(2 * time.Second)
 	sim.disconnect(follower.name, lead.name)
 	sim.run(15 * time.Second)
-	if len(slices.Collect(follower.controller.owner.heldShards())) != 0 || lead.controller.owner.shard(follower.name) == nil {
+	if len(slices.Collect(follower.controller.owner.Shards())) != 0 || lead.controller.owner.Shard(follower.name) == nil {
 		t.Fatal("the ledger did not move to the leader")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 	sim.connect(follower.name, lead.name)
 	sim.run(8 * time.Second)
-	if follower.controller.owner.shard(follower.name) == nil {
+	if follower.controller.owner.Shard(follower.name) == nil {
 		t.Fatal("the ledger did not come back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -354,7 +354,7 @@
 	want(t, "running", len(agent.running()), 2)
 	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.run(8 * time.Second)
-	if shard := follower.controller.owner.shard(follower.name); shard == nil || !shard.Registered() {
+	if shard := follower.controller.owner.Shard(follower.name); shard == nil || !shard.Registered() {
 		t.Fatal("the ledger has not joined")
 	}
 	code, status := follower.cancel("wk-1")
--- a/internal/coordination/loss_proof.go
+++ b/internal/coordination/loss_proof.go
@@ -72,7 +72,7 @@
 	if status.Epoch > t.epoch {
 		return lossLaterEpoch
 	}
-	if !status.Current || (status.Unchanged && t.state == taskPlaced) {
+	if !status.Current || (status.Unchanged && t.state == TaskPlaced) {
 		return notLost // listed as it was before
 	}
 	if o.absence(r) == absenceProvesNothing {
@@ -83,7 +83,7 @@
 	}
 	// Of a start on its way only a status that was sent after it says anything.
 	sentBefore := status.Epoch < t.epoch || status.Seq <= t.sequence
-	if t.state == taskPlaced || !sentBefore {
+	if t.state == TaskPlaced || !sentBefore {
 		return lossNotListed
 	}
 	return notLost
--- a/internal/coordination/orphans.go
+++ b/internal/coordination/orphans.go
@@ -16,7 +16,7 @@
 
 // orphanedReplica is a replica of a task whose job has ended.
 type orphanedReplica struct {
-	shard           *ownedShard
+	shard           *Shard
 	claim           admission.Claim
 	task            int32
 	replica         uint64
@@ -31,21 +31,21 @@
 }
 
 // keep keeps what may be left of a job that is about to be removed.
-func (o *orphans) keep(job *ownedJob) {
+func (o *orphans) keep(job *Job) {
 	for i := range job.tasks {
 		t := &job.tasks[i]
 		machine := t.machine
 		switch t.state {
-		case taskUnreconciled:
+		case TaskUnreconciled:
 			machine = unknownMachine
-		case taskAssigned, taskPlaced:
+		case TaskAssigned, TaskPlaced:
 		default:
 			continue
 		}
 		o.byMachine[machine] = append(o.byMachine[machine], &orphanedReplica{
 			shard: job.shard, claim: job.claim, task: int32(i),
 			replica: t.replica, epoch: t.epoch, sequence: t.sequence,
-			assigned: t.state == taskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent})
+			assigned: t.state == TaskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent})
 	}
 }
 
--- a/internal/coordination/owned_job.go
+++ b/internal/coordination/owned_job.go
@@ -7,11 +7,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// ownedJob is an unfinished job of one of this process's shards, with the states of
+// Job is an unfinished job of one of this process's shards, with the states of
 // its tasks and how many are in which.
-type ownedJob struct {
+type Job struct {
 	id           string
-	shard        *ownedShard
+	shard        *Shard
 	spec         *protocol.Job
 	submittedMs  int64
 	nonce        string
@@ -35,8 +35,8 @@
 }
 
 // newOwnedJob makes a job all of whose tasks are pending.
-func newOwnedJob(shard *ownedShard, spec *protocol.Job, submittedMs int64, nonce string) *ownedJob {
-	job := &ownedJob{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
+func newOwnedJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
+	job := &Job{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
 		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
 	job.claim = admission.Claim{Shard: shard.name, FencingToken: shard.fencingToken, Team: spec.Team, Job: spec.ID, Amount: admission.AmountOf(spec)}
 	for i := range job.pendingOrder {
@@ -49,31 +49,31 @@
 }
 
 // ID returns the job's identifier.
-func (job *ownedJob) ID() string { return job.id }
+func (job *Job) ID() string { return job.id }
 
 // Spec returns what the job's user asks for. It must not be changed.
-func (job *ownedJob) Spec() *protocol.Job { return job.spec }
+func (job *Job) Spec() *protocol.Job { return job.spec }
 
 // Shard returns the shard that the job belongs to.
-func (job *ownedJob) Shard() *ownedShard { return job.shard }
+func (job *Job) Shard() *Shard { return job.shard }
 
 // Running returns how many tasks are seen to run.
-func (job *ownedJob) Running() int { return job.running }
+func (job *Job) Running() int { return job.running }
 
 // Active returns of how many tasks a replica may exist on a machine.
-func (job *ownedJob) Active() int { return job.active }
+func (job *Job) Active() int { return job.active }
 
 // Finished returns how many tasks have ended well.
-func (job *ownedJob) Finished() int { return job.finished }
+func (job *Job) Finished() int { return job.finished }
 
 // TaskState returns where a task stands.
-func (job *ownedJob) TaskState(task int) taskState { return job.tasks[task].state }
+func (job *Job) TaskState(task int) TaskState { return job.tasks[task].state }
 
 // BreakerOpen tells whether the job's circuit breaker is open.
-func (job *ownedJob) BreakerOpen() bool { return job.breaker.open }
+func (job *Job) BreakerOpen() bool { return job.breaker.open }
 
 // WireStatus returns the job's status as users are told it, while it is unfinished.
-func (job *ownedJob) WireStatus() string {
+func (job *Job) WireStatus() string {
 	if job.running > 0 {
 		return protocol.StatusRunning
 	}
@@ -82,12 +82,12 @@
 
 // restore sets the states of a job's tasks as its records tell: those that are not done
 // may be anywhere.
-func (job *ownedJob) restore(done []bool) {
+func (job *Job) restore(done []bool) {
 	for i := range done {
 		if done[i] {
-			job.setState(int32(i), taskDurable)
+			job.setState(int32(i), TaskDurable)
 		} else {
-			job.setState(int32(i), taskUnreconciled)
+			job.setState(int32(i), TaskUnreconciled)
 		}
 	}
 	job.pendingOrder = nil
@@ -95,39 +95,39 @@
 
 // setState moves a task to another state, and keeps the counts. One that becomes pending
 // goes behind the others.
-func (job *ownedJob) setState(i int32, state taskState) {
+func (job *Job) setState(i int32, state TaskState) {
 	t := &job.tasks[i]
 	job.count(t.state, -1)
 	job.count(state, 1)
 	t.state = state
-	if state == taskPending {
+	if state == TaskPending {
 		job.pendingOrder = append(job.pendingOrder, i)
 	}
 }
 
-func (job *ownedJob) count(state taskState, n int) {
+func (job *Job) count(state TaskState, n int) {
 	switch state {
-	case taskPending:
+	case TaskPending:
 		job.pending += n
-	case taskUnreconciled:
+	case TaskUnreconciled:
 		job.active += n
 		job.shard.unreconciled += n
-	case taskAssigned, taskPlaced:
+	case TaskAssigned, TaskPlaced:
 		job.active += n
-	case taskFinished, taskDurable:
+	case TaskFinished, TaskDurable:
 		job.finished += n
 	}
 }
 
 // setReplica notes which replica of a task counts, one that an earlier holder of the shard
 // may have started.
-func (job *ownedJob) setReplica(i int32, replica uint64) {
+func (job *Job) setReplica(i int32, replica uint64) {
 	job.tasks[i].replica = replica
 	job.shard.lastReplica = max(job.shard.lastReplica, replica)
 }
 
 // markRunning notes that a task is seen to run.
-func (job *ownedJob) markRunning(i int32, now time.Duration) {
+func (job *Job) markRunning(i int32, now time.Duration) {
 	if t := &job.tasks[i]; !t.running {
 		t.running, t.readyAt = true, now
 		job.running++
@@ -135,7 +135,7 @@
 }
 
 // markNotRunning notes that a task is not seen to run.
-func (job *ownedJob) markNotRunning(i int32) {
+func (job *Job) markNotRunning(i int32) {
 	if t := &job.tasks[i]; t.running {
 		t.running = false
 		job.running--
@@ -143,10 +143,10 @@
 }
 
 // nextPending returns the first pending task without taking it, if there is one.
-func (job *ownedJob) nextPending() (i int32, found bool) {
+func (job *Job) nextPending() (i int32, found bool) {
 	for len(job.pendingOrder) > 0 {
 		i := job.pendingOrder[0]
-		if job.tasks[i].state == taskPending {
+		if job.tasks[i].state == TaskPending {
 			return i, true
 		}
 		job.pendingOrder = job.pendingOrder[1:]
@@ -155,7 +155,7 @@
 }
 
 // startable is how many tasks of a job may be started now.
-func (job *ownedJob) startable() int {
+func (job *Job) startable() int {
 	if job.Ending() {
 		return 0
 	}
@@ -163,10 +163,10 @@
 }
 
 // Ending tells whether a job's end is being written, or is.
-func (job *ownedJob) Ending() bool { return job.finalStatus != "" }
+func (job *Job) Ending() bool { return job.finalStatus != "" }
 
 // notifyEnd tells those who wait for a job's end.
-func (job *ownedJob) notifyEnd(status string) {
+func (job *Job) notifyEnd(status string) {
 	for _, fn := range job.onEnd {
 		fn(status)
 	}
@@ -174,11 +174,11 @@
 }
 
 // allFinished tells whether every task of a job has ended well.
-func (job *ownedJob) allFinished() bool { return job.finished == len(job.tasks) }
+func (job *Job) allFinished() bool { return job.finished == len(job.tasks) }
 
 // zoneAllows keeps to a single zone, or spreads over zones, given where the job's other
 // tasks are. While some may be anywhere, nothing is placed.
-func (job *ownedJob) zoneAllows(zone string) bool {
+func (job *Job) zoneAllows(zone string) bool {
 	if job.activeByZone == nil {
 		return true
 	}
@@ -196,14 +196,14 @@
 }
 
 // backOff has a task that backs off wait for a while before it is pending again.
-func (job *ownedJob) backOff(i int32, until time.Duration) {
+func (job *Job) backOff(i int32, until time.Duration) {
 	job.tasks[i].readyAt = until
 	job.backingOff = append(job.backingOff, i)
 }
 
 // endBackOffs makes the tasks pending whose pauses are over, and tells whether there
 // were any.
-func (job *ownedJob) endBackOffs(now time.Duration) bool {
+func (job *Job) endBackOffs(now time.Duration) bool {
 	if len(job.backingOff) == 0 {
 		return false
 	}
@@ -211,14 +211,14 @@
 	kept := job.backingOff[:0]
 	for _, i := range job.backingOff {
 		t := &job.tasks[i]
-		if t.state != taskBackingOff {
+		if t.state != TaskBackingOff {
 			continue
 		}
 		if t.readyAt > now {
 			kept = append(kept, i)
 			continue
 		}
-		job.setState(i, taskPending)
+		job.setState(i, TaskPending)
 		ended = true
 	}
 	job.backingOff = kept
--- a/internal/coordination/owned_shard.go
+++ b/internal/coordination/owned_shard.go
@@ -10,13 +10,13 @@
 // two. Each holder's begin at its fencing token, so they go up from holder to holder.
 const replicaBits = 20
 
-// ownedShard is a shard that this process holds.
-type ownedShard struct {
+// Shard is a shard that this process holds.
+type Shard struct {
 	name                 string
-	records              shardRecords
+	records              Records
 	recovered            bool         // its unfinished jobs were read
 	registration         registration // at the present leader
-	jobs                 map[string]*ownedJob
+	jobs                 map[string]*Job
 	fencingToken         uint64 // the version that its key was taken with
 	lastReplica          uint64 // the highest replica number of the shard
 	lastInheritedReplica uint64 // replicas up to this number were started by earlier holders
@@ -32,34 +32,34 @@
 }
 
 // Name returns the shard's name, which is that of a member.
-func (shard *ownedShard) Name() string { return shard.name }
+func (shard *Shard) Name() string { return shard.name }
 
 // KeyVersion returns the present version of the shard's key.
-func (shard *ownedShard) KeyVersion() uint64 { return shard.records.Version() }
+func (shard *Shard) KeyVersion() uint64 { return shard.records.Version() }
 
 // Recovered tells whether the shard's unfinished jobs were read.
-func (shard *ownedShard) Recovered() bool { return shard.recovered }
+func (shard *Shard) Recovered() bool { return shard.recovered }
 
 // Registered tells whether the present leader was told of the shard.
-func (shard *ownedShard) Registered() bool { return shard.registration.sent }
+func (shard *Shard) Registered() bool { return shard.registration.sent }
 
 // RegistrationConfirmed tells whether the present leader has answered that it counts the
 // shard.
-func (shard *ownedShard) RegistrationConfirmed() bool { return shard.registration.confirmed() }
+func (shard *Shard) RegistrationConfirmed() bool { return shard.registration.confirmed() }
 
 // Reconciled tells whether no replica of earlier holders is left that is not known of.
-func (shard *ownedShard) Reconciled() bool { return shard.reconciled }
+func (shard *Shard) Reconciled() bool { return shard.reconciled }
 
-// acquire takes a shard over whose key this process has just written, and reads what is
+// Acquire takes a shard over whose key this process has just written, and reads what is
 // unfinished in it.
-func (o *owner) acquire(name string, lease, version uint64) {
-	o.removeShard(name)
+func (o *Owner) Acquire(name string, lease, version uint64) {
+	o.RemoveShard(name)
 	acquiredAt := o.now()
-	shard := &ownedShard{name: name, jobs: make(map[string]*ownedJob), creations: make(map[string]*pendingCreation),
+	shard := &Shard{name: name, jobs: make(map[string]*Job), creations: make(map[string]*pendingCreation),
 		fencingToken: version, lastReplica: version << replicaBits, lastInheritedReplica: version << replicaBits}
 	shard.records = o.config.OpenRecords(name, lease, version, func() {
 		o.log.Error().Str("shard", name).Uint64("fencing_token", version).Msg("shard lost")
-		o.removeShard(name)
+		o.RemoveShard(name)
 	})
 	o.shards[name] = shard
 	o.admission.OpenShard(name, version)
@@ -80,20 +80,20 @@
 	})
 }
 
-func (o *owner) restoreJob(shard *ownedShard, r *storage.RecoveredJob) {
+func (o *Owner) restoreJob(shard *Shard, r *storage.RecoveredJob) {
 	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
 	job.restore(r.Done)
 	o.admission.ChargeInherited(&job.claim, job.active)
 }
 
-// release gives a shard's key up and forgets the shard.
-func (o *owner) release(name string, done func(storage.TxnResult)) {
+// Release gives a shard's key up and forgets the shard.
+func (o *Owner) Release(name string, done func(storage.TxnResult)) {
 	o.shards[name].records.Release(done)
-	o.removeShard(name)
+	o.RemoveShard(name)
 }
 
-// removeShard forgets a shard that is held no more.
-func (o *owner) removeShard(name string) {
+// RemoveShard forgets a shard that is held no more.
+func (o *Owner) RemoveShard(name string) {
 	shard := o.shards[name]
 	if shard == nil {
 		return
@@ -124,16 +124,16 @@
 	}
 }
 
-// removeAllShards forgets all shards.
-func (o *owner) removeAllShards() {
+// RemoveAllShards forgets all shards.
+func (o *Owner) RemoveAllShards() {
 	for name := range o.shards {
-		o.removeShard(name)
+		o.RemoveShard(name)
 	}
 }
 
-// heldShards yields the shards that this process holds. They may be removed meanwhile.
-func (o *owner) heldShards() iter.Seq[*ownedShard] {
-	return func(yield func(*ownedShard) bool) {
+// Shards yields the shards that this process holds. They may be removed meanwhile.
+func (o *Owner) Shards() iter.Seq[*Shard] {
+	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
 			if !yield(shard) {
 				return
--- a/internal/coordination/owner.go
+++ b/internal/coordination/owner.go
@@ -12,9 +12,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// shardRecords keeps what has to outlive the process of one held shard; it is a
+// Records keeps what has to outlive the process of one held shard; it is a
 // storage.Shard. Callbacks come on the owning goroutine, and none after Close.
-type shardRecords interface {
+type Records interface {
 	// Recover reads the shard's unfinished jobs, however often that takes.
 	Recover(done func([]storage.RecoveredJob))
 	RecoveryReads() int
@@ -31,25 +31,25 @@
 	Close()
 }
 
-// leaderStream takes what an owner has to tell the leader. Without a leader it drops it:
+// LeaderStream takes what an owner has to tell the leader. Without a leader it drops it:
 // the next one is told everything as the shards are registered.
-type leaderStream interface {
+type LeaderStream interface {
 	// RegisterShards registers the shards that the leader does not count yet.
 	RegisterShards()
 	// RegisterShard registers a shard, perhaps once more.
-	RegisterShard(shard *ownedShard)
+	RegisterShard(shard *Shard)
 	PublishSummaries(shard string, jobs []*meshpb.JobSummary)
 }
 
-// finalStatuses remembers which jobs have ended and how.
-type finalStatuses interface {
+// FinalStatuses remembers which jobs have ended and how.
+type FinalStatuses interface {
 	// Ended tells whether a job is known to have ended.
 	Ended(job string) bool
 	Remember(job, status string, tasks int)
 }
 
-// ownerConfig is what an owner needs.
-type ownerConfig struct {
+// Config is what an owner needs.
+type Config struct {
 	Member             string        // the member whose own shard takes new jobs
 	ProcessNonce       string        // of this process; nonces of jobs begin with it
 	MemoryLimit        int64         // bytes that unfinished jobs may take before new ones are refused
@@ -59,24 +59,24 @@
 
 	Clock         storage.Clock
 	Log           zerolog.Logger
-	Leader        leaderStream
-	FinalStatuses finalStatuses
+	Leader        LeaderStream
+	FinalStatuses FinalStatuses
 	Admission     *admission.Control
 	// OpenRecords opens the records of a shard whose key was just written with a version.
 	// onLost is called once when it turns out to be another's.
-	OpenRecords func(shard string, lease, version uint64, onLost func()) shardRecords
+	OpenRecords func(shard string, lease, version uint64, onLost func()) Records
 }
 
-// owner holds the shards of this process.
-type owner struct {
-	config      ownerConfig
+// Owner holds the shards of this process.
+type Owner struct {
+	config      Config
 	log         zerolog.Logger
 	admission   *admission.Control
-	shards      map[string]*ownedShard
-	jobs        map[string]*ownedJob
+	shards      map[string]*Shard
+	jobs        map[string]*Job
 	machines    observedMachines
 	replicas    map[int32][]taskRef // assigned or placed, by machine
-	changed     []*ownedJob         // since the leader was told last
+	changed     []*Job              // since the leader was told last
 	lastNonce   uint64
 	losses      eventcount.Counter // by lossReason
 	orphans     orphans
@@ -87,14 +87,14 @@
 	nextSweepAt        time.Duration
 }
 
-// newOwner makes an owner that holds no shard yet.
-func newOwner(config ownerConfig) *owner {
-	o := &owner{
+// NewOwner makes an owner that holds no shard yet.
+func NewOwner(config Config) *Owner {
+	o := &Owner{
 		config:    config,
 		log:       config.Log,
 		admission: config.Admission,
-		shards:    make(map[string]*ownedShard),
-		jobs:      make(map[string]*ownedJob),
+		shards:    make(map[string]*Shard),
+		jobs:      make(map[string]*Job),
 		replicas:  make(map[int32][]taskRef),
 		losses:    newLossCounter(),
 	}
@@ -106,47 +106,47 @@
 	return o
 }
 
-func (o *owner) now() time.Duration { return o.config.Clock.Now() }
+func (o *Owner) now() time.Duration { return o.config.Clock.Now() }
 
-// job returns an unfinished job of a shard that this process holds, or nil.
-func (o *owner) job(id string) *ownedJob { return o.jobs[id] }
+// Job returns an unfinished job of a shard that this process holds, or nil.
+func (o *Owner) Job(id string) *Job { return o.jobs[id] }
 
-// shard returns a shard that this process holds, or nil.
-func (o *owner) shard(name string) *ownedShard { return o.shards[name] }
+// Shard returns a shard that this process holds, or nil.
+func (o *Owner) Shard(name string) *Shard { return o.shards[name] }
 
-// ownShard returns the shard that has this member's name if this process holds it and has
+// OwnShard returns the shard that has this member's name if this process holds it and has
 // recovered it, and nil otherwise.
-func (o *owner) ownShard() *ownedShard {
+func (o *Owner) OwnShard() *Shard {
 	if shard := o.shards[o.config.Member]; shard != nil && shard.recovered {
 		return shard
 	}
 	return nil
 }
 
-// imagesOf is what the last leader knew to be cached on a machine.
-func (o *owner) imagesOf(machine string) []*meshpb.CachedImage { return o.machines.imagesOf(machine) }
+// ImagesOf is what the last leader knew to be cached on a machine.
+func (o *Owner) ImagesOf(machine string) []*meshpb.CachedImage { return o.machines.imagesOf(machine) }
 
-// markChanged has the leader told of a job with the next publish.
-func (o *owner) markChanged(job *ownedJob) {
+// MarkChanged has the leader told of a job with the next publish.
+func (o *Owner) MarkChanged(job *Job) {
 	if !job.changed {
 		job.changed = true
 		o.changed = append(o.changed, job)
 	}
 }
 
-// hasUnpublished tells whether there is anything to tell the leader.
-func (o *owner) hasUnpublished() bool { return len(o.changed) > 0 || len(o.commands) > 0 }
+// HasUnpublished tells whether there is anything to tell the leader.
+func (o *Owner) HasUnpublished() bool { return len(o.changed) > 0 || len(o.commands) > 0 }
 
-// flushRecords has the finished tasks written that have gathered.
-func (o *owner) flushRecords() {
+// FlushRecords has the finished tasks written that have gathered.
+func (o *Owner) FlushRecords() {
 	for _, shard := range o.shards {
 		shard.records.FlushFinishedTasks()
 	}
 }
 
-// tick has new and ended jobs written that have gathered, and ends the pauses of failed
+// Tick has new and ended jobs written that have gathered, and ends the pauses of failed
 // tasks.
-func (o *owner) tick(now time.Duration) {
+func (o *Owner) Tick(now time.Duration) {
 	o.losses.Log(now, &o.log)
 	for _, shard := range o.shards {
 		shard.records.FlushJobs()
@@ -154,7 +154,7 @@
 	for _, job := range o.jobs {
 		probed := job.breaker.probe(job.running, now)
 		if ready := job.endBackOffs(now); ready || probed != breakerUnchanged {
-			o.markChanged(job)
+			o.MarkChanged(job)
 		}
 	}
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -37,8 +37,8 @@
 	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 100).with("crew", "red")).Status, 201)
 	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-2", 100)).Status, 201)
 	sim.run(6 * time.Second)
-	red := sim.nodes["a"].controller.owner.job("wk-1").Running()
-	blue := sim.nodes["a"].controller.owner.job("wk-2").Running()
+	red := sim.nodes["a"].controller.owner.Job("wk-1").Running()
+	blue := sim.nodes["a"].controller.owner.Job("wk-2").Running()
 	want(t, "running", fmt.Sprint(red, blue), "8 8")
 }
 
@@ -221,10 +221,10 @@
 	n := sim.nodes["a"]
 	want(t, "submit", n.submit(batchJob("wk-1", 20).with("crew", "red")).Status, 201)
 	sim.run(10 * time.Second)
-	want(t, "red running", n.controller.owner.job("wk-1").Running(), 8)
+	want(t, "red running", n.controller.owner.Job("wk-1").Running(), 8)
 	want(t, "submit", n.submit(batchJob("wk-2", 20)).Status, 201)
 	sim.run(20 * time.Second)
-	want(t, "running of each", fmt.Sprint(n.controller.owner.job("wk-1").Running(), n.controller.owner.job("wk-2").Running()), "4 4")
+	want(t, "running of each", fmt.Sprint(n.controller.owner.Job("wk-1").Running(), n.controller.owner.Job("wk-2").Running()), "4 4")
 	starts := 0
 	for _, agent := range sim.agents {
 		starts += agent.starts
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -111,8 +111,8 @@
 	lead, follower := sim.leader(), sim.follower()
 	g := lead.controller.leader.shards[follower.name]
 	g.owner, g.link, g.version = nil, nil, 0
-	shard := follower.controller.owner.shard(follower.name)
-	follower.controller.owner.beginRegistration(shard) // and nothing is sent
+	shard := follower.controller.owner.Shard(follower.name)
+	follower.controller.owner.BeginRegistration(shard) // and nothing is sent
 	sim.advance(3 * time.Second)
 	if g.owner == nil || !shard.RegistrationConfirmed() {
 		t.Fatal("the ledger is not joined")
@@ -228,15 +228,15 @@
 	sim.connect("a", "b")
 	pass(12 * time.Second)
 	lost := 0
-	for i := range follower.controller.owner.job("wk-1").Spec().Tasks {
-		if p := follower.controller.owner.job("wk-1").TaskState(i); p != taskPlaced {
+	for i := range follower.controller.owner.Job("wk-1").Spec().Tasks {
+		if p := follower.controller.owner.Job("wk-1").TaskState(i); p != TaskPlaced {
 			lost++
 		}
 	}
 	want(t, "tasks judged lost", lost, 0)
 	alive.silent = true
 	sim.advance(9 * time.Second)
-	want(t, "located once a lease has passed on the new stream", follower.controller.owner.job("wk-1").Active(), 0)
+	want(t, "located once a lease has passed on the new stream", follower.controller.owner.Job("wk-1").Active(), 0)
 }
 
 func TestSilentMachineIsReturnedAndReplicatedAtOnce(t *testing.T) {
@@ -313,8 +313,8 @@
 	follower := sim.follower()
 	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
 	sim.run(2 * time.Second)
-	j := follower.controller.owner.job("wk-1")
-	follower.controller.owner.markChanged(j)
+	j := follower.controller.owner.Job("wk-1")
+	follower.controller.owner.MarkChanged(j)
 	follower.controller.election.ReleaseShard(follower.name, election.ReleasedToOwnMember)
 	sim.deliverAll()
 	sim.addMachine("vm-1", "z1")
--- a/internal/coordination/registration.go
+++ b/internal/coordination/registration.go
@@ -23,9 +23,9 @@
 	*r = registration{sent: true, atUs: registrationRequested}
 }
 
-// unregistered yields the recovered shards of which the present leader was not told.
-func (o *owner) unregistered() iter.Seq[*ownedShard] {
-	return func(yield func(*ownedShard) bool) {
+// Unregistered yields the recovered shards of which the present leader was not told.
+func (o *Owner) Unregistered() iter.Seq[*Shard] {
+	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
 			if r := &shard.registration; shard.recovered && !r.sent && r.atUs == 0 && !yield(shard) {
 				return
@@ -34,9 +34,9 @@
 	}
 }
 
-// unconfirmed yields the recovered shards for which the present leader has not answered.
-func (o *owner) unconfirmed() iter.Seq[*ownedShard] {
-	return func(yield func(*ownedShard) bool) {
+// Unconfirmed yields the recovered shards for which the present leader has not answered.
+func (o *Owner) Unconfirmed() iter.Seq[*Shard] {
+	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
 			if r := &shard.registration; shard.recovered && (!r.sent || !r.confirmed()) && !yield(shard) {
 				return
@@ -45,9 +45,9 @@
 	}
 }
 
-// allConfirmed tells whether the leader has answered for every recovered shard.
-func (o *owner) allConfirmed() bool {
-	for range o.unconfirmed() {
+// AllConfirmed tells whether the leader has answered for every recovered shard.
+func (o *Owner) AllConfirmed() bool {
+	for range o.Unconfirmed() {
 		return false
 	}
 	return true
--- a/internal/coordination/replicas.go
+++ b/internal/coordination/replicas.go
@@ -1,7 +1,7 @@
 package coordination
 
 // setReplicas sets which tasks have a replica on a machine.
-func (o *owner) setReplicas(machine int32, refs []taskRef) {
+func (o *Owner) setReplicas(machine int32, refs []taskRef) {
 	if len(refs) == 0 {
 		delete(o.replicas, machine)
 		return
@@ -10,12 +10,12 @@
 }
 
 // place notes that a replica of a task is on its way to, or on, a machine.
-func (o *owner) place(job *ownedJob, i int32, machine int32, state taskState) {
+func (o *Owner) place(job *Job, i int32, machine int32, state TaskState) {
 	t := &job.tasks[i]
 	switch t.state {
-	case taskFinished, taskDurable:
+	case TaskFinished, TaskDurable:
 		return
-	case taskAssigned, taskPlaced:
+	case TaskAssigned, TaskPlaced:
 		if t.machine == machine {
 			job.setState(i, state)
 			return
@@ -28,11 +28,11 @@
 	if job.activeByZone != nil {
 		job.activeByZone[o.machines.zoneOf(machine)]++
 	}
-	o.markChanged(job)
+	o.MarkChanged(job)
 }
 
 // removeReplica takes an assigned or placed task off its machine.
-func (o *owner) removeReplica(job *ownedJob, i int32) {
+func (o *Owner) removeReplica(job *Job, i int32) {
 	t := &job.tasks[i]
 	refs := o.replicas[t.machine]
 	for k, r := range refs {
@@ -49,33 +49,33 @@
 
 // unassign takes an active task off wherever it was, into the given state: the caller
 // has proof that no replica of it is left.
-func (o *owner) unassign(job *ownedJob, i int32, state taskState) {
-	if s := job.tasks[i].state; s == taskAssigned || s == taskPlaced {
+func (o *Owner) unassign(job *Job, i int32, state TaskState) {
+	if s := job.tasks[i].state; s == TaskAssigned || s == TaskPlaced {
 		o.removeReplica(job, i)
 	}
 	job.markNotRunning(i)
 	job.setState(i, state)
 	o.admission.Release(&job.claim, i, job.tasks[i].replica)
-	o.markChanged(job)
+	o.MarkChanged(job)
 }
 
 // replicaLost replicates a task whose replica is proven lost. Was it started by an
 // earlier holder of the shard, there may be a newer one somewhere, until every
 // machine is reconciled.
-func (o *owner) replicaLost(job *ownedJob, i int32, reason lossReason) {
+func (o *Owner) replicaLost(job *Job, i int32, reason lossReason) {
 	t := &job.tasks[i]
 	o.losses.Add(int(reason))
 	o.log.Debug().Str("shard", job.shard.name).Str("job", job.id).Int32("task", i).Uint64("replica", t.replica).Stringer("reason", reason).Msg("replica lost")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
-		o.unassign(job, i, taskUnreconciled)
+		o.unassign(job, i, TaskUnreconciled)
 		o.admission.ChargeInherited(&job.claim, 1)
 		return
 	}
-	o.unassign(job, i, taskPending)
+	o.unassign(job, i, TaskPending)
 }
 
 // reconcile makes every recovered task pending that no machine listed.
-func (o *owner) reconcile(shard *ownedShard) {
+func (o *Owner) reconcile(shard *Shard) {
 	shard.reconciled = true
 	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciled).Msg("shard reconciled")
 	if shard.unreconciled == 0 {
@@ -83,7 +83,7 @@
 	}
 	for _, job := range shard.jobs {
 		for i := range job.tasks {
-			if job.tasks[i].state == taskUnreconciled {
+			if job.tasks[i].state == TaskUnreconciled {
 				o.replicaLost(job, int32(i), lossReconciled)
 			}
 		}
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -9,12 +9,12 @@
 const memoryShareOfJobs = 0.25
 
 // newOwner makes the owner of this member's shards.
-func (c *Controller) newOwner() *owner {
-	return newOwner(ownerConfig{
+func (c *Controller) newOwner() *Owner {
+	return NewOwner(Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
 		WorkerLeaseTimeout: c.workerLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
 		Clock: c.env.Clock, Log: c.log, Leader: leaderStreamOf{&c.subscription}, FinalStatuses: finalStatusesOf{&c.userAPI}, Admission: c.admission,
-		OpenRecords: func(shard string, lease, version uint64, onLost func()) shardRecords {
+		OpenRecords: func(shard string, lease, version uint64, onLost func()) Records {
 			return storage.NewShard(c.store, shard, c.identity, lease, version, onLost)
 		},
 	})
@@ -23,13 +23,13 @@
 // finalStatusesOf are the final statuses that answers to users are given from.
 type finalStatusesOf struct{ api *userAPI }
 
-// Ended implements finalStatuses.
+// Ended implements FinalStatuses.
 func (f finalStatusesOf) Ended(job string) bool {
 	_, ended := f.api.finalStates[job]
 	return ended
 }
 
-// Remember implements finalStatuses.
+// Remember implements FinalStatuses.
 func (f finalStatusesOf) Remember(job, status string, tasks int) {
 	f.api.rememberFinal(job, status, tasks)
 }
@@ -37,13 +37,13 @@
 // leaderStreamOf is the subscription as the owner sees it.
 type leaderStreamOf struct{ subscription *subscription }
 
-// RegisterShards implements leaderStream.
+// RegisterShards implements LeaderStream.
 func (l leaderStreamOf) RegisterShards() { l.subscription.registerShards() }
 
-// RegisterShard implements leaderStream.
-func (l leaderStreamOf) RegisterShard(shard *ownedShard) { l.subscription.registerShard(shard) }
+// RegisterShard implements LeaderStream.
+func (l leaderStreamOf) RegisterShard(shard *Shard) { l.subscription.registerShard(shard) }
 
-// PublishSummaries implements leaderStream.
+// PublishSummaries implements LeaderStream.
 func (l leaderStreamOf) PublishSummaries(shard string, jobs []*meshpb.JobSummary) {
 	l.subscription.publishSummaries(shard, jobs)
 }
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -181,7 +181,7 @@
 	sim.reconnect(old.name)
 	sim.state.onTransaction = nil
 	sim.run(6 * time.Second)
-	want(t, "its own ledger taken up again", old.controller.owner.shard(old.name) != nil, true)
+	want(t, "its own ledger taken up again", old.controller.owner.Shard(old.name) != nil, true)
 	sim.wantStatus(old, "wk-2", 200, "done")
 }
 
@@ -288,7 +288,7 @@
 	sim.crash(back.name)
 	sim.advance(8 * time.Second)
 	key := storage.ShardKey(back.name)
-	want(t, "taken over", lead.controller.owner.shard(back.name) != nil, true)
+	want(t, "taken over", lead.controller.owner.Shard(back.name) != nil, true)
 	sim.start(back.name)
 	lead.paused = true // it is slow to hear that the ledger is asked for
 	for !back.controller.election.Registered() || !back.controller.election.ViewLoaded() {
@@ -301,14 +301,14 @@
 	sim.state.notifyWatches()
 	for sim.now < granted+election.ExtensionDuration {
 		sim.deliverAll()
-		if back.controller.owner.shard(back.name) != nil {
+		if back.controller.owner.Shard(back.name) != nil {
 			t.Fatalf("taken %v after the extension", sim.now-granted)
 		}
 		sim.advance(tickInterval)
 	}
 	sim.advance(time.Second)
-	want(t, "taken after the extension", back.controller.owner.shard(back.name) != nil, true)
-	want(t, "by the extension alone", lead.controller.owner.shard(back.name) != nil, true)
+	want(t, "taken after the extension", back.controller.owner.Shard(back.name) != nil, true)
+	want(t, "by the extension alone", lead.controller.owner.Shard(back.name) != nil, true)
 }
 
 // Back at once, with its ledger's key gone, a member need not wait for extensions
@@ -320,18 +320,18 @@
 	lead, back := sim.leader(), sim.follower()
 	sim.crash(back.name)
 	sim.advance(8 * time.Second)
-	want(t, "taken over", lead.controller.owner.shard(back.name) != nil, true)
+	want(t, "taken over", lead.controller.owner.Shard(back.name) != nil, true)
 	key := storage.ShardKey(back.name)
 	sim.state.revision++
 	sim.state.deleteKey(key) // the holder's lease has ended, and it has not heard of it
 	sim.start(back.name)
 	for range 8 {
 		sim.advance(tickInterval)
-		if back.controller.owner.shard(back.name) != nil {
-			want(t, "still held by the other", lead.controller.owner.shard(back.name) != nil, false)
+		if back.controller.owner.Shard(back.name) != nil {
+			want(t, "still held by the other", lead.controller.owner.Shard(back.name) != nil, false)
 		}
 	}
-	want(t, "taken at once", back.controller.owner.shard(back.name) != nil, true)
+	want(t, "taken at once", back.controller.owner.Shard(back.name) != nil, true)
 }
 
 // A claim of the leader key that the network held is applied after its sender
@@ -567,7 +567,7 @@
 	sim.crash(follower.name)
 	lead := sim.leader()
 	settled := func() bool {
-		shard := lead.controller.owner.shard(follower.name)
+		shard := lead.controller.owner.Shard(follower.name)
 		return shard != nil && shard.Reconciled()
 	}
 	waited := 0
@@ -610,6 +610,6 @@
 	sim.cloud.machines = kept
 	sim.run(6 * time.Second)
 	next := sim.leader().controller
-	want(t, "settled", next.owner.shard(lead.name).Reconciled(), true)
+	want(t, "settled", next.owner.Shard(lead.name).Reconciled(), true)
 	want(t, "returned", fmt.Sprint(sim.cloud.released), "[vm-1 vm-3]")
 }
--- a/internal/coordination/startable_tasks.go
+++ b/internal/coordination/startable_tasks.go
@@ -6,10 +6,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/admission"
 )
 
-var _ admission.Shards = (*owner)(nil)
+var _ admission.Shards = (*Owner)(nil)
 
 // StartableTasks implements admission.Shards.
-func (o *owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
+func (o *Owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
 	for _, job := range o.jobs {
 		if n := job.startable(); n > 0 {
 			visit(&job.claim, n)
@@ -18,7 +18,7 @@
 }
 
 // KeyVersions implements admission.Shards.
-func (o *owner) KeyVersions() iter.Seq2[string, uint64] {
+func (o *Owner) KeyVersions() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
 		for name, shard := range o.shards {
 			if !yield(name, shard.KeyVersion()) {
@@ -30,10 +30,10 @@
 
 // AllocationsChanged implements admission.Shards: the leader is told of jobs of which more
 // or fewer tasks may start than it knows.
-func (o *owner) AllocationsChanged() {
+func (o *Owner) AllocationsChanged() {
 	for _, job := range o.jobs {
 		if o.admission.Limited(&job.claim) && job.publishedPending != o.admissible(job) {
-			o.markChanged(job)
+			o.MarkChanged(job)
 		}
 	}
 }
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -64,7 +64,7 @@
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
-			j := to.controller.owner.job(key.job)
+			j := to.controller.owner.Job(key.job)
 			if j == nil || has[key] {
 				continue
 			}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -28,7 +28,7 @@
 		api.lookUp(job.ID, 200, func() Response { return refused }, reply)
 		return
 	}
-	if c.owner.ownShard() == nil || !c.election.MayAct(c.now()) || c.store.Failing() {
+	if c.owner.OwnShard() == nil || !c.election.MayAct(c.now()) || c.store.Failing() {
 		if c.store.Failing() {
 			reply(c.errorResponse(503, "state service is away", 1))
 			return
@@ -36,11 +36,11 @@
 		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "not ready to accept", 1) }, reply)
 		return
 	}
-	if c.owner.memoryFull(job) {
+	if c.owner.MemoryFull(job) {
 		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "too much unfinished work", 10) }, reply)
 		return
 	}
-	c.owner.createJob(job, c.env.Wall().UnixMilli(), c.now()+submitTimeout, func(r storage.CreateResult) {
+	c.owner.CreateJob(job, c.env.Wall().UnixMilli(), c.now()+submitTimeout, func(r storage.CreateResult) {
 		switch r {
 		case storage.Created:
 			reply(c.statusResponse(201, job.ID, protocol.StatusPending, 0, 0))
@@ -96,7 +96,7 @@
 		reply(c.finalStatusResponse(code, id, final))
 		return true
 	}
-	j := c.owner.job(id)
+	j := c.owner.Job(id)
 	if j == nil || j.Ending() || !c.election.MayAct(c.now()) {
 		// While the end is being written, other nodes may read it already and
 		// tell it; only a fresh read is sure not to be older than that.
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -45,12 +45,12 @@
 
 func (s *subscription) reset() {
 	s.leader, s.fencingToken = nil, 0
-	s.c.owner.resetStream()
+	s.c.owner.ResetStream()
 }
 
 // allRegistered tells whether the leader has confirmed every shard of this
 // process that is recovered.
-func (s *subscription) allRegistered() bool { return s.c.owner.allConfirmed() && s.leader != nil }
+func (s *subscription) allRegistered() bool { return s.c.owner.AllConfirmed() && s.leader != nil }
 
 // registerShards offers this process's shards to the member that leads now.
 func (s *subscription) registerShards() {
@@ -76,14 +76,14 @@
 		s.reset()
 		s.leader, s.fencingToken = to, leadership.FencingToken
 	}
-	for shard := range c.owner.unregistered() {
+	for shard := range c.owner.Unregistered() {
 		s.registerShard(shard)
 	}
 }
 
 // registerShard tells the leader of a shard and its jobs.
-func (s *subscription) registerShard(shard *ownedShard) {
-	jobs := s.c.owner.beginRegistration(shard)
+func (s *subscription) registerShard(shard *Shard) {
+	jobs := s.c.owner.BeginRegistration(shard)
 	for {
 		n := summariesThatFit(jobs)
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_RegisterShard{RegisterShard: &meshpb.RegisterShard{
@@ -97,13 +97,13 @@
 
 func (s *subscription) onShardRegistered(p *peer, answer *meshpb.ShardRegistered) {
 	if p == s.leader && answer.FencingToken == s.fencingToken {
-		s.c.owner.confirmRegistration(answer)
+		s.c.owner.ConfirmRegistration(answer)
 	}
 }
 
 func (s *subscription) onMachineStatuses(p *peer, f *meshpb.MachineStatuses) {
 	if p == s.leader {
-		s.c.owner.onMachineStatuses(f)
+		s.c.owner.OnMachineStatuses(f)
 	}
 }
 
@@ -121,7 +121,7 @@
 
 // flushCommands sends what has gathered.
 func (s *subscription) flushCommands() {
-	for rest := s.c.owner.takeCommands(); len(rest) > 0 && s.leader != nil; rest = rest[min(len(rest), commandsPerFrame):] {
+	for rest := s.c.owner.TakeCommands(); len(rest) > 0 && s.leader != nil; rest = rest[min(len(rest), commandsPerFrame):] {
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_MachineCommands{MachineCommands: &meshpb.MachineCommands{Commands: rest[:min(len(rest), commandsPerFrame)]}}})
 	}
 }
@@ -132,30 +132,30 @@
 	if p != s.leader || b.FencingToken != s.fencingToken {
 		return
 	}
-	for shard := range s.c.owner.unconfirmed() {
+	for shard := range s.c.owner.Unconfirmed() {
 		// The leader had not yet heard of its own election when the first
 		// registration came, or this one crosses its answer: registering twice
 		// only starts the clock later.
 		s.registerShard(shard)
 	}
-	s.c.owner.expireLeases(b.ClockUs)
+	s.c.owner.ExpireLeases(b.ClockUs)
 }
 
 func (s *subscription) onMachineTerminated(p *peer, f *meshpb.MachineTerminated) {
 	if p == s.leader {
-		s.c.owner.onMachineTerminated(f.Name)
+		s.c.owner.OnMachineTerminated(f.Name)
 	}
 }
 
 func (s *subscription) onReconciled(p *peer, f *meshpb.Reconciled) {
 	if p == s.leader && f.FencingToken == s.fencingToken {
-		s.c.owner.onReconciled(f)
+		s.c.owner.OnReconciled(f)
 	}
 }
 
 func (s *subscription) onReturnedBindings(p *peer, f *meshpb.ReturnedBindings) {
 	if p == s.leader {
-		s.c.owner.returnBindings(f.Bindings)
+		s.c.owner.ReturnBindings(f.Bindings)
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 	bindings := &meshpb.Bindings{OfferId: f.Id}
 	if s.c.election.MayAct(s.c.now()) {
-		s.c.owner.bind(f, bindings)
+		s.c.owner.Bind(f, bindings)
 	}
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_Bindings{Bindings: bindings}})
 }
--- a/internal/coordination/task_state.go
+++ b/internal/coordination/task_state.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// taskState is where the owner knows a task to be (the paper's OnNode and
+// TaskState is where the owner knows a task to be (the paper's OnNode and
 // InTransition, section 4.2), with what lies before and after.
-type taskState uint8
+type TaskState uint8
 
 const (
-	taskPending      taskState = iota // no replica exists anywhere
-	taskUnreconciled                  // recovered: a replica may be on any machine
-	taskAssigned                      // a start was handed to a machine's heartbeat response
-	taskPlaced                        // the machine's status lists it
-	taskBackingOff                    // failed; waits for its pause to end
-	taskFinished                      // its result is there but not yet written
-	taskDurable                       // its end is durable
+	TaskPending      TaskState = iota // no replica exists anywhere
+	TaskUnreconciled                  // recovered: a replica may be on any machine
+	TaskAssigned                      // a start was handed to a machine's heartbeat response
+	TaskPlaced                        // the machine's status lists it
+	TaskBackingOff                    // failed; waits for its pause to end
+	TaskFinished                      // its result is there but not yet written
+	TaskDurable                       // its end is durable
 )
 
 var taskStateNames = [...]string{"pending", "unreconciled", "assigned", "placed", "backing_off", "finished", "durable"}
 
-func (s taskState) String() string {
+func (s TaskState) String() string {
 	if int(s) < len(taskStateNames) {
 		return taskStateNames[s]
 	}
-	return "taskState(" + strconv.Itoa(int(s)) + ")"
+	return "TaskState(" + strconv.Itoa(int(s)) + ")"
 }
 
 // task is one task's supervision state (the paper's SupervisedTaskState).
 type task struct {
-	state    taskState
+	state    TaskState
 	running  bool
 	machine  int32
 	replica  uint64        // replica number of the replica that counts
@@ -41,6 +41,6 @@
 
 // taskRef names a task of a job in memory.
 type taskRef struct {
-	job  *ownedJob
+	job  *Job
 	task int32
 }
--- a/internal/coordination/task_status.go
+++ b/internal/coordination/task_status.go
@@ -22,14 +22,14 @@
 }
 
 // clearReplica has the machine stop or forget the replica that it lists.
-func (o *owner) clearReplica(s *taskStatus) {
+func (o *Owner) clearReplica(s *taskStatus) {
 	o.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, clearingOf(s.status))
 }
 
 // onTaskStatus takes one listed task.
-func (o *owner) onTaskStatus(s *taskStatus) {
+func (o *Owner) onTaskStatus(s *taskStatus) {
 	job, i := s.ref.job, s.ref.task
-	if job.Ending() && job.tasks[i].state != taskDurable {
+	if job.Ending() && job.tasks[i].state != TaskDurable {
 		o.confirmPlacement(s)
 		return // the leader clears machines of jobs that are over
 	}
@@ -44,7 +44,7 @@
 }
 
 // observeProgress notes whether a listed replica runs, or only fetches its image yet.
-func (o *owner) observeProgress(s *taskStatus) {
+func (o *Owner) observeProgress(s *taskStatus) {
 	job, i := s.ref.job, s.ref.task
 	switch {
 	case protocol.TaskState(s.status.State) == protocol.TaskFetching:
@@ -57,36 +57,36 @@
 // confirmPlacement notes that a replica of a job that is ending is on its machine. Without
 // that the next status, which lists the same, would be taken for proof that the start
 // never arrived, and what the replica uses given to others while it still runs.
-func (o *owner) confirmPlacement(s *taskStatus) {
+func (o *Owner) confirmPlacement(s *taskStatus) {
 	t := &s.ref.job.tasks[s.ref.task]
-	if t.state == taskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
-		s.ref.job.setState(s.ref.task, taskPlaced)
+	if t.state == TaskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
+		s.ref.job.setState(s.ref.task, TaskPlaced)
 		t.epoch = s.epoch
 	}
 }
 
 // acknowledge notes where a listed replica is, and tells whether it is the one that
 // counts. Others are cleared.
-func (o *owner) acknowledge(s *taskStatus) bool {
+func (o *Owner) acknowledge(s *taskStatus) bool {
 	job, i := s.ref.job, s.ref.task
 	counts := false
 	switch job.tasks[i].state {
-	case taskPending, taskBackingOff, taskDurable:
+	case TaskPending, TaskBackingOff, TaskDurable:
 		// Its result is written, or every replica was proven lost and this is a late
 		// status of one.
 		o.clearReplica(s)
-	case taskFinished:
+	case TaskFinished:
 		// Its own replica stays listed until the result is written.
 		if s.status.Replica != job.tasks[i].replica {
 			o.clearReplica(s)
 		}
-	case taskUnreconciled:
+	case TaskUnreconciled:
 		counts = o.acknowledgeUnreconciled(s)
-	case taskAssigned, taskPlaced:
+	case TaskAssigned, TaskPlaced:
 		counts = o.acknowledgeActive(s)
 	}
 	if counts {
-		o.place(job, i, s.machine, taskPlaced)
+		o.place(job, i, s.machine, TaskPlaced)
 		job.tasks[i].epoch = s.epoch
 	}
 	return counts
@@ -94,7 +94,7 @@
 
 // acknowledgeUnreconciled takes a listed replica of a recovered task that may be
 // anywhere, and tells whether it counts.
-func (o *owner) acknowledgeUnreconciled(s *taskStatus) bool {
+func (o *Owner) acknowledgeUnreconciled(s *taskStatus) bool {
 	job, i := s.ref.job, s.ref.task
 	// A newer replica was proven lost already; or an older one that ended says
 	// nothing of a newer one, which may run on a machine that has not been
@@ -112,7 +112,7 @@
 
 // acknowledgeActive takes a listed replica of a task that is assigned or placed, and
 // tells whether it counts.
-func (o *owner) acknowledgeActive(s *taskStatus) bool {
+func (o *Owner) acknowledgeActive(s *taskStatus) bool {
 	job, i := s.ref.job, s.ref.task
 	t, replica := &job.tasks[i], s.status.Replica
 	switch {
@@ -132,7 +132,7 @@
 }
 
 // onTaskExit takes the end of the replica that counts.
-func (o *owner) onTaskExit(s *taskStatus) {
+func (o *Owner) onTaskExit(s *taskStatus) {
 	job, i, why := s.ref.job, s.ref.task, s.exitReason()
 	if job.spec.Service && (why == protocol.ExitReasonDone || why == protocol.ExitReasonError) {
 		o.onServiceTaskExit(job, i, s.machine)
@@ -141,15 +141,15 @@
 	}
 	switch why {
 	case protocol.ExitReasonDone:
-		o.unassign(job, i, taskFinished)
+		o.unassign(job, i, TaskFinished)
 		o.recordSuccess(job)
 		o.finishTask(job, i)
 	case protocol.ExitReasonError:
-		o.unassign(job, i, taskBackingOff)
+		o.unassign(job, i, TaskBackingOff)
 		o.clearReplica(s)
 		o.retryFailed(job, i, s.machine)
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
-		o.unassign(job, i, taskBackingOff)
+		o.unassign(job, i, TaskBackingOff)
 		o.clearReplica(s)
 		job.backOff(i, o.now()+refusedStartBackOff)
 	default:
@@ -168,29 +168,29 @@
 // onServiceTaskExit has a service's task run again, though it ended by itself. One that
 // ran for a while before is back at once; one that ends again and again waits as a
 // task that fails does, and its job tries one task at a time, see circuitBreaker.
-func (o *owner) onServiceTaskExit(job *ownedJob, i, machine int32) {
+func (o *Owner) onServiceTaskExit(job *Job, i, machine int32) {
 	t := &job.tasks[i]
 	ran := t.running && o.now()-t.readyAt > steadyRuntime
 	if ran {
-		o.unassign(job, i, taskPending)
+		o.unassign(job, i, TaskPending)
 		o.recordSuccess(job)
 		return
 	}
-	o.unassign(job, i, taskBackingOff)
+	o.unassign(job, i, TaskBackingOff)
 	o.retryFailed(job, i, machine)
 }
 
 // recordSuccess notes that a task of a job ended well, or ran for long enough.
-func (o *owner) recordSuccess(job *ownedJob) {
+func (o *Owner) recordSuccess(job *Job) {
 	if job.breaker.open {
-		o.markChanged(job)
+		o.MarkChanged(job)
 	}
 	job.breaker.recordSuccess()
 }
 
 // retryFailed notes that a task has failed on a machine, and has it wait before the
 // next replica.
-func (o *owner) retryFailed(job *ownedJob, i, machine int32) {
+func (o *Owner) retryFailed(job *Job, i, machine int32) {
 	now := o.now()
 	job.breaker.recordFailure(machine, job.active, job.running, now)
 	job.backOff(i, now+job.breaker.backOff())
@@ -198,15 +198,15 @@
 
 // finishTask has a finished task written, or the whole job when it was the
 // last one.
-func (o *owner) finishTask(job *ownedJob, i int32) {
-	o.markChanged(job)
+func (o *Owner) finishTask(job *Job, i int32) {
+	o.MarkChanged(job)
 	if job.allFinished() {
 		o.endIfFinished(job)
 		return
 	}
 	job.shard.records.FinishTask(job.spec, int(i), func() {
-		if t := &job.tasks[i]; t.state == taskFinished {
-			job.setState(i, taskDurable)
+		if t := &job.tasks[i]; t.state == TaskFinished {
+			job.setState(i, TaskDurable)
 			o.command(t.machine, job.id, uint32(i), t.replica, forgetReplica)
 		}
 	})
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -72,7 +72,7 @@
 }
 
 func (api *userAPI) tick(now time.Duration) {
-	if api.controller.owner.ownShard() != nil && api.controller.election.MayAct(now) {
+	if api.controller.owner.OwnShard() != nil && api.controller.election.MayAct(now) {
 		api.notReadySince = 0
 	} else if api.notReadySince == 0 {
 		api.notReadySince = now
@@ -173,7 +173,7 @@
 // cannot ask any: then it is most likely alone with its workers and users.
 func (api *userAPI) ready(reply func(Response)) {
 	c, now := api.controller, api.controller.now()
-	shard := c.owner.ownShard()
+	shard := c.owner.OwnShard()
 	if shard != nil && c.election.MayAct(now) {
 		reply(Response{Status: 200})
 		return
@@ -281,7 +281,7 @@
 		reply(c.finalStatusResponse(200, id, final))
 		return
 	}
-	if j := c.owner.job(id); j != nil {
+	if j := c.owner.Job(id); j != nil {
 		api.cancelOwned(j, reply)
 		return
 	}
@@ -295,7 +295,7 @@
 			api.rememberFinal(id, record.Status, record.Tasks)
 			reply(c.finalStatusResponse(200, id, finalState{record.Status, record.Tasks}))
 		default:
-			if j := c.owner.job(id); j != nil {
+			if j := c.owner.Job(id); j != nil {
 				api.cancelOwned(j, reply)
 				return
 			}
@@ -311,8 +311,8 @@
 	})
 }
 
-func (api *userAPI) cancelOwned(j *ownedJob, reply func(Response)) {
-	api.controller.owner.cancel(j, func(status string) {
+func (api *userAPI) cancelOwned(j *Job, reply func(Response)) {
+	api.controller.owner.Cancel(j, func(status string) {
 		if status == "" {
 			reply(api.controller.errorResponse(503, "the job's owner changes", 1))
 			return
@@ -354,7 +354,7 @@
 		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: final.status, Done: uint32(done)})
 		return
 	}
-	j := api.controller.owner.job(f.Job)
+	j := api.controller.owner.Job(f.Job)
 	if j == nil || !api.controller.election.MayAct(api.controller.now()) {
 		answer(&meshpb.JobQueryResult{HttpStatus: 503})
 		return
@@ -367,7 +367,7 @@
 		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: j.WireStatus(), Done: uint32(j.Finished()), Running: uint32(j.Running())})
 		return
 	}
-	api.controller.owner.cancel(j, func(status string) {
+	api.controller.owner.Cancel(j, func(status string) {
 		if status == "" {
 			answer(&meshpb.JobQueryResult{HttpStatus: 503})
 			return
