--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -24,6 +24,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -67,7 +68,7 @@
 	selfPeer   *peer            // this member
 	peerByLink map[Link]*peer
 
-	owner        *Owner
+	owner        *shard.Owner
 	admission    *admission.Control
 	userAPI      userAPI
 	leader       *leader // nil unless this process leads
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -6,6 +6,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -33,7 +34,7 @@
 }
 
 // electionShards are the shards that this process holds.
-type electionShards struct{ owner *Owner }
+type electionShards struct{ owner *shard.Owner }
 
 func (s electionShards) Held() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 )
 
 // The incident docs/incidents/incomplete-lists.md: a machine's list, as the leader
@@ -120,7 +121,7 @@
 	busy.tasks["other#1"] = &agentTask{name: "wk-9/0", replica: 1, state: "ended", cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
 	job := owner.controller.owner.Job("wk-1")
-	want(t, "the task is on its machine still", job.TaskState(0), TaskPlaced)
+	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
 	l.setShardOwner(l.shards[owner.name], l.c.peers[owner.name])
 	sim.heartbeatFor(15, busy, idle)
 	want(t, "copies on the other machine", idle.starts, 0)
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 )
 
 // A failed copy that a machine still lists is older than the copy that runs
@@ -229,7 +230,7 @@
 	pass(12 * time.Second)
 	lost := 0
 	for i := range follower.controller.owner.Job("wk-1").Spec().Tasks {
-		if p := follower.controller.owner.Job("wk-1").TaskState(i); p != TaskPlaced {
+		if p := follower.controller.owner.Job("wk-1").TaskState(i); p != shard.TaskPlaced {
 			lost++
 		}
 	}
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -2,6 +2,7 @@
 
 import (
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -9,13 +10,13 @@
 const memoryShareOfJobs = 0.25
 
 // newOwner makes the owner of this member's shards.
-func (c *Controller) newOwner() *Owner {
-	return NewOwner(Config{
+func (c *Controller) newOwner() *shard.Owner {
+	return shard.NewOwner(shard.Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
 		WorkerLeaseTimeout: c.workerLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
 		Clock: c.env.Clock, Log: c.log, Leader: leaderStreamOf{&c.subscription}, FinalStatuses: finalStatusesOf{&c.userAPI}, Admission: c.admission,
-		OpenRecords: func(shard string, lease, version uint64, onLost func()) Records {
-			return storage.NewShard(c.store, shard, c.identity, lease, version, onLost)
+		OpenRecords: func(name string, lease, version uint64, onLost func()) shard.Records {
+			return storage.NewShard(c.store, name, c.identity, lease, version, onLost)
 		},
 	})
 }
@@ -23,13 +24,13 @@
 // finalStatusesOf are the final statuses that answers to users are given from.
 type finalStatusesOf struct{ api *userAPI }
 
-// Ended implements FinalStatuses.
+// Ended implements shard.FinalStatuses.
 func (f finalStatusesOf) Ended(job string) bool {
 	_, ended := f.api.finalStates[job]
 	return ended
 }
 
-// Remember implements FinalStatuses.
+// Remember implements shard.FinalStatuses.
 func (f finalStatusesOf) Remember(job, status string, tasks int) {
 	f.api.rememberFinal(job, status, tasks)
 }
@@ -37,13 +38,13 @@
 // leaderStreamOf is the subscription as the owner sees it.
 type leaderStreamOf struct{ subscription *subscription }
 
-// RegisterShards implements LeaderStream.
+// RegisterShards implements shard.LeaderStream.
 func (l leaderStreamOf) RegisterShards() { l.subscription.registerShards() }
 
-// RegisterShard implements LeaderStream.
-func (l leaderStreamOf) RegisterShard(shard *Shard) { l.subscription.registerShard(shard) }
+// RegisterShard implements shard.LeaderStream.
+func (l leaderStreamOf) RegisterShard(held *shard.Shard) { l.subscription.registerShard(held) }
 
-// PublishSummaries implements LeaderStream.
+// PublishSummaries implements shard.LeaderStream.
 func (l leaderStreamOf) PublishSummaries(shard string, jobs []*meshpb.JobSummary) {
 	l.subscription.publishSummaries(shard, jobs)
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 )
 
 // How many jobs and how many commands go into one frame.
@@ -76,18 +77,18 @@
 		s.reset()
 		s.leader, s.fencingToken = to, leadership.FencingToken
 	}
-	for shard := range c.owner.Unregistered() {
-		s.registerShard(shard)
+	for held := range c.owner.Unregistered() {
+		s.registerShard(held)
 	}
 }
 
 // registerShard tells the leader of a shard and its jobs.
-func (s *subscription) registerShard(shard *Shard) {
-	jobs := s.c.owner.BeginRegistration(shard)
+func (s *subscription) registerShard(held *shard.Shard) {
+	jobs := s.c.owner.BeginRegistration(held)
 	for {
 		n := summariesThatFit(jobs)
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_RegisterShard{RegisterShard: &meshpb.RegisterShard{
-			Shard: shard.Name(), Version: shard.KeyVersion(), FencingToken: s.fencingToken, Jobs: jobs[:n], More: n < len(jobs)}}})
+			Shard: held.Name(), Version: held.KeyVersion(), FencingToken: s.fencingToken, Jobs: jobs[:n], More: n < len(jobs)}}})
 		jobs = jobs[n:]
 		if len(jobs) == 0 {
 			return
@@ -132,11 +133,11 @@
 	if p != s.leader || b.FencingToken != s.fencingToken {
 		return
 	}
-	for shard := range s.c.owner.Unconfirmed() {
+	for held := range s.c.owner.Unconfirmed() {
 		// The leader had not yet heard of its own election when the first
 		// registration came, or this one crosses its answer: registering twice
 		// only starts the clock later.
-		s.registerShard(shard)
+		s.registerShard(held)
 	}
 	s.c.owner.ExpireLeases(b.ClockUs)
 }
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -6,6 +6,7 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -311,7 +312,7 @@
 	})
 }
 
-func (api *userAPI) cancelOwned(j *Job, reply func(Response)) {
+func (api *userAPI) cancelOwned(j *shard.Job, reply func(Response)) {
 	api.controller.owner.Cancel(j, func(status string) {
 		if status == "" {
 			reply(api.controller.errorResponse(503, "the job's owner changes", 1))
--- a/internal/coordination/circuit_breaker.go
+++ b/internal/shard/circuit_breaker.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 import (
 	"math"
@@ -28,6 +28,10 @@
 // first.
 const breakerTrialRuntime = 5 * time.Second
 
+// breakerMachines is on how many machines a job fails before the mistake is taken for its
+// own.
+const breakerMachines = 3
+
 // circuitBreaker is open while a job seems to have been submitted with a mistake:
 // its tasks have failed on several machines, or often where there are few, and none
 // of it runs. Then one task at a time is tried, after a pause that grows: all at
@@ -62,10 +66,10 @@
 	if b.failedOn == nil {
 		b.failedOn = make(map[int32]bool)
 	}
-	if len(b.failedOn) < jobFaultMachines {
+	if len(b.failedOn) < breakerMachines {
 		b.failedOn[machine] = true
 	}
-	if (len(b.failedOn) == jobFaultMachines || b.failures >= 2*jobFaultMachines) && running == 0 {
+	if (len(b.failedOn) == breakerMachines || b.failures >= 2*breakerMachines) && running == 0 {
 		b.open, b.runningSince = true, 0
 	}
 	if b.open && active == 0 {
--- a/internal/coordination/owned_job.go
+++ b/internal/shard/job.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 import (
 	"time"
@@ -34,8 +34,8 @@
 	publishedPending int
 }
 
-// newOwnedJob makes a job all of whose tasks are pending.
-func newOwnedJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
+// newJob makes a job all of whose tasks are pending.
+func newJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
 	job := &Job{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
 		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
 	job.claim = admission.Claim{Shard: shard.name, FencingToken: shard.fencingToken, Team: spec.Team, Job: spec.ID, Amount: admission.AmountOf(spec)}
--- a/internal/coordination/job_lifecycle.go
+++ b/internal/shard/job_lifecycle.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 import (
 	"strconv"
@@ -27,7 +27,7 @@
 
 // addJob adds a job whose tasks are all pending.
 func (o *Owner) addJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
-	job := newOwnedJob(shard, spec, submittedMs, nonce)
+	job := newJob(shard, spec, submittedMs, nonce)
 	shard.jobs[job.id] = job
 	o.jobs[job.id] = job
 	o.memoryBytes += estimatedBytes(spec)
--- a/internal/coordination/observed_machines.go
+++ b/internal/shard/observed_machines.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 import (
 	"time"
--- a/internal/coordination/orphans.go
+++ b/internal/shard/orphaned_replicas.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 import (
 	"github.com/cobaltvale/cobaltvale/internal/admission"
@@ -119,6 +119,13 @@
 	})
 }
 
+// replicaKey names one replica of a task.
+type replicaKey struct {
+	job     string
+	task    uint32
+	replica uint64
+}
+
 // liveReplicas returns the replicas that a status lists as not exited.
 func liveReplicas(status *meshpb.MachineStatus) map[replicaKey]bool {
 	live := make(map[replicaKey]bool, len(status.Tasks))
--- a/internal/coordination/replicas.go
+++ b/internal/shard/replicas.go
@@ -1,4 +1,4 @@
-package coordination
+package shard
 
 // setReplicas sets which tasks have a replica on a machine.
 func (o *Owner) setReplicas(machine int32, refs []taskRef) {
