--- a/internal/shard/bindings.go
+++ b/internal/shard/bindings.go
@@ -1,8 +1,6 @@
 package shard
 
-import (
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-)
+import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
 // Bind adds to the bindings the tasks that go to an offered machine, and how the jobs
 // stand then.
@@ -42,16 +40,16 @@
 	return bindings
 }
 
-// ReturnBindings returns picks that were never sent.
-func (o *Owner) ReturnBindings(picks []*meshpb.Binding) {
-	for _, p := range picks {
-		job := o.jobs[p.Job]
-		if job == nil || int(p.Task) >= len(job.tasks) {
-			o.orphans.releaseUnsent(p)
+// ReturnBindings takes back bindings that were never sent to their machines.
+func (o *Owner) ReturnBindings(bindings []*meshpb.Binding) {
+	for _, binding := range bindings {
+		job := o.jobs[binding.Job]
+		if job == nil || int(binding.Task) >= len(job.tasks) {
+			o.orphans.releaseUnsent(binding)
 			continue
 		}
-		if t := &job.tasks[p.Task]; t.state == TaskAssigned && t.replica == p.Replica {
-			o.replicaLost(job, int32(p.Task), lossNotSent)
+		if t := &job.tasks[binding.Task]; t.state == TaskAssigned && t.replica == binding.Replica {
+			o.replicaLost(job, int32(binding.Task), lossNotSent)
 		}
 	}
 }
--- /dev/null
+++ b/internal/shard/commands.go
@@ -0,0 +1,32 @@
+package shard
+
+import (
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+// clearing is how a replica is taken off its machine.
+type clearing bool
+
+const (
+	stopReplica   clearing = false // it may still run
+	forgetReplica clearing = true  // it has exited: its end was taken note of
+)
+
+func clearingOf(s *meshpb.TaskStatus) clearing {
+	return clearing(protocol.TaskState(s.State) == protocol.TaskExited)
+}
+
+// command asks the leader to have a replica stopped or forgotten.
+func (o *Owner) command(machine int32, job string, task uint32, replica uint64, how clearing) {
+	if m := o.machines.at(machine); m.named {
+		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(how)})
+	}
+}
+
+// TakeCommands returns the commands to machines that have gathered for the leader.
+func (o *Owner) TakeCommands() []*meshpb.MachineCommand {
+	commands := o.commands
+	o.commands = nil
+	return commands
+}
--- a/internal/shard/job_summary.go
+++ b/internal/shard/job_summary.go
@@ -63,10 +63,3 @@
 		o.config.Leader.PublishSummaries(shard.name, jobs)
 	}
 }
-
-// TakeCommands returns the commands to machines that have gathered for the leader.
-func (o *Owner) TakeCommands() []*meshpb.MachineCommand {
-	commands := o.commands
-	o.commands = nil
-	return commands
-}
--- a/internal/shard/registration.go
+++ b/internal/shard/registration.go
@@ -1,6 +1,10 @@
 package shard
 
-import "iter"
+import (
+	"iter"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
 
 // registrationRequested is where a registration's time stands until the leader answers.
 const registrationRequested = -1
@@ -52,3 +56,37 @@
 	}
 	return true
 }
+
+// ResetStream notes that the leader's stream has ended: the next one starts every
+// clock anew.
+func (o *Owner) ResetStream() {
+	o.lastRegisteredAtUs = 0
+	o.commands = nil
+	o.machines.resetStream()
+	for _, shard := range o.shards {
+		shard.registration = registration{}
+	}
+	o.orphans.detachAll()
+}
+
+// BeginRegistration returns what the leader has to know of a shard's jobs as it is
+// registered.
+func (o *Owner) BeginRegistration(shard *Shard) []*meshpb.JobSummary {
+	shard.registration.request()
+	jobs := make([]*meshpb.JobSummary, 0, len(shard.jobs))
+	for _, job := range shard.jobs {
+		jobs = append(jobs, o.describe(job))
+		job.specUnsent = false
+	}
+	return jobs
+}
+
+// ConfirmRegistration takes the leader's answer to a registration.
+func (o *Owner) ConfirmRegistration(answer *meshpb.ShardRegistered) {
+	shard := o.shards[answer.Shard]
+	if shard == nil || shard.registration.atUs == 0 {
+		return
+	}
+	shard.registration.atUs, shard.registration.number = answer.ClockUs, answer.ShardNumber
+	o.lastRegisteredAtUs = max(o.lastRegisteredAtUs, answer.ClockUs)
+}
--- a/internal/shard/replicas.go
+++ b/internal/shard/replicas.go
@@ -73,19 +73,3 @@
 	}
 	o.unassign(job, i, TaskPending)
 }
-
-// reconcile makes every recovered task pending that no machine listed.
-func (o *Owner) reconcile(shard *Shard) {
-	shard.reconciled = true
-	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciled).Msg("shard reconciled")
-	if shard.unreconciled == 0 {
-		return
-	}
-	for _, job := range shard.jobs {
-		for i := range job.tasks {
-			if job.tasks[i].state == TaskUnreconciled {
-				o.replicaLost(job, int32(i), lossReconciled)
-			}
-		}
-	}
-}
--- a/internal/shard/task_state.go
+++ b/internal/shard/task_state.go
@@ -9,6 +9,7 @@
 // InTransition, section 4.2), with what lies before and after.
 type TaskState uint8
 
+// The states of a task.
 const (
 	TaskPending      TaskState = iota // no replica exists anywhere
 	TaskUnreconciled                  // recovered: a replica may be on any machine
