--- /dev/null
+++ b/internal/admission/control_test.go
@@ -0,0 +1,279 @@
+package admission
+
+import (
+	"errors"
+	"iter"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"github.com/cobaltvale/cobaltvale/internal/audit"
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/quota"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+const team = "red"
+
+// fixture is a control of the shard "a" of a single member, whose world the test plays.
+type fixture struct {
+	*Control
+	t         *testing.T
+	now       time.Duration
+	codec     *protocol.Codec
+	version   uint64
+	stored    []protocol.KeyValue
+	readError error
+	reads     int
+	writes    int
+	waiting   int
+	audited   []audit.Record
+}
+
+// Now implements storage.Clock.
+func (f *fixture) Now() time.Duration { return f.now }
+
+// QuotaRecords implements Records.
+func (f *fixture) QuotaRecords(done func([]protocol.KeyValue, error)) {
+	f.reads++
+	done(f.stored, f.readError)
+}
+
+// TransferQuota implements Records: every transfer is applied.
+func (f *fixture) TransferQuota(transfer *quota.Transfer, done func(storage.TxnResult)) {
+	f.writes++
+	f.version++
+	f.stored = nil
+	for _, tt := range transfer.Teams {
+		f.stored = append(f.stored, protocol.KeyValue{Key: storage.QuotaKey(tt.Team), Value: f.codec.Encode(tt.Record), Version: f.version})
+	}
+	done(storage.TxnResult{Outcome: storage.Applied, Revision: f.version})
+}
+
+// StartableTasks implements Shards.
+func (f *fixture) StartableTasks(visit func(claim *Claim, tasks int)) {
+	if f.waiting > 0 {
+		visit(claim(), f.waiting)
+	}
+}
+
+// KeyVersions implements Shards.
+func (f *fixture) KeyVersions() iter.Seq2[string, uint64] {
+	return func(yield func(string, uint64) bool) { yield("a", 1) }
+}
+
+// AllocationsChanged implements Shards.
+func (f *fixture) AllocationsChanged() {}
+
+// claim is a job's of the team with one CPU for each task.
+func claim() *Claim {
+	return &Claim{Shard: "a", FencingToken: 1, Team: team, Job: "wk-1", Amount: quota.AmountOf(1, 0)}
+}
+
+// newFixture makes a control of a team that may use two CPUs.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	codec, err := protocol.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fixture{t: t, now: time.Second, codec: codec, version: 10}
+	f.Control, err = New(Config{Enabled: true, Shards: []string{"a"}, Teams: []settings.Team{{Name: team, CPUsMax: 2}}, MaxTxnOps: 8,
+		Records: f, Codec: codec, Clock: f, Wall: func() time.Time { return time.Unix(0, 0) }, Log: zerolog.Nop(),
+		Audit: func(r audit.Record) { f.audited = append(f.audited, r) }, Broadcast: func(*meshpb.QuotaDemands) {}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.SetShards(f)
+	return f
+}
+
+// tick lets a second pass in which the member may do anything.
+func (f *fixture) tick() {
+	f.now += time.Second
+	f.Tick(f.now, Entitlement{AllDivideLimits: true, MayAct: true, LeaseValid: true})
+}
+
+// ready opens the shard and ticks until its allocation is there.
+func (f *fixture) ready() {
+	f.t.Helper()
+	f.OpenShard("a", 1)
+	f.Complete("a")
+	f.waiting = 3
+	for range 5 {
+		f.tick()
+	}
+	if got := f.Allocation("a", team); got != quota.AmountOf(2, 0) {
+		f.t.Fatalf("the allocation is %v", got)
+	}
+}
+
+func TestWithoutEscrowNothingIsLimited(t *testing.T) {
+	c, err := New(Config{Teams: []settings.Team{{Name: team, CPUsMax: 1}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.OpenShard("a", 1)
+	c.Complete("a")
+	if c.Enabled() || c.Limited(claim()) || c.Admissible(claim(), 100) != 100 || !c.Admit(claim(), 0, 1) {
+		t.Error("a limit without quota.escrow")
+	}
+	c.Release(claim(), 0, 1)
+	c.CloseShard("a")
+	c.Tick(time.Second, Entitlement{})
+}
+
+func TestAdmissionUpToTheAllocation(t *testing.T) {
+	f := newFixture(t)
+	f.ready()
+	if n := f.Admissible(claim(), 3); n != 2 {
+		t.Errorf("%d of 3 are admissible, want 2", n)
+	}
+	for i, want := range []bool{true, true, false} {
+		if got := f.Admit(claim(), int32(i), uint64(i)); got != want {
+			t.Errorf("task %d is admitted: %v", i, got)
+		}
+	}
+	f.Release(claim(), 0, 0)
+	if !f.Admit(claim(), 2, 3) {
+		t.Error("no room after a release")
+	}
+}
+
+// What an earlier holder admitted counts, so that nothing more fits.
+func TestInheritedReplicasAreCharged(t *testing.T) {
+	f := newFixture(t)
+	f.ready()
+	f.ChargeInherited(claim(), 2)
+	if f.Admit(claim(), 0, 1) {
+		t.Error("admitted beside what an earlier holder admitted")
+	}
+}
+
+// Nothing is admitted of a shard until the records were read after it was acquired and
+// what earlier holders admitted is known.
+func TestNothingIsAdmittedBeforeTheShardIsComplete(t *testing.T) {
+	f := newFixture(t)
+	f.OpenShard("a", 1)
+	for range 5 {
+		f.tick()
+	}
+	if f.IsComplete("a") || f.Admit(claim(), 0, 1) {
+		t.Error("admitted though earlier holders may have admitted something")
+	}
+	f.Complete("a")
+	f.readError = errors.New("no answer")
+	f.OpenShard("a", 2)
+	f.Complete("a")
+	reads := f.reads
+	for range 3 {
+		f.tick()
+	}
+	if f.Admit(claim(), 0, 1) {
+		t.Error("admitted though the records were not read")
+	}
+	if f.reads != reads+3 {
+		t.Errorf("%d reads in 3 s that got no answer", f.reads-reads)
+	}
+}
+
+func TestEntitlement(t *testing.T) {
+	f := newFixture(t)
+	f.OpenShard("a", 1)
+	f.Complete("a")
+	f.waiting = 1
+	for range 5 {
+		f.now += time.Second
+		f.Tick(f.now, Entitlement{AllDivideLimits: true, MayAct: true})
+	}
+	if f.writes != 0 {
+		t.Errorf("%d transfers without a valid lease", f.writes)
+	}
+	f.Tick(f.now, Entitlement{MayAct: true})
+	if !f.Admit(claim(), 0, 1) {
+		t.Error("not admitted while some member does not divide limits")
+	}
+}
+
+func TestAuditOfAdmissions(t *testing.T) {
+	f := newFixture(t)
+	f.ready()
+	f.audited = nil
+	f.Admit(claim(), 4, 7)
+	f.Release(claim(), 4, 7)
+	f.RecordFound(claim(), 4, 8)
+	want := []struct {
+		kind          audit.Kind
+		replica       uint64
+		before, after quota.Amount
+	}{
+		{audit.Admitted, 7, quota.Amount{}, quota.AmountOf(1, 0)},
+		{audit.Released, 7, quota.AmountOf(1, 0), quota.Amount{}},
+		{audit.ReplicaFound, 8, quota.Amount{}, quota.Amount{}},
+	}
+	if len(f.audited) != len(want) {
+		t.Fatalf("%d records, want %d", len(f.audited), len(want))
+	}
+	for i, w := range want {
+		r := f.audited[i]
+		if r.Kind != w.kind || r.Task != 4 || r.Replica != w.replica || r.SpentBefore != w.before || r.SpentAfter != w.after {
+			t.Errorf("record %d: %+v, want %+v", i, r, w)
+		}
+		if r.Shard != "a" || r.FencingToken != 1 || r.Team != team || r.Job != "wk-1" || r.Amount != quota.AmountOf(1, 0) {
+			t.Errorf("record %d is of another claim: %+v", i, r)
+		}
+	}
+}
+
+// Messages that make no sense are counted and change nothing.
+func TestSenselessDemandsAreDropped(t *testing.T) {
+	amount := &meshpb.QuotaAmount{Cpus: 1000}
+	for _, test := range []struct {
+		name   string
+		demand *meshpb.QuotaDemands
+		holds  bool
+	}{
+		{"outdated", &meshpb.QuotaDemands{Seq: 5}, true},
+		{"not the holder's", &meshpb.QuotaDemands{Seq: 6, Demands: []*meshpb.QuotaDemand{{Shard: "a", Team: team, Target: amount}}}, false},
+		{"malformed", &meshpb.QuotaDemands{Seq: 6, Demands: []*meshpb.QuotaDemand{{Shard: "a", Team: "x", Target: amount}}}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			from := Sender{Member: "b", LastSequence: 5, Holds: func(string) bool { return test.holds }}
+			if got, want := f.OnDemands(from, test.demand), max(from.LastSequence, test.demand.Seq); got != want {
+				t.Errorf("the last sequence is %d, want %d", got, want)
+			}
+			if f.Dropped() != 1 {
+				t.Errorf("%d dropped, want 1", f.Dropped())
+			}
+		})
+	}
+}
+
+// A record that can't be read or was deleted keeps its team waiting.
+func TestUnreadableRecord(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		present bool
+	}{{"unreadable", true}, {"deleted", false}} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.ready()
+			f.ObserveRecord(team, []byte{0xff}, f.version+1, test.present)
+			if f.Dropped() != 1 || f.Admit(claim(), 0, 1) {
+				t.Errorf("%d dropped, and the team's tasks are admitted", f.Dropped())
+			}
+		})
+	}
+}
+
+func TestTeamNameThatIsTooLong(t *testing.T) {
+	_, err := New(Config{Enabled: true, Teams: []settings.Team{{Name: strings.Repeat("x", storage.MaxKeyLength), CPUsMax: 1}}})
+	if err == nil || !strings.Contains(err.Error(), "too long") {
+		t.Errorf("error %v", err)
+	}
+}
--- /dev/null
+++ b/internal/shard/circuit_breaker_test.go
@@ -0,0 +1,117 @@
+package shard
+
+import (
+	"testing"
+	"time"
+)
+
+// openBreaker returns the breaker of a job that has failed on as many machines as open it.
+func openBreaker(t *testing.T) *circuitBreaker {
+	t.Helper()
+	b := &circuitBreaker{}
+	for machine := range int32(breakerMachines) {
+		b.recordFailure(machine, 0, 0, time.Second)
+	}
+	if !b.open {
+		t.Fatalf("closed after failures on %d machines", breakerMachines)
+	}
+	return b
+}
+
+func TestBreakerOpens(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		machines []int32 // that a task fails on, one after the other
+		running  int
+		want     bool
+	}{
+		{"one failure", []int32{1}, 0, false},
+		{"two machines", []int32{1, 2}, 0, false},
+		{"three machines", []int32{1, 2, 3}, 0, true},
+		{"three machines while a task runs", []int32{1, 2, 3}, 1, false},
+		{"one machine, five times", []int32{1, 1, 1, 1, 1}, 0, false},
+		{"one machine, six times", []int32{1, 1, 1, 1, 1, 1}, 0, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var b circuitBreaker
+			for _, machine := range test.machines {
+				b.recordFailure(machine, test.running, test.running, 0)
+			}
+			if b.open != test.want {
+				t.Errorf("open: %v, want %v", b.open, test.want)
+			}
+		})
+	}
+}
+
+// While the breaker is open one task at a time may start, once the pause is over.
+func TestOpenBreakerAllowsOneTask(t *testing.T) {
+	b := openBreaker(t)
+	if n := b.allowed(10, 0); n != 0 {
+		t.Errorf("%d tasks may start during the pause", n)
+	}
+	if change := b.probe(0, b.retryAt-1); change != breakerUnchanged {
+		t.Errorf("a probe during the pause returned %d", change)
+	}
+	if change := b.probe(0, b.retryAt); change != breakerRetries {
+		t.Errorf("the probe after the pause returned %d", change)
+	}
+	if n := b.allowed(10, 0); n != 1 {
+		t.Errorf("%d tasks may start after the pause, want 1", n)
+	}
+	if n := b.allowed(10, 1); n != 0 {
+		t.Errorf("%d tasks may start beside an active one", n)
+	}
+}
+
+// A trial that runs for long enough closes the breaker; the next has to run for twice as long.
+func TestBreakerClosesAfterATrial(t *testing.T) {
+	b := openBreaker(t)
+	now := b.retryAt
+	b.probe(0, now)
+	for want := breakerTrialRuntime; want < time.Minute; want *= 2 {
+		b.probe(1, now)
+		if change := b.probe(1, now+want); change == breakerClosed {
+			t.Fatalf("closed after %v, want more", want)
+		}
+		now += want + 1
+		if change := b.probe(1, now); change != breakerClosed {
+			t.Fatalf("open after %v", want+1)
+		}
+		if n := b.allowed(10, 1); n != 10 {
+			t.Fatalf("%d tasks may start, want 10", n)
+		}
+		for machine := range int32(breakerMachines) {
+			b.recordFailure(machine, 0, 0, now)
+		}
+	}
+}
+
+func TestSuccessClosesTheBreaker(t *testing.T) {
+	b := openBreaker(t)
+	b.recordSuccess()
+	if b.open || b.failures != 0 || len(b.failedOn) != 0 {
+		t.Errorf("after a success: %+v", b)
+	}
+}
+
+func TestFailureBackOffGrowsUpToItsLimit(t *testing.T) {
+	last := time.Duration(0)
+	for failures := range 40 {
+		pause := failureBackOff(failures)
+		if pause < last || pause > maxFailureBackOff*time.Second {
+			t.Errorf("after %d failures: %v, before that %v", failures, pause, last)
+		}
+		last = pause
+	}
+	if last != maxFailureBackOff*time.Second {
+		t.Errorf("the limit is %v", last)
+	}
+	var b circuitBreaker
+	for range 40 {
+		b.recordFailure(1, 1, 1, 0)
+	}
+	if want := failureBackOff(maxBackOffFailures); b.backOff() != want {
+		t.Errorf("a task's pause is %v, want %v", b.backOff(), want)
+	}
+}
--- /dev/null
+++ b/internal/shard/owner_test.go
@@ -0,0 +1,310 @@
+package shard
+
+import (
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"github.com/cobaltvale/cobaltvale/internal/admission"
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+const (
+	leaseTimeout = 10 * time.Second
+	shardNumber  = 3
+	machineName  = "vm-1"
+	machineIndex = 4 // the leader's
+)
+
+// fixture is an owner of the shard "a" whose world the test plays.
+type fixture struct {
+	*Owner
+	t       *testing.T
+	now     time.Duration
+	records *memoryRecords
+	ended   map[string]string
+}
+
+// Now implements storage.Clock.
+func (f *fixture) Now() time.Duration { return f.now }
+
+// RegisterShards implements LeaderStream: the leader answers at once.
+func (f *fixture) RegisterShards() {
+	for shard := range f.Unregistered() {
+		f.RegisterShard(shard)
+	}
+}
+
+// RegisterShard implements LeaderStream.
+func (f *fixture) RegisterShard(shard *Shard) {
+	f.BeginRegistration(shard)
+	f.ConfirmRegistration(&meshpb.ShardRegistered{Shard: shard.Name(), ClockUs: f.now.Microseconds(), ShardNumber: shardNumber})
+}
+
+// PublishSummaries implements LeaderStream.
+func (f *fixture) PublishSummaries(string, []*meshpb.JobSummary) {}
+
+// Ended implements FinalStatuses.
+func (f *fixture) Ended(job string) bool { return f.ended[job] != "" }
+
+// Remember implements FinalStatuses.
+func (f *fixture) Remember(job, status string, _ int) { f.ended[job] = status }
+
+// memoryRecords are records that are durable once flushed.
+type memoryRecords struct {
+	Records
+	version  uint64
+	jobs     []storage.RecoveredJob
+	finished []func()
+	ends     []func()
+}
+
+func (r *memoryRecords) Recover(done func([]storage.RecoveredJob)) { done(r.jobs) }
+func (r *memoryRecords) RecoveryReads() int                        { return 1 }
+func (r *memoryRecords) Unreadable() []string                      { return nil }
+func (r *memoryRecords) Version() uint64                           { return r.version }
+func (r *memoryRecords) Close()                                    {}
+func (r *memoryRecords) EndJob(_ *protocol.Job, _, _ string, done func()) {
+	r.ends = append(r.ends, done)
+}
+func (r *memoryRecords) FinishTask(_ *protocol.Job, _ int, done func()) {
+	r.finished = append(r.finished, done)
+}
+func (r *memoryRecords) FlushJobs()          { run(&r.ends) }
+func (r *memoryRecords) FlushFinishedTasks() { run(&r.finished) }
+func (r *memoryRecords) CreateJob(_ *protocol.Job, _ int64, _ string, _ time.Duration, done func(storage.CreateResult)) {
+	done(storage.Created)
+}
+
+func run(list *[]func()) {
+	for _, fn := range *list {
+		fn()
+	}
+	*list = nil
+}
+
+// newFixture acquires the shard with a fencing token; jobs are what its records hold.
+func newFixture(t *testing.T, fencingToken uint64, jobs ...storage.RecoveredJob) *fixture {
+	t.Helper()
+	f := &fixture{t: t, now: time.Second, ended: make(map[string]string)}
+	control, err := admission.New(admission.Config{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.records = &memoryRecords{version: fencingToken, jobs: jobs}
+	f.Owner = NewOwner(Config{Member: "a", ProcessNonce: "n", MemoryLimit: 1 << 20, WorkerLeaseTimeout: leaseTimeout,
+		MachineTTL: time.Hour, MaxMachines: 100, Clock: f, Log: zerolog.Nop(), Leader: f, FinalStatuses: f, Admission: control,
+		OpenRecords: func(string, uint64, uint64, func()) Records { return f.records }})
+	f.Acquire("a", 1, fencingToken)
+	f.report(&meshpb.MachineStatus{Epoch: 1, Seq: 1})
+	return f
+}
+
+// submit creates a job of tasks.
+func (f *fixture) submit(tasks int) *Job {
+	f.t.Helper()
+	f.CreateJob(&protocol.Job{ID: "wk-1", Tasks: tasks}, 0, time.Second, func(r storage.CreateResult) {
+		if r != storage.Created {
+			f.t.Fatalf("submission: %v", r)
+		}
+	})
+	return f.Job("wk-1")
+}
+
+// offer binds up to n tasks of the job to the machine with the response to a heartbeat.
+func (f *fixture) offer(n, seq int) []*meshpb.Binding {
+	var bindings meshpb.Bindings
+	f.Bind(&meshpb.Offer{MachineIndex: machineIndex, Epoch: 1, Seq: uint64(seq),
+		Items: []*meshpb.OfferItem{{Job: "wk-1", Count: uint32(n)}}}, &bindings)
+	return bindings.Bindings
+}
+
+// report passes a status of the machine on, a second after the last.
+func (f *fixture) report(status *meshpb.MachineStatus) {
+	f.now += time.Second
+	status.MachineIndex, status.Current = machineIndex, true
+	f.OnMachineStatuses(&meshpb.MachineStatuses{ClockUs: f.now.Microseconds(), Statuses: []*meshpb.MachineStatus{status},
+		Names: []*meshpb.MachineName{{MachineIndex: machineIndex, Name: machineName, Zone: "z1"}}})
+}
+
+// listing is a complete status of the machine.
+func listing(seq int, tasks ...*meshpb.TaskStatus) *meshpb.MachineStatus {
+	return &meshpb.MachineStatus{Epoch: 1, Seq: uint64(seq), CompleteForShards: []uint32{shardNumber}, Tasks: tasks}
+}
+
+func replica(b *meshpb.Binding, state protocol.TaskState, reason protocol.ExitReason) *meshpb.TaskStatus {
+	return &meshpb.TaskStatus{Job: b.Job, Task: b.Task, Replica: b.Replica, State: uint32(state), ExitReason: uint32(reason)}
+}
+
+func (f *fixture) wantState(what string, job *Job, want TaskState) {
+	f.t.Helper()
+	if got := job.TaskState(0); got != want {
+		f.t.Errorf("%s: the task is %v, want %v", what, got, want)
+	}
+}
+
+func TestTaskFromSubmissionToDurableEnd(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(2)
+	f.wantState("submitted", job, TaskPending)
+	bindings := f.offer(2, 1)
+	f.wantState("bound", job, TaskAssigned)
+	f.report(listing(2, replica(bindings[0], protocol.TaskRunning, 0), replica(bindings[1], protocol.TaskRunning, 0)))
+	f.wantState("listed", job, TaskPlaced)
+	if job.Running() != 2 {
+		t.Errorf("%d tasks run, want 2", job.Running())
+	}
+	f.report(listing(3, replica(bindings[0], protocol.TaskExited, protocol.ExitReasonDone), replica(bindings[1], protocol.TaskRunning, 0)))
+	f.wantState("exited", job, TaskFinished)
+	f.FlushRecords()
+	f.wantState("written", job, TaskDurable)
+	if commands := f.TakeCommands(); len(commands) != 1 || !commands[0].Reap || commands[0].Replica != bindings[0].Replica {
+		t.Errorf("commands %v, want the durable replica forgotten", commands)
+	}
+	f.report(listing(4, replica(bindings[1], protocol.TaskExited, protocol.ExitReasonDone)))
+	if f.ended["wk-1"] != "" {
+		t.Error("the job is told as ended before that is durable")
+	}
+	f.Tick(f.now)
+	if f.ended["wk-1"] != protocol.StatusDone || f.Job("wk-1") != nil {
+		t.Errorf("the job ended as %q", f.ended["wk-1"])
+	}
+}
+
+// A lost replica is replaced by one of a higher number, and a late status of it is
+// cleared and changes nothing.
+func TestLostReplicaIsReplacedAndCleared(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(1)
+	lost := f.offer(1, 1)[0]
+	f.report(listing(2, replica(lost, protocol.TaskRunning, 0)))
+	f.report(listing(3))
+	f.wantState("not listed any more", job, TaskPending)
+	next := f.offer(1, 4)[0]
+	if next.Replica <= lost.Replica {
+		t.Errorf("replica %d follows %d", next.Replica, lost.Replica)
+	}
+	f.report(listing(5, replica(lost, protocol.TaskExited, protocol.ExitReasonDone), replica(next, protocol.TaskRunning, 0)))
+	f.wantState("listed with the lost one", job, TaskPlaced)
+	if commands := f.TakeCommands(); len(commands) != 1 || commands[0].Replica != lost.Replica {
+		t.Errorf("commands %v, want one about replica %d", commands, lost.Replica)
+	}
+}
+
+func TestLeaseExpiryOfASilentMachine(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(1)
+	binding := f.offer(1, 1)[0]
+	f.report(listing(2, replica(binding, protocol.TaskRunning, 0)))
+	heard := f.now.Microseconds()
+	f.ExpireLeases(heard + leaseTimeout.Microseconds())
+	f.wantState("after a lease", job, TaskPlaced)
+	f.ExpireLeases(heard + leaseTimeout.Microseconds() + 1)
+	f.wantState("after more than a lease", job, TaskPending)
+}
+
+// When its stream ends an owner concludes nothing until the next leader has answered.
+func TestNothingIsConcludedWithoutALeader(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(1)
+	binding := f.offer(1, 1)[0]
+	f.report(listing(2, replica(binding, protocol.TaskRunning, 0)))
+	f.ResetStream()
+	f.report(listing(3))
+	f.ExpireLeases(time.Hour.Microseconds())
+	f.wantState("without an answer", job, TaskPlaced)
+	if bindings := f.offer(1, 4); bindings != nil {
+		t.Errorf("bindings %v without a registration", bindings)
+	}
+}
+
+func recoveredJob(tasks int) storage.RecoveredJob {
+	return storage.RecoveredJob{Job: protocol.Job{ID: "wk-1", Tasks: tasks}, Done: make([]bool, tasks)}
+}
+
+// What no machine lists of a recovered shard is started only once the leader says that it
+// is reconciled.
+func TestRecoveredTaskWaitsForReconciliation(t *testing.T) {
+	f := newFixture(t, 2, recoveredJob(1))
+	job := f.Job("wk-1")
+	f.report(listing(2))
+	f.ExpireLeases(time.Hour.Microseconds())
+	f.wantState("before the reconciliation", job, TaskUnreconciled)
+	if bindings := f.offer(1, 3); len(bindings) > 0 {
+		t.Errorf("bindings %v before the reconciliation", bindings)
+	}
+	f.OnReconciled(&meshpb.Reconciled{Shard: "a"})
+	f.wantState("after it", job, TaskPending)
+}
+
+// A replica of an earlier holder counts, though it ended; its number is below all of this
+// holder's.
+func TestInheritedReplicaCounts(t *testing.T) {
+	f := newFixture(t, 2, recoveredJob(2))
+	job := f.Job("wk-1")
+	inherited := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 5}
+	f.report(listing(2, replica(inherited, protocol.TaskRunning, 0)))
+	f.wantState("listed", job, TaskPlaced)
+	f.OnReconciled(&meshpb.Reconciled{Shard: "a"})
+	f.wantState("reconciled", job, TaskPlaced)
+	next := f.offer(1, 3)
+	if len(next) != 1 || next[0].Task != 1 || next[0].Replica <= inherited.Replica {
+		t.Errorf("bindings %v, want task 1 with a number above %d", next, inherited.Replica)
+	}
+}
+
+// An inherited replica that is lost before the reconciliation may have a newer one.
+func TestLostInheritedReplicaIsUnreconciled(t *testing.T) {
+	f := newFixture(t, 2, recoveredJob(1))
+	job := f.Job("wk-1")
+	inherited := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 5}
+	f.report(listing(2, replica(inherited, protocol.TaskRunning, 0)))
+	f.report(listing(3))
+	f.wantState("lost", job, TaskUnreconciled)
+	older := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 4}
+	f.report(listing(4, replica(older, protocol.TaskRunning, 0)))
+	f.wantState("an older one is listed", job, TaskUnreconciled)
+}
+
+func TestReturnedBindingIsPendingAgain(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(1)
+	bindings := f.offer(1, 1)
+	f.ReturnBindings(bindings)
+	f.wantState("returned", job, TaskPending)
+	next := f.offer(1, 2)
+	f.ReturnBindings(bindings) // a repeat says nothing of the next replica
+	f.wantState("another's", job, TaskAssigned)
+	if next[0].Replica <= bindings[0].Replica {
+		t.Errorf("replica %d follows %d", next[0].Replica, bindings[0].Replica)
+	}
+}
+
+// Those who wait for a job's end learn that it can't be said once the shard is lost.
+func TestRemovedShardAnswersThoseWhoWait(t *testing.T) {
+	f := newFixture(t, 1)
+	job := f.submit(1)
+	told := []string{}
+	f.Cancel(job, func(status string) { told = append(told, status) })
+	f.RemoveShard("a")
+	f.records.FlushJobs()
+	if len(told) != 1 || told[0] != statusUnknown {
+		t.Errorf("told %q", told)
+	}
+	if f.Job("wk-1") != nil || f.Shard("a") != nil || f.memoryBytes != 0 {
+		t.Errorf("%d bytes of a removed shard are left", f.memoryBytes)
+	}
+}
+
+func TestMemoryLimit(t *testing.T) {
+	f := newFixture(t, 1)
+	fits := (1<<20 - bytesPerJob) / bytesPerTask
+	for tasks, want := range map[int]bool{fits: false, fits + 1: true} {
+		if got := f.MemoryFull(&protocol.Job{Tasks: tasks}); got != want {
+			t.Errorf("%d tasks: full is %v", tasks, got)
+		}
+	}
+}
