--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -104,7 +104,9 @@
 			for id := range recovered {
 				if _, ok := created[id]; !ok { // written, but nobody was told
 					var i int
-					fmt.Sscanf(id, "wk-%d", &i)
+					if _, err := fmt.Sscanf(id, "wk-%d", &i); err != nil {
+						t.Fatal(err)
+					}
 					created[id] = i
 				}
 			}
