--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
@@ -59,7 +60,7 @@
 
 // onMachineList takes in what a list says of machines that have not reported.
 func (r *autoscaler) onMachineList(now time.Duration) {
-	for name, e := range r.leader.c.fleet.listed {
+	for name, e := range r.leader.c.cloud.AllListed() {
 		if m := r.leader.machines.get(name); m != nil && m.createdAt == 0 {
 			m.createdAt = now - seconds(e.AgeS)
 		}
@@ -67,7 +68,7 @@
 }
 
 func (r *autoscaler) tick(now time.Duration) {
-	types := r.leader.c.fleet.types
+	types := r.leader.c.cloud.Catalog()
 	if len(types) == 0 {
 		return
 	}
@@ -119,7 +120,7 @@
 			if !ok {
 				break
 			}
-			last = &supply{free: capacityOf(r.leader.c.fleet.types[v.typeName])}
+			last = &supply{free: capacityOf(r.leader.c.cloud.Type(v.typeName))}
 			have[v] = append(have[v], last)
 			ask[v]++
 			r.machinesPerType[v.typeName]++
@@ -142,18 +143,18 @@
 
 // maxMachinesPerTick is how many machines can be asked for in a second.
 func (r *autoscaler) maxMachinesPerTick() int {
-	return maxMachinesPerRequest * max(1, int(r.leader.c.cfg.Settings.Cloud.RPS*leaderCallShare))
+	return maxMachinesPerRequest * max(1, int(cloud.LeaderCallsPerSecond(r.leader.c.cfg.Settings.Cloud.RPS)))
 }
 
 // sendRequests sends the requests that wait for an answer.
 func (r *autoscaler) sendRequests(now time.Duration) {
 	for _, q := range r.requests {
-		if q.inFlight || now < q.nextAttempt || now < r.blockedUntil || !r.leader.c.fleet.allowCall(now) {
+		if q.inFlight || now < q.nextAttempt || now < r.blockedUntil || !r.leader.c.cloud.AllowCall(now) {
 			continue
 		}
 		q.inFlight = true
 		q.attempts++
-		r.leader.c.env.Cloud.Call("POST", "/hosts", r.leader.c.codec.Encode(q.ScaleOutRequest), cloudCallTimeout, func(res storage.Response) {
+		r.leader.c.env.Cloud.Call("POST", "/hosts", r.leader.c.codec.Encode(q.ScaleOutRequest), cloud.CallTimeout, func(res storage.Response) {
 			if r.leader.c.leader == r.leader {
 				r.onScaleOutResponse(q, res)
 			}
@@ -195,13 +196,13 @@
 			r.refusedUntil[q.kind] = now + capacityBackoff
 			break
 		}
-		r.blockedUntil = now + cloudRetryDelay
+		r.blockedUntil = now + cloud.RetryDelay
 	case 429:
-		q.nextAttempt = now + cloudRetryDelay
+		q.nextAttempt = now + cloud.RetryDelay
 		done = false
 	default:
 		// It may have been carried out: the same name asks what came of it.
-		q.nextAttempt = now + cloudRetryDelay
+		q.nextAttempt = now + cloud.RetryDelay
 		done = q.attempts >= maxScaleOutAttempts
 	}
 	if !done {
@@ -222,7 +223,7 @@
 	var names []string
 	for m := range r.leader.machines.all {
 		if m.terminated {
-			if e, ok := r.leader.c.fleet.listed[m.name]; ok && e.Status == "failed" && !m.terminateInFlight {
+			if e, ok := r.leader.c.cloud.Listed(m.name); ok && e.Status == cloud.StatusFailed && !m.terminateInFlight {
 				names = append(names, m.name)
 			}
 			continue
@@ -235,7 +236,7 @@
 		}
 	}
 	sort.Strings(names)
-	for len(names) > 0 && r.scaleInsInFlight < 2 && now >= r.blockedUntil && r.leader.c.fleet.allowCall(now) {
+	for len(names) > 0 && r.scaleInsInFlight < 2 && now >= r.blockedUntil && r.leader.c.cloud.AllowCall(now) {
 		n := min(len(names), maxMachinesPerScaleIn)
 		r.sendScaleIn(names[:n])
 		names = names[n:]
@@ -247,7 +248,7 @@
 	for _, n := range names {
 		r.leader.machines.get(n).terminateInFlight = true
 	}
-	r.leader.c.env.Cloud.Call("POST", "/hosts/release", r.leader.c.codec.Encode(protocol.MachineNames{Machines: names}), cloudCallTimeout, func(res storage.Response) {
+	r.leader.c.env.Cloud.Call("POST", "/hosts/release", r.leader.c.codec.Encode(protocol.MachineNames{Machines: names}), cloud.CallTimeout, func(res storage.Response) {
 		if r.leader.c.leader != r.leader {
 			return
 		}
@@ -264,7 +265,7 @@
 			m.terminateInFlight = false
 		}
 		if res.Status != 200 {
-			r.blockedUntil = r.leader.c.now() + cloudRetryDelay
+			r.blockedUntil = r.leader.c.now() + cloud.RetryDelay
 		}
 	})
 }
@@ -283,7 +284,7 @@
 }
 
 func (r *autoscaler) shouldScaleIn(m *machine, now time.Duration) bool {
-	t := r.leader.c.fleet.types[m.typeName]
+	t := r.leader.c.cloud.Type(m.typeName)
 	if r.leader.missingFromCloud(m, now) {
 		return true
 	}
@@ -330,11 +331,11 @@
 // now: most likely it was taken away without a word. That is no proof, since
 // lists may be older than is said; but returning it is, sooner than its lease.
 func (r *autoscaler) missingFromList(m *machine) bool {
-	f := &r.leader.c.fleet
-	if _, ok := f.listed[m.name]; ok || m.createdAt == 0 || f.listedAt <= max(m.lastHeartbeat, r.leader.electedAt) {
+	c := r.leader.c
+	if _, ok := c.cloud.Listed(m.name); ok || m.createdAt == 0 || c.cloud.ListedAt() <= max(m.lastHeartbeat, r.leader.electedAt) {
 		return false
 	}
-	return f.listedAt-m.createdAt > seconds(listLagFactor*f.c.cfg.Settings.Cloud.ListLagS)
+	return c.cloud.ListedAt()-m.createdAt > seconds(listLagFactor*c.cfg.Settings.Cloud.ListLagS)
 }
 
 // replacementTime is how long a machine that is rented now would take to be what a
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -19,6 +19,7 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/admission"
 	"github.com/cobaltvale/cobaltvale/internal/audit"
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/eventcount"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
@@ -74,7 +75,7 @@
 	leader       *leader // nil unless this process leads
 	subscription subscription
 	forwarder    heartbeatForwarder
-	fleet        cloudInventory // what the cloud says; every member keeps the catalogue
+	cloud        *cloud.Inventory // every member keeps the catalogue
 
 	responseEvents    eventcount.Counter // by responseEvent
 	lastPeerHeartbeat time.Duration
@@ -113,7 +114,14 @@
 	c.forwarder.init(c)
 	c.subscription.c = c
 	c.subscription.reset()
-	c.fleet.init(c)
+	c.cloud = cloud.NewInventory(cloud.Config{
+		API:         env.Cloud,
+		Clock:       env.Clock,
+		Codec:       codec,
+		Settings:    cfg.Settings.Cloud,
+		Peers:       len(cfg.Peers),
+		MaxMachines: maxMachines,
+	})
 	c.election = newElection(c)
 	return c, nil
 }
@@ -161,7 +169,7 @@
 	c.tickAdmission(now)
 	c.userAPI.tick(now)
 	c.forwarder.tick(now)
-	c.fleet.tick(now)
+	c.cloud.Tick(now)
 	c.responseEvents.Log(now, &c.log)
 	if c.leader != nil {
 		c.leader.tick(now)
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"runtime"
 	"testing"
 	"time"
@@ -107,7 +108,7 @@
 		want(t, "submit", n.submit(request).Status, 201)
 	}
 	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
-	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(sim.leader().controller.fleet.listed) >= largeFleetSize })
+	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(sim.leader().controller.cloud.AllListed())) >= largeFleetSize })
 	started := scenario.startCount()
 	want(t, "starts", started, largeFleetSize)
 
--- a/internal/coordination/forecast.go
+++ b/internal/coordination/forecast.go
@@ -52,7 +52,7 @@
 	if !ok {
 		return
 	}
-	t := f.leader.c.fleet.types[v.typeName]
+	t := f.leader.c.cloud.Type(v.typeName)
 	if t.BootS <= within {
 		return
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -164,7 +164,7 @@
 	}
 	before := m.tasks
 	m.tasks = make([]replicaOnMachine, 0, len(reported))
-	machineType := l.c.fleet.types[m.typeName]
+	machineType := l.c.cloud.Type(m.typeName)
 	for _, status := range reported {
 		key := replicaKey{status.Job, uint32(status.Task), status.Replica}
 		replica := replicaOnMachine{key: key, state: status.State, exitReason: status.ExitReason, since: now, job: l.jobs[status.Job]}
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -97,7 +97,7 @@
 
 // inheritImages takes what the last leader knew to be cached on a machine.
 func (l *leader) inheritImages(m *machine) {
-	machineType := l.c.fleet.types[m.typeName]
+	machineType := l.c.cloud.Type(m.typeName)
 	if machineType == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	for m := range l.machines.all {
-		machineType := l.c.fleet.types[m.typeName]
+		machineType := l.c.cloud.Type(m.typeName)
 		if machineType == nil || len(m.images) == 0 || !l.schedulable(m, now) {
 			continue
 		}
@@ -197,7 +197,7 @@
 // fetches at once would only slow each other down. One that is short against
 // the run is made whenever there is room.
 func (l *leader) worthFetching(job *trackedJob, m *machine) bool {
-	machineType := l.c.fleet.types[m.typeName]
+	machineType := l.c.cloud.Type(m.typeName)
 	fetch := fetchTime(job.image, machineType)
 	if l.fetchIsShort(job, fetch) || job.orderKey.overdue {
 		return true
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -64,7 +64,7 @@
 	l.forecast.leader = l
 	l.warmPool.init(l)
 	c.leader = l
-	c.fleet.nextCatalog, c.fleet.nextList = min(c.fleet.nextCatalog, now), now // prices and machines as they are now
+	c.cloud.Lead(l, now)
 	c.subscription.registerShards()
 	for _, shard := range l.shards {
 		l.readUnfinishedJobs(shard)
@@ -100,6 +100,7 @@
 func (c *Controller) endLeadership() {
 	l := c.leader
 	c.leader = nil
+	c.cloud.Follow()
 	for _, pending := range l.pendingResponses {
 		if !pending.finished {
 			pending.reply(Response{Status: 503, RetryAfterS: 1})
@@ -158,7 +159,7 @@
 		return true
 	}
 	for m := range l.machines.all {
-		if !m.terminated && l.c.fleet.runningFor(m.name, now) > timeout {
+		if !m.terminated && l.c.cloud.RunningFor(m.name, now) > timeout {
 			return false
 		}
 	}
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -167,9 +167,9 @@
 // leader ended; returning it once more proves it gone. Until then a recovered
 // ledger's tasks wait for it.
 func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
-	if m.heartbeatSeen || !m.fromEarlierLeader || l.c.fleet.listedAt <= l.electedAt {
+	if m.heartbeatSeen || !m.fromEarlierLeader || l.c.cloud.ListedAt() <= l.electedAt {
 		return false
 	}
-	_, inList := l.c.fleet.listed[m.name]
+	_, inList := l.c.cloud.Listed(m.name)
 	return !inList && now-l.electedAt > seconds(heartbeatJitter*l.c.cfg.Settings.Workers.HeartbeatIntervalS)+leaderSearchTime
 }
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -176,7 +176,7 @@
 // it leave free.
 func (l *leader) updateFree(m *machine) {
 	m.free = resources{}
-	machineType := l.c.fleet.types[m.typeName]
+	machineType := l.c.cloud.Type(m.typeName)
 	if machineType == nil {
 		return
 	}
@@ -266,11 +266,11 @@
 // largestCapacity is the size of a type, or of the largest one while a machine's type
 // is not known.
 func (l *leader) largestCapacity(typ string) resources {
-	if t := l.c.fleet.types[typ]; t != nil {
+	if t := l.c.cloud.Type(typ); t != nil {
 		return capacityOf(t)
 	}
 	var r resources
-	for _, t := range l.c.fleet.types {
+	for _, t := range l.c.cloud.Catalog() {
 		r.cpus, r.gpus = math.Max(r.cpus, t.CPUs), math.Max(r.gpus, t.GPUs)
 	}
 	return r
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -180,7 +180,7 @@
 		d.exclusiveTypes[j.onlyType] = true
 	}
 	d.byKind = make(map[machineKind]*machineKindQueue)
-	for name, t := range l.c.fleet.types {
+	for name, t := range l.c.cloud.Catalog() {
 		whole := capacityOf(t)
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -412,7 +412,7 @@
 
 // suitsWhenEmpty tells whether an empty machine would be offered to a job.
 func (l *leader) suitsWhenEmpty(m *machine, j *trackedJob) bool {
-	t := l.c.fleet.types[m.typeName]
+	t := l.c.cloud.Type(m.typeName)
 	if t == nil || !permits(j.spec, m.machineKind) || l.shouldAvoid(j, m) || l.reservedForOthers(j, m.typeName) {
 		return false
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -59,12 +59,12 @@
 	if t == nil {
 		return c.errorResponse(422, "unknown crew", 0), false
 	}
-	if len(c.fleet.types) == 0 {
+	if len(c.cloud.Catalog()) == 0 {
 		return c.errorResponse(503, "machine types are not known yet", 1), false
 	}
 	fits := false
 	var known []string
-	for _, mt := range c.fleet.types {
+	for _, mt := range c.cloud.Catalog() {
 		fits = fits || job.Fits(mt)
 		if !job.AnyType && job.AllowsType(mt.Name) {
 			known = append(known, mt.Name)
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -23,7 +23,7 @@
 // onlyFittingType is the one type that a task fits on, or none if there are several.
 func (r *autoscaler) onlyFittingType(s *meshpb.JobSummary) string {
 	only := ""
-	for name, t := range r.leader.c.fleet.types {
+	for name, t := range r.leader.c.cloud.Catalog() {
 		if !capacityOf(t).fits(s) || !(s.AnyType || permits(s, machineKind{name, s.Zone, s.Spot})) {
 			continue
 		}
@@ -41,7 +41,7 @@
 	if now-r.leader.electedAt >= observationTime || r.requestSequence > 0 {
 		return true
 	}
-	if !r.leader.machinesKnown || r.leader.c.fleet.listedAt <= r.leader.electedAt {
+	if !r.leader.machinesKnown || r.leader.c.cloud.ListedAt() <= r.leader.electedAt {
 		return false
 	}
 	for m := range r.leader.machines.all {
@@ -57,7 +57,7 @@
 	r.machinesPerZone, r.booting, r.kinds = make(map[string]int), make(map[machineKind]int), r.kinds[:0]
 	r.machinesPerType, r.forecastPerType, r.reportedMachines = make(map[string]int), r.leader.forecast.machinesWanted(now), 0
 	r.reportedCPUs = 0
-	for name, t := range r.leader.c.fleet.types {
+	for name, t := range r.leader.c.cloud.Catalog() {
 		for _, z := range t.Zones {
 			r.kinds = append(r.kinds, machineKind{name, z, true}, machineKind{name, z, false})
 		}
@@ -80,7 +80,7 @@
 		if m.heartbeatSeen {
 			heard[m.zone]++
 			r.reportedMachines++
-			if t := r.leader.c.fleet.types[m.typeName]; t != nil {
+			if t := r.leader.c.cloud.Type(m.typeName); t != nil {
 				r.reportedCPUs += t.CPUs
 			}
 			if r.silenceBeyondLimit(m, now) > 0 && !r.missingFromList(m) {
@@ -91,7 +91,7 @@
 		if r.leader.schedulable(m, now) || (m.starting() && !m.terminating) {
 			r.machinesPerType[m.typeName]++
 		}
-		if t := r.leader.c.fleet.types[m.typeName]; t != nil && !m.terminating && m.starting() && now-m.createdAt < r.bootTimeout(t) {
+		if t := r.leader.c.cloud.Type(m.typeName); t != nil && !m.terminating && m.starting() && now-m.createdAt < r.bootTimeout(t) {
 			r.booting[m.machineKind]++
 		}
 	}
@@ -117,7 +117,7 @@
 		least.cpus = math.Min(least.cpus, j.spec.Cpus)
 	}
 	for m := range r.leader.machines.all {
-		t := r.leader.c.fleet.types[m.typeName]
+		t := r.leader.c.cloud.Type(m.typeName)
 		if t == nil || m.terminated || m.terminating || m.quarantined {
 			continue
 		}
@@ -139,7 +139,7 @@
 		}
 	}
 	for _, q := range r.requests {
-		if t := r.leader.c.fleet.types[q.kind.typeName]; t != nil {
+		if t := r.leader.c.cloud.Type(q.kind.typeName); t != nil {
 			for range q.Count {
 				out[q.kind] = append(out[q.kind], &supply{free: capacityOf(t)})
 			}
@@ -271,7 +271,7 @@
 // it: it boots and fetches their image.
 func (r *autoscaler) leadTime(j *trackedJob) time.Duration {
 	least := time.Duration(-1)
-	for _, t := range r.leader.c.fleet.types {
+	for _, t := range r.leader.c.cloud.Catalog() {
 		if !capacityOf(t).fits(j.spec) {
 			continue
 		}
@@ -335,7 +335,7 @@
 		asked[v.zone] += n
 	}
 	var out []kindCandidate
-	for name, t := range r.leader.c.fleet.types {
+	for name, t := range r.leader.c.cloud.Catalog() {
 		if !capacityOf(t).fits(j.spec) || r.leader.reservedForOthers(j, name) {
 			continue
 		}
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -154,7 +154,7 @@
 
 // replicasPerMachine is how many replicas of some kind fit on an empty machine.
 func (s *warmPool) replicasPerMachine(v machineKind) int {
-	t, most := s.leader.c.fleet.types[v.typeName], 1
+	t, most := s.leader.c.cloud.Type(v.typeName), 1
 	for _, load := range s.loads {
 		if t != nil && permits(load.spec, v) {
 			most = max(most, int(tasksPerMachine(t, &trackedJob{spec: load.spec})))
@@ -183,11 +183,11 @@
 func (s *warmPool) fastestBootingType() *protocol.MachineType {
 	perCPU := func(t *protocol.MachineType) float64 { return t.Price / math.Max(t.CPUs, 1) }
 	least := math.Inf(1)
-	for _, t := range s.leader.c.fleet.types {
+	for _, t := range s.leader.c.cloud.Catalog() {
 		least = math.Min(least, perCPU(t))
 	}
 	var best *protocol.MachineType
-	for _, t := range s.leader.c.fleet.types {
+	for _, t := range s.leader.c.cloud.Catalog() {
 		if perCPU(t) > least*servicePriceTolerance {
 			continue
 		}
@@ -206,7 +206,7 @@
 	if !ok {
 		return
 	}
-	t := s.leader.c.fleet.types[v.typeName]
+	t := s.leader.c.cloud.Type(v.typeName)
 	largest, tasks, squares := 0.0, 0.0, 0.0
 	for _, a := range load.arrivals {
 		n := float64(a.tasks)
@@ -324,7 +324,7 @@
 	if !j.spec.Service || m.hasImage(j.image) {
 		return false
 	}
-	fetch := fetchTime(j.image, s.leader.c.fleet.types[m.typeName])
+	fetch := fetchTime(j.image, s.leader.c.cloud.Type(m.typeName))
 	interval := seconds(s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS)
 	for _, o := range s.members {
 		if o != m && o.zone == m.zone && o.hasImage(j.image) && o.free.fits(j.spec) && permits(j.spec, o.machineKind) &&
