--- a/internal/coordination/forecast.go
+++ b/internal/coordination/forecast.go
@@ -105,7 +105,7 @@
 			s = &sums{}
 			by[a.machineType] = s
 		}
-		run := f.leader.meanRunTime(a.job).Seconds() + a.fetchSeconds
+		run := f.leader.runTimes.Mean(estimatedTask(a.job)).Seconds() + a.fetchSeconds
 		s.n++
 		if now-a.at <= recentWindow {
 			s.late++
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -283,7 +283,7 @@
 		replica.job.succeeded = true
 		replica.job.failedOn = nil
 		if before.state == protocol.TaskRunning && replica.job.spec != nil {
-			l.recordRunTime(replica.job.spec, now-before.since)
+			l.runTimes.Observe(estimatedTask(replica.job.spec), now-before.since)
 		}
 	case replica.exitReason == protocol.ExitReasonError:
 		if m.failuresByJob == nil {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/estimate"
 )
 
 // leader is what this process knows and decides while it leads.
@@ -36,7 +37,7 @@
 	autoscaler              autoscaler
 	forecast                arrivalForecast
 	warmPool                warmPool
-	estimates               map[string]*runTimeEstimate
+	runTimes                estimate.RunTimes
 	images                  imageTable
 }
 
@@ -85,7 +86,6 @@
 		shards:         make(map[string]*shardState),
 		teams:          make(map[string]*teamUsage),
 		offers:         make(map[uint64]*offer),
-		estimates:      make(map[string]*runTimeEstimate),
 	}
 	l.machines.init()
 	for i := range c.cfg.Settings.Teams {
--- /dev/null
+++ b/internal/estimate/run_times_test.go
@@ -0,0 +1,72 @@
+package estimate
+
+import (
+	"testing"
+	"time"
+)
+
+const tolerance = 100 * time.Millisecond // later samples weigh a little more
+
+func near(got, want time.Duration) bool { return got > want-tolerance && got < want+tolerance }
+
+type sample struct {
+	estimateS float64
+	took      time.Duration
+}
+
+func observe(r *RunTimes, class string, samples ...sample) {
+	for range 10 {
+		for _, s := range samples {
+			r.Observe(Task{Class: class, EstimateS: s.estimateS}, s.took)
+		}
+	}
+}
+
+func TestExpectedRunTime(t *testing.T) {
+	var learnt RunTimes
+	observe(&learnt, "doubles", sample{10, 20 * time.Second}, sample{100, 200 * time.Second})
+	observe(&learnt, "wild", sample{10, 200 * time.Second}, sample{100, 20 * time.Second})
+	observe(&learnt, "constant", sample{30, 12 * time.Second})
+	learnt.Observe(Task{Class: "rare", EstimateS: 10}, time.Hour)
+	learnt.Observe(Task{Class: "unestimated"}, time.Hour)
+	for _, c := range []struct {
+		name       string
+		task       Task
+		want, mean time.Duration
+	}{
+		{"service", Task{Class: "doubles", EstimateS: 10, Service: true}, Unbounded, Unbounded},
+		{"unknown class", Task{Class: "new", EstimateS: 15}, 15 * time.Second, 15 * time.Second},
+		{"too few samples", Task{Class: "rare", EstimateS: 15}, 15 * time.Second, 15 * time.Second},
+		{"samples without estimates", Task{Class: "unestimated", EstimateS: 15}, 15 * time.Second, 15 * time.Second},
+		{"no estimate", Task{Class: "doubles"}, 0, 110 * time.Second},
+		{"estimates are half", Task{Class: "doubles", EstimateS: 50}, 100 * time.Second, 110 * time.Second},
+		{"estimates of one value", Task{Class: "constant", EstimateS: 30}, 12 * time.Second, 12 * time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := learnt.Expected(c.task); !near(got, c.want) {
+				t.Errorf("expected %v, want %v", got, c.want)
+			}
+			if got := learnt.Mean(c.task); !near(got, c.mean) {
+				t.Errorf("mean %v, want %v", got, c.mean)
+			}
+		})
+	}
+	// Where estimates say nothing the line is flat.
+	if a, b := learnt.Expected(Task{Class: "wild", EstimateS: 10}), learnt.Expected(Task{Class: "wild", EstimateS: 100}); a != b {
+		t.Errorf("wild estimates are expected to take %v and %v", a, b)
+	}
+}
+
+func TestLaterSamplesCountForMore(t *testing.T) {
+	var learnt RunTimes
+	task := Task{Class: "c", EstimateS: 10}
+	for range 1000 {
+		learnt.Observe(task, 10*time.Second)
+	}
+	for range 1000 {
+		learnt.Observe(task, 30*time.Second)
+	}
+	if got := learnt.Mean(task); got < 25*time.Second || got > 29*time.Second {
+		t.Errorf("mean %v, want between 25 s and 29 s", got)
+	}
+}
