--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -72,7 +72,7 @@
 	if len(types) == 0 {
 		return
 	}
-	for _, g := range r.leader.shards {
+	for _, g := range r.leader.shards.byName {
 		for _, j := range g.jobs {
 			if j.spec != nil && j.pending+j.placed > 0 {
 				j.onlyType = r.onlyFittingType(j.spec)
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -72,7 +72,7 @@
 func (r electionRegistrations) Confirmed() bool { return r.c.subscription.allRegistered() }
 
 func (r electionRegistrations) Complete() bool {
-	return r.c.leader == nil || r.c.leader.allShardsRegistered()
+	return r.c.leader == nil || r.c.leader.shards.allRegistered()
 }
 
 // electionObserver passes on what the election has decided or seen.
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -73,7 +73,7 @@
 		if m.createdAt != 0 {
 			l.requestRecord(m) // so that its next report, half a second on, gets starts
 		}
-		l.updateUnreconciled(m, now)
+		l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 		l.publishStatus(m, false, false, now)
 		return false
 	}
@@ -86,14 +86,14 @@
 	}
 	changed := anew || !m.sameTasks(heartbeat.Tasks)
 	if changed || len(m.sentStarts) > 0 {
-		l.uncountReplicas(m)
+		l.usage.uncountReplicas(m)
 		if changed {
 			l.applyTaskStatuses(m, heartbeat.Tasks, now)
 		}
 		m.sentStarts = nil
 		l.updateFree(m)
 	}
-	l.countReplicas(m)
+	l.usage.countReplicas(m)
 	for i := range m.tasks {
 		if m.tasks[i].state != protocol.TaskExited {
 			m.idleSince = now
@@ -101,7 +101,7 @@
 		}
 	}
 	l.requestRecord(m)
-	l.updateUnreconciled(m, now)
+	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 	l.publishStatus(m, true, changed, now)
 	return arrives
 }
@@ -132,7 +132,7 @@
 // sent in it is gone. Nobody may be told of it any more: who takes a ledger up
 // anew would think that it counts, and that the replica does not (ran_twice).
 func (l *leader) endEpoch(m *machine) {
-	l.uncountReplicas(m)
+	l.usage.uncountReplicas(m)
 	m.tasks, m.sentStarts, m.commands = nil, nil, nil
 	l.updateFree(m)
 }
@@ -199,7 +199,7 @@
 	if len(m.tasks) == 0 {
 		return nil
 	}
-	allRegistered := l.allShardsRegistered()
+	allRegistered := l.shards.allRegistered()
 	var commands []protocol.Command
 	for i := range m.tasks {
 		if len(commands) >= maxCleanupCommands {
@@ -255,11 +255,11 @@
 	if m.pending != nil {
 		l.abandonResponse(m.pending)
 	}
-	l.uncountReplicas(m)
+	l.usage.uncountReplicas(m)
 	m.tasks, m.sentStarts, m.commands, m.images, m.reservedFor = nil, nil, nil, nil, nil
 	m.free = resources{}
 	m.lastHeartbeat = l.c.now()
-	l.updateUnreconciled(m, m.lastHeartbeat)
+	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), m.lastHeartbeat)
 	frame := &meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}}
 	for _, subscriber := range l.subscribers {
 		subscriber.peer.send(frame)
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -112,7 +112,7 @@
 	for _, im := range l.images.byName {
 		*im = image{name: im.name, sizeGB: im.sizeGB, urgentCPUs: im.urgentCPUs, standardCPUs: im.standardCPUs, standardJob: im.standardJob}
 	}
-	for _, shard := range l.shards {
+	for _, shard := range l.shards.byName {
 		for _, job := range shard.jobs {
 			n := float64(job.unoffered())
 			if n == 0 || job.image == nil {
@@ -153,7 +153,7 @@
 // removeUnusedImages drops the images that no unfinished job and no machine names.
 func (l *leader) removeUnusedImages() {
 	named := make(map[*image]bool, len(l.images.byName))
-	for _, shard := range l.shards {
+	for _, shard := range l.shards.byName {
 		for _, job := range shard.jobs {
 			named[job.image] = true
 		}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -14,9 +14,9 @@
 	electedAt               time.Duration
 	machines                machineTable
 	jobs                    map[string]*trackedJob
-	shards                  map[string]*shardState
-	teams                   map[string]*teamUsage
-	unreconciled            resources // what may run though no shard knows of it
+	leases                  machineLeases
+	shards                  shardRegistry
+	usage                   usageAccounting
 	subscribers             []*subscriber
 	lastStream              uint64
 	offers                  map[uint64]*offer
@@ -59,7 +59,7 @@
 	now := c.now()
 	l := newLeader(c, fencingToken, now)
 	for name := range c.election.Shards() {
-		l.addShard(name)
+		l.shards.add(name)
 	}
 	l.autoscaler.init(l)
 	l.forecast.leader = l
@@ -67,7 +67,7 @@
 	c.leader = l
 	c.cloud.Lead(l, now)
 	c.subscription.registerShards()
-	for _, shard := range l.shards {
+	for _, shard := range l.shards.byName {
 		l.readUnfinishedJobs(shard)
 	}
 	l.readRecordedMachines()
@@ -83,15 +83,12 @@
 		lastDeliveryAt: now,
 		actingSince:    now,
 		jobs:           make(map[string]*trackedJob),
-		shards:         make(map[string]*shardState),
-		teams:          make(map[string]*teamUsage),
+		leases:         machineLeases{electedAt: now, timeout: c.workerLeaseTimeout()},
+		shards:         newShardRegistry(),
 		offers:         make(map[uint64]*offer),
 	}
 	l.machines.init()
-	for i := range c.cfg.Settings.Teams {
-		t := &c.cfg.Settings.Teams[i]
-		l.teams[t.Name] = &teamUsage{cfg: t}
-	}
+	l.usage = newUsageAccounting(c.cfg.Settings.Teams, l.leases)
 	return l
 }
 
@@ -126,7 +123,7 @@
 		// Heartbeats are refused meanwhile, so silence means nothing.
 		l.actingSince, l.lastDeliveryAt = now, now
 	}
-	l.machines.nextSlice(sweepParts, func(m *machine) { l.updateUnreconciled(m, now) })
+	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now) })
 	l.recordMachines(now)
 	if now < l.nextSlowTick {
 		return
@@ -141,7 +138,7 @@
 	l.removeTerminated(now)
 	l.removeUnusedImages()
 	l.removeTombstones(now)
-	l.recomputeUsage()
+	l.usage.recompute(l.jobs, &l.machines)
 	l.reconcileShards(now, leaseTimeout)
 	if l.c.election.MayAct(now) {
 		l.autoscaler.tick(now)
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -190,7 +190,7 @@
 	}
 	other.heartbeat()
 	want(t, "running elsewhere", len(other.running()), 2)
-	want(t, "its use of a limit", lead.controller.leader.teams["red"].cpus, 4)
+	want(t, "its use of a limit", lead.controller.leader.usage.teams["red"].cpus, 4)
 
 	// Its new session proves that its tasks are gone, whatever token it bears.
 	deaf.expireLease()
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -88,7 +88,7 @@
 			for _, name := range names {
 				if m := l.machines.add(name); m != nil {
 					m.recordKey, m.fromEarlierLeader = key, true
-					l.updateUnreconciled(m, now)
+					l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 				}
 			}
 		}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
@@ -203,79 +204,34 @@
 	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.c.silenceAfter()
 }
 
-// countReplicas counts the live copies that a machine lists, or was sent, with their
-// jobs: of a job that is over, they are what its team still uses.
-func (l *leader) countReplicas(m *machine) {
-	if !m.replicasCounted {
-		m.replicasCounted = true
-		l.addLiveReplicas(m, 1)
-	}
-}
-
-// uncountReplicas takes them out again: before the list changes, or when the machine's
-// lease is surely over.
-func (l *leader) uncountReplicas(m *machine) {
-	if m.replicasCounted {
-		m.replicasCounted = false
-		l.addLiveReplicas(m, -1)
-	}
-}
-
-func (l *leader) addLiveReplicas(m *machine, by int) {
-	count := func(list []replicaOnMachine) {
-		for i := range list {
-			if p := &list[i]; p.job != nil && p.state != protocol.TaskExited {
-				p.job.liveReplicas += by
-				if p.job.ended {
-					l.updateUsage(p.job)
-				}
-			}
-		}
-	}
-	count(m.tasks)
-	count(m.sentStarts)
-}
-
-// leaseExpired tells whether a machine's lease has surely ended, whoever answered
-// its worker.
-func (l *leader) leaseExpired(m *machine, now time.Duration) bool {
-	return now-max(m.lastHeartbeat, l.electedAt) > l.c.workerLeaseTimeout()
-}
-
-// updateUnreconciled notes how much may run on a machine that no owner accounts for:
-// copies of unknown jobs, or whatever is on a machine that has not yet
-// answered to this leader.
-func (l *leader) updateUnreconciled(m *machine, now time.Duration) {
-	most := resources{}
-	if !m.terminated && !l.leaseExpired(m, now) {
-		unknown := m.lastCurrentHeartbeat == 0 && m.fromEarlierLeader
-		for i := range m.tasks {
-			unknown = unknown || (m.tasks[i].job == nil && m.tasks[i].state != protocol.TaskExited)
-		}
-		if unknown {
-			most = l.largestCapacity(m.typeName)
-		}
-	} else {
-		l.uncountReplicas(m)
-	}
-	l.unreconciled.cpus += most.cpus - m.unreconciled.cpus
-	l.unreconciled.gpus += most.gpus - m.unreconciled.gpus
-	m.unreconciled = most
-}
-
 // largestCapacity is the size of a type, or of the largest one while a machine's type
 // is not known.
-func (l *leader) largestCapacity(typ string) resources {
-	if t := l.c.cloud.Type(typ); t != nil {
+func largestCapacity(catalog cloud.Catalog, typeName string) resources {
+	if t := catalog[typeName]; t != nil {
 		return capacityOf(t)
 	}
 	var r resources
-	for _, t := range l.c.cloud.Catalog() {
+	for _, t := range catalog {
 		r.cpus, r.gpus = math.Max(r.cpus, t.CPUs), math.Max(r.gpus, t.GPUs)
 	}
 	return r
 }
 
+// mayRunUnreconciled tells whether replicas may run on a machine that no owner
+// accounts for: it lists some of unknown jobs, or an earlier leader may have given
+// it some and it has not responded to this one yet.
+func (m *machine) mayRunUnreconciled() bool {
+	if m.lastCurrentHeartbeat == 0 && m.fromEarlierLeader {
+		return true
+	}
+	for i := range m.tasks {
+		if m.tasks[i].job == nil && m.tasks[i].state != protocol.TaskExited {
+			return true
+		}
+	}
+	return false
+}
+
 func (m *machine) listsReplica(key replicaKey) bool {
 	for i := range m.tasks {
 		if m.tasks[i].key == key {
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -124,7 +124,7 @@
 // addToOffer offers room for one more task of a job.
 func (l *leader) addToOffer(a *pendingResponse, j *trackedJob) {
 	j.offered++
-	l.updateUsage(j)
+	l.usage.update(j)
 	if j.orderKey.overdue {
 		// Once a task of it is on offer it is served in its turn.
 		j.overdueStarts++
@@ -150,7 +150,7 @@
 	delete(l.offers, o.id)
 	for _, it := range o.items {
 		it.job.offered -= it.count
-		l.updateUsage(it.job)
+		l.usage.update(it.job)
 	}
 }
 
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -160,7 +160,7 @@
 	l.updateImageDemand(now)
 	wall := l.c.env.Wall().UnixMilli()
 	d.jobs = d.jobs[:0]
-	for _, g := range l.shards {
+	for _, g := range l.shards.byName {
 		for _, j := range g.jobs {
 			if j.unoffered() > 0 {
 				j.orderKey = l.orderKeyOf(j, wall)
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -190,7 +190,7 @@
 	sim.run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
 	sim.crash(follower.name)
-	want(t, "CPUs counted after the owner's end", lead.controller.leader.teams["red"].cpus, 24)
+	want(t, "CPUs counted after the owner's end", lead.controller.leader.usage.teams["red"].cpus, 24)
 	sim.state.hiddenPrefix = "own/" + follower.name
 	sim.crash(lead.name)
 	sim.advance(4 * time.Second)
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -377,7 +377,7 @@
 	if s.guaranteeCPUs <= 0 {
 		return
 	}
-	for _, t := range l.teams {
+	for _, t := range l.usage.teams {
 		t.stopping = 0
 	}
 	var victims []victim
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -23,7 +23,7 @@
 // reconcileShards tells a new owner when no copy of its recovered tasks can be left
 // that it has not been told of.
 func (l *leader) reconcileShards(now, span time.Duration) {
-	for _, shard := range l.shards {
+	for _, shard := range l.shards.byName {
 		if shard.owner == nil || shard.reconciled {
 			l.confirmFullyReconciled(shard, now)
 			continue
@@ -100,7 +100,7 @@
 		return
 	}
 	for m := range l.machines.all {
-		if !m.terminated && !l.leaseExpired(m, now) && (holdsEndedReplica(m.tasks, shard) || holdsEndedReplica(m.sentStarts, shard)) {
+		if !m.terminated && !l.leases.expired(m, now) && (holdsEndedReplica(m.tasks, shard) || holdsEndedReplica(m.sentStarts, shard)) {
 			return
 		}
 	}
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -110,7 +110,7 @@
 func TestLostShardRegistrationIsRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	lead, follower := sim.leader(), sim.follower()
-	g := lead.controller.leader.shards[follower.name]
+	g := lead.controller.leader.shards.get(follower.name)
 	g.owner, g.link, g.version = nil, nil, 0
 	shard := follower.controller.owner.Shard(follower.name)
 	follower.controller.owner.BeginRegistration(shard) // and nothing is sent
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -68,7 +68,7 @@
 			if j == nil || has[key] {
 				continue
 			}
-			if g := l.shards[j.Shard().Name()]; g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
+			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
 				sim.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
 			}
 		}
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"sort"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
@@ -34,35 +33,12 @@
 // setShardOwner notes which member has joined for a ledger; nil: none has. No other
 // place changes it, as the lists that go out from now on say so.
 func (l *leader) setShardOwner(shard *shardState, p *peer) {
-	shard.owner, shard.link = p, nil
-	if p != nil {
-		shard.link = p.link
-	}
+	l.shards.setOwner(shard, p)
 	for _, subscriber := range l.subscribers {
-		subscriber.completeFor = l.shardsRegisteredBy(subscriber.peer)
+		subscriber.completeFor = l.shards.numbersOwnedBy(subscriber.peer)
 	}
 }
 
-// shardsRegisteredBy returns the numbers of the ledgers that a member has joined for. The
-// slice is shared by messages and never changed.
-func (l *leader) shardsRegisteredBy(p *peer) []uint32 {
-	var numbers []uint32
-	for _, shard := range l.shards {
-		if shard.owner == p {
-			numbers = append(numbers, shard.number)
-		}
-	}
-	sort.Slice(numbers, func(a, b int) bool { return numbers[a] < numbers[b] })
-	return numbers
-}
-
-// addShard makes a ledger known that nobody has joined for yet.
-func (l *leader) addShard(name string) *shardState {
-	shard := &shardState{name: name, number: uint32(len(l.shards) + 1), jobs: make(map[string]*trackedJob)}
-	l.shards[name] = shard
-	return shard
-}
-
 // ownedByAnother tells whether another member than p has joined for a copy's
 // ledger. Of a copy whose job is not known that can't be said.
 func (t *replicaOnMachine) ownedByAnother(p *peer) bool {
@@ -140,12 +116,12 @@
 		}
 	}
 	if target == nil {
-		target = &subscriber{peer: p, completeFor: l.shardsRegisteredBy(p)}
+		target = &subscriber{peer: p, completeFor: l.shards.numbersOwnedBy(p)}
 		l.subscribers = append(l.subscribers, target)
 	}
 	target.stream = l.lastStream
 	for m := range l.machines.all {
-		if m.lastCurrentHeartbeat > 0 && !m.terminated && !l.leaseExpired(m, now) {
+		if m.lastCurrentHeartbeat > 0 && !m.terminated && !l.leases.expired(m, now) {
 			l.writeStatus(target, m, true, true, now)
 			machines++
 			unknown += m.unknownReplicas()
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -130,7 +130,7 @@
 			free = capacityOf(t)
 		case m.heartbeatSeen && r.partitionedZones[m.zone] && r.silenceBeyondLimit(m, now) > 0 && !r.missingFromList(m):
 			cutOff = true
-			if free = m.free; r.leader.leaseExpired(m, now) {
+			if free = m.free; r.leader.leases.expired(m, now) {
 				free = capacityOf(t)
 			}
 		}
--- a/internal/coordination/tracked_jobs.go
+++ b/internal/coordination/tracked_jobs.go
@@ -1,12 +1,10 @@
 package coordination
 
 import (
-	"math"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -47,74 +45,6 @@
 	return max(0, j.pending-j.offered)
 }
 
-// shardState is a ledger and the member that answers for it now.
-type shardState struct {
-	name            string
-	number          uint32 // in the lists that are passed on, from 1
-	owner           *peer  // nil while nobody has joined for it; see setHolder
-	link            Link
-	version         uint64
-	registeredAt    time.Duration
-	reconciled      bool
-	fullyReconciled bool // and its owner was told that nothing else is left of it, see settleClean
-	jobsKnown       bool // its unfinished jobs are known, from its owner or by reading
-	readAttempts    int  // how often they were asked for
-	jobs            map[string]*trackedJob
-	arrivingJobs    map[string]*meshpb.JobSummary
-}
-
-// teamUsage is a team with what it uses: what its owners have located, what is
-// on offer, and what is left of jobs that are over. It is kept up to date with
-// every change, see recount.
-type teamUsage struct {
-	cfg  *settings.Team
-	cpus float64
-	gpus float64
-	// stopping is the part of cpus that was told to stop.
-	stopping float64
-}
-
-// dominantShare is how much of its guarantee a team uses; the lowest is served first.
-func (t *teamUsage) dominantShare() float64 {
-	s := t.cpus / math.Max(t.cfg.CPUs, 1)
-	if t.cfg.GPUs > 0 {
-		s = math.Max(s, t.gpus/t.cfg.GPUs)
-	}
-	return s
-}
-
-// updateUsage brings what a job's team uses up to date after a change of the job.
-func (l *leader) updateUsage(job *trackedJob) {
-	n := job.placed + job.offered
-	if job.ended {
-		n = job.liveReplicas
-	}
-	if d := float64(n - job.counted); d != 0 && job.team != nil && job.spec != nil {
-		job.team.cpus += d * job.spec.Cpus
-		job.team.gpus += d * job.spec.Gpus
-	}
-	job.counted = n
-}
-
-// recomputeUsage adds every team's use up anew, so that rounding errors of many
-// small changes cannot gather.
-func (l *leader) recomputeUsage() {
-	for _, t := range l.teams {
-		t.cpus, t.gpus = 0, 0
-	}
-	for _, j := range l.jobs {
-		if j.team != nil && j.spec != nil {
-			j.team.cpus += float64(j.counted) * j.spec.Cpus
-			j.team.gpus += float64(j.counted) * j.spec.Gpus
-		}
-	}
-	l.unreconciled = resources{}
-	for m := range l.machines.all {
-		l.unreconciled.cpus += m.unreconciled.cpus
-		l.unreconciled.gpus += m.unreconciled.gpus
-	}
-}
-
 // readUnfinishedJobs reads the unfinished jobs of a ledger that nobody has joined
 // for yet: all their tasks may be running and count against their teams.
 func (l *leader) readUnfinishedJobs(shard *shardState) {
@@ -136,7 +66,7 @@
 			l.applySummary(shard, &meshpb.JobSummary{Job: s.ID, Team: s.Team, Cpus: s.CPUs, Gpus: s.GPUs, MemoryGb: s.MemoryGB,
 				Priority: uint32(s.Priority), Class: s.Class, Assigned: uint32(s.Tasks), HasSpec: true})
 		}
-		shard.jobsKnown = true
+		l.shards.setJobsKnown(shard)
 		l.c.log.Info().Str("ledger", shard.name).Int("jobs", len(jobs)).Uint64("revision", revision).Int("reads", shard.readAttempts).
 			Int64("after_ms", (l.c.now() - l.electedAt).Milliseconds()).Msg("unfinished jobs read")
 	})
@@ -147,7 +77,7 @@
 	if job == nil {
 		if !summary.HasSpec || summary.Ended {
 			if summary.Ended {
-				l.jobs[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: l.c.now(), team: l.teams[summary.Team]}
+				l.jobs[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: l.c.now(), team: l.usage.teams[summary.Team]}
 			}
 			return
 		}
@@ -179,16 +109,11 @@
 
 // setSpec takes a job's description.
 func (l *leader) setSpec(job *trackedJob, summary *meshpb.JobSummary) {
-	used := job.counted
-	if job.spec != nil && job.team != nil { // what is counted for it was of the old size
-		job.team.cpus -= float64(used) * job.spec.Cpus
-		job.team.gpus -= float64(used) * job.spec.Gpus
-	}
-	job.counted = 0
-	job.spec, job.team, job.priority = summary, l.teams[summary.Team], protocol.Priority(summary.Priority)
+	l.usage.remove(job) // what is counted for it was of the old size
+	job.spec, job.team, job.priority = summary, l.usage.teams[summary.Team], protocol.Priority(summary.Priority)
 	job.image = l.images.get(summary.Image, summary.ImageGb)
 	job.onlyType = l.autoscaler.onlyFittingType(summary)
-	l.updateUsage(job)
+	l.usage.update(job)
 }
 
 // setCounts takes what the owner says of a job: how many tasks wait, and how
@@ -199,14 +124,14 @@
 	}
 	job.pending, job.placed, job.cancelling = int(summary.Pending), int(summary.Assigned), summary.Cancelling
 	job.started = job.started || job.placed > 0
-	l.updateUsage(job)
+	l.usage.update(job)
 }
 
 // endJob notes that a job is over: what is left of it has to go.
 func (l *leader) endJob(job *trackedJob) {
 	job.ended, job.endedAt, job.pending = true, l.c.now(), 0
 	delete(job.shard.jobs, job.id)
-	l.updateUsage(job)
+	l.usage.update(job)
 }
 
 // onRegisterShard takes up an owner's ledger with all its unfinished jobs.
@@ -214,9 +139,9 @@
 	if request.FencingToken != l.fencingToken {
 		return
 	}
-	shard := l.shards[request.Shard]
+	shard := l.shards.get(request.Shard)
 	if shard == nil {
-		shard = l.addShard(request.Shard)
+		shard = l.shards.add(request.Shard)
 	}
 	if request.Version < shard.version {
 		return
@@ -239,7 +164,8 @@
 		}
 	}
 	l.setShardOwner(shard, p)
-	shard.version, shard.registeredAt, shard.reconciled, shard.fullyReconciled, shard.jobsKnown = request.Version, now, false, false, true
+	shard.version, shard.registeredAt, shard.reconciled, shard.fullyReconciled = request.Version, now, false, false
+	l.shards.setJobsKnown(shard)
 	for _, summary := range shard.arrivingJobs {
 		l.applySummary(shard, summary)
 	}
@@ -253,7 +179,7 @@
 }
 
 func (l *leader) onJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
-	shard := l.shards[summaries.Shard]
+	shard := l.shards.get(summaries.Shard)
 	if shard == nil || shard.owner != p {
 		return
 	}
@@ -265,7 +191,7 @@
 // unregisterShards keeps what a member's ledgers had, all of it counted as located,
 // until somebody joins for them again.
 func (l *leader) unregisterShards(p *peer) {
-	for _, shard := range l.shards {
+	for _, shard := range l.shards.byName {
 		if shard.owner != p {
 			continue
 		}
@@ -275,18 +201,9 @@
 		for _, job := range shard.jobs {
 			job.placed += job.pending
 			job.pending = 0
-			l.updateUsage(job)
-		}
-	}
-}
-
-func (l *leader) allShardsRegistered() bool {
-	for _, shard := range l.shards {
-		if shard.owner == nil {
-			return false
+			l.usage.update(job)
 		}
 	}
-	return true
 }
 
 // removeTombstones forgets the jobs that were over long ago.
@@ -314,24 +231,7 @@
 	return false
 }
 
-// withinTeamLimit tells whether one more task keeps its team inside its limit,
-// whatever may be running that no owner accounts for.
+// withinTeamLimit tells whether one more task keeps its team inside its limit.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	t := job.team.cfg
-	check := func(limit, used, unaccounted, need float64) bool {
-		if limit <= 0 || need == 0 {
-			return true
-		}
-		for _, shard := range l.shards {
-			if !shard.jobsKnown {
-				return false
-			}
-		}
-		if !l.machinesKnown {
-			// Machines may exist that this leader has never heard of.
-			unaccounted += limit / 2
-		}
-		return used+unaccounted+need <= limit+1e-9
-	}
-	return check(t.CPUsMax, job.team.cpus, l.unreconciled.cpus, job.spec.Cpus) && check(t.GPUsMax, job.team.gpus, l.unreconciled.gpus, job.spec.Gpus)
+	return l.usage.withinLimit(job, knowledge{jobs: l.shards.allJobsKnown(), machines: l.machinesKnown})
 }
