--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -71,7 +71,7 @@
 	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
 	if heartbeat.FencingToken != l.fencingToken {
 		if m.createdAt != 0 {
-			l.requestRecord(m) // so that its next report, half a second on, gets starts
+			l.records.request(m) // so that its next report, half a second on, gets starts
 		}
 		l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 		l.publishStatus(m, false, false, now)
@@ -100,7 +100,7 @@
 			break
 		}
 	}
-	l.requestRecord(m)
+	l.records.request(m)
 	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 	l.publishStatus(m, true, changed, now)
 	return arrives
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,36 +9,30 @@
 
 // leader is what this process knows and decides while it leads.
 type leader struct {
-	c                       *Controller
-	fencingToken            uint64
-	electedAt               time.Duration
-	machines                machineTable
-	jobs                    map[string]*trackedJob
-	leases                  machineLeases
-	shards                  shardRegistry
-	usage                   usageAccounting
-	subscribers             []*subscriber
-	lastStream              uint64
-	offers                  map[uint64]*offer
-	lastOfferID             uint64
-	pendingResponses        []*pendingResponse // that wait for bindings, the oldest first
-	lastDeliveryAt          time.Duration      // of the last heartbeat that showed that a response had arrived
-	actingSince             time.Duration      // since when this member may act without a break
-	nextSlowTick            time.Duration
-	machinesKnown           bool // every machine that may hold a task is known
-	machineRecordReads      int  // how often the records of them were asked for
-	unrecordedMachines      []*machine
-	nextMachineRecord       time.Duration
-	recordingMachines       bool
-	machineRecordCount      int
-	rewritingMachineRecords bool
-	pendingQueue            pendingQueue
-	shortage                shortage
-	autoscaler              autoscaler
-	forecast                arrivalForecast
-	warmPool                warmPool
-	runTimes                estimate.RunTimes
-	images                  imageTable
+	c                *Controller
+	fencingToken     uint64
+	electedAt        time.Duration
+	machines         machineTable
+	jobs             map[string]*trackedJob
+	leases           machineLeases
+	shards           shardRegistry
+	usage            usageAccounting
+	subscribers      []*subscriber
+	lastStream       uint64
+	offers           map[uint64]*offer
+	lastOfferID      uint64
+	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
+	lastDeliveryAt   time.Duration      // of the last heartbeat that showed that a response had arrived
+	actingSince      time.Duration      // since when this member may act without a break
+	nextSlowTick     time.Duration
+	records          machineRecorder
+	pendingQueue     pendingQueue
+	shortage         shortage
+	autoscaler       autoscaler
+	forecast         arrivalForecast
+	warmPool         warmPool
+	runTimes         estimate.RunTimes
+	images           imageTable
 }
 
 const (
@@ -70,7 +64,7 @@
 	for _, shard := range l.shards.byName {
 		l.readUnfinishedJobs(shard)
 	}
-	l.readRecordedMachines()
+	l.loadMachineRecords()
 	c.sendPeerHeartbeats(now)
 }
 
@@ -89,6 +83,7 @@
 	}
 	l.machines.init()
 	l.usage = newUsageAccounting(c.cfg.Settings.Teams, l.leases)
+	l.records = machineRecorder{store: c.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: c.maxRecordBytes()}
 	return l
 }
 
@@ -98,6 +93,7 @@
 	l := c.leader
 	c.leader = nil
 	c.cloud.Follow()
+	l.records.stop()
 	for _, pending := range l.pendingResponses {
 		if !pending.finished {
 			pending.reply(Response{Status: 503, RetryAfterS: 1})
@@ -119,12 +115,15 @@
 
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
-	if !l.c.election.MayAct(now) {
+	mayAct := l.c.election.MayAct(now)
+	if !mayAct {
 		// Heartbeats are refused meanwhile, so silence means nothing.
 		l.actingSince, l.lastDeliveryAt = now, now
 	}
 	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now) })
-	l.recordMachines(now)
+	if mayAct {
+		l.records.writeDue(now)
+	}
 	if now < l.nextSlowTick {
 		return
 	}
@@ -162,3 +161,33 @@
 	}
 	return true
 }
+
+// loadMachineRecords learns the machines that earlier leaders may have given tasks.
+func (l *leader) loadMachineRecords() {
+	l.records.load(func(loaded loadedRecords) {
+		now := l.c.now()
+		for _, m := range loaded.machines {
+			l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
+		}
+		l.c.log.Info().Int("records", loaded.records).Uint64("revision", loaded.revision).Int("reads", loaded.reads).
+			Int64("after_ms", (now - l.electedAt).Milliseconds()).Msg("records of machines read")
+	})
+}
+
+// maxRecordBytes is what one machine record may take.
+func (c *Controller) maxRecordBytes() int {
+	return int(c.cfg.Settings.State.Effective().ValueKB * 1024)
+}
+
+// removeTerminated forgets machines that were terminated long ago, and has their
+// records compacted.
+func (l *leader) removeTerminated(now time.Duration) {
+	for m := range l.machines.all {
+		if m.terminated && m.recordKey == "" && now-m.lastHeartbeat > tombstoneTTL {
+			l.machines.remove(m)
+		}
+	}
+	if l.c.election.MayAct(now) {
+		l.records.compact()
+	}
+}
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -7,169 +7,223 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// The machine records name all machines that may hold a task. Every machine is
-// named in the state service, under the leader's fence, before it is given
-// its first start; so the next leader knows at once which machines have to be
-// heard of before recovered tasks may be placed, without waiting for the
-// cloud's list, which lags, or for a lease time.
-
 const (
 	machinesPerRecord = 100
 	nameOverheadBytes = 8                      // what a name takes in a record besides its letters, at the most
 	recordInterval    = 250 * time.Millisecond // new machines gather for one record
-	heartbeatJitter   = 1.25                   // times their interval, up to which reports come apart
-	leaderSearchTime  = 2 * time.Second        // in which workers find a new leader
 )
 
-// requestRecord has a machine recorded that was not yet.
-func (l *leader) requestRecord(m *machine) {
+// machineRecordStore is the part of the state service that holds machine records.
+type machineRecordStore interface {
+	RecordMachines(fencingToken uint64, number int, names []string, done func(key string, r storage.TxnResult))
+	RewriteMachineRecord(fencingToken uint64, key string, names []string, done func(storage.TxnResult))
+	MachineRecords(done func(records map[string][]string, revision uint64, ok bool))
+	After(delay time.Duration, fn func())
+}
+
+// machineRecorder keeps the machine records, which name all machines that may hold a
+// task. Every machine is named in the state service, under the leader's fencing
+// token, before it is given its first start; so the next leader knows at once which
+// machines have to be heard of before recovered tasks may be placed, without waiting
+// for the cloud's list, which lags, or for a lease time.
+//
+// It owns machine.recordKey and recordPending. After stop it changes nothing any
+// more: what is on its way then is the next leader's to read.
+type machineRecorder struct {
+	store        machineRecordStore
+	machines     *machineTable
+	fencingToken uint64
+	maxBytes     int // of one record
+
+	unrecorded []*machine
+	nextWrite  time.Duration
+	writing    bool
+	written    int // records so far, which numbers them
+	rewriting  bool
+	reads      int  // how often earlier leaders' records were asked for
+	loaded     bool // see machinesKnown
+	stopped    bool
+}
+
+// loadedRecords is what a read of all machine records found.
+type loadedRecords struct {
+	records  int
+	revision uint64
+	reads    int // that it took
+	machines []*machine
+}
+
+// machinesKnown tells whether every machine is known that may hold a task.
+func (r *machineRecorder) machinesKnown() bool { return r.loaded }
+
+// stop ends the recorder with its leader's term.
+func (r *machineRecorder) stop() { r.stopped = true }
+
+// load learns the machines that earlier leaders may have given tasks. It tries until
+// it has read them and then calls done.
+func (r *machineRecorder) load(done func(loadedRecords)) {
+	r.reads++
+	r.store.MachineRecords(func(records map[string][]string, revision uint64, ok bool) {
+		if r.stopped {
+			return
+		}
+		if !ok {
+			r.store.After(stateRetryInterval, func() {
+				if !r.stopped {
+					r.load(done)
+				}
+			})
+			return
+		}
+		found := r.addRecorded(records)
+		r.loaded = true
+		done(loadedRecords{records: len(records), revision: revision, reads: r.reads, machines: found})
+	})
+}
+
+// addRecorded makes the machines known that records name.
+func (r *machineRecorder) addRecorded(records map[string][]string) (found []*machine) {
+	for key, names := range records {
+		for _, name := range names {
+			if m := r.machines.add(name); m != nil {
+				m.recordKey, m.fromEarlierLeader = key, true
+				found = append(found, m)
+			}
+		}
+	}
+	return found
+}
+
+// request has a machine recorded that was not yet.
+func (r *machineRecorder) request(m *machine) {
 	if m.recordKey == "" && !m.recordPending {
-		l.unrecordedMachines = append(l.unrecordedMachines, m)
+		r.unrecorded = append(r.unrecorded, m)
 		m.recordPending = true
 	}
 }
 
-// recordMachines records the machines that report and have not been recorded yet.
-// One that has not come up holds nothing, and is nothing to wait for.
-func (l *leader) recordMachines(now time.Duration) {
-	if l.recordingMachines || len(l.unrecordedMachines) == 0 || now < l.nextMachineRecord || !l.c.election.MayAct(now) {
+// writeDue records the machines that were requested, when a record is due. One that
+// has not come up holds nothing, and is nothing to wait for.
+func (r *machineRecorder) writeDue(now time.Duration) {
+	if r.writing || len(r.unrecorded) == 0 || now < r.nextWrite {
 		return
 	}
-	n, size := 0, 0
-	for _, m := range l.unrecordedMachines[:min(len(l.unrecordedMachines), machinesPerRecord)] {
-		if size += len(m.name) + nameOverheadBytes; n > 0 && size > l.recordBytes() {
-			break
-		}
-		n++
-	}
-	batch := append([]*machine(nil), l.unrecordedMachines[:n]...)
-	l.unrecordedMachines = append(l.unrecordedMachines[:0], l.unrecordedMachines[n:]...)
-	names := make([]string, 0, n)
+	batch := r.takeBatch()
+	names := make([]string, 0, len(batch))
 	for _, m := range batch {
 		names = append(names, m.name)
 	}
 	sort.Strings(names)
-	l.recordingMachines, l.nextMachineRecord = true, now+recordInterval
-	l.machineRecordCount++
-	l.c.store.RecordMachines(l.fencingToken, l.machineRecordCount, names, func(key string, r storage.TxnResult) {
-		if l.c.leader != l {
+	r.writing, r.nextWrite = true, now+recordInterval
+	r.written++
+	r.store.RecordMachines(r.fencingToken, r.written, names, func(key string, result storage.TxnResult) {
+		if r.stopped {
 			return
 		}
-		l.recordingMachines = false
+		r.writing = false
 		for _, m := range batch {
-			m.recordPending = false // its next report asks again if need be
-			if r.Outcome == storage.Applied {
+			m.recordPending = false // its next heartbeat asks again if need be
+			if result.Outcome == storage.Applied {
 				m.recordKey = key
 			}
 		}
 	})
 }
 
-// recordBytes is what one record may take.
-func (l *leader) recordBytes() int { return int(l.c.cfg.Settings.State.Effective().ValueKB * 1024) }
-
-// readRecordedMachines learns the machines that earlier leaders may have given tasks.
-func (l *leader) readRecordedMachines() {
-	l.machineRecordReads++
-	l.c.store.MachineRecords(func(records map[string][]string, revision uint64, ok bool) {
-		if l.c.leader != l {
-			return
-		}
-		if !ok {
-			l.c.store.After(stateRetryInterval, func() {
-				if l.c.leader == l {
-					l.readRecordedMachines()
-				}
-			})
-			return
-		}
-		now := l.c.now()
-		for key, names := range records {
-			for _, name := range names {
-				if m := l.machines.add(name); m != nil {
-					m.recordKey, m.fromEarlierLeader = key, true
-					l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
-				}
-			}
+// takeBatch removes as many of the requested machines as fit into one record.
+func (r *machineRecorder) takeBatch() []*machine {
+	n, size := 0, 0
+	for _, m := range r.unrecorded[:min(len(r.unrecorded), machinesPerRecord)] {
+		if size += len(m.name) + nameOverheadBytes; n > 0 && size > r.maxBytes {
+			break
 		}
-		l.machinesKnown = true
-		l.c.log.Info().Int("records", len(records)).Uint64("revision", revision).Int("reads", l.machineRecordReads).Int64("after_ms", (now - l.electedAt).Milliseconds()).
-			Msg("records of machines read")
-	})
+		n++
+	}
+	batch := append([]*machine(nil), r.unrecorded[:n]...)
+	r.unrecorded = append(r.unrecorded[:0], r.unrecorded[n:]...)
+	return batch
 }
 
-// removeTerminated drops what is long gone, and brings one record at a time up
-// to date where machines are gone, so that the next leader waits for none of
-// them.
-func (l *leader) removeTerminated(now time.Duration) {
-	left := make(map[string]int)
-	size := make(map[string]int)
-	gone := make(map[string]int)
-	for m := range l.machines.all {
-		switch {
-		case m.terminated && m.recordKey == "" && now-m.lastHeartbeat > tombstoneTTL:
-			l.machines.remove(m)
-		case m.recordKey != "" && m.terminated:
-			gone[m.recordKey]++
-		case m.recordKey != "":
-			left[m.recordKey]++
-			size[m.recordKey] += len(m.name) + nameOverheadBytes
+// recordContent is how many machines a record names that are there, and how many
+// that are terminated.
+type recordContent struct {
+	live, terminated int
+	liveBytes        int // of the record without the terminated ones
+}
+
+// contents counts what each record names.
+func (r *machineRecorder) contents() map[string]recordContent {
+	contents := make(map[string]recordContent)
+	for m := range r.machines.all {
+		if m.recordKey == "" {
+			continue
+		}
+		c := contents[m.recordKey]
+		if m.terminated {
+			c.terminated++
+		} else {
+			c.live++
+			c.liveBytes += len(m.name) + nameOverheadBytes
 		}
+		contents[m.recordKey] = c
 	}
-	if l.rewritingMachineRecords || !l.c.election.MayAct(now) {
+	return contents
+}
+
+// compact brings one record up to date that names terminated machines, so that the
+// next leader waits for none of them. A record that can be dropped comes first, then
+// the one that names most machines in vain.
+func (r *machineRecorder) compact() {
+	if r.rewriting {
 		return
 	}
-	// A record that can be dropped comes first, then the one that names most
-	// machines in vain.
-	worst := ""
-	for key, n := range gone {
-		if size[key] > l.recordBytes() {
+	worst, of := "", recordContent{}
+	for key, c := range r.contents() {
+		if c.terminated == 0 || c.liveBytes > r.maxBytes {
 			continue // written under larger limits, it stays until fewer are left
 		}
-		a, b := left[key] == 0, left[worst] == 0
-		if worst == "" || (a && !b) || (a == b && (n > gone[worst] || (n == gone[worst] && key < worst))) {
-			worst = key
+		if worst == "" || c.before(key, of, worst) {
+			worst, of = key, c
 		}
 	}
 	if worst != "" {
-		l.rewriteRecord(worst)
+		r.rewrite(worst)
+	}
+}
+
+// before tells whether a record is compacted before another.
+func (c recordContent) before(key string, other recordContent, otherKey string) bool {
+	switch droppable, otherDroppable := c.live == 0, other.live == 0; {
+	case droppable != otherDroppable:
+		return droppable
+	case c.terminated != other.terminated:
+		return c.terminated > other.terminated
 	}
+	return key < otherKey
 }
 
-func (l *leader) rewriteRecord(key string) {
+// rewrite leaves out of a record the machines that are terminated.
+func (r *machineRecorder) rewrite(key string) {
 	var names []string
-	var gone []*machine
-	for m := range l.machines.all {
+	var terminated []*machine
+	for m := range r.machines.all {
 		if m.recordKey == key && m.terminated {
-			gone = append(gone, m)
+			terminated = append(terminated, m)
 		} else if m.recordKey == key {
 			names = append(names, m.name)
 		}
 	}
 	sort.Strings(names)
-	l.rewritingMachineRecords = true
-	l.c.store.RewriteMachineRecord(l.fencingToken, key, names, func(r storage.TxnResult) {
-		if l.c.leader != l {
+	r.rewriting = true
+	r.store.RewriteMachineRecord(r.fencingToken, key, names, func(result storage.TxnResult) {
+		if r.stopped {
 			return
 		}
-		l.rewritingMachineRecords = false
-		for _, m := range gone {
-			if r.Outcome == storage.Applied {
+		r.rewriting = false
+		for _, m := range terminated {
+			if result.Outcome == storage.Applied {
 				m.recordKey = ""
 			}
 		}
 	})
 }
-
-// missingFromCloud tells whether a machine that only an old record names is not to be
-// found: it has not reported within the time in which all others have, and the
-// present list lacks it. Most likely it was returned or taken before the last
-// leader ended; returning it once more proves it gone. Until then a recovered
-// ledger's tasks wait for it.
-func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
-	if m.heartbeatSeen || !m.fromEarlierLeader || l.c.cloud.ListedAt() <= l.electedAt {
-		return false
-	}
-	_, inList := l.c.cloud.Listed(m.name)
-	return !inList && now-l.electedAt > seconds(heartbeatJitter*l.c.cfg.Settings.Workers.HeartbeatIntervalS)+leaderSearchTime
-}
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -39,7 +39,7 @@
 // collectProofs counts the machines by why they are accounted for. It stops at the
 // first that is not.
 func (l *leader) collectProofs(shard *shardState, now, span time.Duration) (proofs [machineProofs]int, all bool) {
-	if !l.machinesKnown && now-shard.registeredAt <= span {
+	if !l.records.machinesKnown() && now-shard.registeredAt <= span {
 		return proofs, false // there may be more machines than it knows of
 	}
 	for m := range l.machines.all {
@@ -66,7 +66,7 @@
 		return provenLeaseExpired
 	case m.lastCurrentHeartbeat > shard.registeredAt:
 		return provenByHeartbeat
-	case m.lastCurrentHeartbeat == 0 && l.machinesKnown && !m.fromEarlierLeader:
+	case m.lastCurrentHeartbeat == 0 && l.records.machinesKnown() && !m.fromEarlierLeader:
 		return provenEmpty
 	case m.lastCurrentHeartbeat == 0 || m.hasUnacknowledgedStartOf(shard):
 		return notProven
@@ -88,7 +88,7 @@
 func (l *leader) logReconciled(shard *shardState, proofs *[machineProofs]int, now time.Duration) {
 	l.c.log.Info().Str("ledger", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now-shard.registeredAt).Milliseconds()).
 		Int("reported", proofs[provenByHeartbeat]).Int("told", proofs[provenByPublishedStatus]).Int("empty", proofs[provenEmpty]).
-		Int("lease_over", proofs[provenLeaseExpired]).Int("gone", proofs[provenTerminated]).Bool("machines_known", l.machinesKnown).
+		Int("lease_over", proofs[provenLeaseExpired]).Int("gone", proofs[provenTerminated]).Bool("machines_known", l.records.machinesKnown()).
 		Msg("machines accounted for")
 }
 
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -41,7 +41,7 @@
 	if now-r.leader.electedAt >= observationTime || r.requestSequence > 0 {
 		return true
 	}
-	if !r.leader.machinesKnown || r.leader.c.cloud.ListedAt() <= r.leader.electedAt {
+	if !r.leader.records.machinesKnown() || r.leader.c.cloud.ListedAt() <= r.leader.electedAt {
 		return false
 	}
 	for m := range r.leader.machines.all {
--- a/internal/coordination/tracked_jobs.go
+++ b/internal/coordination/tracked_jobs.go
@@ -233,5 +233,5 @@
 
 // withinTeamLimit tells whether one more task keeps its team inside its limit.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	return l.usage.withinLimit(job, knowledge{jobs: l.shards.allJobsKnown(), machines: l.machinesKnown})
+	return l.usage.withinLimit(job, knowledge{jobs: l.shards.allJobsKnown(), machines: l.records.machinesKnown()})
 }
