--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -74,7 +74,7 @@
 			l.records.request(m) // so that its next report, half a second on, gets starts
 		}
 		l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
-		l.publishStatus(m, false, false, now)
+		l.publisher.publish(m, statusPresence, now)
 		return false
 	}
 	arrives = l.responsesArrive(m, conn, gap, now)
@@ -102,7 +102,11 @@
 	}
 	l.records.request(m)
 	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
-	l.publishStatus(m, true, changed, now)
+	content := statusUnchanged
+	if changed {
+		content = statusFull
+	}
+	l.publisher.publish(m, content, now)
 	return arrives
 }
 
@@ -260,10 +264,7 @@
 	m.free = resources{}
 	m.lastHeartbeat = l.c.now()
 	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), m.lastHeartbeat)
-	frame := &meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}}
-	for _, subscriber := range l.subscribers {
-		subscriber.peer.send(frame)
-	}
+	l.publisher.broadcast(&meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}})
 }
 
 // onReplicaExited draws conclusions from a task that has just ended on a machine.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -17,8 +17,8 @@
 	leases           machineLeases
 	shards           shardRegistry
 	usage            usageAccounting
-	subscribers      []*subscriber
-	lastStream       uint64
+	reconciler       reconciler
+	publisher        statusPublisher
 	offers           map[uint64]*offer
 	lastOfferID      uint64
 	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
@@ -82,6 +82,8 @@
 		offers:         make(map[uint64]*offer),
 	}
 	l.machines.init()
+	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: c.tuning.QuotaEscrow}
+	l.publisher.members = len(c.peers) + 1
 	l.usage = newUsageAccounting(c.cfg.Settings.Teams, l.leases)
 	l.records = machineRecorder{store: c.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: c.maxRecordBytes()}
 	return l
@@ -102,17 +104,6 @@
 	c.subscription.registerShards()
 }
 
-// subscriberDown forgets a member whose stream has ended.
-func (l *leader) subscriberDown(p *peer) {
-	for i, s := range l.subscribers {
-		if s.peer == p {
-			l.subscribers = append(l.subscribers[:i], l.subscribers[i+1:]...)
-			break
-		}
-	}
-	l.unregisterShards(p)
-}
-
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
 	mayAct := l.c.election.MayAct(now)
@@ -133,12 +124,11 @@
 
 // slowTick does what has to be done once in a slowTickInterval.
 func (l *leader) slowTick(now time.Duration) {
-	leaseTimeout := l.c.workerLeaseTimeout()
 	l.removeTerminated(now)
 	l.removeUnusedImages()
 	l.removeTombstones(now)
 	l.usage.recompute(l.jobs, &l.machines)
-	l.reconcileShards(now, leaseTimeout)
+	l.reconcileShards(now)
 	if l.c.election.MayAct(now) {
 		l.autoscaler.tick(now)
 		if !l.reachesMachines(now) {
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -4,46 +4,88 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// machineProof is why a ledger's owner need not wait for a machine any more.
+// machineProof is why a shard's owner need not wait for a machine any more.
 type machineProof int
 
 const (
 	notProven               machineProof = iota
 	provenTerminated                     // it has ended for good
-	provenLeaseExpired                   // its lease is over
-	provenByHeartbeat                    // it has reported since the ledger joined
-	provenByPublishedStatus              // the owner was told its last list, and it was sent nothing of the ledger since
+	provenLeaseExpired                   // its lease has expired
+	provenByHeartbeat                    // it has sent a heartbeat since the shard was registered
+	provenByPublishedStatus              // the owner was told its last status, and it was sent nothing of the shard since
 	provenEmpty                          // no earlier leader can have given it tasks
 	machineProofs
 )
 
-// reconcileShards tells a new owner when no copy of its recovered tasks can be left
-// that it has not been told of.
-func (l *leader) reconcileShards(now, span time.Duration) {
-	for _, shard := range l.shards.byName {
-		if shard.owner == nil || shard.reconciled {
-			l.confirmFullyReconciled(shard, now)
-			continue
-		}
-		if proofs, all := l.collectProofs(shard, now, span); all {
-			shard.reconciled = true
-			l.logReconciled(shard, &proofs, now)
-			shard.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{Shard: shard.name, FencingToken: l.fencingToken}}})
+// String names a proof as logs do.
+func (p machineProof) String() string {
+	switch p {
+	case provenTerminated:
+		return "terminated"
+	case provenLeaseExpired:
+		return "lease_expired"
+	case provenByHeartbeat:
+		return "heartbeat"
+	case provenByPublishedStatus:
+		return "published_status"
+	case provenEmpty:
+		return "empty"
+	}
+	return "not_proven"
+}
+
+// proofCounts is how many machines there are by their proof.
+type proofCounts [machineProofs]int
+
+// reconciliation is the decision that a shard is reconciled.
+type reconciliation struct {
+	shard *shardState
+	// full: no machine holds any replica of the shard that its owner does not know
+	// of. Otherwise no replica of its recovered tasks can be left that the owner was
+	// not told of, and proofs tells why.
+	full   bool
+	proofs proofCounts
+}
+
+// reconciler decides when a shard's owner knows all replicas that can be left of its
+// recovered tasks, by the proofs of all machines. It owns shardState.reconciled and
+// fullyReconciled, and only reads machines.
+type reconciler struct {
+	leases   machineLeases
+	machines *machineTable
+	// escrow: owners have to know when no unknown replica is left, as these count
+	// against what their teams may use.
+	escrow bool
+}
+
+// decide returns the shards that have just become reconciled, each of them once.
+func (r *reconciler) decide(shards *shardRegistry, known knowledge, now time.Duration) []reconciliation {
+	var decisions []reconciliation
+	for _, shard := range shards.byName {
+		switch {
+		case shard.owner == nil:
+		case !shard.reconciled:
+			if proofs, complete := r.proofsFor(shard, known, now); complete {
+				shard.reconciled = true
+				decisions = append(decisions, reconciliation{shard: shard, proofs: proofs})
+			}
+		case r.escrow && !shard.fullyReconciled && !r.anyUnknownReplica(shard, now):
+			shard.fullyReconciled = true
+			decisions = append(decisions, reconciliation{shard: shard, full: true})
 		}
 	}
+	return decisions
 }
 
-// collectProofs counts the machines by why they are accounted for. It stops at the
-// first that is not.
-func (l *leader) collectProofs(shard *shardState, now, span time.Duration) (proofs [machineProofs]int, all bool) {
-	if !l.records.machinesKnown() && now-shard.registeredAt <= span {
-		return proofs, false // there may be more machines than it knows of
+// proofsFor counts the machines by their proof. It stops at the first that has none.
+func (r *reconciler) proofsFor(shard *shardState, known knowledge, now time.Duration) (proofs proofCounts, complete bool) {
+	if !known.machines && now-shard.registeredAt <= r.leases.timeout {
+		return proofs, false // there may be more machines than are known
 	}
-	for m := range l.machines.all {
-		proof := l.proofFor(m, shard, now, span)
+	for m := range r.machines.all {
+		proof := r.proofFor(m, shard, known, now)
 		if proof == notProven {
 			return proofs, false
 		}
@@ -52,21 +94,21 @@
 	return proofs, true
 }
 
-// proofFor tells why a ledger's present owner has been told all that may be on a
-// machine: by a report since it joined, or by the last one before if nothing of
-// the ledger was sent to the machine after that. One that this leader was the
-// first to name, and that has not had its token, holds nothing: waited for, the
-// machines that come up all the time kept a ledger from being settled. Which
+// proofFor tells why a shard's present owner has been told all that may be on a
+// machine: by a heartbeat since it registered, or by the last one before if nothing
+// of the shard was sent to the machine after that. One that this leader was the first
+// to name, and that has not had its fencing token, holds nothing: waited for, the
+// machines that come up all the time kept a shard from being reconciled. Which
 // machines those are is known only once the records of earlier leaders were read.
-func (l *leader) proofFor(m *machine, shard *shardState, now, span time.Duration) machineProof {
+func (r *reconciler) proofFor(m *machine, shard *shardState, known knowledge, now time.Duration) machineProof {
 	switch {
 	case m.terminated:
 		return provenTerminated
-	case now-max(m.lastHeartbeat, shard.registeredAt) > span:
+	case now-max(m.lastHeartbeat, shard.registeredAt) > r.leases.timeout:
 		return provenLeaseExpired
 	case m.lastCurrentHeartbeat > shard.registeredAt:
 		return provenByHeartbeat
-	case m.lastCurrentHeartbeat == 0 && l.records.machinesKnown() && !m.fromEarlierLeader:
+	case m.lastCurrentHeartbeat == 0 && known.machines && !m.fromEarlierLeader:
 		return provenEmpty
 	case m.lastCurrentHeartbeat == 0 || m.hasUnacknowledgedStartOf(shard):
 		return notProven
@@ -74,42 +116,34 @@
 	return provenByPublishedStatus
 }
 
-// hasUnacknowledgedStartOf tells whether a machine was sent starts of a ledger that its list does
-// not answer yet.
-func (m *machine) hasUnacknowledgedStartOf(g *shardState) bool {
+// hasUnacknowledgedStartOf tells whether a machine was sent starts of a shard that
+// its list does not show yet.
+func (m *machine) hasUnacknowledgedStartOf(shard *shardState) bool {
 	for i := range m.sentStarts {
-		if m.sentStarts[i].job.shard == g {
+		if m.sentStarts[i].job.shard == shard {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *leader) logReconciled(shard *shardState, proofs *[machineProofs]int, now time.Duration) {
-	l.c.log.Info().Str("ledger", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now-shard.registeredAt).Milliseconds()).
-		Int("reported", proofs[provenByHeartbeat]).Int("told", proofs[provenByPublishedStatus]).Int("empty", proofs[provenEmpty]).
-		Int("lease_over", proofs[provenLeaseExpired]).Int("gone", proofs[provenTerminated]).Bool("machines_known", l.records.machinesKnown()).
-		Msg("machines accounted for")
-}
-
-// confirmFullyReconciled tells a settled ledger's owner, once, when no machine holds a copy of
-// the ledger that the owner does not know of: what is left of jobs that were over
-// when it took the ledger counts for their team as long as it is there.
-func (l *leader) confirmFullyReconciled(shard *shardState, now time.Duration) {
-	if !l.c.tuning.QuotaEscrow || shard.owner == nil || shard.fullyReconciled {
-		return
-	}
-	for m := range l.machines.all {
-		if !m.terminated && !l.leases.expired(m, now) && (holdsEndedReplica(m.tasks, shard) || holdsEndedReplica(m.sentStarts, shard)) {
-			return
+// anyUnknownReplica tells whether a machine may hold a replica of a shard that its
+// owner does not know of: what is left of jobs that had ended when it acquired the
+// shard counts for their team as long as it is there.
+func (r *reconciler) anyUnknownReplica(shard *shardState, now time.Duration) bool {
+	for m := range r.machines.all {
+		if m.terminated || r.leases.expired(m, now) {
+			continue
+		}
+		if holdsEndedReplica(m.tasks, shard) || holdsEndedReplica(m.sentStarts, shard) {
+			return true
 		}
 	}
-	shard.fullyReconciled = true
-	shard.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{Shard: shard.name, FencingToken: l.fencingToken, NoUnknownReplicas: true}}})
+	return false
 }
 
-// holdsEndedReplica tells whether a list has live copies of unknown jobs, or of jobs of a
-// ledger that are over.
+// holdsEndedReplica tells whether a list has live replicas of unknown jobs, or of
+// jobs of a shard that have ended.
 func holdsEndedReplica(list []replicaOnMachine, shard *shardState) bool {
 	for i := range list {
 		replica := &list[i]
--- /dev/null
+++ b/internal/coordination/shard_registration.go
@@ -0,0 +1,126 @@
+package coordination
+
+import (
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+// onRegisterShard takes an owner's shard with all its unfinished jobs, which may
+// come in several frames.
+func (l *leader) onRegisterShard(p *peer, request *meshpb.RegisterShard) {
+	if request.FencingToken != l.fencingToken {
+		return
+	}
+	shard := l.shards.get(request.Shard)
+	if shard == nil {
+		shard = l.shards.add(request.Shard)
+	}
+	if request.Version < shard.version {
+		return
+	}
+	shard.collect(request.Jobs)
+	if !request.More {
+		l.registerShard(p, shard, request.Version)
+	}
+}
+
+// collect keeps the jobs of a registration until it is whole.
+func (s *shardState) collect(jobs []*meshpb.JobSummary) {
+	if s.arrivingJobs == nil {
+		s.arrivingJobs = make(map[string]*meshpb.JobSummary)
+	}
+	for _, summary := range jobs {
+		s.arrivingJobs[summary.Job] = summary
+	}
+}
+
+// registerShard makes a member the owner of a shard, tells it so, and then what every
+// machine last listed.
+func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
+	now, jobsKnown := l.c.now(), shard.jobsKnown
+	l.rescindOffers(shard)
+	l.endOmittedJobs(shard)
+	l.setShardOwner(shard, p)
+	shard.version, shard.registeredAt = version, now
+	shard.reconciled, shard.fullyReconciled = false, false
+	l.shards.setJobsKnown(shard)
+	for _, summary := range shard.arrivingJobs {
+		l.applySummary(shard, summary)
+	}
+	shard.arrivingJobs = nil
+	l.pendingQueue.dirty = true
+	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
+		Shard: shard.name, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
+	told := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.c.now())
+	l.c.log.Info().Str("shard", shard.name).Str("owner", p.member).Uint64("version", shard.version).Int("jobs", len(shard.jobs)).
+		Int("machines", told.machines).Int("unknown_replicas", told.unknownReplicas).Bool("jobs_known", jobsKnown).
+		Int("reads", shard.readAttempts).Msg("shard registered")
+}
+
+// endOmittedJobs ends the jobs of a shard that its new owner does not list.
+func (l *leader) endOmittedJobs(shard *shardState) {
+	for id, job := range shard.jobs {
+		if shard.arrivingJobs[id] == nil {
+			l.endJob(job)
+			job.omitted = true
+		}
+	}
+}
+
+// setShardOwner notes which member has registered a shard; nil: none has. No other
+// place changes it, as the statuses that go out from now on say so.
+func (l *leader) setShardOwner(shard *shardState, p *peer) {
+	l.shards.setOwner(shard, p)
+	l.publisher.setCompleteFor(l.shards.numbersOwnedBy)
+}
+
+// subscriberDown forgets a member whose stream has ended.
+func (l *leader) subscriberDown(p *peer) {
+	l.publisher.unsubscribe(p)
+	l.unregisterShards(p)
+}
+
+// unregisterShards keeps what a member's shards had, all of it counted as placed,
+// until somebody registers them again.
+func (l *leader) unregisterShards(p *peer) {
+	for _, shard := range l.shards.byName {
+		if shard.owner != p {
+			continue
+		}
+		l.rescindOffers(shard)
+		l.setShardOwner(shard, nil)
+		shard.arrivingJobs = nil
+		for _, job := range shard.jobs {
+			job.placed += job.pending
+			job.pending = 0
+			l.usage.update(job)
+		}
+	}
+}
+
+// reconcileShards tells owners that their shards are reconciled.
+func (l *leader) reconcileShards(now time.Duration) {
+	for _, decision := range l.reconciler.decide(&l.shards, l.knowledge(), now) {
+		shard := decision.shard
+		if !decision.full {
+			l.logReconciled(decision, now)
+		}
+		shard.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{
+			Shard: shard.name, FencingToken: l.fencingToken, NoUnknownReplicas: decision.full}}})
+	}
+}
+
+func (l *leader) logReconciled(decision reconciliation, now time.Duration) {
+	shard := decision.shard
+	line := l.c.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
+	for proof := notProven + 1; proof < machineProofs; proof++ {
+		line.Int(proof.String(), decision.proofs[proof])
+	}
+	line.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
+}
+
+// knowledge is what is known of the work that earlier leaders may have left.
+func (l *leader) knowledge() knowledge {
+	return knowledge{jobs: l.shards.allJobsKnown(), machines: l.records.machinesKnown()}
+}
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -6,131 +6,176 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// The leader passes every report on to the members that ledgers have joined for.
-// Owners conclude from what a list lacks, so each list names the ledgers for which
-// it is complete (Report.complete_for): those that the member has joined for.
-//
-// Why a list is complete for them. The leader leaves out only tasks of jobs whose
-// ledger another member has joined for. A ledger has one such member at a time, so
-// no task of the receiver's own ledgers is left out. Tasks of jobs that this leader
-// does not know, because its read of the unfinished jobs is late, and tasks of
-// ledgers that nobody has joined for go to every member.
-
 const (
-	fullStatusInterval  = 10 * time.Second // an unchanged list is passed on whole again
-	maxMachinesPerFrame = 250              // machines in one frame
-	maxItemsPerFrame    = 5000             // tasks and images in one frame, but for its last machine's
+	fullStatusInterval  = 10 * time.Second // an unchanged status is published in full again
+	maxMachinesPerFrame = 250
+	maxItemsPerFrame    = 5000 // tasks and images, but for those of a frame's last machine
 )
 
-// subscriber is a member that ledgers have joined for, and thus one that reports
-// are passed on to.
+// statusPublisher passes the status of machines on to the members that own shards.
+// It owns the streams to them, and of a machine statusStreams, lastFullStatus and
+// imagesChanged.
+//
+// Owners conclude from what a status lacks, so each names the shards for which its
+// list of tasks is complete: those that its receiver has registered.
+//
+// Why a list is complete for them. The leader leaves out only tasks of jobs whose
+// shard another member has registered. A shard has one such member at a time, so no
+// task of the receiver's own shards is left out. Tasks of jobs that this leader does
+// not know, because its read of the unfinished jobs is late, and tasks of shards
+// that nobody has registered go to every member.
+type statusPublisher struct {
+	members     int // of the deployment
+	subscribers []*subscriber
+	lastStream  uint64
+}
+
+// subscriber is a member that owns shards, and so one that statuses are published to.
 type subscriber struct {
 	peer        *peer
 	stream      uint64   // changes whenever it has to be told everything anew
-	completeFor []uint32 // numbers of the ledgers that it has joined for, see setHolder
+	completeFor []uint32 // numbers of the shards that it owns
 }
 
-// setShardOwner notes which member has joined for a ledger; nil: none has. No other
-// place changes it, as the lists that go out from now on say so.
-func (l *leader) setShardOwner(shard *shardState, p *peer) {
-	l.shards.setOwner(shard, p)
-	for _, subscriber := range l.subscribers {
-		subscriber.completeFor = l.shards.numbersOwnedBy(subscriber.peer)
-	}
-}
+// statusContent is how much of a machine a published status says.
+type statusContent int
 
-// ownedByAnother tells whether another member than p has joined for a copy's
-// ledger. Of a copy whose job is not known that can't be said.
-func (t *replicaOnMachine) ownedByAnother(p *peer) bool {
-	return t.job != nil && t.job.shard != nil && t.job.shard.owner != nil && t.job.shard.owner != p
+const (
+	statusPresence  statusContent = iota // a heartbeat came without this leader's fencing token
+	statusUnchanged                      // the tasks are those of the last status
+	statusFull
+)
+
+// subscriptionSummary is what a new subscriber was told.
+type subscriptionSummary struct {
+	machines        int
+	unknownReplicas int // of jobs that the leader did not know when they were listed
 }
 
-// publishStatus writes a report to every member that ledgers have joined for, before
-// it is answered.
-func (l *leader) publishStatus(m *machine, current, changed bool, now time.Duration) {
-	full := changed || now-m.lastFullStatus > fullStatusInterval
-	if current && full {
+// publish writes a machine's status to every subscriber, before its heartbeat is
+// responded to.
+func (p *statusPublisher) publish(m *machine, content statusContent, now time.Duration) {
+	if content == statusUnchanged && now-m.lastFullStatus > fullStatusInterval {
+		content = statusFull
+	}
+	if content == statusFull {
 		m.lastFullStatus = now
 	}
-	for _, subscriber := range l.subscribers {
-		l.writeStatus(subscriber, m, current, full, now)
+	for _, s := range p.subscribers {
+		p.write(s, m, content, now)
 	}
 	m.imagesChanged = false
 }
 
-// writeStatus writes what is new of a machine to one member. The first that a stream
+// write writes what is new of a machine to one subscriber. The first that a stream
 // hears of a machine is its name and, once that is current, its whole list.
-func (l *leader) writeStatus(subscriber *subscriber, m *machine, current, full bool, now time.Duration) {
-	for len(m.statusStreams) < len(l.c.peers)+1 {
+func (p *statusPublisher) write(s *subscriber, m *machine, content statusContent, now time.Duration) {
+	for len(m.statusStreams) < p.members {
 		m.statusStreams = append(m.statusStreams, 0)
 	}
-	out := subscriber.peer.statusBatch(now)
-	fresh := m.statusStreams[subscriber.peer.index] != subscriber.stream
+	batch := s.peer.statusBatch(now)
+	current := content != statusPresence
+	first := m.statusStreams[s.peer.index] != s.stream
 	status := &meshpb.MachineStatus{MachineIndex: m.index, Epoch: m.epoch, Seq: m.sequence, Current: current}
-	if fresh {
-		out.Names = append(out.Names, &meshpb.MachineName{MachineIndex: m.index, Name: m.name, Zone: m.zone})
+	if first {
+		batch.Names = append(batch.Names, &meshpb.MachineName{MachineIndex: m.index, Name: m.name, Zone: m.zone})
 	}
-	if (fresh && current) || m.imagesChanged {
+	if (first && current) || m.imagesChanged {
 		status.ImagesIncluded, status.Images = true, m.imageStatuses()
 	}
 	if current {
-		status.Unchanged = !fresh && !full
-		status.CompleteForShards = subscriber.completeFor
-		m.statusStreams[subscriber.peer.index] = subscriber.stream
+		status.Unchanged = !first && content == statusUnchanged
+		status.CompleteForShards = s.completeFor
+		m.statusStreams[s.peer.index] = s.stream
 	}
 	if current && !status.Unchanged {
-		status.Tasks = m.taskStatusesFor(subscriber.peer)
+		status.Tasks = m.taskStatusesFor(s.peer)
 	}
-	out.Statuses = append(out.Statuses, status)
-	// However long workers' lists are, a frame stays within its size.
-	if subscriber.peer.batchedTasks += len(status.Tasks) + len(status.Images); subscriber.peer.batchedTasks >= maxItemsPerFrame || len(out.Statuses) >= maxMachinesPerFrame {
-		subscriber.peer.flush()
+	batch.Statuses = append(batch.Statuses, status)
+	s.peer.batchedTasks += len(status.Tasks) + len(status.Images)
+	// However long machines' lists are, a frame stays within its size.
+	if s.peer.batchedTasks >= maxItemsPerFrame || len(batch.Statuses) >= maxMachinesPerFrame {
+		s.peer.flush()
 	}
 }
 
-// taskStatusesFor returns what a machine lists and is not surely another member's.
-func (m *machine) taskStatusesFor(p *peer) []*meshpb.TaskStatus {
-	var tasks []*meshpb.TaskStatus
-	for i := range m.tasks {
-		t := &m.tasks[i]
-		if t.ownedByAnother(p) {
-			continue
+// subscribe writes what every machine last listed to a member that has just
+// registered a shard. What a machine listed whose lease has expired is gone; so is
+// what it listed in an earlier epoch, see endEpoch.
+func (p *statusPublisher) subscribe(to *peer, completeFor []uint32, machines *machineTable, leases machineLeases, now time.Duration) subscriptionSummary {
+	p.lastStream++
+	target := p.subscriber(to)
+	if target == nil {
+		target = &subscriber{peer: to, completeFor: completeFor}
+		p.subscribers = append(p.subscribers, target)
+	}
+	target.stream = p.lastStream
+	var summary subscriptionSummary
+	for m := range machines.all {
+		if m.lastCurrentHeartbeat > 0 && !m.terminated && !leases.expired(m, now) {
+			p.write(target, m, statusFull, now)
+			summary.machines++
+			summary.unknownReplicas += m.unknownReplicas()
 		}
-		tasks = append(tasks, &meshpb.TaskStatus{Job: t.key.job, Task: t.key.task, Replica: t.key.replica,
-			State: uint32(t.state), ExitReason: uint32(t.exitReason)})
 	}
-	return tasks
+	return summary
 }
 
-// subscribe writes what every machine last listed to a member whose ledger has
-// just joined, and counts the machines and their tasks of jobs that this leader did
-// not know when they reported. What a machine listed whose lease is over is gone,
-// see emptied.
-func (l *leader) subscribe(p *peer) (machines, unknown int) {
-	now := l.c.now()
-	l.lastStream++
-	var target *subscriber
-	for _, subscriber := range l.subscribers {
-		if subscriber.peer == p {
-			target = subscriber
+func (p *statusPublisher) subscriber(of *peer) *subscriber {
+	for _, s := range p.subscribers {
+		if s.peer == of {
+			return s
 		}
 	}
-	if target == nil {
-		target = &subscriber{peer: p, completeFor: l.shards.numbersOwnedBy(p)}
-		l.subscribers = append(l.subscribers, target)
-	}
-	target.stream = l.lastStream
-	for m := range l.machines.all {
-		if m.lastCurrentHeartbeat > 0 && !m.terminated && !l.leases.expired(m, now) {
-			l.writeStatus(target, m, true, true, now)
-			machines++
-			unknown += m.unknownReplicas()
+	return nil
+}
+
+// unsubscribe forgets a member whose stream has ended.
+func (p *statusPublisher) unsubscribe(of *peer) {
+	for i, s := range p.subscribers {
+		if s.peer == of {
+			p.subscribers = append(p.subscribers[:i], p.subscribers[i+1:]...)
+			return
+		}
+	}
+}
+
+// setCompleteFor takes in anew which shards each subscriber owns. It is called
+// whenever an owner changes, as the statuses that go out from then on say so.
+func (p *statusPublisher) setCompleteFor(numbersOwnedBy func(*peer) []uint32) {
+	for _, s := range p.subscribers {
+		s.completeFor = numbersOwnedBy(s.peer)
+	}
+}
+
+// broadcast sends a frame to every subscriber.
+func (p *statusPublisher) broadcast(f *meshpb.Frame) {
+	for _, s := range p.subscribers {
+		s.peer.send(f)
+	}
+}
+
+// ownedByAnother tells whether another member than p owns a replica's shard. Of a
+// replica whose job is not known that can't be said.
+func (r *replicaOnMachine) ownedByAnother(p *peer) bool {
+	return r.job != nil && r.job.shard != nil && r.job.shard.owner != nil && r.job.shard.owner != p
+}
+
+// taskStatusesFor returns what a machine lists that is not surely another member's.
+func (m *machine) taskStatusesFor(p *peer) []*meshpb.TaskStatus {
+	var tasks []*meshpb.TaskStatus
+	for i := range m.tasks {
+		replica := &m.tasks[i]
+		if replica.ownedByAnother(p) {
+			continue
 		}
+		tasks = append(tasks, &meshpb.TaskStatus{Job: replica.key.job, Task: replica.key.task, Replica: replica.key.replica,
+			State: uint32(replica.state), ExitReason: uint32(replica.exitReason)})
 	}
-	return machines, unknown
+	return tasks
 }
 
-// unknownReplicas counts the listed copies whose jobs are not known.
+// unknownReplicas counts the listed replicas whose jobs are not known.
 func (m *machine) unknownReplicas() int {
 	n := 0
 	for i := range m.tasks {
--- a/internal/coordination/tracked_jobs.go
+++ b/internal/coordination/tracked_jobs.go
@@ -134,50 +134,7 @@
 	l.usage.update(job)
 }
 
-// onRegisterShard takes up an owner's ledger with all its unfinished jobs.
-func (l *leader) onRegisterShard(p *peer, request *meshpb.RegisterShard) {
-	if request.FencingToken != l.fencingToken {
-		return
-	}
-	shard := l.shards.get(request.Shard)
-	if shard == nil {
-		shard = l.shards.add(request.Shard)
-	}
-	if request.Version < shard.version {
-		return
-	}
-	if shard.arrivingJobs == nil {
-		shard.arrivingJobs = make(map[string]*meshpb.JobSummary)
-	}
-	for _, summary := range request.Jobs {
-		shard.arrivingJobs[summary.Job] = summary
-	}
-	if request.More {
-		return
-	}
-	now, read := l.c.now(), shard.jobsKnown
-	l.rescindOffers(shard)
-	for id, job := range shard.jobs {
-		if shard.arrivingJobs[id] == nil {
-			l.endJob(job)
-			job.omitted = true
-		}
-	}
-	l.setShardOwner(shard, p)
-	shard.version, shard.registeredAt, shard.reconciled, shard.fullyReconciled = request.Version, now, false, false
-	l.shards.setJobsKnown(shard)
-	for _, summary := range shard.arrivingJobs {
-		l.applySummary(shard, summary)
-	}
-	shard.arrivingJobs = nil
-	l.pendingQueue.dirty = true
-	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
-		Shard: request.Shard, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
-	machines, unknown := l.subscribe(p)
-	l.c.log.Info().Str("ledger", shard.name).Str("owner", p.member).Uint64("stamp", shard.version).Int("jobs", len(shard.jobs)).
-		Int("machines_told", machines).Int("unknown_tasks", unknown).Bool("jobs_read", read).Int("reads", shard.readAttempts).Msg("ledger joined")
-}
-
+// onJobSummaries takes what a shard's owner says of its jobs.
 func (l *leader) onJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
 	shard := l.shards.get(summaries.Shard)
 	if shard == nil || shard.owner != p {
@@ -188,24 +145,6 @@
 	}
 }
 
-// unregisterShards keeps what a member's ledgers had, all of it counted as located,
-// until somebody joins for them again.
-func (l *leader) unregisterShards(p *peer) {
-	for _, shard := range l.shards.byName {
-		if shard.owner != p {
-			continue
-		}
-		l.rescindOffers(shard)
-		l.setShardOwner(shard, nil)
-		shard.arrivingJobs = nil
-		for _, job := range shard.jobs {
-			job.placed += job.pending
-			job.pending = 0
-			l.usage.update(job)
-		}
-	}
-}
-
 // removeTombstones forgets the jobs that were over long ago.
 func (l *leader) removeTombstones(now time.Duration) {
 	for id, j := range l.jobs {
@@ -233,5 +172,5 @@
 
 // withinTeamLimit tells whether one more task keeps its team inside its limit.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	return l.usage.withinLimit(job, knowledge{jobs: l.shards.allJobsKnown(), machines: l.records.machinesKnown()})
+	return l.usage.withinLimit(job, l.knowledge())
 }
