--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -8,9 +8,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const maxCleanupCommands = 300 // stops and forgets in one answer
-
-func (l *leader) onHeartbeat(heartbeat *protocol.Heartbeat, conn uint64, now time.Duration, reply func(Response)) {
+// onHeartbeat takes a machine's heartbeat and responds to it, at once or when the
+// owners of waiting tasks have answered what they are offered.
+func (l *leader) onHeartbeat(heartbeat *protocol.Heartbeat, connection uint64, now time.Duration, reply func(Response)) {
 	m := l.machines.add(heartbeat.Machine)
 	switch {
 	case m == nil:
@@ -20,9 +20,9 @@
 		l.c.countResponse(responseMachineTerminated)
 		reply(l.c.errorResponse(503, "machine was returned", 1))
 		return
-	case m.heartbeatSeen && (heartbeat.Epoch < m.epoch || (heartbeat.Epoch == m.epoch && heartbeat.Seq <= m.sequence)):
-		// A late copy. It says nothing new, and an answer that a worker took
-		// for a new one would renew its lease.
+	case m.isStale(heartbeat):
+		// It says nothing new, and a response that a machine took for a new one
+		// would renew its lease.
 		l.c.countResponse(responseStaleHeartbeat)
 		reply(l.c.errorResponse(503, "report is older than one before", 1))
 		return
@@ -30,10 +30,10 @@
 	if m.pending != nil {
 		l.abandonResponse(m.pending)
 	}
-	arrives := l.applyHeartbeat(m, heartbeat, conn, now)
-	response := &pendingResponse{machine: m, reply: reply, receivedAt: now, connection: conn, epoch: heartbeat.Epoch, sequence: heartbeat.Seq}
-	response.commands = l.cleanupCommands(m)
-	if arrives {
+	reachable := l.applyHeartbeat(m, heartbeat, connection, now)
+	response := &pendingResponse{machine: m, reply: reply, receivedAt: now, connection: connection, epoch: heartbeat.Epoch, sequence: heartbeat.Seq}
+	response.commands = m.cleanupCommands(&l.shards)
+	if reachable {
 		l.preempt(m, response, now)
 		l.makeOffers(m, response, now)
 	}
@@ -45,209 +45,188 @@
 	l.pendingResponses = append(l.pendingResponses, response)
 }
 
-// retryWithin is how soon a worker surely reports again that got no answer.
-const retryWithin = responseLifetime + 2*time.Second
+// isStale tells whether a heartbeat is a late copy: of an earlier epoch, or not newer
+// than the last one of the same.
+func (m *machine) isStale(heartbeat *protocol.Heartbeat) bool {
+	return m.heartbeatSeen && (heartbeat.Epoch < m.epoch || (heartbeat.Epoch == m.epoch && heartbeat.Seq <= m.sequence))
+}
 
-// applyHeartbeat takes a report into the machine's record and passes it on. A report
-// without this leader's token may be a copy from long ago, or the first that a
-// worker sends here: it says only that the machine may be there. The worker's
-// next one, half a second after it has seen the token, says the rest. It
-// returns whether the report shows that answers arrive.
-func (l *leader) applyHeartbeat(m *machine, heartbeat *protocol.Heartbeat, conn uint64, now time.Duration) (arrives bool) {
-	first := !m.heartbeatSeen
-	anew := m.lastCurrentHeartbeat == 0 || heartbeat.Epoch != m.epoch
-	if m.machineKind != (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}) {
-		m.machineKind = machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}
-		l.updateFree(m)
-	}
-	if first {
-		l.inheritImages(m)
-		m.idleSince, m.lastReachable, l.lastDeliveryAt = now, now, now
-	}
-	if m.heartbeatSeen && heartbeat.Epoch > m.epoch {
-		l.endEpoch(m)
-	}
+// applyHeartbeat takes a heartbeat into the machine's state and publishes that. A
+// heartbeat without this leader's fencing token may be a copy from long ago, or the
+// first that a machine sends here: it says only that the machine may be there. The
+// machine's next one, half a second after it has seen the token, says the rest. It
+// tells whether the heartbeat shows that responses reach the machine.
+func (l *leader) applyHeartbeat(m *machine, heartbeat *protocol.Heartbeat, connection uint64, now time.Duration) (reachable bool) {
+	newEpoch := m.lastCurrentHeartbeat == 0 || heartbeat.Epoch != m.epoch
 	gap := now - m.lastHeartbeat
-	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
+	l.identify(m, heartbeat, now)
 	if heartbeat.FencingToken != l.fencingToken {
 		if m.createdAt != 0 {
-			l.records.request(m) // so that its next report, half a second on, gets starts
+			l.records.request(m) // so that its next heartbeat, half a second on, gets starts
 		}
 		l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 		l.publisher.publish(m, statusPresence, now)
 		return false
 	}
-	arrives = l.responsesArrive(m, conn, gap, now)
+	reachable = l.observeDelivery(m, connection, gap, now)
 	m.lastCurrentHeartbeat = now
-	if heartbeat.TerminationNotice && m.reclaimAt == 0 {
-		m.reclaimAt = now + seconds(math.Max(0, heartbeat.TerminationInS))
-	} else if !heartbeat.TerminationNotice {
-		m.reclaimAt = 0
-	}
-	changed := anew || !m.sameTasks(heartbeat.Tasks)
-	if changed || len(m.sentStarts) > 0 {
-		l.usage.uncountReplicas(m)
-		if changed {
-			l.applyTaskStatuses(m, heartbeat.Tasks, now)
-		}
-		m.sentStarts = nil
-		l.updateFree(m)
+	m.setReclaimNotice(heartbeat, now)
+	content := statusUnchanged
+	if newEpoch || !m.sameTasks(heartbeat.Tasks) {
+		content = statusFull
 	}
-	l.usage.countReplicas(m)
-	for i := range m.tasks {
-		if m.tasks[i].state != protocol.TaskExited {
-			m.idleSince = now
-			break
-		}
+	l.updateTasks(m, heartbeat.Tasks, content, now)
+	if m.runsAny() {
+		m.idleSince = now
 	}
 	l.records.request(m)
 	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
-	content := statusUnchanged
-	if changed {
-		content = statusFull
-	}
 	l.publisher.publish(m, content, now)
-	return arrives
+	return reachable
 }
 
-// responsesArrive tells whether a current report, that came a while after the one
-// before, shows that answers reach its worker.
-func (l *leader) responsesArrive(m *machine, conn uint64, gap, now time.Duration) bool {
-	// A worker that knows this leader's token for the first time, or has stayed
-	// on the connection of its last report, has had an answer.
-	proven := m.lastCurrentHeartbeat == 0 || (conn != 0 && conn == m.connection)
-	// One that had none tries again sooner: one that comes later was away, or has
-	// lost its connection since. That holds once, until there is better proof.
-	if !proven && (gap <= retryWithin || m.reachPresumed) {
-		return false
+// identify takes what every heartbeat says, whatever fencing token it carries.
+func (l *leader) identify(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
+	if kind := (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}); m.machineKind != kind {
+		m.machineKind = kind
+		m.updateFree(l.c.cloud.Type(m.typeName))
+	}
+	if !m.heartbeatSeen {
+		l.inheritImages(m)
+		m.idleSince = now
+		l.deliveries.begin(m, now)
+	}
+	if m.heartbeatSeen && heartbeat.Epoch > m.epoch {
+		l.usage.uncountReplicas(m)
+		m.endEpoch(l.c.cloud.Type(m.typeName))
 	}
-	m.reachPresumed = !proven
-	if !proven {
+	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
+}
+
+// observeDelivery tells whether a heartbeat shows that responses reach its machine.
+func (l *leader) observeDelivery(m *machine, connection uint64, gap, now time.Duration) bool {
+	seen := l.deliveries.observe(m, connection, gap, now)
+	if seen == deliveryPresumed {
 		l.c.countResponse(startPresumed)
 	}
-	m.lastReachable = now
-	if proven {
-		l.lastDeliveryAt = now
+	return seen != deliveryUnknown
+}
+
+// setReclaimNotice takes the cloud's notice that it takes a machine away, or that it
+// does not any more.
+func (m *machine) setReclaimNotice(heartbeat *protocol.Heartbeat, now time.Duration) {
+	switch {
+	case !heartbeat.TerminationNotice:
+		m.reclaimAt = 0
+	case m.reclaimAt == 0:
+		m.reclaimAt = now + seconds(math.Max(0, heartbeat.TerminationInS))
 	}
-	return true
 }
 
-// endEpoch notes that a machine's session is over: whatever it listed or was
-// sent in it is gone. Nobody may be told of it any more: who takes a ledger up
-// anew would think that it counts, and that the replica does not (ran_twice).
-func (l *leader) endEpoch(m *machine) {
-	l.usage.uncountReplicas(m)
-	m.tasks, m.sentStarts, m.commands = nil, nil, nil
-	l.updateFree(m)
+// updateTasks takes a current heartbeat's tasks, which answer what the machine was
+// sent.
+func (l *leader) updateTasks(m *machine, tasks []protocol.TaskStatus, content statusContent, now time.Duration) {
+	if content == statusFull || len(m.sentStarts) > 0 {
+		l.usage.uncountReplicas(m)
+		if content == statusFull {
+			l.applyTaskStatuses(m, tasks, now)
+		}
+		m.sentStarts = nil
+		m.updateFree(l.c.cloud.Type(m.typeName))
+	}
+	l.usage.countReplicas(m)
 }
 
-// sameTasks tells whether a report lists what the one before did, and nothing
-// in it was unknown then.
+// sameTasks tells whether a heartbeat lists what the one before did, and nothing in
+// it was unknown then.
 func (m *machine) sameTasks(tasks []protocol.TaskStatus) bool {
 	if len(tasks) != len(m.tasks) {
 		return false
 	}
 	for i := range tasks {
-		t, p := &tasks[i], &m.tasks[i]
-		if p.job == nil || p.key.job != t.Job || p.key.task != uint32(t.Task) || p.key.replica != t.Replica || p.state != t.State || p.exitReason != t.ExitReason {
+		if !m.tasks[i].matches(&tasks[i]) {
 			return false
 		}
 	}
 	return true
 }
 
+// matches tells whether a status says what is known of a replica already.
+func (r *replicaOnMachine) matches(status *protocol.TaskStatus) bool {
+	return r.job != nil && r.key.job == status.Job && r.key.task == uint32(status.Task) && r.key.replica == status.Replica &&
+		r.state == status.State && r.exitReason == status.ExitReason
+}
+
 // applyTaskStatuses takes a changed list of tasks.
-func (l *leader) applyTaskStatuses(m *machine, reported []protocol.TaskStatus, now time.Duration) {
-	find := func(list []replicaOnMachine, key replicaKey) *replicaOnMachine {
-		for i := range list {
-			if list[i].key == key {
-				return &list[i]
-			}
-		}
-		return nil
-	}
+func (l *leader) applyTaskStatuses(m *machine, statuses []protocol.TaskStatus, now time.Duration) {
 	before := m.tasks
-	m.tasks = make([]replicaOnMachine, 0, len(reported))
+	m.tasks = make([]replicaOnMachine, 0, len(statuses))
 	machineType := l.c.cloud.Type(m.typeName)
-	for _, status := range reported {
-		key := replicaKey{status.Job, uint32(status.Task), status.Replica}
-		replica := replicaOnMachine{key: key, state: status.State, exitReason: status.ExitReason, since: now, job: l.jobs[status.Job]}
-		old := find(before, key)
-		if old == nil {
-			old = find(m.sentStarts, key) // it may have ended before it was ever listed
-		}
-		if old != nil {
-			replica.stopRequested, replica.preemptionExempt = old.stopRequested, old.preemptionExempt
-			if old.state == status.State {
-				replica.since = old.since
-			}
-		}
-		if replica.job != nil && replica.job.image != nil && machineType != nil && status.State != protocol.TaskExited {
+	for _, status := range statuses {
+		replica := replicaOnMachine{key: replicaKey{status.Job, uint32(status.Task), status.Replica},
+			state: status.State, exitReason: status.ExitReason, since: now, job: l.jobs[status.Job]}
+		last := findReplica(before, replica.key)
+		if last == nil {
+			last = findReplica(m.sentStarts, replica.key) // it may have ended before it was ever listed
+		}
+		if last != nil {
+			replica.succeed(last)
+		}
+		exited := status.State == protocol.TaskExited
+		if replica.job != nil && replica.job.image != nil && machineType != nil && !exited {
 			m.useImage(replica.job.image, machineType.CacheGB, now)
 		}
-		if status.State == protocol.TaskExited && old != nil && old.state != protocol.TaskExited {
-			l.onReplicaExited(m, &replica, old, now)
+		if exited && last != nil && last.state != protocol.TaskExited {
+			l.onReplicaExited(m, &replica, last, now)
 		}
 		m.tasks = append(m.tasks, replica)
 	}
-	for key := range m.commands {
-		if !m.listsReplica(key) {
-			delete(m.commands, key)
-		}
-	}
+	m.removeDoneCommands()
 }
 
-// cleanupCommands returns the commands that remove what should not be, or no longer
-// need be, on the machine. They are repeated until the report shows the end.
-func (l *leader) cleanupCommands(m *machine) []protocol.Command {
-	if len(m.tasks) == 0 {
-		return nil
-	}
-	allRegistered := l.shards.allRegistered()
-	var commands []protocol.Command
-	for i := range m.tasks {
-		if len(commands) >= maxCleanupCommands {
-			break // an answer is limited in size; the rest follows with the next
-		}
-		replica := &m.tasks[i]
-		command := m.commands[replica.key]
-		ended := (replica.job == nil && allRegistered) || (replica.job != nil && replica.job.ended)
-		ending := ended || (replica.job != nil && replica.job.cancelling)
-		exited := replica.state == protocol.TaskExited
-		switch {
-		case exited && (ended || (command != nil && command.Reap)):
-			commands = append(commands, protocol.Command{Op: protocol.CommandReap, Task: protocol.TaskName(replica.key.job, int(replica.key.task)), Replica: replica.key.replica})
-		case !exited && (ending || (command != nil && !command.Reap)):
-			grace := 0.0
-			if command != nil && !ending {
-				grace = command.GraceS
-			}
-			commands = append(commands, protocol.Command{Op: protocol.CommandStop, Task: protocol.TaskName(replica.key.job, int(replica.key.task)), Replica: replica.key.replica, GraceS: &grace})
+// findReplica returns a replica of a list, or nil.
+func findReplica(list []replicaOnMachine, key replicaKey) *replicaOnMachine {
+	for i := range list {
+		if list[i].key == key {
+			return &list[i]
 		}
 	}
-	return commands
+	return nil
 }
 
-// onMachineCommands takes an owner's requests to stop or forget copies.
-func (l *leader) onMachineCommands(p *peer, commands *meshpb.MachineCommands) {
-	for _, command := range commands.Commands {
-		m, job := l.machines.at(command.MachineIndex), l.jobs[command.Job]
-		if m == nil || job == nil || job.shard == nil || job.shard.owner != p {
-			continue
-		}
-		l.setCommand(m, command)
+// succeed takes over what the last list's entry of the same replica holds.
+func (r *replicaOnMachine) succeed(last *replicaOnMachine) {
+	r.stopRequested, r.preemptionExempt = last.stopRequested, last.preemptionExempt
+	if last.state == r.state {
+		r.since = last.since
 	}
 }
 
-func (l *leader) setCommand(m *machine, command *meshpb.MachineCommand) {
-	key := replicaKey{command.Job, command.Task, command.Replica}
-	if !m.listsReplica(key) {
+// onReplicaExited draws conclusions from a task that has just ended on a machine.
+func (l *leader) onReplicaExited(m *machine, replica, last *replicaOnMachine, now time.Duration) {
+	job := replica.job
+	if job == nil {
 		return
 	}
-	if m.commands == nil {
-		m.commands = make(map[replicaKey]*meshpb.MachineCommand)
+	switch {
+	case replica.exitReason == protocol.ExitReasonDone && job.spec != nil && job.spec.Service:
+		l.quarantine.recordServiceEnd(m, job)
+	case replica.exitReason == protocol.ExitReasonDone:
+		l.quarantine.recordSuccess(m, job)
+		if last.state == protocol.TaskRunning && job.spec != nil {
+			l.runTimes.Observe(estimatedTask(job.spec), now-last.since)
+		}
+	case replica.exitReason == protocol.ExitReasonError:
+		if failures, quarantined := l.quarantine.recordFailure(m, job, l.autoscaler.reportedMachines); quarantined {
+			l.c.log.Info().Str("machine", m.name).Int("failures", failures).Msg("machine quarantined")
+		}
 	}
-	m.commands[key] = command
+}
+
+// schedulable tells whether a machine may get starts at all. It may not while no
+// heartbeat shows that responses reach it: what it is sent might never arrive.
+func (l *leader) schedulable(m *machine, now time.Duration) bool {
+	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.c.silenceAfter()
 }
 
 // markTerminated ends a machine that the cloud says is no more.
@@ -260,79 +239,8 @@
 		l.abandonResponse(m.pending)
 	}
 	l.usage.uncountReplicas(m)
-	m.tasks, m.sentStarts, m.commands, m.images, m.reservedFor = nil, nil, nil, nil, nil
-	m.free = resources{}
+	m.clear()
 	m.lastHeartbeat = l.c.now()
 	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), m.lastHeartbeat)
 	l.publisher.broadcast(&meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}})
 }
-
-// onReplicaExited draws conclusions from a task that has just ended on a machine.
-func (l *leader) onReplicaExited(m *machine, replica, before *replicaOnMachine, now time.Duration) {
-	if replica.job == nil {
-		return
-	}
-	switch {
-	case replica.exitReason == protocol.ExitReasonDone && replica.job.spec != nil && replica.job.spec.Service:
-		// The machine keeps the result: started there again it would end at once.
-		if replica.job.failedOn == nil {
-			replica.job.failedOn = make(map[string]bool)
-		}
-		replica.job.failedOn[m.name] = true
-	case replica.exitReason == protocol.ExitReasonDone:
-		m.failuresByJob = nil
-		replica.job.succeeded = true
-		replica.job.failedOn = nil
-		if before.state == protocol.TaskRunning && replica.job.spec != nil {
-			l.runTimes.Observe(estimatedTask(replica.job.spec), now-before.since)
-		}
-	case replica.exitReason == protocol.ExitReasonError:
-		if m.failuresByJob == nil {
-			m.failuresByJob = make(map[string]int)
-		}
-		m.failuresByJob[replica.key.job]++
-		if replica.job.failedOn == nil {
-			replica.job.failedOn = make(map[string]bool)
-		}
-		known := replica.job.failedOn[m.name]
-		replica.job.failedOn[m.name] = true
-		l.updateQuarantine(m)
-		if known || replica.job.succeeded || !replica.job.failsEverywhere(l.autoscaler.reportedMachines) {
-			return
-		}
-		for name := range replica.job.failedOn {
-			if other := l.machines.get(name); other != nil && other.quarantined {
-				l.updateQuarantine(other)
-			}
-		}
-	}
-}
-
-// updateQuarantine sets a machine aside that fails the tasks of several jobs, or again
-// and again those of one that does well elsewhere. A job that fails everywhere
-// does not count against any machine, nor one that has failed on most of the few
-// that there are: once that shows, machines set aside for it come back.
-func (l *leader) updateQuarantine(m *machine) {
-	jobs, failures := 0, 0
-	for id, n := range m.failuresByJob {
-		job := l.jobs[id]
-		if job != nil && !job.succeeded && job.failsEverywhere(l.autoscaler.reportedMachines) {
-			continue
-		}
-		jobs++
-		if job != nil && job.succeeded {
-			failures += n
-		}
-	}
-	quarantined := jobs >= 2 || failures >= quarantineErrors
-	if quarantined && !m.quarantined {
-		l.c.log.Info().Str("machine", m.name).Int("errors", failures).Msg("machine fails its tasks, set aside")
-	}
-	m.quarantined = quarantined
-}
-
-// failsEverywhere tells whether a job has failed on so many machines, or so great a
-// part of them, that the mistake is its own.
-func (j *trackedJob) failsEverywhere(machines int) bool {
-	return len(j.failedOn) >= jobFaultMachines || (len(j.failedOn) > 1 && 2*len(j.failedOn) > machines)
-}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -22,8 +22,9 @@
 	offers           map[uint64]*offer
 	lastOfferID      uint64
 	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
-	lastDeliveryAt   time.Duration      // of the last heartbeat that showed that a response had arrived
-	actingSince      time.Duration      // since when this member may act without a break
+	deliveries       deliveryTracker
+	quarantine       quarantine
+	actingSince      time.Duration // since when this member may act without a break
 	nextSlowTick     time.Duration
 	records          machineRecorder
 	pendingQueue     pendingQueue
@@ -71,19 +72,20 @@
 // newLeader is a leader that knows of no shard or machine yet.
 func newLeader(c *Controller, fencingToken uint64, now time.Duration) *leader {
 	l := &leader{
-		c:              c,
-		fencingToken:   fencingToken,
-		electedAt:      now,
-		lastDeliveryAt: now,
-		actingSince:    now,
-		jobs:           make(map[string]*trackedJob),
-		leases:         machineLeases{electedAt: now, timeout: c.workerLeaseTimeout()},
-		shards:         newShardRegistry(),
-		offers:         make(map[uint64]*offer),
+		c:            c,
+		fencingToken: fencingToken,
+		electedAt:    now,
+		deliveries:   deliveryTracker{lastProvenAt: now},
+		actingSince:  now,
+		jobs:         make(map[string]*trackedJob),
+		leases:       machineLeases{electedAt: now, timeout: c.workerLeaseTimeout()},
+		shards:       newShardRegistry(),
+		offers:       make(map[uint64]*offer),
 	}
 	l.machines.init()
 	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: c.tuning.QuotaEscrow}
 	l.publisher.members = len(c.peers) + 1
+	l.quarantine = quarantine{machines: &l.machines, jobs: l.jobs}
 	l.usage = newUsageAccounting(c.cfg.Settings.Teams, l.leases)
 	l.records = machineRecorder{store: c.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: c.maxRecordBytes()}
 	return l
@@ -109,7 +111,8 @@
 	mayAct := l.c.election.MayAct(now)
 	if !mayAct {
 		// Heartbeats are refused meanwhile, so silence means nothing.
-		l.actingSince, l.lastDeliveryAt = now, now
+		l.actingSince = now
+		l.deliveries.reset(now)
 	}
 	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now) })
 	if mayAct {
@@ -141,7 +144,7 @@
 // it the responses that name this member would keep every machine trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
 	timeout := max(seconds(deliveryTimeoutHeartbeats*l.c.cfg.Settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
-	if now-l.lastDeliveryAt < timeout || len(l.c.peers) == 0 {
+	if l.deliveries.silentFor(now) < timeout || len(l.c.peers) == 0 {
 		return true
 	}
 	for m := range l.machines.all {
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -9,8 +9,7 @@
 
 const (
 	exclusiveNeedWindow = 3 * time.Minute // how long a type stays reserved for the jobs that need it
-	quarantineErrors    = 3
-	jobFaultMachines    = 3 // machines on which a job fails before the mistake is taken for its own
+	jobFaultMachines    = 3               // machines on which a job fails before the mistake is taken for its own
 )
 
 // offer is room offered to one owner for one answer.
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -188,7 +188,7 @@
 	if t.job.spec.CheckpointIntervalS > 0 {
 		grace = t.job.spec.CheckpointDurationS + checkpointMarginS
 	}
-	l.setCommand(m, &meshpb.MachineCommand{MachineIndex: m.index, Job: t.key.job, Task: t.key.task, Replica: t.key.replica, GraceS: grace})
+	m.setCommand(&meshpb.MachineCommand{MachineIndex: m.index, Job: t.key.job, Task: t.key.task, Replica: t.key.replica, GraceS: grace})
 	a.commands = append(a.commands, protocol.Command{Op: protocol.CommandStop,
 		Task: protocol.TaskName(t.key.job, int(t.key.task)), Replica: t.key.replica, GraceS: &grace})
 }
