--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -12,21 +12,26 @@
 	longFetch       = 10 * time.Second // a fetch that others should not slow down
 	fetchPayoff     = 1.0              // how many times its length a fetch must save
 	shortFetchShare = 0.1              // of a task's run time, what a fetch may always take
+	minShortFetch   = time.Second      // and at the least
+	longestWait     = time.Hour        // that is told apart
 )
 
-// image is one that tasks need, with the work that waits for it set against
-// the machines that have it.
+// image is one that tasks need, with the work that waits for it set against the
+// machines that have it.
 type image struct {
 	name   string
 	sizeGB float64
 
-	hasPending                              bool        // work waits for it
-	cpus, memory                            float64     // of the machines that have it
-	pendingCPUSeconds, pendingMemorySeconds float64     // CPU and memory seconds that wait for it
-	spotFree                                resources   // free on spot machines that have it
-	urgentCPUs                              float64     // CPUs of urgent tasks that lack room, see shortage
-	standardCPUs                            float64     // the same of standard tasks, where idle-time work runs
-	standardJob                             *trackedJob // the first of these
+	// Of imageTable.
+	hasPending                              bool    // work waits for it
+	cpus, memory                            float64 // of the machines that have it
+	pendingCPUSeconds, pendingMemorySeconds float64 // that wait for it
+	spotFree                                resources
+
+	// Of the shortage that preemption works out.
+	urgentCPUs   float64     // of urgent tasks that lack room
+	standardCPUs float64     // the same of standard tasks, where idle-time work runs
+	standardJob  *trackedJob // the first of these
 }
 
 // cachedImage is an image that a machine has, or is fetching.
@@ -35,14 +40,15 @@
 	lastUsed time.Duration
 }
 
-// imageTable holds the images that jobs or machines name. What waits for them
-// is worked out anew with the order of service.
+// imageTable holds the images that jobs or machines name, and what waits for them.
+// The latter is worked out anew with the order of pending jobs: resetDemand, then
+// addPending for every job and addMachine for every machine.
 type imageTable struct {
 	byName map[string]*image
 }
 
-// get returns the image of a name.
-func (t *imageTable) get(name string, gb float64) *image {
+// get returns the image of a name, which it makes known.
+func (t *imageTable) get(name string, sizeGB float64) *image {
 	im := t.byName[name]
 	if im == nil {
 		if t.byName == nil {
@@ -51,162 +57,135 @@
 		im = &image{name: name}
 		t.byName[name] = im
 	}
-	im.sizeGB = math.Max(im.sizeGB, gb)
+	im.sizeGB = math.Max(im.sizeGB, sizeGB)
 	return im
 }
 
-// hasImage tells whether a machine has an image, or is fetching it.
-func (m *machine) hasImage(im *image) bool {
-	for i := range m.images {
-		if m.images[i].image == im {
-			return true
-		}
+// resetDemand forgets what waits for images and which machines have them.
+func (t *imageTable) resetDemand() {
+	for _, im := range t.byName {
+		*im = image{name: im.name, sizeGB: im.sizeGB, urgentCPUs: im.urgentCPUs, standardCPUs: im.standardCPUs, standardJob: im.standardJob}
 	}
-	return false
 }
 
-// useImage notes that a machine has an image, and which it will have dropped
-// for it: the least recently used go first.
-func (m *machine) useImage(im *image, cacheGB float64, now time.Duration) {
-	at := -1
+// addPending counts the tasks of a job that wait for an image.
+func (im *image) addPending(tasks float64, spec *meshpb.JobSummary, runTime time.Duration) {
+	im.hasPending = true
+	run := runTime.Seconds()
+	im.pendingCPUSeconds += tasks * run * spec.Cpus
+	im.pendingMemorySeconds += tasks * run * spec.MemoryGb
+}
+
+// addMachine divides a machine among those of its images that work waits for.
+func (t *imageTable) addMachine(m *machine, machineType *protocol.MachineType) {
+	m.wantedImages = 0
 	for i := range m.images {
-		if m.images[i].image == im {
-			at = i
+		if m.images[i].hasPending {
+			m.wantedImages++
 		}
 	}
-	if at < 0 {
-		m.images = append(m.images, cachedImage{image: im})
-		at = len(m.images) - 1
-		m.imagesChanged = true
-	}
-	m.images[at].lastUsed = now
-	for len(m.images) > 1 && cacheGB > 0 {
-		sum, oldest := 0.0, -1
-		for i, c := range m.images {
-			sum += c.sizeGB
-			if c.image != im && (oldest < 0 || c.lastUsed < m.images[oldest].lastUsed) {
-				oldest = i
-			}
+	for i := range m.images {
+		im := m.images[i].image
+		if im.hasPending {
+			im.cpus += machineType.CPUs / float64(m.wantedImages)
+			im.memory += machineType.MemoryGB / float64(m.wantedImages)
 		}
-		if sum <= cacheGB {
-			return
+		if m.spot {
+			im.spotFree.cpus += m.free.cpus
+			im.spotFree.gpus += m.free.gpus
+			im.spotFree.memory += m.free.memory
 		}
-		m.images = append(m.images[:oldest], m.images[oldest+1:]...)
-	}
-}
-
-// inheritImages takes what the last leader knew to be cached on a machine.
-func (l *leader) inheritImages(m *machine) {
-	machineType := l.c.cloud.Type(m.typeName)
-	if machineType == nil {
-		return
-	}
-	for _, im := range l.c.owner.ImagesOf(m.name) {
-		m.useImage(l.images.get(im.Name, im.SizeGb), machineType.CacheGB, l.electedAt)
 	}
 }
 
-// updateImageDemand sets the work that waits for each image against the machines
-// that have it.
-func (l *leader) updateImageDemand(now time.Duration) {
-	for _, im := range l.images.byName {
-		*im = image{name: im.name, sizeGB: im.sizeGB, urgentCPUs: im.urgentCPUs, standardCPUs: im.standardCPUs, standardJob: im.standardJob}
-	}
-	for _, shard := range l.shards.byName {
+// removeUnused forgets the images that no unfinished job and no machine names.
+func (t *imageTable) removeUnused(shards *shardRegistry, machines *machineTable) {
+	named := make(map[*image]bool, len(t.byName))
+	for _, shard := range shards.byName {
 		for _, job := range shard.jobs {
-			n := float64(job.unoffered())
-			if n == 0 || job.image == nil {
-				continue
-			}
-			job.image.hasPending = true
-			run := l.runTime(job.spec).Seconds()
-			job.image.pendingCPUSeconds += n * run * job.spec.Cpus
-			job.image.pendingMemorySeconds += n * run * job.spec.MemoryGb
+			named[job.image] = true
 		}
 	}
-	for m := range l.machines.all {
-		machineType := l.c.cloud.Type(m.typeName)
-		if machineType == nil || len(m.images) == 0 || !l.schedulable(m, now) {
-			continue
-		}
-		m.wantedImages = 0
+	for m := range machines.all {
 		for i := range m.images {
-			if m.images[i].hasPending {
-				m.wantedImages++
-			}
+			named[m.images[i].image] = true
 		}
-		for i := range m.images {
-			im := m.images[i].image
-			if im.hasPending {
-				im.cpus += machineType.CPUs / float64(m.wantedImages)
-				im.memory += machineType.MemoryGB / float64(m.wantedImages)
-			}
-			if m.spot {
-				im.spotFree.cpus += m.free.cpus
-				im.spotFree.gpus += m.free.gpus
-				im.spotFree.memory += m.free.memory
-			}
+	}
+	for name, im := range t.byName {
+		if !named[im] {
+			delete(t.byName, name)
 		}
 	}
 }
 
-// removeUnusedImages drops the images that no unfinished job and no machine names.
-func (l *leader) removeUnusedImages() {
-	named := make(map[*image]bool, len(l.images.byName))
+// updateImageDemand sets the work that waits for each image against the machines that
+// have it.
+func (l *leader) updateImageDemand(now time.Duration) {
+	l.images.resetDemand()
 	for _, shard := range l.shards.byName {
 		for _, job := range shard.jobs {
-			named[job.image] = true
+			if n := job.unoffered(); n > 0 && job.image != nil {
+				job.image.addPending(float64(n), job.spec, l.runTime(job.spec))
+			}
 		}
 	}
 	for m := range l.machines.all {
-		for i := range m.images {
-			named[m.images[i].image] = true
-		}
-	}
-	for name, im := range l.images.byName {
-		if !named[im] {
-			delete(l.images.byName, name)
+		machineType := l.c.cloud.Type(m.typeName)
+		if machineType != nil && len(m.images) > 0 && l.schedulable(m, now) {
+			l.images.addMachine(m, machineType)
 		}
 	}
 }
 
-// fetchTime is how long a machine takes to fetch an image.
-func fetchTime(im *image, typ *protocol.MachineType) time.Duration {
-	if im == nil || typ == nil || typ.FetchRate <= 0 {
-		return 0
+// inheritImages takes what the last leader knew to be cached on a machine.
+func (l *leader) inheritImages(m *machine) {
+	machineType := l.c.cloud.Type(m.typeName)
+	if machineType == nil {
+		return
+	}
+	for _, im := range l.c.owner.ImagesOf(m.name) {
+		m.useImage(l.images.get(im.Name, im.SizeGb), machineType.CacheGB, l.electedAt)
 	}
-	return seconds(im.sizeGB / typ.FetchRate)
 }
 
-// expectedWait is how long the tasks that wait for an image will wait, at the
-// present rate, for the machines that have it.
+// expectedWait is how long the tasks that wait for an image will wait, at the present
+// rate, for the machines that have it.
 func (im *image) expectedWait() time.Duration {
 	if im == nil || im.pendingCPUSeconds+im.pendingMemorySeconds == 0 {
 		return 0
 	}
 	if im.cpus == 0 || im.memory == 0 {
-		return time.Hour
+		return longestWait
 	}
-	return seconds(math.Min(3600, math.Max(im.pendingCPUSeconds/im.cpus, im.pendingMemorySeconds/im.memory)))
+	return seconds(math.Min(longestWait.Seconds(), math.Max(im.pendingCPUSeconds/im.cpus, im.pendingMemorySeconds/im.memory)))
 }
 
-// worthFetching tells whether a machine without a job's image should fetch
-// it. A fetch holds the room of the tasks that wait for it, so it has to pay:
-// the job's tasks must face a wait that is longer, by a good part of the
-// fetch, than that of the work whose images the machine has already. Two
-// fetches at once would only slow each other down. One that is short against
-// the run is made whenever there is room.
-func (l *leader) worthFetching(job *trackedJob, m *machine) bool {
-	machineType := l.c.cloud.Type(m.typeName)
+// fetchTime is how long a machine of a type takes to fetch an image.
+func fetchTime(im *image, machineType *protocol.MachineType) time.Duration {
+	if im == nil || machineType == nil || machineType.FetchRate <= 0 {
+		return 0
+	}
+	return seconds(im.sizeGB / machineType.FetchRate)
+}
+
+// fetchIsShort tells whether a fetch takes so little against a task's run time that
+// it is made whenever there is room.
+func fetchIsShort(fetch, runTime time.Duration) bool {
+	return fetch < max(minShortFetch, time.Duration(shortFetchShare*float64(runTime)))
+}
+
+// worthFetching tells whether a machine without a job's image should fetch it. A
+// fetch holds the room of the tasks that wait for it, so it has to pay: the job's
+// tasks must face a wait that is longer, by a good part of the fetch, than that of
+// the work whose images the machine has already. Two fetches at once would only slow
+// each other down. One that is short against the run is made whenever there is room.
+func worthFetching(job *trackedJob, m *machine, machineType *protocol.MachineType, runTime time.Duration) bool {
 	fetch := fetchTime(job.image, machineType)
-	if l.fetchIsShort(job, fetch) || job.orderKey.overdue {
+	if fetchIsShort(fetch, runTime) || job.orderKey.overdue {
 		return true
 	}
-	for i := range m.tasks {
-		t := &m.tasks[i]
-		if t.state == protocol.TaskFetching && t.job != nil && t.job.image != job.image && fetchTime(t.job.image, machineType) > longFetch {
-			return false
-		}
+	if m.fetchesLongBesides(job.image, machineType) {
+		return false
 	}
 	own := time.Duration(0)
 	if job.priority < protocol.PriorityUrgent {
@@ -217,8 +196,61 @@
 	return job.image.expectedWait() > own+time.Duration(float64(fetch)*fetchPayoff)
 }
 
-func (l *leader) fetchIsShort(j *trackedJob, fetch time.Duration) bool {
-	return fetch < max(time.Second, time.Duration(shortFetchShare*float64(l.runTime(j.spec))))
+// fetchesLongBesides tells whether a machine takes long to fetch another image.
+func (m *machine) fetchesLongBesides(im *image, machineType *protocol.MachineType) bool {
+	for i := range m.tasks {
+		t := &m.tasks[i]
+		if t.state == protocol.TaskFetching && t.job != nil && t.job.image != im && fetchTime(t.job.image, machineType) > longFetch {
+			return true
+		}
+	}
+	return false
+}
+
+// hasImage tells whether a machine has an image, or is fetching it.
+func (m *machine) hasImage(im *image) bool {
+	for i := range m.images {
+		if m.images[i].image == im {
+			return true
+		}
+	}
+	return false
+}
+
+// useImage notes that a machine has an image, and which it will have dropped for it:
+// the least recently used go first.
+func (m *machine) useImage(im *image, cacheGB float64, now time.Duration) {
+	at := -1
+	for i := range m.images {
+		if m.images[i].image == im {
+			at = i
+		}
+	}
+	if at < 0 {
+		m.images = append(m.images, cachedImage{image: im})
+		at = len(m.images) - 1
+		m.imagesChanged = true
+	}
+	m.images[at].lastUsed = now
+	m.evictImages(im, cacheGB)
+}
+
+// evictImages drops the least recently used images, but for one, until the rest fits
+// into a cache. A cache of size 0 has no limit.
+func (m *machine) evictImages(kept *image, cacheGB float64) {
+	for len(m.images) > 1 && cacheGB > 0 {
+		sum, oldest := 0.0, -1
+		for i, c := range m.images {
+			sum += c.sizeGB
+			if c.image != kept && (oldest < 0 || c.lastUsed < m.images[oldest].lastUsed) {
+				oldest = i
+			}
+		}
+		if sum <= cacheGB {
+			return
+		}
+		m.images = append(m.images[:oldest], m.images[oldest+1:]...)
+	}
 }
 
 // imageStatuses lists what a machine has cached.
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -128,7 +128,7 @@
 // slowTick does what has to be done once in a slowTickInterval.
 func (l *leader) slowTick(now time.Duration) {
 	l.removeTerminated(now)
-	l.removeUnusedImages()
+	l.images.removeUnused(&l.shards, &l.machines)
 	l.removeTombstones(now)
 	l.usage.recompute(l.jobs, &l.machines)
 	l.reconcileShards(now)
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -50,7 +50,7 @@
 	if !m.spot && m.empty() && j.priority < protocol.PriorityUrgent && j.image.spotCapacityFits(j) {
 		return false // cheaper machines that have the image have room for all of it
 	}
-	return m.hasImage(j.image) || l.worthFetching(j, m)
+	return m.hasImage(j.image) || worthFetching(j, m, l.c.cloud.Type(m.typeName), l.runTime(j.spec))
 }
 
 // spotCapacityFits tells whether spot machines that have an image have room for all of a
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -195,7 +195,7 @@
 				}
 				for _, q := range k.images {
 					fetch := fetchTime(q.image, t)
-					q.mayFetch = q.mayFetch || l.fetchIsShort(q.teams[0].jobs[0], fetch) || q.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoff)
+					q.mayFetch = q.mayFetch || fetchIsShort(fetch, l.runTime(q.teams[0].jobs[0].spec)) || q.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoff)
 				}
 				d.byKind[v] = k
 			}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -416,7 +416,7 @@
 	if t == nil || !permits(j.spec, m.machineKind) || l.shouldAvoid(j, m) || l.reservedForOthers(j, m.typeName) {
 		return false
 	}
-	return capacityOf(t).fits(j.spec) && (m.hasImage(j.image) || l.worthFetching(j, m))
+	return capacityOf(t).fits(j.spec) && (m.hasImage(j.image) || worthFetching(j, m, l.c.cloud.Type(m.typeName), l.runTime(j.spec)))
 }
 
 // drain stops, on a machine that the cloud takes back soon, what cannot end
