--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -176,7 +176,7 @@
 	o := l.offers[f.OfferId]
 	if o == nil || o.link != p.link {
 		// Too late: the answer has gone out without them.
-		l.sendReturnedBindings(p, f.Bindings)
+		sendReturnedBindings(p, f.Bindings)
 		return
 	}
 	l.closeOffer(o)
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -7,7 +7,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// pendingResponse is a report's answer that waits for its owners' picks.
+// pendingResponse is the response to a heartbeat that waits for bindings.
 type pendingResponse struct {
 	machine         *machine
 	reply           func(Response)
@@ -20,12 +20,14 @@
 	finished        bool
 }
 
+// shardBinding is a binding and the shard whose owner made it.
 type shardBinding struct {
 	shard   *shardState
 	binding *meshpb.Binding
 }
 
-// sendResponse sends a report's answer with the starts that were picked for it.
+// sendResponse sends a response with the starts that were bound for it, unless this
+// member may not act any more.
 func (l *leader) sendResponse(response *pendingResponse) {
 	m := response.machine
 	if m.pending == response {
@@ -43,34 +45,43 @@
 	if m.terminating || now-response.receivedAt > responseLifetime/2 {
 		l.returnBindings(response)
 	}
-	for _, binding := range response.bindings {
-		job := l.jobs[binding.binding.Job]
-		if job == nil || job.ended || job.cancelling {
-			continue
+	for _, b := range response.bindings {
+		if job := l.jobs[b.binding.Job]; job != nil && !job.ended && !job.cancelling {
+			l.addStart(response, job, b.binding, now)
 		}
-		response.commands = append(response.commands, protocol.Command{Op: protocol.CommandStart,
-			Task: protocol.TaskName(binding.binding.Job, int(binding.binding.Task)), Replica: binding.binding.Replica})
-		m.sentStarts = append(m.sentStarts, replicaOnMachine{key: replicaKey{binding.binding.Job, binding.binding.Task, binding.binding.Replica}, state: protocol.TaskFetching,
-			job: job, since: now, preemptionExempt: job.overdueStarts > 0 || (job.priority == protocol.PriorityBestEffort && !job.startSent)})
-		job.overdueStarts, job.startSent = max(0, job.overdueStarts-1), true
-		if m.replicasCounted {
-			job.liveReplicas++
-		}
-		m.free.subtract(job.spec)
-		m.idleSince = now
 	}
 	m.connection = response.connection
 	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.c.election.MayActUntil())))
 }
 
-func (l *leader) heartbeatResponse(cmds []protocol.Command, until time.Duration) Response {
-	if cmds == nil {
-		cmds = []protocol.Command{}
+// addStart puts a start into a response, and counts it as on its way.
+func (l *leader) addStart(response *pendingResponse, job *trackedJob, binding *meshpb.Binding, now time.Duration) {
+	m := response.machine
+	start := replicaOnMachine{
+		key:   replicaKey{binding.Job, binding.Task, binding.Replica},
+		state: protocol.TaskFetching, job: job, since: now,
+		preemptionExempt: job.overdueStarts > 0 || (job.priority == protocol.PriorityBestEffort && !job.startSent),
+	}
+	response.commands = append(response.commands, start.command(protocol.CommandStart))
+	m.sentStarts = append(m.sentStarts, start)
+	job.overdueStarts, job.startSent = max(0, job.overdueStarts-1), true
+	if m.replicasCounted {
+		job.liveReplicas++
+	}
+	m.free.subtract(job.spec)
+	m.idleSince = now
+}
+
+// heartbeatResponse encodes a response that may be sent for so long.
+func (l *leader) heartbeatResponse(commands []protocol.Command, validUntil time.Duration) Response {
+	if commands == nil {
+		commands = []protocol.Command{}
 	}
-	return Response{Status: 200, Body: l.c.codec.Encode(protocol.HeartbeatResponse{FencingToken: l.fencingToken, Commands: cmds}), ValidUntil: until}
+	body := l.c.codec.Encode(protocol.HeartbeatResponse{FencingToken: l.fencingToken, Commands: commands})
+	return Response{Status: 200, Body: body, ValidUntil: validUntil}
 }
 
-// abandonResponse ends an answer that its worker no longer waits for.
+// abandonResponse ends a response that its machine no longer waits for.
 func (l *leader) abandonResponse(response *pendingResponse) {
 	l.closeOffers(response)
 	response.finished = true
@@ -80,7 +91,7 @@
 	response.reply(l.c.errorResponse(503, "superseded", 1))
 }
 
-// expireResponses sends the answers that have waited long enough for picks.
+// expireResponses sends the responses that have waited long enough for bindings.
 func (l *leader) expireResponses(now time.Duration) {
 	kept := l.pendingResponses[:0]
 	for _, response := range l.pendingResponses {
@@ -95,27 +106,36 @@
 	l.pendingResponses = kept
 }
 
-// returnBindings tells owners that their picks were not sent and never will be.
+// returnBindings tells owners that what they bound was not sent and never will be.
 func (l *leader) returnBindings(response *pendingResponse) {
 	for len(response.bindings) > 0 {
-		to := response.bindings[0].shard.owner
-		var bindings []*meshpb.Binding
-		kept := response.bindings[:0]
-		for _, binding := range response.bindings {
-			if binding.shard.owner == to {
-				l.c.countResponse(startNotSent)
-				bindings = append(bindings, binding.binding)
-			} else {
-				kept = append(kept, binding)
-			}
+		owner := response.bindings[0].shard.owner
+		returned := response.takeBindingsOf(owner)
+		for range returned {
+			l.c.countResponse(startNotSent)
+		}
+		sendReturnedBindings(owner, returned)
+	}
+}
+
+// takeBindingsOf removes the bindings that an owner made.
+func (r *pendingResponse) takeBindingsOf(owner *peer) []*meshpb.Binding {
+	var taken []*meshpb.Binding
+	kept := r.bindings[:0]
+	for _, b := range r.bindings {
+		if b.shard.owner == owner {
+			taken = append(taken, b.binding)
+		} else {
+			kept = append(kept, b)
 		}
-		response.bindings = kept
-		l.sendReturnedBindings(to, bindings)
 	}
+	r.bindings = kept
+	return taken
 }
 
-func (l *leader) sendReturnedBindings(p *peer, bindings []*meshpb.Binding) {
-	if len(bindings) > 0 && p != nil {
-		p.send(&meshpb.Frame{Body: &meshpb.Frame_ReturnedBindings{ReturnedBindings: &meshpb.ReturnedBindings{Bindings: bindings}}})
+// sendReturnedBindings returns bindings to their owner, if it still is one.
+func sendReturnedBindings(owner *peer, bindings []*meshpb.Binding) {
+	if len(bindings) > 0 && owner != nil {
+		owner.send(&meshpb.Frame{Body: &meshpb.Frame_ReturnedBindings{ReturnedBindings: &meshpb.ReturnedBindings{Bindings: bindings}}})
 	}
 }
