--- /dev/null
+++ b/internal/coordination/deliveries_test.go
@@ -0,0 +1,34 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDeliveryOfResponses(t *testing.T) {
+	const connection = 5
+	for _, c := range []struct {
+		name       string
+		machine    machine
+		connection uint64
+		gap        time.Duration
+		want       delivery
+	}{
+		{"fencing token for the first time", machine{}, 0, time.Second, deliveryProven},
+		{"same connection", machine{lastCurrentHeartbeat: 1, connection: connection}, connection, time.Second, deliveryProven},
+		{"connections not known", machine{lastCurrentHeartbeat: 1}, 0, time.Second, deliveryUnknown},
+		{"another connection, soon", machine{lastCurrentHeartbeat: 1, connection: connection}, connection + 1, retryWithin, deliveryUnknown},
+		{"another connection, later", machine{lastCurrentHeartbeat: 1, connection: connection}, connection + 1, retryWithin + 1, deliveryPresumed},
+		{"presumed before", machine{lastCurrentHeartbeat: 1, connection: connection, reachPresumed: true}, connection + 1, retryWithin + 1, deliveryUnknown},
+		{"presumed before, then proven", machine{lastCurrentHeartbeat: 1, connection: connection, reachPresumed: true}, connection, time.Second, deliveryProven},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			const now = time.Hour
+			var d deliveryTracker
+			m := c.machine
+			want(t, "delivery", d.observe(&m, c.connection, c.gap, now), c.want)
+			want(t, "reachable now", m.lastReachable == now, c.want != deliveryUnknown)
+			want(t, "proof now", d.silentFor(now) == 0, c.want == deliveryProven)
+		})
+	}
+}
--- /dev/null
+++ b/internal/coordination/machine_records_test.go
@@ -0,0 +1,119 @@
+package coordination
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// fakeRecordStore holds calls until the test answers them.
+type fakeRecordStore struct {
+	writes  []string
+	answer  []func(storage.TxnResult)
+	reads   []func(map[string][]string, uint64, bool)
+	delayed []func()
+}
+
+func (s *fakeRecordStore) RecordMachines(_ uint64, number int, names []string, done func(string, storage.TxnResult)) {
+	key := fmt.Sprint("record-", number)
+	s.writes = append(s.writes, key+": "+strings.Join(names, " "))
+	s.answer = append(s.answer, func(r storage.TxnResult) { done(key, r) })
+}
+
+func (s *fakeRecordStore) RewriteMachineRecord(_ uint64, key string, names []string, done func(storage.TxnResult)) {
+	s.writes = append(s.writes, key+": "+strings.Join(names, " "))
+	s.answer = append(s.answer, done)
+}
+
+func (s *fakeRecordStore) MachineRecords(done func(map[string][]string, uint64, bool)) {
+	s.reads = append(s.reads, done)
+}
+
+func (s *fakeRecordStore) After(_ time.Duration, fn func()) { s.delayed = append(s.delayed, fn) }
+
+func (s *fakeRecordStore) complete(outcome storage.Outcome) {
+	done := s.answer[0]
+	s.answer = s.answer[1:]
+	done(storage.TxnResult{Outcome: outcome})
+}
+
+func newTestRecorder(maxBytes int) (*machineRecorder, *fakeRecordStore) {
+	var machines machineTable
+	machines.init()
+	store := &fakeRecordStore{}
+	return &machineRecorder{store: store, machines: &machines, fencingToken: 7, maxBytes: maxBytes}, store
+}
+
+func TestMachinesAreRecordedInBatchesThatFitOneRecord(t *testing.T) {
+	r, store := newTestRecorder(2 * (len("vm-1") + nameOverheadBytes))
+	for _, name := range []string{"vm-3", "vm-1", "vm-2"} {
+		r.request(r.machines.add(name))
+		r.request(r.machines.get(name)) // asked for again
+	}
+	now := time.Minute
+	r.writeDue(now)
+	r.writeDue(now + time.Hour) // one write at a time
+	want(t, "writes", fmt.Sprint(store.writes), "[record-1: vm-1 vm-3]")
+	store.complete(storage.Applied)
+	want(t, "record of the first", r.machines.get("vm-1").recordKey, "record-1")
+	r.writeDue(now + recordInterval - 1)
+	want(t, "writes within the interval", len(store.writes), 1)
+	r.writeDue(now + recordInterval)
+	want(t, "last write", store.writes[len(store.writes)-1], "record-2: vm-2")
+	store.complete(storage.Refused)
+	want(t, "record after a refusal", r.machines.get("vm-2").recordKey, "")
+	r.request(r.machines.get("vm-2"))
+	r.writeDue(now + 2*recordInterval)
+	want(t, "it is asked for again", store.writes[len(store.writes)-1], "record-3: vm-2")
+}
+
+func TestRecordsOfEarlierLeadersAreReadUntilTheyAreKnown(t *testing.T) {
+	r, store := newTestRecorder(1000)
+	var loaded []loadedRecords
+	r.load(func(l loadedRecords) { loaded = append(loaded, l) })
+	store.reads[0](nil, 0, false)
+	want(t, "known after a failed read", r.machinesKnown(), false)
+	store.delayed[0]()
+	store.reads[1](map[string][]string{"record-9": {"vm-1", "vm-2"}}, 5, true)
+	want(t, "known", r.machinesKnown(), true)
+	want(t, "reads", loaded[0].reads, 2)
+	want(t, "machines", len(loaded[0].machines), 2)
+	want(t, "from an earlier leader", r.machines.get("vm-2").fromEarlierLeader, true)
+	want(t, "record", r.machines.get("vm-2").recordKey, "record-9")
+}
+
+func TestStoppedRecorderChangesNothing(t *testing.T) {
+	r, store := newTestRecorder(1000)
+	m := r.machines.add("vm-1")
+	r.request(m)
+	r.writeDue(time.Minute)
+	r.load(func(loadedRecords) { t.Error("records are loaded after the end") })
+	r.stop()
+	store.complete(storage.Applied)
+	store.reads[0](map[string][]string{"record-9": {"vm-2"}}, 5, true)
+	want(t, "record", m.recordKey, "")
+	want(t, "machine of an old record", r.machines.get("vm-2") == nil, true)
+	want(t, "known", r.machinesKnown(), false)
+}
+
+func TestRecordsAreCompactedDroppableOnesFirst(t *testing.T) {
+	r, store := newTestRecorder(1000)
+	for name, key := range map[string]string{"a1": "record-a", "a2": "record-a", "a3": "record-a", "b1": "record-b", "c1": "record-c", "c2": "record-c"} {
+		m := r.machines.add(name)
+		m.recordKey = key
+		m.terminated = name != "a3" && name != "c1"
+	}
+	for _, write := range []string{"record-b: ", "record-a: a3", "record-c: c1"} {
+		r.compact()
+		r.compact() // one rewrite at a time
+		want(t, "last write", store.writes[len(store.writes)-1], write)
+		store.complete(storage.Applied)
+	}
+	want(t, "record of a terminated machine", r.machines.get("a1").recordKey, "")
+	want(t, "record of one that is there", r.machines.get("a3").recordKey, "record-a")
+	r.compact()
+	want(t, "writes", len(store.writes), 3)
+}
--- /dev/null
+++ b/internal/coordination/reconciliation_test.go
@@ -0,0 +1,74 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+)
+
+const testLeaseTimeout = time.Minute
+
+func newTestReconciler(machines *machineTable) *reconciler {
+	return &reconciler{leases: machineLeases{electedAt: 100 * time.Second, timeout: testLeaseTimeout}, machines: machines, escrow: true}
+}
+
+func TestMachineProofs(t *testing.T) {
+	shard, other := &shardState{registeredAt: 110 * time.Second}, &shardState{}
+	start := func(of *shardState) []replicaOnMachine {
+		return []replicaOnMachine{{job: &trackedJob{shard: of}}}
+	}
+	const now = 120 * time.Second
+	for _, c := range []struct {
+		name    string
+		machine machine
+		known   knowledge
+		want    machineProof
+	}{
+		{"terminated", machine{terminated: true, fromEarlierLeader: true}, knowledge{}, provenTerminated},
+		{"heartbeat since the registration", machine{lastHeartbeat: 111 * time.Second, lastCurrentHeartbeat: 111 * time.Second, sentStarts: start(shard)}, knowledge{}, provenByHeartbeat},
+		{"status told at the registration", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second}, knowledge{}, provenByPublishedStatus},
+		{"start of the shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(shard)}, knowledge{}, notProven},
+		{"start of another shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(other)}, knowledge{}, provenByPublishedStatus},
+		{"heartbeat without the fencing token", machine{lastHeartbeat: 111 * time.Second, fromEarlierLeader: true}, knowledge{machines: true}, notProven},
+		{"first named by this leader", machine{lastHeartbeat: 111 * time.Second}, knowledge{machines: true}, provenEmpty},
+		{"perhaps named by an earlier leader", machine{lastHeartbeat: 111 * time.Second}, knowledge{}, notProven},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newTestReconciler(&machineTable{})
+			want(t, "proof", r.proofFor(&c.machine, shard, c.known, now), c.want)
+			if !c.machine.terminated {
+				late := max(c.machine.lastHeartbeat, shard.registeredAt) + testLeaseTimeout
+				want(t, "after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
+			}
+		})
+	}
+}
+
+func TestShardIsReconciledOnceByAllMachines(t *testing.T) {
+	var machines machineTable
+	machines.init()
+	shards := newShardRegistry()
+	shard := shards.add("a")
+	r := newTestReconciler(&machines)
+	m := machines.add("vm-1")
+	m.lastHeartbeat, m.fromEarlierLeader = 105*time.Second, true
+	now := 120 * time.Second
+	want(t, "without an owner", len(r.decide(&shards, knowledge{machines: true}, now)), 0)
+	shards.setOwner(shard, &peer{member: "a"})
+	shard.registeredAt = 110 * time.Second
+	want(t, "with a machine of an earlier leader", len(r.decide(&shards, knowledge{machines: true}, now)), 0)
+	m.lastHeartbeat, m.lastCurrentHeartbeat = now, now
+	m.tasks = []replicaOnMachine{{state: protocol.TaskRunning}} // of a job that nobody knows
+	want(t, "while machines may be unknown", len(r.decide(&shards, knowledge{}, now)), 0)
+	decisions := r.decide(&shards, knowledge{machines: true}, now)
+	want(t, "decisions", len(decisions), 1)
+	want(t, "full", decisions[0].full, false)
+	want(t, "machines by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
+	want(t, "with an unknown replica", len(r.decide(&shards, knowledge{machines: true}, now)), 0)
+	m.tasks[0].state = protocol.TaskExited
+	decisions = r.decide(&shards, knowledge{machines: true}, now)
+	want(t, "decisions once it has ended", len(decisions), 1)
+	want(t, "full now", decisions[0].full, true)
+	want(t, "decisions after that", len(r.decide(&shards, knowledge{machines: true}, now)), 0)
+}
--- /dev/null
+++ b/internal/coordination/team_usage_test.go
@@ -0,0 +1,80 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+func newTestUsage() (*usageAccounting, *trackedJob) {
+	u := newUsageAccounting([]settings.Team{{Name: "red", CPUs: 8, CPUsMax: 16}}, machineLeases{timeout: time.Minute})
+	return &u, &trackedJob{id: "a", spec: &meshpb.JobSummary{Cpus: 4}, team: u.teams["red"]}
+}
+
+func TestTeamUsageFollowsAJob(t *testing.T) {
+	u, job := newTestUsage()
+	job.placed, job.offered = 1, 1
+	u.update(job)
+	want(t, "placed and on offer", job.team.cpus, 8)
+	want(t, "share of the guarantee", job.team.dominantShare(), 1)
+	m := &machine{tasks: []replicaOnMachine{{job: job, state: protocol.TaskRunning}, {job: job, state: protocol.TaskExited}}}
+	u.countReplicas(m)
+	u.countReplicas(m) // counted already
+	want(t, "live replicas", job.liveReplicas, 1)
+	job.ended = true
+	u.update(job)
+	want(t, "what is left of it", job.team.cpus, 4)
+	u.uncountReplicas(m)
+	want(t, "once that is gone", job.team.cpus, 0)
+}
+
+func TestTeamLimit(t *testing.T) {
+	all := knowledge{jobs: true, machines: true}
+	for _, c := range []struct {
+		name         string
+		placed       int
+		unreconciled float64
+		known        knowledge
+		want         bool
+	}{
+		{"room for one more", 3, 0, all, true},
+		{"full", 4, 0, all, false},
+		{"what no owner accounts for counts", 3, 1, all, false},
+		{"jobs not known", 0, 0, knowledge{machines: true}, false},
+		{"machines not known", 1, 0, knowledge{jobs: true}, true},
+		{"machines not known, half used", 2, 0, knowledge{jobs: true}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			u, job := newTestUsage()
+			job.placed = c.placed
+			u.update(job)
+			u.unreconciled.cpus = c.unreconciled
+			want(t, "within the limit", u.withinLimit(job, c.known), c.want)
+		})
+	}
+}
+
+func TestUnreconciledUseEndsWithTheLease(t *testing.T) {
+	u, job := newTestUsage()
+	catalog := map[string]*protocol.MachineType{"m8": {Name: "m8", CPUs: 8}, "m16": {Name: "m16", CPUs: 16}}
+	m := &machine{fromEarlierLeader: true, lastHeartbeat: time.Second}
+	u.updateUnreconciled(m, catalog, 2*time.Second)
+	want(t, "of an unknown type", u.unreconciled.cpus, 16)
+	m.typeName = "m8"
+	u.updateUnreconciled(m, catalog, 2*time.Second)
+	want(t, "of a known type", u.unreconciled.cpus, 8)
+	m.lastCurrentHeartbeat = 3 * time.Second
+	m.tasks = []replicaOnMachine{{job: job, state: protocol.TaskRunning}}
+	u.countReplicas(m)
+	u.updateUnreconciled(m, catalog, 3*time.Second)
+	want(t, "of known jobs alone", u.unreconciled.cpus, 0)
+	m.tasks = append(m.tasks, replicaOnMachine{state: protocol.TaskRunning})
+	u.updateUnreconciled(m, catalog, 3*time.Second)
+	want(t, "with an unknown job", u.unreconciled.cpus, 8)
+	u.updateUnreconciled(m, catalog, m.lastHeartbeat+time.Minute+1)
+	want(t, "after the lease", u.unreconciled.cpus, 0)
+	want(t, "live replicas after the lease", job.liveReplicas, 0)
+}
