--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -35,7 +35,7 @@
 func (i *Inventory) onCatalog(r storage.Response) {
 	i.catalogInFlight = false
 	var catalog protocol.Catalog
-	if r.Status != 200 || i.config.Codec.Decode(r.Body, &catalog) != nil || len(catalog.Types) == 0 {
+	if r.Status != statusOK || i.config.Codec.Decode(r.Body, &catalog) != nil || len(catalog.Types) == 0 {
 		i.nextCatalog = i.config.Clock.Now() + RetryDelay
 		return
 	}
--- a/internal/cloud/inventory.go
+++ b/internal/cloud/inventory.go
@@ -24,6 +24,8 @@
 	CallTimeout = 4 * time.Second
 	// RetryDelay is the pause after a call that was refused or got no answer.
 	RetryDelay = 1500 * time.Millisecond
+
+	statusOK = 200 // of an answer
 )
 
 // Config is what an Inventory needs of its surroundings.
--- a/internal/cloud/machine_list.go
+++ b/internal/cloud/machine_list.go
@@ -106,7 +106,7 @@
 	now := i.config.Clock.Now()
 	l.inFlight = false
 	var page protocol.MachineList
-	if r.Status != 200 || i.config.Codec.Decode(r.Body, &page) != nil {
+	if r.Status != statusOK || i.config.Codec.Decode(r.Body, &page) != nil {
 		i.onPageFailure(l, now)
 		return
 	}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -163,7 +163,7 @@
 			l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
 		}
 		l.c.log.Info().Int("records", loaded.records).Uint64("revision", loaded.revision).Int("reads", loaded.reads).
-			Int64("after_ms", (now - l.electedAt).Milliseconds()).Msg("records of machines read")
+			Int64("after_ms", (now - l.electedAt).Milliseconds()).Msg("machine records read")
 	})
 }
 
