--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -106,6 +106,7 @@
 	}
 }
 
+// setSpec takes a job's spec, and counts the job by it.
 func (l *leader) setSpec(job *trackedJob, summary *meshpb.JobSummary) {
 	l.usage.remove(job) // what is counted for it was of the old size
 	job.spec, job.team, job.priority = summary, l.usage.teams[summary.Team], protocol.Priority(summary.Priority)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -106,6 +106,7 @@
 	c.subscription.registerShards()
 }
 
+// tick does what time asks for, ten times a second.
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
 	mayAct := l.c.election.MayAct(now)
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -13,6 +13,7 @@
 	cursor      int // of the work that goes through all machines in slices
 }
 
+// init prepares an empty table.
 func (t *machineTable) init() { t.byName = make(map[string]*machine) }
 
 // get returns a machine, or nil if it is not known.
@@ -47,6 +48,7 @@
 	return m
 }
 
+// remove forgets a machine; its index is used again.
 func (t *machineTable) remove(m *machine) {
 	delete(t.byName, m.name)
 	t.byIndex[m.index] = nil
--- a/internal/coordination/response_events.go
+++ b/internal/coordination/response_events.go
@@ -35,6 +35,7 @@
 	return "unknown"
 }
 
+// newResponseCounter returns a counter of responseEvents.
 func newResponseCounter() eventcount.Counter {
 	var keys []string
 	for e := range responseEvents {
@@ -43,4 +44,5 @@
 	return eventcount.New("heartbeat responses refused or in doubt", keys...)
 }
 
+// countResponse counts an event, to be logged with others.
 func (c *Controller) countResponse(e responseEvent) { c.responseEvents.Add(int(e)) }
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -111,6 +111,8 @@
 	}
 }
 
+// logReconciled logs that a shard is reconciled, and how many machines had which
+// proof.
 func (l *leader) logReconciled(decision reconciliation, now time.Duration) {
 	shard := decision.shard
 	line := l.c.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
--- a/internal/coordination/shard_registry.go
+++ b/internal/coordination/shard_registry.go
@@ -29,10 +29,12 @@
 	unknownJobs int // shards whose unfinished jobs are not known
 }
 
+// newShardRegistry returns a registry without shards.
 func newShardRegistry() shardRegistry {
 	return shardRegistry{byName: make(map[string]*shardState)}
 }
 
+// get returns a shard, or nil if it is not known.
 func (r *shardRegistry) get(name string) *shardState { return r.byName[name] }
 
 // add makes a shard known that nobody has registered yet.
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -121,6 +121,7 @@
 	return summary
 }
 
+// subscriber returns a member's subscription, or nil.
 func (p *statusPublisher) subscriber(of *peer) *subscriber {
 	for _, s := range p.subscribers {
 		if s.peer == of {
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -42,6 +42,7 @@
 	stopping float64
 }
 
+// newUsageAccounting returns an account of teams that use nothing yet.
 func newUsageAccounting(teams []settings.Team, leases machineLeases) usageAccounting {
 	u := usageAccounting{leases: leases, teams: make(map[string]*teamUsage)}
 	for i := range teams {
@@ -122,6 +123,8 @@
 	}
 }
 
+// addLiveReplicas changes the numbers of live replicas of the jobs on a machine by
+// 1 or -1 for each.
 func (u *usageAccounting) addLiveReplicas(m *machine, by int) {
 	for _, replicas := range [...][]replicaOnMachine{m.tasks, m.sentStarts} {
 		for i := range replicas {
