--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -181,7 +181,7 @@
 // each other down. One that is short against the run is made whenever there is room.
 func worthFetching(job *trackedJob, m *machine, machineType *protocol.MachineType, runTime time.Duration) bool {
 	fetch := fetchTime(job.image, machineType)
-	if fetchIsShort(fetch, runTime) || job.orderKey.overdue {
+	if fetchIsShort(fetch, runTime) || job.orderKey.Overdue {
 		return true
 	}
 	if m.fetchesLongBesides(job.image, machineType) {
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -117,14 +117,14 @@
 	if j.orderKey == o.orderKey && j.team == o.team {
 		return j.id < o.id
 	}
-	return j.orderKey.before(j.team.dominantShare(), o.orderKey, o.team.dominantShare())
+	return j.orderKey.Before(j.team.dominantShare(), o.orderKey, o.team.dominantShare())
 }
 
 // addToOffer offers room for one more task of a job.
 func (l *leader) addToOffer(a *pendingResponse, j *trackedJob) {
 	j.offered++
 	l.usage.update(j)
-	if j.orderKey.overdue {
+	if j.orderKey.Overdue {
 		// Once a task of it is on offer it is served in its turn.
 		j.overdueStarts++
 		j.orderKey = l.orderKeyOf(&trackedJob{spec: j.spec, priority: j.priority, started: true}, l.c.env.Wall().UnixMilli())
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -4,8 +4,8 @@
 	"sort"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/priority"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
 const (
@@ -13,92 +13,21 @@
 	minRebuildInterval      = 50 * time.Millisecond  // however much new waits
 	queueLookAhead          = 8                      // jobs of one queue that an offer looks at
 	maxFetchCandidates      = 8                      // images that an offer considers fetching
-	overdueAfter            = 2 * time.Minute        // a job that has not begun by then comes first
 	maxReservedMachines     = 16                     // machines whose room gathers for such jobs
 	reservedMachinesDivisor = 8                      // and the part of all machines that they are at the most
 )
 
-// orderKey orders waiting jobs. A job that has not begun for long comes first:
-// neither urgent work nor images, packing or shares may keep it out for ever.
-// Then comes urgent work of any team, which could stop whatever else is
-// started in its place. Then teams take turns by shares; within a team come
-// priority and the latest start that still meets the deadline or, once that is
-// missed, the next of the users' aims, with jobs that can meet none any more
-// behind those that can.
-type orderKey struct {
-	overdue        bool
-	urgency        int
-	priority       protocol.Priority
-	missesDeadline bool
-	latestStart    float64
-}
-
-// before compares jobs of teams that use the given shares of their guarantees.
-func (a orderKey) before(aShare float64, b orderKey, bShare float64) bool {
-	switch {
-	case a.overdue != b.overdue:
-		return a.overdue
-	case a.overdue:
-		return a.latestStart < b.latestStart // the oldest, whatever its priority
-	case a.urgency != b.urgency:
-		return a.urgency > b.urgency
-	case a.urgency > 0 && a.missesDeadline != b.missesDeadline:
-		return b.missesDeadline
-	case aShare != bShare:
-		return aShare < bShare
-	case a.priority != b.priority:
-		return a.priority > b.priority
-	case a.missesDeadline != b.missesDeadline:
-		return b.missesDeadline
-	}
-	return a.latestStart < b.latestStart
-}
-
-func (l *leader) orderKeyOf(j *trackedJob, wallMs int64) orderKey {
-	r := orderKey{priority: j.priority}
-	if j.priority >= protocol.PriorityUrgent {
-		r.urgency = int(j.priority)
-	}
-	r.overdue = !j.started && wallMs-j.spec.SubmittedMs > overdueAfter.Milliseconds()
-	need, earliest := l.runTime(j.spec).Seconds(), float64(wallMs)/1000-2
-	r.latestStart = float64(j.spec.SubmittedMs)/1000 + 3600
-	if j.spec.DeadlineMs > 0 {
-		r.latestStart = float64(j.spec.DeadlineMs)/1000 - need
-		r.missesDeadline = r.latestStart < earliest
-	}
-	if r.missesDeadline {
-		if end := l.nextObjective(j.spec, earliest+need); end > 0 {
-			r.latestStart, r.missesDeadline = end-need, false
-		}
-	}
-	if r.overdue {
-		r.latestStart = float64(j.spec.SubmittedMs) / 1000
-	}
-	return r
-}
-
-// nextObjective is the soonest time by which the users would still count a job that
-// has missed its deadline, if that is no sooner than the given one: a multiple
-// of the deadline, or a time from its submission. 0: there is none.
-func (l *leader) nextObjective(s *meshpb.JobSummary, soonest float64) float64 {
-	best := 0.0
-	from := float64(s.SubmittedMs) / 1000
-	for _, objective := range l.c.cfg.Settings.Objectives {
-		if objective.Class != s.Class {
-			continue
-		}
-		end := 0.0
-		switch objective.Kind {
-		case "deadline":
-			end = from + objective.Times*float64(s.DeadlineMs-s.SubmittedMs)/1000
-		case "finished":
-			end = from + objective.WithinS
-		}
-		if end >= soonest && (best == 0 || end < best) {
-			best = end
-		}
-	}
-	return best
+// orderKeyOf returns a job's position in the order of service at a Unix time in
+// milliseconds.
+func (l *leader) orderKeyOf(j *trackedJob, wallMs int64) priority.Key {
+	return priority.KeyOf(priority.Job{
+		Class:       j.spec.Class,
+		Priority:    j.priority,
+		Started:     j.started,
+		SubmittedMs: j.spec.SubmittedMs,
+		DeadlineMs:  j.spec.DeadlineMs,
+		RunTime:     l.runTime(j.spec),
+	}, wallMs, l.c.cfg.Settings.Objectives)
 }
 
 // pendingQueue is what waits, in the order of service: for each kind of machine and
@@ -173,7 +102,7 @@
 		if a.orderKey == b.orderKey {
 			return a.id < b.id
 		}
-		return a.orderKey.before(0, b.orderKey, 0)
+		return a.orderKey.Before(0, b.orderKey, 0)
 	})
 	d.exclusiveTypes = make(map[string]bool)
 	for _, j := range d.jobs {
@@ -217,7 +146,7 @@
 		k.byImage[j.image] = q
 		k.images = append(k.images, q)
 	}
-	q.mayFetch = q.mayFetch || j.orderKey.overdue
+	q.mayFetch = q.mayFetch || j.orderKey.Overdue
 	q.highestPriority = max(q.highestPriority, j.priority)
 	q.mayPreempt = q.mayPreempt || (stops && j.priority >= protocol.PriorityUrgent)
 	for _, t := range q.teams {
@@ -255,7 +184,7 @@
 // overdue yields the jobs that should have begun long ago.
 func (d *pendingQueue) overdue(yield func(*trackedJob) bool) {
 	for _, j := range d.jobs {
-		if !j.orderKey.overdue || !yield(j) {
+		if !j.orderKey.Overdue || !yield(j) {
 			return
 		}
 	}
--- a/internal/coordination/tracked_job.go
+++ b/internal/coordination/tracked_job.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/priority"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
@@ -32,7 +33,7 @@
 	startSent     bool // this leader has sent a start of it
 	overdueStarts int  // offered only because it waited for too long, and not sent yet
 	preemptions   int  // how often a task of it made room for others
-	orderKey      orderKey
+	orderKey      priority.Key
 
 	// See usageAccounting.
 	liveReplicas int // that machines list, or were sent
