--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -102,7 +102,7 @@
 	told := job.spec != nil && job.spec.SubmittedMs > 0
 	l.setSpec(job, summary)
 	if !told && summary.SubmittedMs > 0 {
-		l.forecast.observe(job, l.c.now())
+		l.observeArrival(job, l.c.now())
 	}
 }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -5,6 +5,7 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/estimate"
+	"github.com/cobaltvale/cobaltvale/internal/forecast"
 )
 
 // leader is what this process knows and decides while it leads.
@@ -30,7 +31,7 @@
 	pendingQueue     pendingQueue
 	shortage         shortage
 	autoscaler       autoscaler
-	forecast         arrivalForecast
+	forecast         forecast.Starts
 	warmPool         warmPool
 	runTimes         estimate.RunTimes
 	images           imageTable
@@ -57,7 +58,6 @@
 		l.shards.add(name)
 	}
 	l.autoscaler.init(l)
-	l.forecast.leader = l
 	l.warmPool.init(l)
 	c.leader = l
 	c.cloud.Lead(l, now)
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
+	"github.com/cobaltvale/cobaltvale/internal/forecast"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
@@ -452,8 +453,8 @@
 		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", Times: 1.5, Share: 0.9},
 		{Kind: "finished", Class: "other", WithinS: 1000, Share: 0.9},
 	}
-	share, within := l.forecast.startObjective("d")
-	want(t, "the aim that leaves least", [2]float64{share, within}, [2]float64{0.98, 12})
+	objective := forecast.StartObjectiveOf(l.c.cfg.Settings.Objectives, "d")
+	want(t, "the aim that leaves least", [2]float64{objective.Share, objective.WithinS}, [2]float64{0.98, 12})
 	const sent = int64(1e12)
 	job := &trackedJob{spec: &meshpb.JobSummary{Class: "d", EstimateS: 30, SubmittedMs: sent, DeadlineMs: sent + 100_000}, started: true}
 	for _, test := range []struct {
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -55,7 +55,7 @@
 // countMachines notes how many machines each zone has, and which are to come.
 func (r *autoscaler) countMachines(now time.Duration) {
 	r.machinesPerZone, r.booting, r.kinds = make(map[string]int), make(map[machineKind]int), r.kinds[:0]
-	r.machinesPerType, r.forecastPerType, r.reportedMachines = make(map[string]int), r.leader.forecast.machinesWanted(now), 0
+	r.machinesPerType, r.forecastPerType, r.reportedMachines = make(map[string]int), r.leader.forecast.MachinesWanted(now, arrivalsObserved(r.leader.electedAt, now)), 0
 	r.reportedCPUs = 0
 	for name, t := range r.leader.c.cloud.Catalog() {
 		for _, z := range t.Zones {
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -4,15 +4,14 @@
 	"math"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/forecast"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
 const (
-	serviceWindow           = 10 * time.Minute // for how long a kind of service counts
 	maxServiceShapes        = 64
 	maxCountedReplicas      = 1000        // that are counted on one machine
-	slowBootFactor          = 1.5         // times the usual boot, that one may take
 	promptStartDivisor      = 20          // of the fleet's CPUs, that are kept for prompt starts at the most
 	expectedMachinesDivisor = 50          // of all machines, that are kept for services before any was seen
 	contentionWindow        = time.Minute // after the cloud refused a type, others need what there is of it
@@ -49,12 +48,7 @@
 type serviceLoad struct {
 	spec     *meshpb.JobSummary
 	image    *image // of the latest
-	arrivals []serviceArrival
-}
-
-type serviceArrival struct {
-	at    time.Duration
-	tasks int
+	arrivals forecast.Services
 }
 
 func (s *warmPool) init(l *leader) {
@@ -68,8 +62,11 @@
 	}
 }
 
-// observe takes in a new service.
-func (s *warmPool) observe(j *trackedJob, now time.Duration) {
+// classSeen notes that a job of a class has arrived.
+func (s *warmPool) classSeen(class string) { delete(s.expectedClasses, class) }
+
+// observe takes in a new service that was submitted at a time.
+func (s *warmPool) observe(j *trackedJob, submitted time.Duration) {
 	d := j.spec
 	k := serviceShape{d.Class, d.Zone, d.Spot, d.Cpus, d.Gpus, d.MemoryGb}
 	load := s.loads[k]
@@ -81,10 +78,7 @@
 		s.loads[k] = load
 	}
 	load.spec, load.image = d, j.image
-	age := time.Duration(s.leader.c.env.Wall().UnixMilli()-d.SubmittedMs) * time.Millisecond
-	if len(load.arrivals) < maxArrivals {
-		load.arrivals = append(load.arrivals, serviceArrival{now - max(0, age), int(d.Tasks)})
-	}
+	load.arrivals.Observe(submitted, int(d.Tasks))
 }
 
 // resize works out how many machines of each kind should have room free for the
@@ -94,13 +88,7 @@
 	s.sizedAt = now
 	s.target, s.reserved, s.members = make(map[machineKind]headroom), make(map[machineKind]headroom), s.members[:0]
 	for key, load := range s.loads {
-		kept := load.arrivals[:0]
-		for _, a := range load.arrivals {
-			if now-a.at <= serviceWindow {
-				kept = append(kept, a)
-			}
-		}
-		if load.arrivals = kept; len(kept) == 0 {
+		if !load.arrivals.Expire(now) {
 			delete(s.loads, key)
 			continue
 		}
@@ -157,7 +145,7 @@
 	t, most := s.leader.c.cloud.Type(v.typeName), 1
 	for _, load := range s.loads {
 		if t != nil && permits(load.spec, v) {
-			most = max(most, int(tasksPerMachine(t, &trackedJob{spec: load.spec})))
+			most = max(most, int(tasksPerMachine(t, load.spec)))
 		}
 	}
 	return most
@@ -207,21 +195,8 @@
 		return
 	}
 	t := s.leader.c.cloud.Type(v.typeName)
-	largest, tasks, squares := 0.0, 0.0, 0.0
-	for _, a := range load.arrivals {
-		n := float64(a.tasks)
-		largest = math.Max(largest, n)
-		if now-a.at <= forecastWindow {
-			tasks += n
-			squares += n * n
-		}
-	}
-	// What comes while a machine boots has to find room on those that are there;
-	// how far it swings above its mean see forecast.
-	span := math.Min(forecastWindow.Seconds(), (now - s.leader.electedAt + observationTime).Seconds())
-	lead := t.BootS * slowBootFactor / span
-	replicas := largest + tasks*lead + chanceDeviations*math.Sqrt(squares*lead)
-	n := headroom{max(min(s.machinesForPromptStart(load.spec.Class, largest), s.affordableMachines(t, v, now)), min(minSpreadMachines, int(largest))), int(math.Ceil(replicas))}
+	demand := load.arrivals.Demand(now, arrivalsObserved(s.leader.electedAt, now), t.BootS)
+	n := headroom{max(min(s.machinesForPromptStart(load.spec.Class, demand.Largest), s.affordableMachines(t, v, now)), min(minSpreadMachines, int(demand.Largest))), int(math.Ceil(demand.Replicas))}
 	if load.spec.Zone != "" {
 		s.raiseTarget(v, n)
 		return
@@ -255,13 +230,19 @@
 // to find one that reports within half of the time in which the users want it
 // started, if each gets one: reports come apart by their interval.
 func (s *warmPool) machinesForPromptStart(class string, tasks float64) int {
-	_, within := s.leader.forecast.startObjective(class)
+	within := s.startWithin(class)
 	if within <= 0 {
 		return 0
 	}
 	return int(math.Ceil(2 * tasks * s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS / within))
 }
 
+// startWithin is the time, in seconds, within which the users want the starts of
+// a class; 0: they name none.
+func (s *warmPool) startWithin(class string) float64 {
+	return forecast.StartObjectiveOf(s.leader.c.cfg.Settings.Objectives, class).WithinS
+}
+
 // replicaCapacity is how many replicas of a kind that room is kept for a machine has room
 // for.
 func (s *warmPool) replicaCapacity(m *machine) int {
@@ -340,7 +321,7 @@
 // the least: three, or two where starts are wanted within one report's interval, as
 // the last of them waits for as many reports.
 func (s *warmPool) spreadMachines(class string) int {
-	if _, within := s.leader.forecast.startObjective(class); within > 0 && within < s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS {
+	if within := s.startWithin(class); within > 0 && within < s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS {
 		return 2
 	}
 	return 3
--- /dev/null
+++ b/internal/forecast/forecast_test.go
@@ -0,0 +1,123 @@
+package forecast_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/forecast"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+const observed = time.Hour // long enough for the whole window
+
+func arrivalAt(at time.Duration) forecast.Arrival {
+	return forecast.Arrival{At: at, MachineType: "m4", Machines: 2, FetchSeconds: 10, StartShare: 0.95,
+		MeanRunTime: func() time.Duration { return 20 * time.Second }}
+}
+
+func observe(s *forecast.Starts, n int, every time.Duration) time.Duration {
+	for i := range n {
+		s.Observe(arrivalAt(time.Duration(i) * every))
+	}
+	return time.Duration(n-1) * every
+}
+
+func TestFewArrivalsForecastNothing(t *testing.T) {
+	var s forecast.Starts
+	now := observe(&s, 4, time.Second)
+	if got := s.MachinesWanted(now, observed); len(got) != 0 {
+		t.Errorf("with 4 arrivals %v are wanted, want none", got)
+	}
+}
+
+// Fifteen arrivals in 150 s that hold two machines for 30 s each hold six on
+// average; their swings come on top.
+func TestMeanAndMarginOfASteadyStream(t *testing.T) {
+	var s forecast.Starts
+	now := observe(&s, 15, 10*time.Second)
+	got := s.MachinesWanted(now, observed)["m4"]
+	// The variance is 12, and 1.645 deviations cover 95%.
+	if want := 12; got != want {
+		t.Errorf("%d machines are wanted, want %d", got, want)
+	}
+}
+
+func TestOldArrivalsCountNoMore(t *testing.T) {
+	var s forecast.Starts
+	now := observe(&s, 15, 10*time.Second)
+	if got := s.MachinesWanted(now+forecast.Window+time.Second, observed); len(got) != 0 {
+		t.Errorf("after the window %v are wanted, want none", got)
+	}
+}
+
+func TestBurstRaisesTheForecast(t *testing.T) {
+	var steady, burst forecast.Starts
+	now := observe(&steady, 15, 10*time.Second)
+	for range 15 {
+		burst.Observe(arrivalAt(now - time.Second))
+	}
+	a, b := steady.MachinesWanted(now, observed)["m4"], burst.MachinesWanted(now, observed)["m4"]
+	if b <= a {
+		t.Errorf("after a burst %d machines are wanted, after a steady stream %d", b, a)
+	}
+}
+
+func TestArrivalsAreBounded(t *testing.T) {
+	var s forecast.Starts
+	for i := 0; !s.Full(); i++ {
+		if i > 1_000_000 {
+			t.Fatal("a million arrivals were taken")
+		}
+		s.Observe(arrivalAt(0))
+	}
+	before := s.MachinesWanted(0, observed)["m4"]
+	s.Observe(arrivalAt(0))
+	if after := s.MachinesWanted(0, observed)["m4"]; after != before {
+		t.Errorf("an arrival beyond the bound changed the forecast from %d to %d", before, after)
+	}
+}
+
+func TestServiceDemand(t *testing.T) {
+	const boot = 100.0 // seconds; a slow boot takes the whole window
+	for _, test := range []struct {
+		name string
+		at   time.Duration // of the one arrival, of four replicas
+		now  time.Duration
+		want forecast.ServiceDemand
+	}{
+		{"within the window, what comes during a boot is added", 0, time.Second, forecast.ServiceDemand{Largest: 4, Replicas: 4 + 4 + 2*4}},
+		{"after it, only the largest counts", 0, forecast.Window + time.Second, forecast.ServiceDemand{Largest: 4, Replicas: 4}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var s forecast.Services
+			s.Observe(test.at, 4)
+			if got := s.Demand(test.now, observed, boot); got != test.want {
+				t.Errorf("demand %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestServicesExpire(t *testing.T) {
+	var s forecast.Services
+	s.Observe(0, 1)
+	if !s.Expire(forecast.ServiceWindow) {
+		t.Error("none is left at the end of the window")
+	}
+	if s.Expire(forecast.ServiceWindow + 1) {
+		t.Error("one is left after the window")
+	}
+}
+
+// ExampleStartObjectiveOf shows that the objective with the least time counts.
+func ExampleStartObjectiveOf() {
+	objectives := []settings.Objective{
+		{Kind: "wait", Class: "render", WithinS: 50, Share: 0.99},
+		{Kind: "wait", Class: "render", WithinS: 12, Share: 0.98},
+		{Kind: "finished", Class: "render", WithinS: 5, Share: 0.9},
+	}
+	o := forecast.StartObjectiveOf(objectives, "render")
+	fmt.Println(o.Share, o.WithinS)
+	// Output: 0.98 12
+}
