--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -5,8 +5,6 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
-	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
 // observeArrival tells the forecasts of a job that has just become known. Only
@@ -23,7 +21,7 @@
 	if objective.Share == 0 || l.forecast.Full() {
 		return
 	}
-	kind, ok := l.autoscaler.bestKind(j, now, nil)
+	kind, ok := l.kinds.best(kindQuery{job: j, now: now})
 	if !ok {
 		return
 	}
@@ -48,17 +46,3 @@
 func arrivalsObserved(electedAt, now time.Duration) time.Duration {
 	return now - electedAt + observationTime
 }
-
-// tasksPerMachine is how many tasks of a job a machine holds at once.
-func tasksPerMachine(t *protocol.MachineType, s *meshpb.JobSummary) float64 {
-	n := math.Inf(1)
-	for _, r := range []struct{ capacity, request float64 }{{t.CPUs, s.Cpus}, {t.GPUs, s.Gpus}, {t.MemoryGB, s.MemoryGb}} {
-		if r.request > 0 {
-			n = math.Min(n, math.Floor(r.capacity/r.request+1e-9))
-		}
-	}
-	if math.IsInf(n, 1) {
-		return 1
-	}
-	return n
-}
--- /dev/null
+++ b/internal/coordination/fleet_counts.go
@@ -0,0 +1,91 @@
+package coordination
+
+import (
+	"sort"
+	"time"
+)
+
+// fleetCounts says how many machines there are, as the autoscaler counted them
+// once a second. Other components only read it.
+type fleetCounts struct {
+	kinds            []machineKind       // that can be created, spot ones first
+	perZone          map[string]int      // machines, there or to come
+	perType          map[string]int      // machines that are schedulable, starting, requested or planned
+	booting          map[machineKind]int // machines that were created and should be up soon
+	partitionedZones map[string]bool     // zones in which so many machines are silent that they must be cut off
+	reportedMachines int                 // machines that have sent a heartbeat to this leader
+	reportedCPUs     float64             // that these have
+}
+
+// partitionDivisor: a zone counts as cut off if more than this part of its
+// machines is silent.
+const partitionDivisor = 8
+
+// count counts the machines anew.
+func (a *autoscaler) count(in *autoscalerInput) {
+	c := &a.counts
+	*c = fleetCounts{
+		kinds:   c.kinds[:0],
+		perZone: make(map[string]int),
+		perType: make(map[string]int),
+		booting: make(map[machineKind]int),
+	}
+	a.listKinds()
+	for _, request := range in.requests {
+		c.perType[request.kind.typeName] += request.Count
+	}
+	silent, heard := make(map[string]int), make(map[string]int)
+	for m := range a.machines.all {
+		if m.terminated {
+			continue
+		}
+		if m.heartbeatSeen {
+			heard[m.zone]++
+			a.countReported(m)
+			if a.silenceBeyondLimit(m, in) > 0 && !a.missingFromList(m) {
+				silent[m.zone]++
+			}
+		}
+		a.countPresent(m, in.now)
+	}
+	c.partitionedZones = make(map[string]bool)
+	for zone, n := range silent {
+		c.partitionedZones[zone] = n > max(1, heard[zone]/partitionDivisor)
+	}
+}
+
+func (a *autoscaler) countReported(m *machine) {
+	a.counts.reportedMachines++
+	if t := a.inventory.Type(m.typeName); t != nil {
+		a.counts.reportedCPUs += t.CPUs
+	}
+}
+
+func (a *autoscaler) countPresent(m *machine, now time.Duration) {
+	a.counts.perZone[m.zone]++
+	if a.schedulable(m, now) || (m.starting() && !m.terminating) {
+		a.counts.perType[m.typeName]++
+	}
+	if t := a.inventory.Type(m.typeName); t != nil && !m.terminating && m.starting() && now-m.createdAt < bootTimeout(t) {
+		a.counts.booting[m.machineKind]++
+	}
+}
+
+// listKinds lists what can be created: spot machines first, by type and zone.
+func (a *autoscaler) listKinds() {
+	kinds := a.counts.kinds
+	for name, t := range a.inventory.Catalog() {
+		for _, zone := range t.Zones {
+			kinds = append(kinds, machineKind{name, zone, true}, machineKind{name, zone, false})
+		}
+	}
+	sort.Slice(kinds, func(i, k int) bool { return kinds[i].before(kinds[k]) })
+	a.counts.kinds = kinds
+}
+
+func (k machineKind) before(other machineKind) bool {
+	if k.spot != other.spot {
+		return k.spot
+	}
+	return k.typeName < other.typeName || (k.typeName == other.typeName && k.zone < other.zone)
+}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -217,7 +217,7 @@
 			l.runTimes.Observe(estimatedTask(job.spec), now-last.since)
 		}
 	case replica.exitReason == protocol.ExitReasonError:
-		if failures, quarantined := l.quarantine.recordFailure(m, job, l.autoscaler.reportedMachines); quarantined {
+		if failures, quarantined := l.quarantine.recordFailure(m, job, l.autoscaler.counts.reportedMachines); quarantined {
 			l.c.log.Info().Str("machine", m.name).Int("failures", failures).Msg("machine quarantined")
 		}
 	}
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -111,7 +111,7 @@
 	l.usage.remove(job) // what is counted for it was of the old size
 	job.spec, job.team, job.priority = summary, l.usage.teams[summary.Team], protocol.Priority(summary.Priority)
 	job.image = l.images.get(summary.Image, summary.ImageGb)
-	job.onlyType = l.autoscaler.onlyFittingType(summary)
+	job.onlyType = l.kinds.onlyFittingType(summary)
 	l.usage.update(job)
 }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -30,7 +30,10 @@
 	records          machineRecorder
 	pendingQueue     pendingQueue
 	shortage         shortage
+	kinds            kindSelector
+	placement        placement
 	autoscaler       autoscaler
+	cloudRequests    cloudRequests
 	forecast         forecast.Starts
 	warmPool         warmPool
 	runTimes         estimate.RunTimes
@@ -57,8 +60,7 @@
 	for name := range c.election.Shards() {
 		l.shards.add(name)
 	}
-	l.autoscaler.init(l)
-	l.warmPool.init(l)
+	l.initScheduling()
 	c.leader = l
 	c.cloud.Lead(l, now)
 	c.subscription.registerShards()
@@ -134,7 +136,7 @@
 	l.usage.recompute(l.jobs, &l.machines)
 	l.reconcileShards(now)
 	if l.c.election.MayAct(now) {
-		l.autoscaler.tick(now)
+		l.autoscale(now)
 		if !l.reachesMachines(now) {
 			l.c.election.Resign(election.WorkersUnreachable)
 		}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -3,15 +3,9 @@
 import (
 	"time"
 
-	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const (
-	exclusiveNeedWindow = 3 * time.Minute // how long a type stays reserved for the jobs that need it
-	jobFaultMachines    = 3               // machines on which a job fails before the mistake is taken for its own
-)
-
 // offer is room offered to one owner for one answer.
 type offer struct {
 	id       uint64
@@ -26,40 +20,6 @@
 	count int
 }
 
-// shouldAvoid tells whether a job has failed on a machine and should rather be
-// tried on others, of which there are enough.
-func (l *leader) shouldAvoid(j *trackedJob, m *machine) bool {
-	return j.failedOn[m.name] && !j.failsEverywhere(l.autoscaler.reportedMachines)
-}
-
-// reservedForOthers tells whether machines of a type are kept for jobs that can
-// run nowhere else, while this job can. Replicas of services are few and stay on
-// machines that were rented for them, whatever their type.
-func (l *leader) reservedForOthers(j *trackedJob, typ string) bool {
-	return !j.spec.Service && j.onlyType != typ && l.autoscaler.hasExclusiveNeed(typ, l.c.now())
-}
-
-// canOffer tells whether a task of a job may be offered a machine's room.
-func (l *leader) canOffer(j *trackedJob, m *machine, free resources) bool {
-	if j.unoffered() == 0 || !free.fits(j.spec) || l.shouldAvoid(j, m) || !l.withinTeamLimit(j) {
-		return false
-	}
-	if (m.reservedFor != nil && m.reservedFor != j) || (m.inWarmPool && !j.spec.Service) || l.exceedsSpread(j, m) || l.warmPool.shouldWaitForImage(j, m, l.c.now()) {
-		return false
-	}
-	if !m.spot && m.empty() && j.priority < protocol.PriorityUrgent && j.image.spotCapacityFits(j) {
-		return false // cheaper machines that have the image have room for all of it
-	}
-	return m.hasImage(j.image) || worthFetching(j, m, l.c.cloud.Type(m.typeName), l.runTime(j.spec))
-}
-
-// spotCapacityFits tells whether spot machines that have an image have room for all of a
-// job's waiting tasks, so that an empty ordinary machine can go back.
-func (im *image) spotCapacityFits(j *trackedJob) bool {
-	n := float64(j.unoffered())
-	return n*j.spec.Cpus <= im.spotFree.cpus && n*j.spec.Gpus <= im.spotFree.gpus && n*j.spec.MemoryGb <= im.spotFree.memory
-}
-
 // makeOffers offers a machine's free room to the owners of waiting tasks, one
 // task after another to whatever is served first.
 func (l *leader) makeOffers(m *machine, a *pendingResponse, now time.Duration) {
@@ -78,7 +38,7 @@
 	queues := l.candidateQueues(m, k)
 	heads := make([]*trackedJob, len(queues))
 	for i, q := range queues {
-		heads[i] = q.head(l, m, free)
+		heads[i] = q.head(l, m, free, now)
 	}
 	for range l.c.tuning.StartsPerResponse {
 		best := -1
@@ -97,8 +57,8 @@
 		}
 		l.addToOffer(a, j)
 		for i, q := range queues {
-			if heads[i] != nil && !l.canOffer(heads[i], m, free) {
-				heads[i] = q.head(l, m, free)
+			if heads[i] != nil && !l.placement.canOffer(heads[i], m, free, now) {
+				heads[i] = q.head(l, m, free, now)
 			}
 		}
 	}
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -65,14 +65,14 @@
 
 // head is the job that a team's queue offers next to a machine, looking only
 // at the first few; what waits no more is dropped on the way.
-func (q *teamQueue) head(l *leader, m *machine, free resources) *trackedJob {
+func (q *teamQueue) head(l *leader, m *machine, free resources, now time.Duration) *trackedJob {
 	for len(q.jobs) > 0 && q.jobs[0].unoffered() == 0 {
 		q.jobs = q.jobs[1:]
 		l.pendingQueue.inspected++
 	}
 	for i := 0; i < len(q.jobs) && i < queueLookAhead; i++ {
 		l.pendingQueue.inspected++
-		if l.canOffer(q.jobs[i], m, free) {
+		if l.placement.canOffer(q.jobs[i], m, free, now) {
 			return q.jobs[i]
 		}
 	}
@@ -117,7 +117,7 @@
 				k := &machineKindQueue{byImage: make(map[*image]*imageQueue), smallestTask: whole}
 				for _, j := range d.jobs {
 					if whole.fits(j.spec) && permits(j.spec, v) {
-						if kept := l.reservedForOthers(j, name); !kept || !d.exclusiveTypes[name] {
+						if kept := l.kinds.reservedForOthers(j, name, now); !kept || !d.exclusiveTypes[name] {
 							k.add(j, !kept)
 						}
 					}
@@ -204,7 +204,7 @@
 		var best *machine
 		soonest := time.Duration(-1)
 		for m := range l.machines.all {
-			if m.reservedFor != nil || !l.schedulable(m, now) || !l.suitsWhenEmpty(m, j) {
+			if m.reservedFor != nil || !l.schedulable(m, now) || !l.placement.suitsWhenEmpty(m, j, now) {
 				continue
 			}
 			if in := l.timeUntilFits(m, j, now); best == nil || in < soonest || (in == soonest && m.index < best.index) {
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -61,7 +61,7 @@
 	}
 	if s.guaranteeCPUs > 0 {
 		for _, j := range s.belowGuarantee {
-			if l.suitsWhenEmpty(m, j) {
+			if l.placement.suitsWhenEmpty(m, j, now) {
 				s.guaranteeCPUs -= l.preemptTasks(m, a, s.guaranteeCPUs, s.guaranteeCostLimit, now, l.exceedsGuarantee)
 				return
 			}
@@ -227,7 +227,7 @@
 		j.image.standardCPUs += n
 		s.standardCPUs += n
 		if l.autoscaler.obtainable(j, now) {
-			s.idleCostLimit = max(s.idleCostLimit, l.autoscaler.leadTime(j))
+			s.idleCostLimit = max(s.idleCostLimit, l.kinds.leadTime(j))
 		} else {
 			s.idleCostLimit = time.Duration(math.MaxInt64)
 		}
@@ -410,15 +410,6 @@
 	s.guaranteeCostLimit = costLimit(victims, s.guaranteeCPUs)
 }
 
-// suitsWhenEmpty tells whether an empty machine would be offered to a job.
-func (l *leader) suitsWhenEmpty(m *machine, j *trackedJob) bool {
-	t := l.c.cloud.Type(m.typeName)
-	if t == nil || !permits(j.spec, m.machineKind) || l.shouldAvoid(j, m) || l.reservedForOthers(j, m.typeName) {
-		return false
-	}
-	return capacityOf(t).fits(j.spec) && (m.hasImage(j.image) || worthFetching(j, m, l.c.cloud.Type(m.typeName), l.runTime(j.spec)))
-}
-
 // drain stops, on a machine that the cloud takes back soon, what cannot end
 // in time: it may start elsewhere as soon as the machine confirms the stop,
 // not only after a lease.
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -7,175 +7,240 @@
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
 const (
-	maxServiceShapes        = 64
-	maxCountedReplicas      = 1000        // that are counted on one machine
-	promptStartDivisor      = 20          // of the fleet's CPUs, that are kept for prompt starts at the most
-	expectedMachinesDivisor = 50          // of all machines, that are kept for services before any was seen
-	contentionWindow        = time.Minute // after the cloud refused a type, others need what there is of it
-	dueFetchDivisor         = 2           // part of a fetch in which a report has to be due, to be waited for
-	minSpreadMachines       = 4           // machines over which standby room is spread, so that some report comes soon
+	// resizeInterval is how old the size of the warm pool may be when a machine
+	// is about to be offered.
+	resizeInterval = time.Second
+	// maxServiceShapes bounds the shapes that headroom is kept for.
+	maxServiceShapes = 64
+	// maxCountedReplicas bounds how many replicas are counted on one machine.
+	maxCountedReplicas = 1000
+	// promptStartDivisor: at most this part of the fleet's CPUs is kept free for
+	// prompt starts.
+	promptStartDivisor = 20
+	// expectedMachinesDivisor: this part of all machines is kept free for
+	// services before any was seen.
+	expectedMachinesDivisor = 50
+	// minSpreadMachines is over how many machines headroom is spread, so that one
+	// of them sends its heartbeat soon.
+	minSpreadMachines = 4
 )
 
-// warmPool is the room kept for replicas of services: those that come, and those
-// that are lost and have to be back at once, although a machine takes longer to
-// boot than the users want to wait. Unlike arrays, services may often not use spot
-// machines, and their replicas stay.
+// The kinds of objectives that only headroom meets where machines boot slowly.
+const (
+	objectiveWait = "wait" // a start within a time
+	objectiveUp   = "up"   // replicas that are running
+)
+
+// warmPool keeps headroom for replicas of services: for those that arrive, and
+// for those that are lost and wanted back sooner than a machine boots. Unlike
+// arrays, services may often not use spot machines, and their replicas stay.
+//
+// It owns the headroom wanted, the machines that provide it and their mark
+// inWarmPool. It requests and releases no machines itself.
 type warmPool struct {
-	leader          *leader
-	loads           map[serviceShape]*serviceLoad
+	settings    *settings.Settings
+	catalog     catalog
+	kinds       *kindSelector
+	machines    *machineTable
+	counts      *fleetCounts // the autoscaler's last count, only read here
+	electedAt   time.Duration
+	schedulable func(*machine, time.Duration) bool
+
+	shapes          map[serviceShape]*serviceLoad
 	expectedClasses map[string]bool          // classes whose starts the users want soon, of which no job was seen
-	target          map[machineKind]headroom // room that should be free, by kind
-	reserved        map[machineKind]headroom // of this, what there is
-	sizedAt         time.Duration            // when that was worked out
-	members         []*machine               // that it is kept free on
-	serviceCapable  []*machine               // that have room for services, marked or not
+	target          map[machineKind]headroom // that there should be
+	reserved        map[machineKind]headroom // that members provide
+	sizedAt         time.Duration            // when target was computed
+	members         []*machine
+	serviceCapable  []*machine // with room for services, members or not
 }
 
-// headroom is machines with room for replicas, and how many of these fit on them.
+// headroom is machines with room for replicas, and how many replicas fit there.
 type headroom struct{ machines, replicas int }
 
-// serviceShape is services that need the same of a machine.
+// covers tells whether it is enough for a target.
+func (h headroom) covers(target headroom) bool {
+	return h.machines >= target.machines && h.replicas >= target.replicas
+}
+
+// divided is the part that each of several zones has to provide.
+func (h headroom) divided(zones int) headroom {
+	return headroom{divideUp(h.machines, zones), divideUp(h.replicas, zones)}
+}
+
+func divideUp(n, by int) int { return (n + by - 1) / by }
+
+// serviceShape is what services need that count as alike.
 type serviceShape struct {
 	class, zone        string
 	spot               bool
 	cpus, gpus, memory float64
 }
 
-// serviceLoad is what came of a kind lately.
+func shapeOf(spec *meshpb.JobSummary) serviceShape {
+	return serviceShape{spec.Class, spec.Zone, spec.Spot, spec.Cpus, spec.Gpus, spec.MemoryGb}
+}
+
+// serviceLoad is what arrived lately of a shape.
 type serviceLoad struct {
-	spec     *meshpb.JobSummary
-	image    *image // of the latest
+	spec     *meshpb.JobSummary // of the latest, as is the image
+	image    *image
 	arrivals forecast.Services
 }
 
-func (s *warmPool) init(l *leader) {
-	s.leader = l
-	s.loads = make(map[serviceShape]*serviceLoad)
-	s.expectedClasses = make(map[string]bool)
-	for _, o := range l.c.cfg.Settings.Objectives {
-		if o.Kind == "wait" || o.Kind == "up" {
-			s.expectedClasses[o.Class] = true
+// init makes a pool that has seen no services. The fields above the first blank
+// line are set by then.
+func (p *warmPool) init() {
+	p.shapes = make(map[serviceShape]*serviceLoad)
+	p.expectedClasses = make(map[string]bool)
+	for _, o := range p.settings.Objectives {
+		if o.Kind == objectiveWait || o.Kind == objectiveUp {
+			p.expectedClasses[o.Class] = true
 		}
 	}
 }
 
 // classSeen notes that a job of a class has arrived.
-func (s *warmPool) classSeen(class string) { delete(s.expectedClasses, class) }
+func (p *warmPool) classSeen(class string) { delete(p.expectedClasses, class) }
 
 // observe takes in a new service that was submitted at a time.
-func (s *warmPool) observe(j *trackedJob, submitted time.Duration) {
-	d := j.spec
-	k := serviceShape{d.Class, d.Zone, d.Spot, d.Cpus, d.Gpus, d.MemoryGb}
-	load := s.loads[k]
+func (p *warmPool) observe(job *trackedJob, submitted time.Duration) {
+	shape := shapeOf(job.spec)
+	load := p.shapes[shape]
 	if load == nil {
-		if len(s.loads) >= maxServiceShapes {
+		if len(p.shapes) >= maxServiceShapes {
 			return
 		}
 		load = &serviceLoad{}
-		s.loads[k] = load
+		p.shapes[shape] = load
 	}
-	load.spec, load.image = d, j.image
-	load.arrivals.Observe(submitted, int(d.Tasks))
+	load.spec, load.image = job.spec, job.image
+	load.arrivals.Observe(submitted, int(job.spec.Tasks))
 }
 
-// resize works out how many machines of each kind should have room free for the
-// largest service of late, and for as many replicas as come, of late, while a
-// machine boots; and marks as many. What is marked takes nothing but services.
-func (s *warmPool) resize(now time.Duration) {
-	s.sizedAt = now
-	s.target, s.reserved, s.members = make(map[machineKind]headroom), make(map[machineKind]headroom), s.members[:0]
-	for key, load := range s.loads {
+// resize computes the headroom that is wanted: on each kind of machine, for the
+// largest service of late and for as many replicas as arrive while a machine
+// boots. Then it chooses the machines that provide it. These take nothing but
+// services.
+func (p *warmPool) resize(now time.Duration) {
+	p.sizedAt = now
+	p.target = make(map[machineKind]headroom)
+	p.reserved = make(map[machineKind]headroom)
+	p.members = p.members[:0]
+	for shape, load := range p.shapes {
 		if !load.arrivals.Expire(now) {
-			delete(s.loads, key)
+			delete(p.shapes, shape)
 			continue
 		}
-		s.sizeForShape(load, now)
+		p.sizeForShape(load, now)
+	}
+	if len(p.expectedClasses) > 0 {
+		p.sizeForExpected()
 	}
-	if len(s.expectedClasses) > 0 {
-		s.sizeForExpected()
+	p.chooseMembers(now)
+}
+
+// chooseMembers marks machines until the target is met. Members stay if they
+// can, since they hold services already, and their images.
+func (p *warmPool) chooseMembers(now time.Duration) {
+	p.serviceCapable = p.serviceCapable[:0]
+	for m := range p.machines.all {
+		if len(p.shapes) > 0 && p.schedulable(m, now) && p.replicaCapacity(m) > 0 {
+			p.serviceCapable = append(p.serviceCapable, m)
+		}
+		m.inWarmPool = m.inWarmPool && p.reserve(m, now)
 	}
-	// Those marked before stay so: they hold services already, and their images.
-	s.serviceCapable = s.serviceCapable[:0]
-	for _, first := range []bool{true, false} {
-		for m := range s.leader.machines.all {
-			was := m.inWarmPool
-			if first && len(s.loads) > 0 && s.leader.schedulable(m, now) && s.replicaCapacity(m) > 0 {
-				s.serviceCapable = append(s.serviceCapable, m)
-			}
-			if first {
-				m.inWarmPool = was && s.reserve(m, now)
-			} else if !was && s.reserve(m, now) {
-				m.inWarmPool = true
-			}
+	for m := range p.machines.all {
+		if !m.inWarmPool && p.reserve(m, now) {
+			m.inWarmPool = true
 		}
 	}
 }
 
-// claimMachine marks a machine that is about to be offered, if its room is wanted: one
-// that has just come up would be full before the next second.
-func (s *warmPool) claimMachine(m *machine, now time.Duration) {
-	if now-s.sizedAt > time.Second {
-		s.resize(now)
+// claimMachine takes a machine in that is about to be offered, if its room is
+// wanted: one that has just booted would be full before the next resize.
+func (p *warmPool) claimMachine(m *machine, now time.Duration) {
+	if now-p.sizedAt > resizeInterval {
+		p.resize(now)
 	}
 	if !m.inWarmPool {
-		m.inWarmPool = s.reserve(m, now)
+		m.inWarmPool = p.reserve(m, now)
 	}
 }
 
 // reserve takes a machine in if it has room for services and more is wanted.
-func (s *warmPool) reserve(m *machine, now time.Duration) bool {
-	w, h := s.target[m.machineKind], s.reserved[m.machineKind]
-	if (h.machines >= w.machines && h.replicas >= w.replicas) || !s.leader.schedulable(m, now) {
+func (p *warmPool) reserve(m *machine, now time.Duration) bool {
+	reserved := p.reserved[m.machineKind]
+	if reserved.covers(p.target[m.machineKind]) || !p.schedulable(m, now) {
 		return false
 	}
-	n := s.replicaCapacity(m)
+	n := p.replicaCapacity(m)
 	if n == 0 {
 		return false
 	}
-	s.reserved[m.machineKind] = headroom{h.machines + 1, h.replicas + n}
-	s.members = append(s.members, m)
+	p.reserved[m.machineKind] = headroom{reserved.machines + 1, reserved.replicas + n}
+	p.members = append(p.members, m)
 	return true
 }
 
-// replicasPerMachine is how many replicas of some kind fit on an empty machine.
-func (s *warmPool) replicasPerMachine(v machineKind) int {
-	t, most := s.leader.c.cloud.Type(v.typeName), 1
-	for _, load := range s.loads {
-		if t != nil && permits(load.spec, v) {
+// replicaCapacity is how many replicas of some shape a machine has room for.
+func (p *warmPool) replicaCapacity(m *machine) int {
+	most := 0
+	for _, load := range p.shapes {
+		if !permits(load.spec, m.machineKind) {
+			continue
+		}
+		n := 0
+		for free := m.free; free.fits(load.spec) && n < maxCountedReplicas; n++ {
+			free.subtract(load.spec)
+		}
+		most = max(most, n)
+	}
+	if len(p.shapes) == 0 && m.empty() {
+		return 1
+	}
+	return most
+}
+
+// replicasPerMachine is how many replicas of some shape an empty machine holds.
+func (p *warmPool) replicasPerMachine(kind machineKind) int {
+	t, most := p.catalog.Type(kind.typeName), 1
+	for _, load := range p.shapes {
+		if t != nil && permits(load.spec, kind) {
 			most = max(most, int(tasksPerMachine(t, load.spec)))
 		}
 	}
 	return most
 }
 
-// sizeForExpected keeps a few ordinary machines, in all zones: services may begin on a
-// running day, and those that come in the time in which more machines boot have to
-// find room. In a large fleet they cost little.
-func (s *warmPool) sizeForExpected() {
-	best := s.fastestBootingType()
-	if best == nil {
+// sizeForExpected wants a few ordinary machines, in all zones: services may begin
+// on a running day, and those that arrive while more machines boot need room. In
+// a large fleet the few cost little.
+func (p *warmPool) sizeForExpected() {
+	t := p.fastestBootingType()
+	if t == nil {
 		return
 	}
-	n := max(minSpreadMachines, min(2*minSpreadMachines, s.leader.autoscaler.reportedMachines/expectedMachinesDivisor))
-	for _, z := range best.Zones {
-		v := machineKind{best.Name, z, false}
-		s.raiseTarget(v, headroom{machines: (n + len(best.Zones) - 1) / len(best.Zones)})
+	n := max(minSpreadMachines, min(2*minSpreadMachines, p.counts.reportedMachines/expectedMachinesDivisor))
+	for _, zone := range t.Zones {
+		p.raiseTarget(machineKind{t.Name, zone, false}, headroom{machines: divideUp(n, len(t.Zones))})
 	}
 }
 
-// fastestBootingType is the type that boots soonest of those about as cheap by their CPUs as
-// the cheapest: what services will need of a machine is not known yet.
-func (s *warmPool) fastestBootingType() *protocol.MachineType {
+// fastestBootingType returns the type that boots soonest of those that cost about
+// as little per CPU as the cheapest: what services will need is not known yet.
+func (p *warmPool) fastestBootingType() *protocol.MachineType {
 	perCPU := func(t *protocol.MachineType) float64 { return t.Price / math.Max(t.CPUs, 1) }
 	least := math.Inf(1)
-	for _, t := range s.leader.c.cloud.Catalog() {
+	for _, t := range p.catalog.Catalog() {
 		least = math.Min(least, perCPU(t))
 	}
 	var best *protocol.MachineType
-	for _, t := range s.leader.c.cloud.Catalog() {
+	for _, t := range p.catalog.Catalog() {
 		if perCPU(t) > least*servicePriceTolerance {
 			continue
 		}
@@ -186,182 +251,79 @@
 	return best
 }
 
-func (s *warmPool) sizeForShape(load *serviceLoad, now time.Duration) {
-	j := &trackedJob{spec: load.spec, image: load.image, onlyType: s.leader.autoscaler.onlyFittingType(load.spec)}
-	// The kind counts whether or not the cloud refuses it at present: then what is
-	// there has to be kept all the more.
-	v, ok := s.leader.autoscaler.bestKind(j, time.Duration(math.MaxInt64), nil)
+// sizeForShape wants headroom for the services of a shape.
+func (p *warmPool) sizeForShape(load *serviceLoad, now time.Duration) {
+	job := &trackedJob{spec: load.spec, image: load.image, onlyType: p.kinds.onlyFittingType(load.spec)}
+	// Kinds that the cloud refuses at present count: then what is there has to be
+	// kept all the more.
+	kind, ok := p.kinds.best(kindQuery{job: job, now: now, includeRefused: true})
 	if !ok {
 		return
 	}
-	t := s.leader.c.cloud.Type(v.typeName)
-	demand := load.arrivals.Demand(now, arrivalsObserved(s.leader.electedAt, now), t.BootS)
-	n := headroom{max(min(s.machinesForPromptStart(load.spec.Class, demand.Largest), s.affordableMachines(t, v, now)), min(minSpreadMachines, int(demand.Largest))), int(math.Ceil(demand.Replicas))}
+	t := p.catalog.Type(kind.typeName)
+	demand := load.arrivals.Demand(now, arrivalsObserved(p.electedAt, now), t.BootS)
+	prompt := min(p.machinesForPromptStart(load.spec.Class, demand.Largest), p.affordableMachines(t, kind, now))
+	spread := min(minSpreadMachines, int(demand.Largest))
+	wanted := headroom{machines: max(prompt, spread), replicas: int(math.Ceil(demand.Replicas))}
 	if load.spec.Zone != "" {
-		s.raiseTarget(v, n)
+		p.raiseTarget(kind, wanted)
 		return
 	}
-	// Each zone has its part, whether or not the job has to spread: one that is cut
-	// off takes no more than that with it.
-	parts := max(1, len(t.Zones))
-	for _, z := range t.Zones {
-		s.raiseTarget(machineKind{v.typeName, z, v.spot}, headroom{(n.machines + parts - 1) / parts, (n.replicas + parts - 1) / parts})
+	// Each zone has its part, whether or not the service has to spread: a zone that
+	// is cut off takes no more than that with it.
+	part := wanted.divided(max(1, len(t.Zones)))
+	for _, zone := range t.Zones {
+		p.raiseTarget(machineKind{kind.typeName, zone, kind.spot}, part)
 	}
 }
 
-// raiseTarget wants at least that much room of a kind.
-func (s *warmPool) raiseTarget(v machineKind, n headroom) {
-	w := s.target[v]
-	s.target[v] = headroom{max(w.machines, n.machines), max(w.replicas, n.replicas)}
+// raiseTarget wants at least that much headroom on a kind of machine.
+func (p *warmPool) raiseTarget(kind machineKind, wanted headroom) {
+	target := p.target[kind]
+	p.target[kind] = headroom{max(target.machines, wanted.machines), max(target.replicas, wanted.replicas)}
 }
 
-// affordableMachines is how many machines of a type may be kept for prompt starts: those
-// that make up a small part of the fleet's CPUs, and none while the cloud has too
-// few for work that fits on no other type.
-func (s *warmPool) affordableMachines(t *protocol.MachineType, v machineKind, now time.Duration) int {
-	refusedTo, refused := s.leader.autoscaler.refusedUntil[v]
-	if refused && now < refusedTo+contentionWindow && s.leader.autoscaler.hasExclusiveNeed(t.Name, now) {
+// affordableMachines is how many machines of a kind may be kept for prompt starts:
+// a small part of the fleet, and none while the cloud has too few for jobs that
+// fit on no other type.
+func (p *warmPool) affordableMachines(t *protocol.MachineType, kind machineKind, now time.Duration) int {
+	if p.kinds.contended(kind, now) {
 		return 0
 	}
-	return int(s.leader.autoscaler.reportedCPUs / promptStartDivisor / math.Max(t.CPUs, 1))
+	return int(p.counts.reportedCPUs / promptStartDivisor / math.Max(t.CPUs, 1))
 }
 
-// machinesForPromptStart is how many machines have to have room for the last of a service's tasks
-// to find one that reports within half of the time in which the users want it
-// started, if each gets one: reports come apart by their interval.
-func (s *warmPool) machinesForPromptStart(class string, tasks float64) int {
-	within := s.startWithin(class)
+// machinesForPromptStart is how many machines need room for the last of a
+// service's tasks to find one that sends a heartbeat within half of the time in
+// which the users want it started, if each takes one task: the heartbeats of n
+// machines come an n-th of their interval apart.
+func (p *warmPool) machinesForPromptStart(class string, tasks float64) int {
+	within := p.startWithin(class)
 	if within <= 0 {
 		return 0
 	}
-	return int(math.Ceil(2 * tasks * s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS / within))
+	return int(math.Ceil(2 * tasks * p.settings.Workers.HeartbeatIntervalS / within))
 }
 
 // startWithin is the time, in seconds, within which the users want the starts of
 // a class; 0: they name none.
-func (s *warmPool) startWithin(class string) float64 {
-	return forecast.StartObjectiveOf(s.leader.c.cfg.Settings.Objectives, class).WithinS
-}
-
-// replicaCapacity is how many replicas of a kind that room is kept for a machine has room
-// for.
-func (s *warmPool) replicaCapacity(m *machine) int {
-	most := 0
-	for _, load := range s.loads {
-		if !permits(load.spec, m.machineKind) {
-			continue
-		}
-		n := 0
-		for free := m.free; free.fits(load.spec) && n < maxCountedReplicas; n++ {
-			free.subtract(load.spec)
-		}
-		most = max(most, n)
-	}
-	if len(s.loads) == 0 && m.empty() {
-		return 1
-	}
-	return most
-}
-
-// requestMachines asks for the machines that are wanted and neither there nor to come.
-func (s *warmPool) requestMachines(ask map[machineKind]int, left int, now time.Duration) {
-	if len(s.loads) == 0 && now-s.leader.electedAt < observationTime {
-		return // classes are yet to be seen
-	}
-	coming := make(map[machineKind]int)
-	for v, n := range s.leader.autoscaler.booting {
-		coming[v] += n
-	}
-	for _, q := range s.leader.autoscaler.requests {
-		coming[q.kind] += q.Count
-	}
-	for v, w := range s.target {
-		h, whole := s.reserved[v], s.replicasPerMachine(v)
-		n := max(w.machines-h.machines, (w.replicas-h.replicas+whole-1)/whole) - coming[v]
-		for ; n > 0 && left > 0 && s.leader.autoscaler.refusedUntil[v] <= now; n-- {
-			ask[v]++
-			s.leader.autoscaler.machinesPerType[v.typeName]++
-			left--
-		}
-	}
-}
-
-// hasRoomElsewhere tells whether some machine besides the given one has room kept for a
-// service's replica.
-func (s *warmPool) hasRoomElsewhere(j *trackedJob, m *machine, now time.Duration) bool {
-	for _, o := range s.members {
-		if o != m && o.free.fits(j.spec) && permits(j.spec, o.machineKind) && s.leader.schedulable(o, now) && !s.leader.shouldAvoid(j, o) {
-			return true
-		}
-	}
-	return false
+func (p *warmPool) startWithin(class string) float64 {
+	return forecast.StartObjectiveOf(p.settings.Objectives, class).WithinS
 }
 
-// shouldWaitForImage tells whether another machine of the zone, with room kept for a
-// service's replica, has its image, and to wait for that one's report takes less
-// than to fetch the image anew: a fetch takes longer than all reports come apart,
-// or its next report is due within half of a fetch.
-func (s *warmPool) shouldWaitForImage(j *trackedJob, m *machine, now time.Duration) bool {
-	if !j.spec.Service || m.hasImage(j.image) {
-		return false
-	}
-	fetch := fetchTime(j.image, s.leader.c.cloud.Type(m.typeName))
-	interval := seconds(s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS)
-	for _, o := range s.members {
-		if o != m && o.zone == m.zone && o.hasImage(j.image) && o.free.fits(j.spec) && permits(j.spec, o.machineKind) &&
-			s.leader.schedulable(o, now) && !s.leader.shouldAvoid(j, o) && !s.leader.exceedsSpread(j, o) &&
-			(fetch > interval || o.lastHeartbeat+interval-now < fetch/dueFetchDivisor) {
-			return true
-		}
-	}
-	return false
-}
-
-// spreadMachines is over how many machines of a zone a service's replicas are spread at
-// the least: three, or two where starts are wanted within one report's interval, as
-// the last of them waits for as many reports.
-func (s *warmPool) spreadMachines(class string) int {
-	if within := s.startWithin(class); within > 0 && within < s.leader.c.cfg.Settings.Workers.HeartbeatIntervalS {
-		return 2
-	}
-	return 3
-}
-
-// exceedsSpread tells whether a machine has its part of a service's tasks, while others
-// of its zone have room too: the loss of one should not take most of them. Of three
-// or more machines each takes a third.
-func (l *leader) exceedsSpread(j *trackedJob, m *machine) bool {
-	if !j.spec.Service {
-		return false
-	}
-	now, choices, most := l.c.now(), 1, l.warmPool.spreadMachines(j.spec.Class)
-	for _, o := range l.warmPool.serviceCapable {
-		if choices == most {
-			break
-		}
-		if o != m && o.zone == m.zone && o.free.fits(j.spec) && permits(j.spec, o.machineKind) && l.schedulable(o, now) && !l.shouldAvoid(j, o) {
-			choices++
-		}
-	}
-	if choices == 1 {
-		return false
-	}
-	n := 0
-	for _, list := range [][]replicaOnMachine{m.tasks, m.sentStarts} {
-		for i := range list {
-			if list[i].job == j && list[i].state != protocol.TaskExited {
-				n++
-			}
-		}
-	}
-	if m.offeringFor != nil {
-		for _, o := range m.offeringFor.openOffers {
-			for _, it := range o.items {
-				if it.job == j {
-					n += it.count
-				}
-			}
+// planScaleOut adds the machines that are wanted and neither there nor to come to
+// a plan, up to a number.
+func (p *warmPool) planScaleOut(plan *scaleOutPlan, coming map[machineKind]int, limit int, now time.Duration) {
+	if len(p.shapes) == 0 && now-p.electedAt < observationTime {
+		return // more classes may yet be seen
+	}
+	for kind, target := range p.target {
+		reserved := p.reserved[kind]
+		forReplicas := divideUp(target.replicas-reserved.replicas, p.replicasPerMachine(kind))
+		missing := max(target.machines-reserved.machines, forReplicas) - coming[kind]
+		for ; missing > 0 && limit > 0 && !p.kinds.refused(kind, now); missing-- {
+			plan.add(kind)
+			limit--
 		}
 	}
-	return n >= (int(j.spec.Tasks)+choices-1)/choices
 }
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -200,18 +200,18 @@
 	l := sim.leader().controller.leader
 	kind, now := machineKind{"m8", "z1", false}, sim.now
 	kept := func() int {
-		l.autoscaler.reportedCPUs = 1600
+		l.autoscaler.counts.reportedCPUs = 1600
 		return l.warmPool.affordableMachines(l.c.cloud.Catalog()["m8"], kind, now)
 	}
 	want(t, "a part of the fleet", kept(), 10)
-	l.autoscaler.exclusiveNeedAt["m8"] = now
+	l.kinds.exclusiveNeedAt["m8"] = now
 	want(t, "others need the type, the cloud has it", kept(), 10)
-	l.autoscaler.refusedUntil[kind] = now + capacityBackoff
+	l.kinds.refusedUntil[kind] = now + capacityBackoff
 	want(t, "the cloud refuses it", kept(), 0)
 	now += capacityBackoff + contentionWindow
-	l.autoscaler.exclusiveNeedAt["m8"] = now
+	l.kinds.exclusiveNeedAt["m8"] = now
 	want(t, "it has not for a while", kept(), 10)
-	l.autoscaler.refusedUntil[kind] = now
-	delete(l.autoscaler.exclusiveNeedAt, "m8")
+	l.kinds.refusedUntil[kind] = now
+	delete(l.kinds.exclusiveNeedAt, "m8")
 	want(t, "nobody needs it", kept(), 10)
 }
