--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -20,8 +20,7 @@
 	usage            usageAccounting
 	reconciler       reconciler
 	publisher        statusPublisher
-	offers           map[uint64]*offer
-	lastOfferID      uint64
+	offers           offerBook
 	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
 	deliveries       deliveryTracker
 	quarantine       quarantine
@@ -29,7 +28,9 @@
 	nextSlowTick     time.Duration
 	records          machineRecorder
 	pendingQueue     pendingQueue
-	shortage         shortage
+	reservations     reservations
+	preemptor        preemptor
+	drainer          drainer
 	kinds            kindSelector
 	placement        placement
 	autoscaler       autoscaler
@@ -82,7 +83,6 @@
 		jobs:         make(map[string]*trackedJob),
 		leases:       machineLeases{electedAt: now, timeout: c.workerLeaseTimeout()},
 		shards:       newShardRegistry(),
-		offers:       make(map[uint64]*offer),
 	}
 	l.machines.init()
 	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: c.tuning.QuotaEscrow}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -6,7 +6,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// offer is room offered to one owner for one answer.
+// offer is resources of a machine that one owner may bind tasks to, for one
+// heartbeat response.
 type offer struct {
 	id       uint64
 	response *pendingResponse
@@ -15,174 +16,238 @@
 	items    []offerItem
 }
 
+// offerItem is for how many tasks of a job the resources are meant.
 type offerItem struct {
 	job   *trackedJob
 	count int
 }
 
-// makeOffers offers a machine's free room to the owners of waiting tasks, one
-// task after another to whatever is served first.
-func (l *leader) makeOffers(m *machine, a *pendingResponse, now time.Duration) {
+// offerBook holds the offers that wait for their owners' bindings. What is offered
+// counts as used by the jobs' teams until its offer is closed.
+type offerBook struct {
+	updateUsage func(*trackedJob)
+
+	byID   map[uint64]*offer // those that were sent
+	lastID uint64
+}
+
+// add offers resources for one more task of a job.
+func (b *offerBook) add(response *pendingResponse, job *trackedJob) {
+	job.offered++
+	b.updateUsage(job)
+	for _, o := range response.openOffers {
+		if o.link == job.shard.link {
+			o.add(job)
+			return
+		}
+	}
+	b.lastID++
+	response.openOffers = append(response.openOffers, &offer{
+		id:       b.lastID,
+		response: response,
+		link:     job.shard.link,
+		owner:    job.shard.owner,
+		items:    []offerItem{{job, 1}},
+	})
+}
+
+func (o *offer) add(job *trackedJob) {
+	for i := range o.items {
+		if o.items[i].job == job {
+			o.items[i].count++
+			return
+		}
+	}
+	o.items = append(o.items, offerItem{job, 1})
+}
+
+// send sends a response's offers to their owners.
+func (b *offerBook) send(response *pendingResponse) {
+	for _, o := range response.openOffers {
+		b.byID[o.id] = o
+		o.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Offer{Offer: o.message()}})
+	}
+}
+
+func (o *offer) message() *meshpb.Offer {
+	message := &meshpb.Offer{Id: o.id, MachineIndex: o.response.machine.index, Epoch: o.response.epoch, Seq: o.response.sequence}
+	for _, item := range o.items {
+		message.Items = append(message.Items, &meshpb.OfferItem{Job: item.job.id, Count: uint32(item.count)})
+	}
+	return message
+}
+
+// find returns the offer of an ID that waits for the bindings of a member; nil if
+// it was closed.
+func (b *offerBook) find(id uint64, p *peer) *offer {
+	if o := b.byID[id]; o != nil && o.link == p.link {
+		return o
+	}
+	return nil
+}
+
+// close ends an offer: its resources are offered no more.
+func (b *offerBook) close(o *offer) {
+	delete(b.byID, o.id)
+	for _, item := range o.items {
+		item.job.offered -= item.count
+		b.updateUsage(item.job)
+	}
+}
+
+// closeAll ends all offers for a response.
+func (b *offerBook) closeAll(response *pendingResponse) {
+	for _, o := range response.openOffers {
+		b.close(o)
+	}
+	response.openOffers = nil
+}
+
+// closeLink ends the offers for a response that went to a link.
+func (b *offerBook) closeLink(response *pendingResponse, link Link) {
+	if link == nil {
+		return
+	}
+	for i := 0; i < len(response.openOffers); {
+		o := response.openOffers[i]
+		if o.link != link {
+			i++
+			continue
+		}
+		b.close(o)
+		response.removeOffer(o)
+	}
+}
+
+// removeOffer takes an offer out of its response.
+func (r *pendingResponse) removeOffer(o *offer) {
+	for i, other := range r.openOffers {
+		if other == o {
+			r.openOffers = append(r.openOffers[:i], r.openOffers[i+1:]...)
+			return
+		}
+	}
+}
+
+// makeOffers offers a machine's free resources to the owners of pending tasks.
+func (l *leader) makeOffers(m *machine, response *pendingResponse, now time.Duration) {
 	if !l.schedulable(m, now) {
 		return
 	}
 	l.warmPool.claimMachine(m, now)
 	l.rebuildPendingQueue(now)
-	k := l.pendingQueue.byKind[m.machineKind]
-	free := m.free
-	if k == nil || k.jobCount == 0 || free.cpus < k.smallestTask.cpus || free.memory < k.smallestTask.memory {
+	queue := l.pendingQueue.byKind[m.machineKind]
+	if queue == nil || !queue.mayFit(m.free) {
 		return
 	}
-	m.offeringFor = a
-	defer func() { m.offeringFor = nil }()
-	queues := l.candidateQueues(m, k)
+	m.offeringFor = response
+	l.fillOffers(m, queue, response, now)
+	m.offeringFor = nil
+	l.offers.send(response)
+}
+
+// fillOffers offers a machine's free resources to one task after another, each time
+// to the one that is served first by what the teams use by then.
+func (l *leader) fillOffers(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
+	free := m.free
+	queues := queue.candidates(m)
 	heads := make([]*trackedJob, len(queues))
 	for i, q := range queues {
-		heads[i] = q.head(l, m, free, now)
+		heads[i] = l.pendingQueue.head(q, &l.placement, m, free, now)
 	}
 	for range l.c.tuning.StartsPerResponse {
-		best := -1
-		for i, j := range heads {
-			if j != nil && (best < 0 || j.servedBefore(heads[best])) {
-				best = i
-			}
-		}
-		if best < 0 {
-			break
+		job := firstServed(heads)
+		if job == nil {
+			return
 		}
-		j := heads[best]
-		free.subtract(j.spec)
+		free.subtract(job.spec)
 		if m.spot {
-			j.image.spotFree.subtract(j.spec)
+			job.image.spotFree.subtract(job.spec)
 		}
-		l.addToOffer(a, j)
+		l.offerTask(response, job)
 		for i, q := range queues {
 			if heads[i] != nil && !l.placement.canOffer(heads[i], m, free, now) {
-				heads[i] = q.head(l, m, free, now)
+				heads[i] = l.pendingQueue.head(q, &l.placement, m, free, now)
 			}
 		}
 	}
-	for _, o := range a.openOffers {
-		l.offers[o.id] = o
-		f := &meshpb.Offer{Id: o.id, MachineIndex: m.index, Epoch: a.epoch, Seq: a.sequence}
-		for _, it := range o.items {
-			f.Items = append(f.Items, &meshpb.OfferItem{Job: it.job.id, Count: uint32(it.count)})
-		}
-		o.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Offer{Offer: f}})
-	}
 }
 
-// servedBefore tells whether a job is served before another.
-func (j *trackedJob) servedBefore(o *trackedJob) bool {
-	if j.orderKey == o.orderKey && j.team == o.team {
-		return j.id < o.id
-	}
-	return j.orderKey.Before(j.team.dominantShare(), o.orderKey, o.team.dominantShare())
-}
-
-// addToOffer offers room for one more task of a job.
-func (l *leader) addToOffer(a *pendingResponse, j *trackedJob) {
-	j.offered++
-	l.usage.update(j)
-	if j.orderKey.Overdue {
-		// Once a task of it is on offer it is served in its turn.
-		j.overdueStarts++
-		j.orderKey = l.orderKeyOf(&trackedJob{spec: j.spec, priority: j.priority, started: true}, l.c.env.Wall().UnixMilli())
-	}
-	for _, o := range a.openOffers {
-		if o.link == j.shard.link {
-			for i := range o.items {
-				if o.items[i].job == j {
-					o.items[i].count++
-					return
-				}
-			}
-			o.items = append(o.items, offerItem{j, 1})
-			return
+// firstServed returns the job that is served first, or nil if all are nil.
+func firstServed(jobs []*trackedJob) *trackedJob {
+	var first *trackedJob
+	for _, job := range jobs {
+		if job != nil && (first == nil || job.servedBefore(first)) {
+			first = job
 		}
 	}
-	l.lastOfferID++
-	a.openOffers = append(a.openOffers, &offer{id: l.lastOfferID, response: a, link: j.shard.link, owner: j.shard.owner, items: []offerItem{{j, 1}}})
+	return first
 }
 
-func (l *leader) closeOffer(o *offer) {
-	delete(l.offers, o.id)
-	for _, it := range o.items {
-		it.job.offered -= it.count
-		l.usage.update(it.job)
-	}
-}
-
-// closeOffers ends all offers of an answer.
-func (l *leader) closeOffers(a *pendingResponse) {
-	for _, o := range a.openOffers {
-		l.closeOffer(o)
-	}
-	a.openOffers = nil
-}
-
-// removeOffer takes an offer out of its answer.
-func (a *pendingResponse) removeOffer(o *offer) {
-	for i, x := range a.openOffers {
-		if x == o {
-			a.openOffers = append(a.openOffers[:i], a.openOffers[i+1:]...)
-			return
-		}
+// offerTask adds one task of a job to the offers. A job that was overdue is served
+// in its turn once a task of it is on offer.
+func (l *leader) offerTask(response *pendingResponse, job *trackedJob) {
+	l.offers.add(response, job)
+	if job.orderKey.Overdue {
+		job.overdueStarts++
+		job.orderKey = l.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, l.c.env.Wall().UnixMilli())
 	}
 }
 
-// onBindings takes an owner's answer to an offer.
+// onBindings takes an owner's bindings. Those for an offer that was closed are
+// returned: its response has gone out without them.
 func (l *leader) onBindings(p *peer, f *meshpb.Bindings) {
-	o := l.offers[f.OfferId]
-	if o == nil || o.link != p.link {
-		// Too late: the answer has gone out without them.
+	o := l.offers.find(f.OfferId, p)
+	if o == nil {
 		sendReturnedBindings(p, f.Bindings)
 		return
 	}
-	l.closeOffer(o)
-	for _, d := range f.Jobs {
-		if j := l.jobs[d.Job]; j != nil && j.shard != nil && j.shard.owner == p && !j.ended {
-			l.setCounts(j, d)
+	l.offers.close(o)
+	for _, summary := range f.Jobs {
+		if job := l.jobs[summary.Job]; job.ownedBy(p) && !job.ended {
+			l.setCounts(job, summary)
 		}
 	}
-	a := o.response
-	for _, k := range f.Bindings {
-		j := l.jobs[k.Job]
-		if j == nil || j.shard == nil || j.shard.owner != p {
-			continue // its owner was replaced, the new one knows nothing of it
+	response := o.response
+	for _, binding := range f.Bindings {
+		// The present owner of a job knows nothing of what an earlier one bound.
+		if job := l.jobs[binding.Job]; job.ownedBy(p) {
+			response.bindings = append(response.bindings, shardBinding{job.shard, binding})
 		}
-		a.bindings = append(a.bindings, shardBinding{j.shard, k})
 	}
-	a.removeOffer(o)
-	if len(a.openOffers) == 0 {
-		l.sendResponse(a)
+	response.removeOffer(o)
+	if len(response.openOffers) == 0 {
+		l.sendResponse(response)
 	}
 }
 
-// rescindOffers withdraws the offers and unsent picks of a ledger whose owner
-// is being replaced: what it picked but was not sent yet never will be.
-func (l *leader) rescindOffers(g *shardState) {
-	for _, a := range l.pendingResponses {
-		if a.finished {
+// ownedBy tells whether a job is known and a member owns it.
+func (j *trackedJob) ownedBy(p *peer) bool {
+	return j != nil && j.shard != nil && j.shard.owner == p
+}
+
+// rescindOffers withdraws the offers and unsent bindings of a shard whose owner is
+// being replaced: what it bound and was not sent yet never will be.
+func (l *leader) rescindOffers(shard *shardState) {
+	for _, response := range l.pendingResponses {
+		if response.finished {
 			continue
 		}
-		kept := a.bindings[:0]
-		for _, p := range a.bindings {
-			if p.shard != g {
-				kept = append(kept, p)
-			}
+		response.dropBindings(shard)
+		l.offers.closeLink(response, shard.link)
+		if len(response.openOffers) == 0 {
+			l.sendResponse(response)
 		}
-		a.bindings = kept
-		for i := 0; i < len(a.openOffers); {
-			if o := a.openOffers[i]; o.link == g.link && g.link != nil {
-				l.closeOffer(o)
-				a.removeOffer(o)
-				continue
-			}
-			i++
-		}
-		if len(a.openOffers) == 0 {
-			l.sendResponse(a)
+	}
+}
+
+// dropBindings drops the bindings of a shard's tasks.
+func (r *pendingResponse) dropBindings(shard *shardState) {
+	kept := r.bindings[:0]
+	for _, binding := range r.bindings {
+		if binding.shard != shard {
+			kept = append(kept, binding)
 		}
 	}
+	r.bindings = kept
 }
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -1,100 +1,107 @@
 package coordination
 
 import (
+	"iter"
 	"sort"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/priority"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
 const (
-	rebuildInterval         = 500 * time.Millisecond // the order changes with time alone
-	minRebuildInterval      = 50 * time.Millisecond  // however much new waits
-	queueLookAhead          = 8                      // jobs of one queue that an offer looks at
-	maxFetchCandidates      = 8                      // images that an offer considers fetching
-	maxReservedMachines     = 16                     // machines whose room gathers for such jobs
-	reservedMachinesDivisor = 8                      // and the part of all machines that they are at the most
+	// rebuildInterval is how often the order is rebuilt though no task became
+	// pending: it changes with time alone.
+	rebuildInterval = 500 * time.Millisecond
+	// minRebuildInterval is how often it is rebuilt at the most.
+	minRebuildInterval = 50 * time.Millisecond
+	// queueLookAhead is how many jobs of one team's queue an offer looks at.
+	queueLookAhead = 8
+	// maxFetchCandidates is how many images an offer considers having fetched.
+	maxFetchCandidates = 8
 )
 
-// orderKeyOf returns a job's position in the order of service at a Unix time in
-// milliseconds.
-func (l *leader) orderKeyOf(j *trackedJob, wallMs int64) priority.Key {
-	return priority.KeyOf(priority.Job{
-		Class:       j.spec.Class,
-		Priority:    j.priority,
-		Started:     j.started,
-		SubmittedMs: j.spec.SubmittedMs,
-		DeadlineMs:  j.spec.DeadlineMs,
-		RunTime:     l.runTime(j.spec),
-	}, wallMs, l.c.cfg.Settings.Objectives)
-}
-
-// pendingQueue is what waits, in the order of service: for each kind of machine and
-// each image a queue for each team. A report finds its machine's next tasks
-// at the heads of a few queues, however many jobs wait.
+// pendingQueue holds the jobs with pending tasks in the order of service: for each
+// kind of machine and each image a queue for each team. A heartbeat finds its
+// machine's next tasks at the heads of a few queues, however many jobs are
+// pending.
+//
+// It owns the queues and the order. Whether a job's head of a queue may be placed
+// on a machine is for placement to say.
 type pendingQueue struct {
-	dirty          bool // something new waits
+	catalog    catalog
+	kinds      *kindSelector
+	orderKeyOf func(*trackedJob, int64) priority.Key
+	runTime    func(*meshpb.JobSummary) time.Duration
+
+	dirty          bool // a task has become pending
 	rebuiltAt      time.Duration
 	byKind         map[machineKind]*machineKindQueue
-	jobs           []*trackedJob   // all that wait, ordered as if every team used the same share
-	exclusiveTypes map[string]bool // types that some waiting job needs, as it fits on no other
-	inspected      uint64          // jobs and queues that reports have looked at
+	jobs           []*trackedJob   // all that are pending, ordered as if every team used the same share
+	exclusiveTypes map[string]bool // types that some pending job needs, as it fits on no other
+	inspected      uint64          // jobs and queues that heartbeats have looked at
 }
 
-// machineKindQueue is what a kind of machine may take.
+// machineKindQueue holds the jobs that a kind of machine may take.
 type machineKindQueue struct {
-	images       []*imageQueue // by the rank of what is first in them
+	images       []*imageQueue // in the order of the first job in them
 	byImage      map[*image]*imageQueue
 	jobCount     int
-	smallestTask resources // what the smallest task of each resource needs
+	smallestTask resources // of each resource, what the least demanding task needs
 }
 
+// imageQueue holds the jobs of one image.
 type imageQueue struct {
 	image           *image
-	mayFetch        bool              // some machine of the kind might fetch it for what waits
-	mayPreempt      bool              // urgent work is in it that may stop others on machines of the kind
-	highestPriority protocol.Priority // the highest in it
+	mayFetch        bool              // a machine of the kind might fetch the image for them
+	mayPreempt      bool              // some are urgent, and may preempt others on machines of the kind
+	highestPriority protocol.Priority // of any of them
 	teams           []*teamQueue
 }
 
+// teamQueue holds the jobs of one team, the first to be served first.
 type teamQueue struct {
 	team *teamUsage
 	jobs []*trackedJob
 }
 
-// head is the job that a team's queue offers next to a machine, looking only
-// at the first few; what waits no more is dropped on the way.
-func (q *teamQueue) head(l *leader, m *machine, free resources, now time.Duration) *trackedJob {
-	for len(q.jobs) > 0 && q.jobs[0].unoffered() == 0 {
-		q.jobs = q.jobs[1:]
-		l.pendingQueue.inspected++
+// markDirty notes that a task has become pending.
+func (d *pendingQueue) markDirty() { d.dirty = true }
+
+// rebuildDue tells whether the order is to be rebuilt.
+func (d *pendingQueue) rebuildDue(now time.Duration) bool {
+	age := now - d.rebuiltAt
+	return age >= minRebuildInterval && (d.dirty || age >= rebuildInterval)
+}
+
+// rebuild takes the pending ones of the unfinished jobs, orders them and queues
+// them for each kind of machine.
+func (d *pendingQueue) rebuild(unfinished iter.Seq[*trackedJob], wallMs int64, now time.Duration) {
+	d.dirty, d.rebuiltAt = false, now
+	d.collectPending(unfinished, wallMs)
+	d.exclusiveTypes = make(map[string]bool)
+	for _, job := range d.jobs {
+		d.exclusiveTypes[job.onlyType] = true
 	}
-	for i := 0; i < len(q.jobs) && i < queueLookAhead; i++ {
-		l.pendingQueue.inspected++
-		if l.placement.canOffer(q.jobs[i], m, free, now) {
-			return q.jobs[i]
+	d.byKind = make(map[machineKind]*machineKindQueue)
+	for name, t := range d.catalog.Catalog() {
+		for _, zone := range t.Zones {
+			for _, spot := range []bool{true, false} {
+				kind := machineKind{name, zone, spot}
+				d.byKind[kind] = d.queueFor(kind, t, now)
+			}
 		}
 	}
-	return nil
 }
 
-// rebuildPendingQueue puts the jobs that wait in order.
-func (l *leader) rebuildPendingQueue(now time.Duration) {
-	d := &l.pendingQueue
-	if since := now - d.rebuiltAt; since < minRebuildInterval || (!d.dirty && since < rebuildInterval) {
-		return
-	}
-	d.dirty, d.rebuiltAt = false, now
-	l.updateImageDemand(now)
-	wall := l.c.env.Wall().UnixMilli()
+// collectPending sorts the jobs with pending tasks by their order keys.
+func (d *pendingQueue) collectPending(unfinished iter.Seq[*trackedJob], wallMs int64) {
 	d.jobs = d.jobs[:0]
-	for _, g := range l.shards.byName {
-		for _, j := range g.jobs {
-			if j.unoffered() > 0 {
-				j.orderKey = l.orderKeyOf(j, wall)
-				d.jobs = append(d.jobs, j)
-			}
+	for job := range unfinished {
+		if job.unoffered() > 0 {
+			job.orderKey = d.orderKeyOf(job, wallMs)
+			d.jobs = append(d.jobs, job)
 		}
 	}
 	sort.Slice(d.jobs, func(i, k int) bool {
@@ -104,145 +111,123 @@
 		}
 		return a.orderKey.Before(0, b.orderKey, 0)
 	})
-	d.exclusiveTypes = make(map[string]bool)
-	for _, j := range d.jobs {
-		d.exclusiveTypes[j.onlyType] = true
-	}
-	d.byKind = make(map[machineKind]*machineKindQueue)
-	for name, t := range l.c.cloud.Catalog() {
-		whole := capacityOf(t)
-		for _, zone := range t.Zones {
-			for _, spot := range []bool{true, false} {
-				v := machineKind{name, zone, spot}
-				k := &machineKindQueue{byImage: make(map[*image]*imageQueue), smallestTask: whole}
-				for _, j := range d.jobs {
-					if whole.fits(j.spec) && permits(j.spec, v) {
-						if kept := l.kinds.reservedForOthers(j, name, now); !kept || !d.exclusiveTypes[name] {
-							k.add(j, !kept)
-						}
-					}
-				}
-				for _, q := range k.images {
-					fetch := fetchTime(q.image, t)
-					q.mayFetch = q.mayFetch || fetchIsShort(fetch, l.runTime(q.teams[0].jobs[0].spec)) || q.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoff)
-				}
-				d.byKind[v] = k
-			}
+}
+
+// queueFor queues the jobs that a kind of machine may take. Types that are
+// reserved for jobs that fit on no other still take others while none of the
+// former is pending, which then may not preempt.
+func (d *pendingQueue) queueFor(kind machineKind, t *protocol.MachineType, now time.Duration) *machineKindQueue {
+	whole := capacityOf(t)
+	q := &machineKindQueue{byImage: make(map[*image]*imageQueue), smallestTask: whole}
+	for _, job := range d.jobs {
+		if !whole.fits(job.spec) || !permits(job.spec, kind) {
+			continue
+		}
+		reserved := d.kinds.reservedForOthers(job, kind.typeName, now)
+		if !reserved || !d.exclusiveTypes[kind.typeName] {
+			q.add(job, !reserved)
 		}
 	}
-	l.reserveForOverdue(now)
-}
-
-// add appends a job, the last in order so far. It may stop others if machines
-// of the kind are not kept for them.
-func (k *machineKindQueue) add(j *trackedJob, stops bool) {
-	k.jobCount++
-	k.smallestTask.cpus = min(k.smallestTask.cpus, j.spec.Cpus)
-	k.smallestTask.gpus = min(k.smallestTask.gpus, j.spec.Gpus)
-	k.smallestTask.memory = min(k.smallestTask.memory, j.spec.MemoryGb)
-	q := k.byImage[j.image]
-	if q == nil {
-		q = &imageQueue{image: j.image}
-		k.byImage[j.image] = q
-		k.images = append(k.images, q)
+	for _, images := range q.images {
+		fetch := fetchTime(images.image, t)
+		short := fetchIsShort(fetch, d.runTime(images.teams[0].jobs[0].spec))
+		pays := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoff)
+		images.mayFetch = images.mayFetch || short || pays
 	}
-	q.mayFetch = q.mayFetch || j.orderKey.Overdue
-	q.highestPriority = max(q.highestPriority, j.priority)
-	q.mayPreempt = q.mayPreempt || (stops && j.priority >= protocol.PriorityUrgent)
+	return q
+}
+
+// add appends a job, the last in order so far.
+func (q *machineKindQueue) add(job *trackedJob, mayPreempt bool) {
+	q.jobCount++
+	q.smallestTask.cpus = min(q.smallestTask.cpus, job.spec.Cpus)
+	q.smallestTask.gpus = min(q.smallestTask.gpus, job.spec.Gpus)
+	q.smallestTask.memory = min(q.smallestTask.memory, job.spec.MemoryGb)
+	images := q.byImage[job.image]
+	if images == nil {
+		images = &imageQueue{image: job.image}
+		q.byImage[job.image] = images
+		q.images = append(q.images, images)
+	}
+	images.add(job, mayPreempt)
+}
+
+func (q *imageQueue) add(job *trackedJob, mayPreempt bool) {
+	q.mayFetch = q.mayFetch || job.orderKey.Overdue
+	q.highestPriority = max(q.highestPriority, job.priority)
+	q.mayPreempt = q.mayPreempt || (mayPreempt && job.isUrgent())
 	for _, t := range q.teams {
-		if t.team == j.team {
-			t.jobs = append(t.jobs, j)
+		if t.team == job.team {
+			t.jobs = append(t.jobs, job)
 			return
 		}
 	}
-	q.teams = append(q.teams, &teamQueue{team: j.team, jobs: []*trackedJob{j}})
+	q.teams = append(q.teams, &teamQueue{team: job.team, jobs: []*trackedJob{job}})
+}
+
+// outranks tells whether a task may be preempted for a job of the queue.
+func (q *imageQueue) outranks(replica *replicaOnMachine) bool {
+	return replica.job.priority < q.highestPriority
+}
+
+// mayFit tells whether some task of the queue may fit into free resources.
+func (q *machineKindQueue) mayFit(free resources) bool {
+	return q.jobCount > 0 && free.cpus >= q.smallestTask.cpus && free.memory >= q.smallestTask.memory
 }
 
-// candidateQueues are the queues that a machine may be served from: those of the
-// images it has, and the first of those that it might fetch.
-func (l *leader) candidateQueues(m *machine, k *machineKindQueue) []*teamQueue {
-	var out []*teamQueue
+// candidates are the queues that a machine may be served from: those of the images
+// that it has, and the first of those that it might fetch.
+func (q *machineKindQueue) candidates(m *machine) []*teamQueue {
+	var queues []*teamQueue
 	for i := range m.images {
-		if q := k.byImage[m.images[i].image]; q != nil {
-			out = append(out, q.teams...)
+		if images := q.byImage[m.images[i].image]; images != nil {
+			queues = append(queues, images.teams...)
 		}
 	}
 	fetches := 0
-	for _, q := range k.images {
+	for _, images := range q.images {
 		if fetches == maxFetchCandidates {
 			break
 		}
-		if !q.mayFetch || m.hasImage(q.image) {
+		if !images.mayFetch || m.hasImage(images.image) {
 			continue
 		}
 		fetches++
-		out = append(out, q.teams...)
+		queues = append(queues, images.teams...)
 	}
-	return out
+	return queues
 }
 
-// overdue yields the jobs that should have begun long ago.
-func (d *pendingQueue) overdue(yield func(*trackedJob) bool) {
-	for _, j := range d.jobs {
-		if !j.orderKey.Overdue || !yield(j) {
-			return
+// head returns the job of a team's queue that a machine is offered to next, if any
+// of the first few suits it. Jobs that are no longer pending leave the queue.
+func (d *pendingQueue) head(q *teamQueue, rules *placement, m *machine, free resources, now time.Duration) *trackedJob {
+	for len(q.jobs) > 0 && q.jobs[0].unoffered() == 0 {
+		q.jobs = q.jobs[1:]
+		d.inspected++
+	}
+	for i := 0; i < len(q.jobs) && i < queueLookAhead; i++ {
+		d.inspected++
+		if rules.canOffer(q.jobs[i], m, free, now) {
+			return q.jobs[i]
 		}
 	}
+	return nil
 }
 
-// reserveForOverdue holds a machine for each job that should have begun long ago and
-// finds no room: room that frees bit by bit would go to smaller tasks for ever.
-func (l *leader) reserveForOverdue(now time.Duration) {
-	for m := range l.machines.all {
-		m.reservedFor = nil
-	}
-	n := 0
-	for j := range l.pendingQueue.overdue {
-		if n++; n > min(maxReservedMachines, 1+len(l.machines.byName)/reservedMachinesDivisor) {
+// overdue yields the overdue jobs, the oldest first.
+func (d *pendingQueue) overdue(yield func(*trackedJob) bool) {
+	for _, job := range d.jobs {
+		if !job.orderKey.Overdue || !yield(job) {
 			return
 		}
-		var best *machine
-		soonest := time.Duration(-1)
-		for m := range l.machines.all {
-			if m.reservedFor != nil || !l.schedulable(m, now) || !l.placement.suitsWhenEmpty(m, j, now) {
-				continue
-			}
-			if in := l.timeUntilFits(m, j, now); best == nil || in < soonest || (in == soonest && m.index < best.index) {
-				best, soonest = m, in
-			}
-		}
-		if best != nil {
-			best.reservedFor = j
-		}
 	}
 }
 
-// timeUntilFits is how long it should take until a machine has room for a task, if
-// nothing else is started there.
-func (l *leader) timeUntilFits(m *machine, j *trackedJob, now time.Duration) time.Duration {
-	free := m.free
-	if free.fits(j.spec) {
-		return 0
-	}
-	left := make([]*replicaOnMachine, 0, len(m.tasks))
-	for i := range m.tasks {
-		if t := &m.tasks[i]; t.state != protocol.TaskExited && t.sizeKnown() {
-			left = append(left, t)
-		}
-	}
-	ends := func(t *replicaOnMachine) time.Duration {
-		in := l.runTime(t.job.spec)
-		if t.state == protocol.TaskRunning {
-			in -= now - t.since
-		}
-		return max(in, time.Second)
-	}
-	sort.Slice(left, func(i, k int) bool { return ends(left[i]) < ends(left[k]) })
-	for _, t := range left {
-		free.add(t.job.spec)
-		if free.fits(j.spec) {
-			return ends(t)
-		}
+// servedBefore tells whether a job is served before another by what their teams
+// use now.
+func (j *trackedJob) servedBefore(other *trackedJob) bool {
+	if j.orderKey == other.orderKey && j.team == other.team {
+		return j.id < other.id
 	}
-	return time.Hour
+	return j.orderKey.Before(j.team.dominantShare(), other.orderKey, other.team.dominantShare())
 }
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -33,7 +33,7 @@
 	if m.pending == response {
 		m.pending = nil
 	}
-	l.closeOffers(response)
+	l.offers.closeAll(response)
 	response.finished = true
 	now := l.c.now()
 	if l.c.leader != l || !l.c.election.MayAct(now) || m.terminated {
@@ -83,7 +83,7 @@
 
 // abandonResponse ends a response that its machine no longer waits for.
 func (l *leader) abandonResponse(response *pendingResponse) {
-	l.closeOffers(response)
+	l.offers.closeAll(response)
 	response.finished = true
 	response.machine.pending = nil
 	l.returnBindings(response)
