--- /dev/null
+++ b/internal/coordination/preemption_test.go
@@ -0,0 +1,120 @@
+package coordination
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+// preemptionFixture is a machine with tasks that have run for so long each.
+func preemptionFixture(now time.Duration, priority protocol.Priority, ranFor ...time.Duration) (*preemptor, *machine) {
+	p := &preemptor{runTime: func(*meshpb.JobSummary) time.Duration { return time.Hour }}
+	m := &machine{name: "vm-1"}
+	for i, ran := range ranFor {
+		job := testJob(&meshpb.JobSummary{Cpus: 2, Tasks: 10, Priority: uint32(priority)})
+		job.team = &teamUsage{cfg: &settings.Team{}}
+		m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, since: now - ran, job: job})
+	}
+	return p, m
+}
+
+func TestVictimsAreThoseThatLoseLeast(t *testing.T) {
+	const now = time.Hour
+	anyTask := func(*replicaOnMachine) bool { return true }
+	for _, test := range []struct {
+		name       string
+		neededCPUs float64
+		limit      time.Duration
+		want       []uint32
+		cpus       float64
+	}{
+		{"the cheapest one is enough", 2, noCostLimit, []uint32{1}, 2},
+		{"two are needed", 3, noCostLimit, []uint32{1, 2}, 4},
+		{"the third costs more than need be lost", 6, 20 * time.Second, []uint32{1, 2}, 4},
+		{"nothing is needed", 0, noCostLimit, nil, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p, m := preemptionFixture(now, protocol.PriorityStandard, 30*time.Second, 10*time.Second, 20*time.Second)
+			victims, cpus := p.cheapest(m, test.neededCPUs, test.limit, now, anyTask)
+			var got []uint32
+			for _, victim := range victims {
+				got = append(got, victim.key.task)
+				want(t, "stop requested", victim.stopRequested, true)
+				want(t, "preemptions", victim.job.preemptions, 1)
+				want(t, "given back", victim.job.team.stopping, 2.0)
+			}
+			want(t, "victims", fmt.Sprint(got), fmt.Sprint(test.want))
+			want(t, "CPUs", cpus, test.cpus)
+		})
+	}
+}
+
+func TestPreemptible(t *testing.T) {
+	const now = time.Hour
+	for _, test := range []struct {
+		name   string
+		change func(*preemptor, *machine, *replicaOnMachine)
+		want   bool
+	}{
+		{"a running task", func(*preemptor, *machine, *replicaOnMachine) {}, true},
+		{"one that is stopped already", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.stopRequested = true }, false},
+		{"one that was started out of turn", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.preemptionExempt = true }, false},
+		{"of a job that ended", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.ended = true }, false},
+		{"of a job that made room often enough", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.preemptions = 10 }, false},
+		{"the same with checkpoints", func(_ *preemptor, _ *machine, r *replicaOnMachine) {
+			r.job.preemptions, r.job.spec.CheckpointIntervalS = 10, 30
+		}, true},
+		{"one with a command", func(_ *preemptor, m *machine, r *replicaOnMachine) {
+			m.commands = map[replicaKey]*meshpb.MachineCommand{r.key: {}}
+		}, false},
+		{"one that writes its checkpoint", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.state = protocol.TaskCheckpointing }, false},
+		{"one that is nearly finished", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
+			p.runTime = func(*meshpb.JobSummary) time.Duration { return 12 * time.Second }
+		}, false},
+		{"one that should have ended long ago", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
+			p.runTime = func(*meshpb.JobSummary) time.Duration { return 5 * time.Second }
+		}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p, m := preemptionFixture(now, protocol.PriorityStandard, 10*time.Second)
+			test.change(p, m, &m.tasks[0])
+			want(t, "preemptible", p.preemptible(m, &m.tasks[0], now), test.want)
+		})
+	}
+}
+
+func TestPreemptionCost(t *testing.T) {
+	const now = time.Hour
+	_, m := preemptionFixture(now, protocol.PriorityStandard, 50*time.Second, 20*time.Second)
+	running, other := &m.tasks[0], &m.tasks[1]
+	want(t, "what it did", preemptionCost(m, running, now), 50*time.Second)
+	running.job.spec.CheckpointIntervalS, running.job.spec.CheckpointDurationS = 60, 3
+	want(t, "its checkpoint", preemptionCost(m, running, now), 4*time.Second)
+	other.state = protocol.TaskFetching
+	want(t, "a fetch of its own", preemptionCost(m, other, now), 20*time.Second)
+	running.state, running.job.image = protocol.TaskFetching, other.job.image
+	want(t, "a fetch that goes on for another", preemptionCost(m, other, now), time.Duration(0))
+}
+
+func TestCostLimit(t *testing.T) {
+	candidates := []preemptionCandidate{{3, 2}, {1, 2}, {2, 2}}
+	for _, test := range []struct {
+		name       string
+		neededCPUs float64
+		want       time.Duration
+	}{
+		{"nothing is needed", 0, 0},
+		{"the cheapest frees enough", 2, 1},
+		{"the second one is needed too", 2.5, 2},
+		{"all are needed", 6, 3},
+		{"all are not enough", 7, noCostLimit},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			want(t, "limit", costLimit(candidates, test.neededCPUs), test.want)
+		})
+	}
+}
