--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -11,13 +11,13 @@
 // jobs that should start sooner than a machine boots concern them.
 func (l *leader) observeArrival(j *trackedJob, now time.Duration) {
 	l.warmPool.classSeen(j.spec.Class)
-	age := time.Duration(l.c.env.Wall().UnixMilli()-j.spec.SubmittedMs) * time.Millisecond
+	age := time.Duration(l.wallMs()-j.spec.SubmittedMs) * time.Millisecond
 	submitted := now - max(0, age)
 	if j.spec.Service {
 		l.warmPool.observe(j, submitted)
 		return
 	}
-	objective := forecast.StartObjectiveOf(l.c.cfg.Settings.Objectives, j.spec.Class)
+	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, j.spec.Class)
 	if objective.Share == 0 || l.forecast.Full() {
 		return
 	}
@@ -25,7 +25,7 @@
 	if !ok {
 		return
 	}
-	machineType := l.c.cloud.Type(kind.typeName)
+	machineType := l.env.cloud.Type(kind.typeName)
 	if machineType.BootS <= objective.WithinS {
 		return
 	}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -36,18 +36,18 @@
 // no calls to the cloud: its decisions are a scaleOutPlan and names of machines,
 // for cloudRequests to carry out.
 type autoscaler struct {
-	settings           *settings.Settings
-	tuning             *settings.Tuning
-	inventory          machineInventory
-	kinds              *kindSelector
-	machines           *machineTable
-	electedAt          time.Duration
-	schedulable        func(*machine, time.Duration) bool
-	leaseExpired       func(*machine, time.Duration) bool
-	missingFromCloud   func(*machine, time.Duration) bool
-	runTime            func(*meshpb.JobSummary) time.Duration
-	silenceAfter       func() time.Duration
-	workerLeaseTimeout func() time.Duration
+	settings         *settings.Settings
+	tuning           *settings.Tuning
+	inventory        machineInventory
+	kinds            *kindSelector
+	machines         *machineTable
+	electedAt        time.Duration
+	schedulable      func(*machine, time.Duration) bool
+	leaseExpired     func(*machine, time.Duration) bool
+	missingFromCloud func(*machine, time.Duration) bool
+	runTime          func(*meshpb.JobSummary) time.Duration
+	silenceLimit     time.Duration
+	leaseTimeout     time.Duration
 
 	counts fleetCounts
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -14,17 +14,17 @@
 	m := l.machines.add(heartbeat.Machine)
 	switch {
 	case m == nil:
-		reply(l.c.errorResponse(503, "too many machines", 1))
+		reply(l.env.errorResponse(503, "too many machines", 1))
 		return
 	case m.terminated:
-		l.c.countResponse(responseMachineTerminated)
-		reply(l.c.errorResponse(503, "machine was returned", 1))
+		l.countResponse(responseMachineTerminated)
+		reply(l.env.errorResponse(503, "machine was returned", 1))
 		return
 	case m.isStale(heartbeat):
 		// It says nothing new, and a response that a machine took for a new one
 		// would renew its lease.
-		l.c.countResponse(responseStaleHeartbeat)
-		reply(l.c.errorResponse(503, "report is older than one before", 1))
+		l.countResponse(responseStaleHeartbeat)
+		reply(l.env.errorResponse(503, "report is older than one before", 1))
 		return
 	}
 	if m.pending != nil {
@@ -64,7 +64,7 @@
 		if m.createdAt != 0 {
 			l.records.request(m) // so that its next heartbeat, half a second on, gets starts
 		}
-		l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
+		l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now)
 		l.publisher.publish(m, statusPresence, now)
 		return false
 	}
@@ -80,7 +80,7 @@
 		m.idleSince = now
 	}
 	l.records.request(m)
-	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
+	l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now)
 	l.publisher.publish(m, content, now)
 	return reachable
 }
@@ -89,7 +89,7 @@
 func (l *leader) identify(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
 	if kind := (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}); m.machineKind != kind {
 		m.machineKind = kind
-		m.updateFree(l.c.cloud.Type(m.typeName))
+		m.updateFree(l.env.cloud.Type(m.typeName))
 	}
 	if !m.heartbeatSeen {
 		l.inheritImages(m)
@@ -98,7 +98,7 @@
 	}
 	if m.heartbeatSeen && heartbeat.Epoch > m.epoch {
 		l.usage.uncountReplicas(m)
-		m.endEpoch(l.c.cloud.Type(m.typeName))
+		m.endEpoch(l.env.cloud.Type(m.typeName))
 	}
 	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
 }
@@ -107,7 +107,7 @@
 func (l *leader) observeDelivery(m *machine, connection uint64, gap, now time.Duration) bool {
 	seen := l.deliveries.observe(m, connection, gap, now)
 	if seen == deliveryPresumed {
-		l.c.countResponse(startPresumed)
+		l.countResponse(startPresumed)
 	}
 	return seen != deliveryUnknown
 }
@@ -132,7 +132,7 @@
 			l.applyTaskStatuses(m, tasks, now)
 		}
 		m.sentStarts = nil
-		m.updateFree(l.c.cloud.Type(m.typeName))
+		m.updateFree(l.env.cloud.Type(m.typeName))
 	}
 	l.usage.countReplicas(m)
 }
@@ -161,7 +161,7 @@
 func (l *leader) applyTaskStatuses(m *machine, statuses []protocol.TaskStatus, now time.Duration) {
 	before := m.tasks
 	m.tasks = make([]replicaOnMachine, 0, len(statuses))
-	machineType := l.c.cloud.Type(m.typeName)
+	machineType := l.env.cloud.Type(m.typeName)
 	for _, status := range statuses {
 		replica := replicaOnMachine{key: replicaKey{status.Job, uint32(status.Task), status.Replica},
 			state: status.State, exitReason: status.ExitReason, since: now, job: l.jobs[status.Job]}
@@ -218,7 +218,7 @@
 		}
 	case replica.exitReason == protocol.ExitReasonError:
 		if failures, quarantined := l.quarantine.recordFailure(m, job, l.autoscaler.counts.reportedMachines); quarantined {
-			l.c.log.Info().Str("machine", m.name).Int("failures", failures).Msg("machine quarantined")
+			l.env.log.Info().Str("machine", m.name).Int("failures", failures).Msg("machine quarantined")
 		}
 	}
 }
@@ -226,7 +226,7 @@
 // schedulable tells whether a machine may get starts at all. It may not while no
 // heartbeat shows that responses reach it: what it is sent might never arrive.
 func (l *leader) schedulable(m *machine, now time.Duration) bool {
-	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.c.silenceAfter()
+	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.env.silenceLimit
 }
 
 // markTerminated ends a machine that the cloud says is no more.
@@ -240,7 +240,7 @@
 	}
 	l.usage.uncountReplicas(m)
 	m.clear()
-	m.lastHeartbeat = l.c.now()
-	l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), m.lastHeartbeat)
+	m.lastHeartbeat = l.now()
+	l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), m.lastHeartbeat)
 	l.publisher.broadcast(&meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: m.name}}})
 }
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -130,7 +130,7 @@
 		}
 	}
 	for m := range l.machines.all {
-		machineType := l.c.cloud.Type(m.typeName)
+		machineType := l.env.cloud.Type(m.typeName)
 		if machineType != nil && len(m.images) > 0 && l.schedulable(m, now) {
 			l.images.addMachine(m, machineType)
 		}
@@ -139,11 +139,11 @@
 
 // inheritImages takes what the last leader knew to be cached on a machine.
 func (l *leader) inheritImages(m *machine) {
-	machineType := l.c.cloud.Type(m.typeName)
+	machineType := l.env.cloud.Type(m.typeName)
 	if machineType == nil {
 		return
 	}
-	for _, im := range l.c.owner.ImagesOf(m.name) {
+	for _, im := range l.env.imagesOf(m.name) {
 		m.useImage(l.images.get(im.Name, im.SizeGb), machineType.CacheGB, l.electedAt)
 	}
 }
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -117,12 +117,12 @@
 	owner := sim.follower()
 	busy, idle := startOneTask(t, sim, owner)
 	l := lead.controller.leader
-	l.setShardOwner(l.shards.get(owner.name), l.c.selfPeer)
+	l.setShardOwner(l.shards.get(owner.name), lead.controller.selfPeer)
 	busy.tasks["other#1"] = &agentTask{name: "wk-9/0", replica: 1, state: "ended", cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
 	job := owner.controller.owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
-	l.setShardOwner(l.shards.get(owner.name), l.c.peers[owner.name])
+	l.setShardOwner(l.shards.get(owner.name), lead.controller.peers[owner.name])
 	sim.heartbeatFor(15, busy, idle)
 	want(t, "copies on the other machine", idle.starts, 0)
 }
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -15,13 +15,13 @@
 // it has read them, or an owner has told them.
 func (l *leader) readUnfinishedJobs(shard *shardState) {
 	shard.readAttempts++
-	l.c.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, err error) {
-		if l.c.leader != l || shard.jobsKnown {
+	l.env.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, err error) {
+		if l.ended || shard.jobsKnown {
 			return
 		}
 		if err != nil {
-			l.c.store.After(stateRetryInterval, func() {
-				if l.c.leader == l && !shard.jobsKnown {
+			l.env.store.After(stateRetryInterval, func() {
+				if !l.ended && !shard.jobsKnown {
 					l.readUnfinishedJobs(shard)
 				}
 			})
@@ -31,8 +31,8 @@
 			l.applySummary(shard, recoveredSummary(&jobs[i].Job))
 		}
 		l.shards.setJobsKnown(shard)
-		l.c.log.Info().Str("shard", shard.name).Int("jobs", len(jobs)).Uint64("revision", revision).Int("reads", shard.readAttempts).
-			Int64("after_ms", (l.c.now() - l.electedAt).Milliseconds()).Msg("unfinished jobs read")
+		l.env.log.Info().Str("shard", shard.name).Int("jobs", len(jobs)).Uint64("revision", revision).Int("reads", shard.readAttempts).
+			Int64("after_ms", (l.now() - l.electedAt).Milliseconds()).Msg("unfinished jobs read")
 	})
 }
 
@@ -85,7 +85,7 @@
 // ended already, or its spec is yet to come.
 func (l *leader) addJob(shard *shardState, summary *meshpb.JobSummary) *trackedJob {
 	if summary.Ended {
-		l.jobs[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: l.c.now(), team: l.usage.teams[summary.Team]}
+		l.jobs[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: l.now(), team: l.usage.teams[summary.Team]}
 		return nil
 	}
 	if !summary.HasSpec {
@@ -102,7 +102,7 @@
 	told := job.spec != nil && job.spec.SubmittedMs > 0
 	l.setSpec(job, summary)
 	if !told && summary.SubmittedMs > 0 {
-		l.observeArrival(job, l.c.now())
+		l.observeArrival(job, l.now())
 	}
 }
 
@@ -128,7 +128,7 @@
 
 // endJob notes that a job has ended: what is left of it has to go.
 func (l *leader) endJob(job *trackedJob) {
-	job.ended, job.endedAt, job.pending = true, l.c.now(), 0
+	job.ended, job.endedAt, job.pending = true, l.now(), 0
 	delete(job.shard.jobs, job.id)
 	l.usage.update(job)
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,7 +10,8 @@
 
 // leader is what this process knows and decides while it leads.
 type leader struct {
-	c                *Controller
+	env              leaderEnvironment
+	ended            bool // this process leads no more
 	fencingToken     uint64
 	electedAt        time.Duration
 	machines         machineTable
@@ -57,7 +58,7 @@
 // becomeLeader begins to lead under a fencing token.
 func (c *Controller) becomeLeader(fencingToken uint64) {
 	now := c.now()
-	l := newLeader(c, fencingToken, now)
+	l := newLeader(c.leaderEnvironment(), fencingToken, now)
 	for name := range c.election.Shards() {
 		l.shards.add(name)
 	}
@@ -73,23 +74,23 @@
 }
 
 // newLeader is a leader that knows of no shard or machine yet.
-func newLeader(c *Controller, fencingToken uint64, now time.Duration) *leader {
+func newLeader(env leaderEnvironment, fencingToken uint64, now time.Duration) *leader {
 	l := &leader{
-		c:            c,
+		env:          env,
 		fencingToken: fencingToken,
 		electedAt:    now,
 		deliveries:   deliveryTracker{lastProvenAt: now},
 		actingSince:  now,
 		jobs:         make(map[string]*trackedJob),
-		leases:       machineLeases{electedAt: now, timeout: c.workerLeaseTimeout()},
+		leases:       machineLeases{electedAt: now, timeout: env.leaseTimeout},
 		shards:       newShardRegistry(),
 	}
 	l.machines.init()
-	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: c.tuning.QuotaEscrow}
-	l.publisher.members = len(c.peers) + 1
+	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: env.tuning.QuotaEscrow}
+	l.publisher.members = env.members
 	l.quarantine = quarantine{machines: &l.machines, jobs: l.jobs}
-	l.usage = newUsageAccounting(c.cfg.Settings.Teams, l.leases)
-	l.records = machineRecorder{store: c.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: c.maxRecordBytes()}
+	l.usage = newUsageAccounting(env.settings.Teams, l.leases)
+	l.records = machineRecorder{store: env.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: env.maxRecordBytes()}
 	return l
 }
 
@@ -97,7 +98,7 @@
 // response is refused.
 func (c *Controller) endLeadership() {
 	l := c.leader
-	c.leader = nil
+	c.leader, l.ended = nil, true
 	c.cloud.Follow()
 	l.records.stop()
 	for _, pending := range l.pendingResponses {
@@ -111,13 +112,13 @@
 // tick does what time asks for, ten times a second.
 func (l *leader) tick(now time.Duration) {
 	l.expireResponses(now)
-	mayAct := l.c.election.MayAct(now)
+	mayAct := l.env.authority.MayAct(now)
 	if !mayAct {
 		// Heartbeats are refused meanwhile, so silence means nothing.
 		l.actingSince = now
 		l.deliveries.reset(now)
 	}
-	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now) })
+	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now) })
 	if mayAct {
 		l.records.writeDue(now)
 	}
@@ -135,10 +136,10 @@
 	l.removeTombstones(now)
 	l.usage.recompute(l.jobs, &l.machines)
 	l.reconcileShards(now)
-	if l.c.election.MayAct(now) {
+	if l.env.authority.MayAct(now) {
 		l.autoscale(now)
 		if !l.reachesMachines(now) {
-			l.c.election.Resign(election.WorkersUnreachable)
+			l.env.authority.Resign(election.WorkersUnreachable)
 		}
 	}
 }
@@ -146,12 +147,12 @@
 // reachesMachines tells whether machines still get responses from here. Without
 // it the responses that name this member would keep every machine trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
-	timeout := max(seconds(deliveryTimeoutHeartbeats*l.c.cfg.Settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
-	if l.deliveries.silentFor(now) < timeout || len(l.c.peers) == 0 {
+	timeout := max(seconds(deliveryTimeoutHeartbeats*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
+	if l.deliveries.silentFor(now) < timeout || l.env.members == 1 {
 		return true
 	}
 	for m := range l.machines.all {
-		if !m.terminated && l.c.cloud.RunningFor(m.name, now) > timeout {
+		if !m.terminated && l.env.cloud.RunningFor(m.name, now) > timeout {
 			return false
 		}
 	}
@@ -161,20 +162,15 @@
 // loadMachineRecords learns the machines that earlier leaders may have given tasks.
 func (l *leader) loadMachineRecords() {
 	l.records.load(func(loaded loadedRecords) {
-		now := l.c.now()
+		now := l.now()
 		for _, m := range loaded.machines {
-			l.usage.updateUnreconciled(m, l.c.cloud.Catalog(), now)
+			l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now)
 		}
-		l.c.log.Info().Int("records", loaded.records).Uint64("revision", loaded.revision).Int("reads", loaded.reads).
+		l.env.log.Info().Int("records", loaded.records).Uint64("revision", loaded.revision).Int("reads", loaded.reads).
 			Int64("after_ms", (now - l.electedAt).Milliseconds()).Msg("machine records read")
 	})
 }
 
-// maxRecordBytes is what one machine record may take.
-func (c *Controller) maxRecordBytes() int {
-	return int(c.cfg.Settings.State.Effective().ValueKB * 1024)
-}
-
 // removeTerminated forgets machines that were terminated long ago, and has their
 // records compacted.
 func (l *leader) removeTerminated(now time.Duration) {
@@ -183,7 +179,7 @@
 			l.machines.remove(m)
 		}
 	}
-	if l.c.election.MayAct(now) {
+	if l.env.authority.MayAct(now) {
 		l.records.compact()
 	}
 }
--- a/internal/coordination/listed_machines.go
+++ b/internal/coordination/listed_machines.go
@@ -38,9 +38,9 @@
 // leader's term ended; terminating it once more is proof. Until then a recovered
 // shard's tasks wait for it.
 func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
-	if m.heartbeatSeen || !m.fromEarlierLeader || l.c.cloud.ListedAt() <= l.electedAt {
+	if m.heartbeatSeen || !m.fromEarlierLeader || l.env.cloud.ListedAt() <= l.electedAt {
 		return false
 	}
-	_, inList := l.c.cloud.Listed(m.name)
-	return !inList && now-l.electedAt > seconds(heartbeatJitter*l.c.cfg.Settings.Workers.HeartbeatIntervalS)+leaderSearchTime
+	_, inList := l.env.cloud.Listed(m.name)
+	return !inList && now-l.electedAt > seconds(heartbeatJitter*l.env.settings.Workers.HeartbeatIntervalS)+leaderSearchTime
 }
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -155,7 +155,7 @@
 	for i, q := range queues {
 		heads[i] = l.pendingQueue.head(q, &l.placement, m, free, now)
 	}
-	for range l.c.tuning.StartsPerResponse {
+	for range l.env.tuning.StartsPerResponse {
 		job := firstServed(heads)
 		if job == nil {
 			return
@@ -190,7 +190,7 @@
 	l.offers.add(response, job)
 	if job.orderKey.Overdue {
 		job.overdueStarts++
-		job.orderKey = l.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, l.c.env.Wall().UnixMilli())
+		job.orderKey = l.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, l.wallMs())
 	}
 }
 
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -35,11 +35,11 @@
 	}
 	l.offers.closeAll(response)
 	response.finished = true
-	now := l.c.now()
-	if l.c.leader != l || !l.c.election.MayAct(now) || m.terminated {
+	now := l.now()
+	if l.ended || !l.env.authority.MayAct(now) || m.terminated {
 		l.returnBindings(response)
-		l.c.countResponse(responseNotAuthorized)
-		response.reply(l.c.errorResponse(503, "not entitled to act at present", 1))
+		l.countResponse(responseNotAuthorized)
+		response.reply(l.env.errorResponse(503, "not entitled to act at present", 1))
 		return
 	}
 	if m.terminating || now-response.receivedAt > responseLifetime/2 {
@@ -51,7 +51,7 @@
 		}
 	}
 	m.connection = response.connection
-	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.c.election.MayActUntil())))
+	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.env.authority.MayActUntil())))
 }
 
 // addStart puts a start into a response, and counts it as on its way.
@@ -77,7 +77,7 @@
 	if commands == nil {
 		commands = []protocol.Command{}
 	}
-	body := l.c.codec.Encode(protocol.HeartbeatResponse{FencingToken: l.fencingToken, Commands: commands})
+	body := l.env.codec.Encode(protocol.HeartbeatResponse{FencingToken: l.fencingToken, Commands: commands})
 	return Response{Status: 200, Body: body, ValidUntil: validUntil}
 }
 
@@ -87,15 +87,15 @@
 	response.finished = true
 	response.machine.pending = nil
 	l.returnBindings(response)
-	l.c.countResponse(responseSuperseded)
-	response.reply(l.c.errorResponse(503, "superseded", 1))
+	l.countResponse(responseSuperseded)
+	response.reply(l.env.errorResponse(503, "superseded", 1))
 }
 
 // expireResponses sends the responses that have waited long enough for bindings.
 func (l *leader) expireResponses(now time.Duration) {
 	kept := l.pendingResponses[:0]
 	for _, response := range l.pendingResponses {
-		if !response.finished && now-response.receivedAt > l.c.tuning.OfferWait {
+		if !response.finished && now-response.receivedAt > l.env.tuning.OfferWait {
 			l.sendResponse(response)
 		}
 		if !response.finished {
@@ -112,7 +112,7 @@
 		owner := response.bindings[0].shard.owner
 		returned := response.takeBindingsOf(owner)
 		for range returned {
-			l.c.countResponse(startNotSent)
+			l.countResponse(startNotSent)
 		}
 		sendReturnedBindings(owner, returned)
 	}
--- a/internal/coordination/response_events.go
+++ b/internal/coordination/response_events.go
@@ -43,6 +43,3 @@
 	}
 	return eventcount.New("heartbeat responses refused or in doubt", keys...)
 }
-
-// countResponse counts an event, to be logged with others.
-func (c *Controller) countResponse(e responseEvent) { c.responseEvents.Add(int(e)) }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -105,7 +105,7 @@
 // silenceBeyondLimit is how long beyond the limit no heartbeat has shown that
 // responses reach a machine.
 func (a *autoscaler) silenceBeyondLimit(m *machine, in *autoscalerInput) time.Duration {
-	return in.now - max(m.lastReachable, in.actingSince) - a.silenceAfter()
+	return in.now - max(m.lastReachable, in.actingSince) - a.silenceLimit
 }
 
 // silentTooLong tells whether a silent machine is rather replaced than waited for.
@@ -113,8 +113,8 @@
 	if a.missingFromList(m) {
 		return true
 	}
-	leaseTimeout := a.workerLeaseTimeout()
-	if now-m.lastHeartbeat <= a.silenceAfter() {
+	leaseTimeout := a.leaseTimeout
+	if now-m.lastHeartbeat <= a.silenceLimit {
 		// Its heartbeats arrive, but nothing shows that responses reach it. Most such
 		// machines only try one controller after another and are well in a moment;
 		// one that hears nothing loses its tasks with its lease anyhow.
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/scheduling.go
@@ -19,37 +19,37 @@
 
 // initAutoscaling connects what sizes the fleet.
 func (l *leader) initAutoscaling() {
-	c := l.c
-	l.kinds = newKindSelector(c.cloud, &l.autoscaler.counts)
+	env := &l.env
+	l.kinds = newKindSelector(env.cloud, &l.autoscaler.counts)
 	l.autoscaler = autoscaler{
-		settings:           &c.cfg.Settings,
-		tuning:             &c.tuning,
-		inventory:          c.cloud,
-		kinds:              &l.kinds,
-		machines:           &l.machines,
-		electedAt:          l.electedAt,
-		schedulable:        l.schedulable,
-		leaseExpired:       l.leases.expired,
-		missingFromCloud:   l.missingFromCloud,
-		runTime:            l.runTime,
-		silenceAfter:       c.silenceAfter,
-		workerLeaseTimeout: c.workerLeaseTimeout,
+		settings:         env.settings,
+		tuning:           env.tuning,
+		inventory:        env.cloud,
+		kinds:            &l.kinds,
+		machines:         &l.machines,
+		electedAt:        l.electedAt,
+		schedulable:      l.schedulable,
+		leaseExpired:     l.leases.expired,
+		missingFromCloud: l.missingFromCloud,
+		runTime:          l.runTime,
+		silenceLimit:     env.silenceLimit,
+		leaseTimeout:     env.leaseTimeout,
 	}
 	l.cloudRequests = cloudRequests{
-		api:            c.env.Cloud,
-		codec:          c.codec,
-		log:            &c.log,
-		clock:          c.env.Clock,
-		allowCall:      c.cloud.AllowCall,
-		leading:        func() bool { return c.leader == l },
+		api:            env.cloudAPI,
+		codec:          env.codec,
+		log:            env.log,
+		clock:          env.clock,
+		allowCall:      env.cloud.AllowCall,
+		leading:        func() bool { return !l.ended },
 		fencingToken:   l.fencingToken,
 		machines:       &l.machines,
 		kinds:          &l.kinds,
 		markTerminated: l.markTerminated,
 	}
 	l.warmPool = warmPool{
-		settings:    &c.cfg.Settings,
-		catalog:     c.cloud,
+		settings:    env.settings,
+		catalog:     env.cloud,
 		kinds:       &l.kinds,
 		machines:    &l.machines,
 		counts:      &l.autoscaler.counts,
@@ -61,9 +61,9 @@
 
 // initPlacement connects what offers machines to jobs.
 func (l *leader) initPlacement() {
-	c := l.c
+	env := &l.env
 	l.placement = placement{
-		catalog:         c.cloud,
+		catalog:         env.cloud,
 		kinds:           &l.kinds,
 		warmPool:        &l.warmPool,
 		counts:          &l.autoscaler.counts,
@@ -71,7 +71,7 @@
 		runTime:         l.runTime,
 	}
 	l.pendingQueue = pendingQueue{
-		catalog:    c.cloud,
+		catalog:    env.cloud,
 		kinds:      &l.kinds,
 		orderKeyOf: l.orderKeyOf,
 		runTime:    l.runTime,
@@ -105,7 +105,7 @@
 // autoscale sizes the fleet once a second: it releases machines and requests new
 // ones. Until the catalogue was read it does nothing.
 func (l *leader) autoscale(now time.Duration) {
-	if len(l.c.cloud.Catalog()) == 0 {
+	if len(l.env.cloud.Catalog()) == 0 {
 		return
 	}
 	l.updateExclusiveNeeds(now)
@@ -113,7 +113,7 @@
 	l.rebuildPendingQueue(now)
 	in := &autoscalerInput{
 		now:           now,
-		wallMs:        l.c.env.Wall().UnixMilli(),
+		wallMs:        l.wallMs(),
 		actingSince:   l.actingSince,
 		pending:       l.pendingQueue.jobs,
 		requests:      l.cloudRequests.scaleOuts,
@@ -168,7 +168,7 @@
 		SubmittedMs: job.spec.SubmittedMs,
 		DeadlineMs:  job.spec.DeadlineMs,
 		RunTime:     l.runTime(job.spec),
-	}, wallMs, l.c.cfg.Settings.Objectives)
+	}, wallMs, l.env.settings.Objectives)
 }
 
 // rebuildPendingQueue rebuilds the order of service, if it is due, with the demand
@@ -178,7 +178,7 @@
 		return
 	}
 	l.updateImageDemand(now)
-	l.pendingQueue.rebuild(l.unfinishedJobs, l.c.env.Wall().UnixMilli(), now)
+	l.pendingQueue.rebuild(l.unfinishedJobs, l.wallMs(), now)
 	l.reservations.renew(l.pendingQueue.overdue, now)
 }
 
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -38,7 +38,7 @@
 // registerShard makes a member the owner of a shard, tells it so, and then what every
 // machine last listed.
 func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
-	now, jobsKnown := l.c.now(), shard.jobsKnown
+	now, jobsKnown := l.now(), shard.jobsKnown
 	l.rescindOffers(shard)
 	l.endOmittedJobs(shard)
 	l.setShardOwner(shard, p)
@@ -52,8 +52,8 @@
 	l.pendingQueue.markDirty()
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
 		Shard: shard.name, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
-	told := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.c.now())
-	l.c.log.Info().Str("shard", shard.name).Str("owner", p.member).Uint64("version", shard.version).Int("jobs", len(shard.jobs)).
+	told := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.now())
+	l.env.log.Info().Str("shard", shard.name).Str("owner", p.member).Uint64("version", shard.version).Int("jobs", len(shard.jobs)).
 		Int("machines", told.machines).Int("unknown_replicas", told.unknownReplicas).Bool("jobs_known", jobsKnown).
 		Int("reads", shard.readAttempts).Msg("shard registered")
 }
@@ -115,7 +115,7 @@
 // proof.
 func (l *leader) logReconciled(decision reconciliation, now time.Duration) {
 	shard := decision.shard
-	line := l.c.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
+	line := l.env.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
 	for proof := notProven + 1; proof < machineProofs; proof++ {
 		line.Int(proof.String(), decision.proofs[proof])
 	}
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -268,9 +268,9 @@
 	}
 	if !l.closed {
 		if l.sim.previousVersion[l.peer.to.name] {
-			f = withoutUnknownTasks(l.peer.to.controller.leader, l.to.name, f)
+			f = withoutUnknownTasks(l.peer.to.controller, l.to.name, f)
 		} else {
-			l.sim.checkStatusesComplete(l.peer.to.controller.leader, l.to, f)
+			l.sim.checkStatusesComplete(l.peer.to.controller, l.to, f)
 		}
 		if l.sim.previousVersion[l.to.name] || l.sim.previousVersion[l.peer.to.name] {
 			f = previousSchema.filter(l.sim.t, f)
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -448,12 +448,12 @@
 	sim := newSimulation(t, "a")
 	sim.run(2 * time.Second)
 	l := sim.nodes["a"].controller.leader
-	l.c.cfg.Settings.Objectives = []settings.Objective{
+	l.env.settings.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "d", WithinS: 50, Share: 0.99}, {Kind: "wait", Class: "d", WithinS: 12, Share: 0.98},
 		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", Times: 1.5, Share: 0.9},
 		{Kind: "finished", Class: "other", WithinS: 1000, Share: 0.9},
 	}
-	objective := forecast.StartObjectiveOf(l.c.cfg.Settings.Objectives, "d")
+	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, "d")
 	want(t, "the aim that leaves least", [2]float64{objective.Share, objective.WithinS}, [2]float64{0.98, 12})
 	const sent = int64(1e12)
 	job := &trackedJob{spec: &meshpb.JobSummary{Class: "d", EstimateS: 30, SubmittedMs: sent, DeadlineMs: sent + 100_000}, started: true}
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -11,7 +11,8 @@
 // withoutUnknownTasks is what the version before makes of the lists in a frame: it
 // leaves out the tasks of jobs that the leader did not know when the machine
 // reported, and those of ledgers that the receiver has not joined for.
-func withoutUnknownTasks(l *leader, to string, f *meshpb.Frame) *meshpb.Frame {
+func withoutUnknownTasks(from *Controller, to string, f *meshpb.Frame) *meshpb.Frame {
+	l := from.leader
 	if l == nil || f.GetMachineStatuses() == nil {
 		return f
 	}
@@ -23,7 +24,7 @@
 		}
 		var kept []*meshpb.TaskStatus
 		for _, t := range r.Tasks {
-			if p := m.reportedTask(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == l.c.peers[to] {
+			if p := m.reportedTask(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == from.peers[to] {
 				kept = append(kept, t)
 			}
 		}
@@ -45,7 +46,8 @@
 // checkStatusesComplete looks at every list that a leader passes on: it has whatever the
 // machine last listed of the jobs that the receiver owns, unless another member
 // has joined for them. The version before takes each list for that much.
-func (sim *simulation) checkStatusesComplete(l *leader, to *node, f *meshpb.Frame) {
+func (sim *simulation) checkStatusesComplete(from *Controller, to *node, f *meshpb.Frame) {
+	l := from.leader
 	if _, bench := sim.t.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
 	}
@@ -68,7 +70,7 @@
 			if j == nil || has[key] {
 				continue
 			}
-			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == l.c.peers[to.name] {
+			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == from.peers[to.name] {
 				sim.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
 			}
 		}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -201,7 +201,7 @@
 	kind, now := machineKind{"m8", "z1", false}, sim.now
 	kept := func() int {
 		l.autoscaler.counts.reportedCPUs = 1600
-		return l.warmPool.affordableMachines(l.c.cloud.Catalog()["m8"], kind, now)
+		return l.warmPool.affordableMachines(l.env.cloud.Catalog()["m8"], kind, now)
 	}
 	want(t, "a part of the fleet", kept(), 10)
 	l.kinds.exclusiveNeedAt["m8"] = now
