--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -22,6 +22,7 @@
 	timers []timer
 }
 
+// newClient is a client whose rates allow a full burst.
 func newClient(caller Caller, clock Clock, codec *protocol.Codec, limits Limits, runLater func(func())) *client {
 	return &client{scheduler: newScheduler(caller, clock, limits, runLater), codec: codec}
 }
@@ -81,6 +82,7 @@
 	})
 }
 
+// getResult reads the response to a read of one key.
 func (c *client) getResult(r Response) GetResult {
 	var pair protocol.KeyValue
 	switch {
@@ -120,6 +122,7 @@
 	l.client.enqueue(request{class: Read, method: http.MethodGet, path: path, timeout: listTimeoutFactor * l.client.limits.Timeout, done: l.receive})
 }
 
+// receive takes a page and reads the next, if there is one.
 func (l *listing) receive(r Response) {
 	var page protocol.KeyValuePage
 	if r.Status != http.StatusOK || l.client.codec.Decode(r.Body, &page) != nil {
--- a/internal/storage/description_pages.go
+++ b/internal/storage/description_pages.go
@@ -20,6 +20,7 @@
 	superseded map[string]*descriptionPage
 }
 
+// newDescriptionPage is a page that has been written, without entries.
 func newDescriptionPage(number int) *descriptionPage {
 	return &descriptionPage{
 		number: number, jobs: make(map[string]*description),
@@ -27,6 +28,7 @@
 	}
 }
 
+// isNew tells whether the page has never been written.
 func (p *descriptionPage) isNew() bool { return p.jobs == nil }
 
 // supersede takes in that another page lists a job of this one as ended.
@@ -56,6 +58,7 @@
 	ended map[string]bool
 }
 
+// draft is a copy of what the page says, for a batch to change.
 func (p *descriptionPage) draft() *pageDraft {
 	d := &pageDraft{page: p, jobs: make(map[string]*description, len(p.jobs)+1), ended: make(map[string]bool, len(p.ended)+1)}
 	for id, j := range p.jobs {
@@ -79,6 +82,7 @@
 // empty tells whether there is nothing to say, so that the record goes.
 func (d *pageDraft) empty() bool { return len(d.jobs)+len(d.ended) == 0 }
 
+// record is the draft's value.
 func (d *pageDraft) record() descriptionsRecord {
 	var r descriptionsRecord
 	for _, j := range d.jobs {
--- a/internal/storage/fence.go
+++ b/internal/storage/fence.go
@@ -35,6 +35,7 @@
 	f.blocked = nil
 }
 
+// lose closes the fence, as this process no longer holds the shard.
 func (f *fence) lose() {
 	if f.lost {
 		return
--- a/internal/storage/finished_tasks.go
+++ b/internal/storage/finished_tasks.go
@@ -19,10 +19,12 @@
 	writing    bool
 }
 
+// newFinishedPage is a page without task ranges.
 func newFinishedPage(number int) *finishedPage {
 	return &finishedPage{number: number, taskRanges: make(map[taskRangeKey]*taskRange)}
 }
 
+// add puts a task range on the page.
 func (p *finishedPage) add(k taskRangeKey, r *taskRange) {
 	p.taskRanges[k] = r
 	p.maxSize += r.maxSize
@@ -59,6 +61,8 @@
 	lastPage   int // the highest number of a page
 }
 
+// newFinishedTaskWriter is a writer for a shard without finished tasks; load takes over
+// those that there are.
 func newFinishedTaskWriter(c *client, f *fence, shard string) *finishedTaskWriter {
 	return &finishedTaskWriter{client: c, fence: f, shard: shard, taskRanges: make(map[taskRangeKey]*taskRange)}
 }
@@ -90,6 +94,7 @@
 	r.page.add(k, r)
 }
 
+// pageWithRoom is the first page that a task range of a size fits on, or nil.
 func (w *finishedTaskWriter) pageWithRoom(size int) *finishedPage {
 	for _, p := range w.pages {
 		if len(p.taskRanges) == 0 || p.maxSize+size <= w.client.maxSharedRecordSize() {
@@ -107,6 +112,7 @@
 	}
 }
 
+// drop forgets a task range.
 func (w *finishedTaskWriter) drop(k taskRangeKey) {
 	r := w.taskRanges[k]
 	if r == nil {
@@ -152,6 +158,7 @@
 	bytes int // of their values
 }
 
+// add puts a page into the batch, with the change that writes it.
 func (b *pageBatch) add(p *finishedPage, change protocol.Change) {
 	b.txn.Then = append(b.txn.Then, change)
 	b.pages = append(b.pages, p)
--- a/internal/storage/job_batch.go
+++ b/internal/storage/job_batch.go
@@ -14,6 +14,7 @@
 	full        bool                  // an operation has found no room
 }
 
+// newBatch is a batch without operations.
 func newBatch(maxChanges int) *batch {
 	return &batch{maxChanges: maxChanges, endedIn: make(map[string]*pageDraft)}
 }
@@ -116,6 +117,7 @@
 	w.dropPages(emptied)
 }
 
+// dropPages forgets pages whose records are gone.
 func (w *jobWriter) dropPages(dropped map[*descriptionPage]bool) {
 	kept := w.pages[:0]
 	for _, p := range w.pages {
@@ -176,6 +178,7 @@
 	c.readDone()
 }
 
+// readDone ends the resolution once all reads are answered.
 func (c *conflict) readDone() {
 	c.pendingReads--
 	if c.pendingReads > 0 {
--- a/internal/storage/job_lookup.go
+++ b/internal/storage/job_lookup.go
@@ -40,6 +40,7 @@
 	waiters  []lookupDone
 }
 
+// answer tells all who wait for the lookup.
 func (l *jobLookup) answer(record KnownRecord, found, ok bool) {
 	for _, done := range l.waiters {
 		done(record, found, ok)
@@ -63,6 +64,7 @@
 	s.lookups.add(id, known, deadline, done)
 }
 
+// add has a lookup read with others that have not begun.
 func (q *jobLookups) add(id string, known KnownRecord, deadline time.Duration, done lookupDone) {
 	if q.waiters >= maxLookupWaiters {
 		q.client.runLater(func() { done(KnownRecord{}, false, false) })
@@ -92,6 +94,7 @@
 	}
 }
 
+// mayStartRound tells whether lookups wait and another round may be under way.
 func (q *jobLookups) mayStartRound(now time.Duration) bool {
 	if len(q.pending) == 0 || q.roundsActive >= maxLookupRounds {
 		return false
@@ -99,6 +102,7 @@
 	return q.roundsActive == 0 || now-q.lastRoundAt >= lookupRoundInterval
 }
 
+// startRound begins the next round of lookups.
 func (q *jobLookups) startRound(now time.Duration) {
 	round := q.nextRound()
 	q.roundsActive++
@@ -155,6 +159,7 @@
 	})
 }
 
+// readRecord reads one job's record.
 func (q *jobLookups) readRecord(l *jobLookup, lookupEnded func()) {
 	q.client.GetBefore(Read, l.deadline, JobKey(l.jobID), func(r GetResult) {
 		record := KnownRecord{Version: r.KeyValue.Version}
--- a/internal/storage/job_writer.go
+++ b/internal/storage/job_writer.go
@@ -25,6 +25,9 @@
 // transaction is left to pages.
 const maxBatchRecordBytes = maxTxnBytes / 2
 
+// keyAbsent is the version of a key that does not exist.
+const keyAbsent = 0
+
 // CreateResult is what became of a new job.
 type CreateResult uint8
 
@@ -60,6 +63,7 @@
 	onEnded func()
 }
 
+// creates tells whether the operation is the beginning of a job.
 func (o *operation) creates() bool { return o.description != nil }
 
 // abandoned tells whether nobody waits for a creation any more.
@@ -84,10 +88,13 @@
 	nextCompaction time.Duration
 }
 
+// newJobWriter is a writer for a shard without jobs; load takes over those that there
+// are.
 func newJobWriter(c *client, f *fence, shard string) *jobWriter {
 	return &jobWriter{client: c, fence: f, shard: shard, descriptions: make(map[string]*description)}
 }
 
+// create queues the beginning of a job.
 func (w *jobWriter) create(job *protocol.Job, submittedAtMs int64, nonce string, deadline time.Duration, done func(CreateResult)) {
 	record := DescriptionRecord{Job: *job, SubmittedAtMs: submittedAtMs}
 	w.queue = append(w.queue, operation{
@@ -100,6 +107,7 @@
 	w.flush()
 }
 
+// end queues the end of a job.
 func (w *jobWriter) end(job *protocol.Job, nonce, status string, done func()) {
 	w.queue = append(w.queue, operation{
 		jobID:   job.ID,
@@ -153,6 +161,7 @@
 	w.queue = kept
 }
 
+// reportUnavailable tells that a creation was not sent.
 func (w *jobWriter) reportUnavailable(op operation) {
 	w.client.runLater(func() { op.onCreated(Unavailable) })
 }
@@ -181,7 +190,7 @@
 		if !w.addDescription(b, op.description, pagesLeft) {
 			return false
 		}
-		b.txn.If = append(b.txn.If, protocol.Condition{Key: JobKey(op.jobID), Version: 0})
+		b.txn.If = append(b.txn.If, protocol.Condition{Key: JobKey(op.jobID), Version: keyAbsent})
 	} else if !w.removeDescription(b, op.jobID, pagesLeft) {
 		return false
 	}
@@ -197,48 +206,48 @@
 
 // addDescription enters a new job on a page: one of the batch, else the one with most
 // room, whose ended jobs go on this occasion, else a new one.
-func (w *jobWriter) addDescription(b *batch, j *description, pagesLeft int) bool {
-	id := j.record.Job.ID
-	if d := b.draftWithRoom(j.maxSize, w.client.maxSharedRecordSize()); d != nil {
-		d.jobs[id] = j
+func (w *jobWriter) addDescription(b *batch, job *description, pagesLeft int) bool {
+	id := job.record.Job.ID
+	if draft := b.draftWithRoom(job.maxSize, w.client.maxSharedRecordSize()); draft != nil {
+		draft.jobs[id] = job
 		return true
 	}
 	if len(b.drafts) >= pagesLeft {
 		return false
 	}
-	d := w.emptiestDraft(b, j.maxSize)
-	d.jobs[id] = j
-	b.drafts = append(b.drafts, d)
+	draft := w.emptiestDraft(b, job.maxSize)
+	draft.jobs[id] = job
+	b.drafts = append(b.drafts, draft)
 	return true
 }
 
 // removeDescription takes a job that ends off its page if that is written anyway, and
 // else lists its id as ended on one that is.
 func (w *jobWriter) removeDescription(b *batch, id string, pagesLeft int) bool {
-	j := w.descriptions[id]
-	if j == nil {
+	job := w.descriptions[id]
+	if job == nil {
 		return pagesLeft >= 1+len(b.drafts) // it is not on a page, see singleDescriptionKey
 	}
-	if d := b.draftOf(j.page); d != nil {
-		delete(d.jobs, id)
+	if draft := b.draftOf(job.page); draft != nil {
+		delete(draft.jobs, id)
 		return true
 	}
-	if d := b.draftWithRoom(maxEndedIDSize, w.client.maxSharedRecordSize()); d != nil {
-		b.listEnded(d, id)
+	if draft := b.draftWithRoom(maxEndedIDSize, w.client.maxSharedRecordSize()); draft != nil {
+		b.listEnded(draft, id)
 		return true
 	}
 	if len(b.drafts) >= pagesLeft {
 		return false
 	}
-	d := j.page.draft()
-	delete(d.jobs, id)
-	if w.client.exceedsValueLimit(d) {
+	draft := job.page.draft()
+	delete(draft.jobs, id)
+	if w.client.exceedsValueLimit(draft) {
 		// Its record was written under larger limits. It stays as it is until
 		// all of its jobs are over; their ids are listed as ended elsewhere.
-		d = w.emptiestDraft(b, maxEndedIDSize)
-		b.listEnded(d, id)
+		draft = w.emptiestDraft(b, maxEndedIDSize)
+		b.listEnded(draft, id)
 	}
-	b.drafts = append(b.drafts, d)
+	b.drafts = append(b.drafts, draft)
 	return true
 }
 
--- a/internal/storage/rate_limit.go
+++ b/internal/storage/rate_limit.go
@@ -29,6 +29,7 @@
 	return tokenBucket{rate: rate, burst: burst, tokens: burst, refilledAt: now}
 }
 
+// refill adds the tokens of the time since the last refill.
 func (b *tokenBucket) refill(now time.Duration) {
 	b.tokens = math.Min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -29,6 +29,7 @@
 	})
 }
 
+// retryRecover begins the recovery anew unless the shard is lost.
 func (s *Shard) retryRecover(done func([]RecoveredJob)) {
 	if !s.fence.lost {
 		s.Recover(done)
@@ -84,6 +85,7 @@
 	r.all = append(r.all, record)
 }
 
+// addPage takes the record of a description page.
 func (r *descriptionRecords) addPage(codec *protocol.Codec, item protocol.KeyValue, number int) {
 	r.highest = max(r.highest, number) // whatever it says, its number is taken
 	page := numberedRecord{number: number}
@@ -128,6 +130,7 @@
 	return records.unfinishedJobs(), records.unreadable
 }
 
+// loadPage takes over the jobs of one page, but for those that another lists as ended.
 func (w *jobWriter) loadPage(p *descriptionPage, jobs []DescriptionRecord, listedIn map[string]*descriptionPage) {
 	for _, record := range jobs {
 		id := record.Job.ID
@@ -164,6 +167,7 @@
 	return unreadable
 }
 
+// loadPage takes over one page.
 func (w *finishedTaskWriter) loadPage(number int, record finishedRecord, jobs map[string]*RecoveredJob) {
 	p := newFinishedPage(number)
 	w.pages = append(w.pages, p)
@@ -179,6 +183,7 @@
 	p.dirty = len(p.taskRanges) == 0
 }
 
+// loadTaskRange takes over a task range, of which another page may say something too.
 func (w *finishedTaskWriter) loadTaskRange(p *finishedPage, k taskRangeKey, tasks bitSet, job *RecoveredJob) {
 	r := w.taskRanges[k]
 	if r == nil {
--- a/internal/storage/scheduler.go
+++ b/internal/storage/scheduler.go
@@ -80,6 +80,7 @@
 	failing       bool
 }
 
+// newScheduler is a scheduler whose rates allow a full burst.
 func newScheduler(caller Caller, clock Clock, limits Limits, runLater func(func())) scheduler {
 	now := clock.Now()
 	return scheduler{
@@ -163,6 +164,7 @@
 	}
 }
 
+// dispatchClass sends the requests of a class that the rates allow, in their order.
 func (s *scheduler) dispatchClass(class Class, now time.Duration) {
 	for len(s.queues[class]) > 0 && now >= s.pausedUntil {
 		r := s.queues[class][0]
@@ -181,6 +183,7 @@
 	}
 }
 
+// refill brings both rates up to date.
 func (s *scheduler) refill(now time.Duration) {
 	s.requestBucket.refill(now)
 	s.writeBucket.refill(now)
@@ -208,6 +211,7 @@
 	return len(queue) > 0 && now-queue[0].enqueuedAt > maxBackgroundWait
 }
 
+// send sends a request, whatever the rates allow.
 func (s *scheduler) send(r request) {
 	s.requestBucket.take(1)
 	s.writeBucket.take(float64(r.writes))
@@ -235,6 +239,7 @@
 	r.done(response)
 }
 
+// observeLatency takes in how long an answer took, or that none came.
 func (s *scheduler) observeLatency(took time.Duration, response Response) {
 	if response.Status > 0 {
 		s.latency.observeAnswer(took)
--- a/internal/storage/task_ranges.go
+++ b/internal/storage/task_ranges.go
@@ -23,6 +23,7 @@
 	index int
 }
 
+// rangeOfTask names the range that a task is in.
 func rangeOfTask(jobID string, task int) taskRangeKey {
 	return taskRangeKey{jobID, task / tasksPerRange}
 }
@@ -61,6 +62,7 @@
 // bitSet is a set of small numbers, the lowest in the lowest bit of the first byte.
 type bitSet []byte
 
+// set puts a number into the set.
 func (s *bitSet) set(n int) {
 	for len(*s) <= n/8 {
 		*s = append(*s, 0)
@@ -68,6 +70,7 @@
 	(*s)[n/8] |= 1 << (n % 8)
 }
 
+// has tells whether a number below the capacity is in the set.
 func (s bitSet) has(n int) bool { return s[n/8]&(1<<(n%8)) != 0 }
 
 // capacity is the first number that surely is not in the set.
@@ -84,8 +87,10 @@
 	return a
 }
 
+// encode is the set's form in records.
 func (s bitSet) encode() string { return base64.StdEncoding.EncodeToString(s) }
 
+// decodeBitSet is the inverse of encode.
 func decodeBitSet(text string) (bitSet, error) {
 	bits, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
