--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -43,7 +43,7 @@
 			urgency := []string{"urgent", "standard", "standard"}[i]
 			want(t, "bad job", sim.leader().submit(batchJob(id, 30).with("urgency", urgency)).Status, 201)
 		}
-		fails, rented := 0, 0
+		fails := 0
 		seconds := func(n int) {
 			for range n {
 				sim.run(time.Second)
@@ -51,7 +51,8 @@
 			}
 		}
 		seconds(30)
-		fails, rented = 0, len(sim.cloud.scaleOutRequests)
+		fails = 0
+		rented := len(sim.cloud.scaleOutRequests)
 		seconds(60)
 		if fails > 3*12 {
 			t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
--- a/internal/coordination/submissions.go
+++ b/internal/coordination/submissions.go
@@ -25,7 +25,7 @@
 	}
 	if refused, ok := api.checkRunnable(job); !ok {
 		// It may be the retry of a job that was accepted when it could run.
-		api.lookUp(job.ID, 200, func() Response { return refused }, reply)
+		api.lookUp(job.ID, func() Response { return refused }, reply)
 		return
 	}
 	if c.owner.OwnShard() == nil || !c.election.MayAct(c.now()) || c.store.Failing() {
@@ -33,11 +33,11 @@
 			reply(c.errorResponse(503, "state service is away", 1))
 			return
 		}
-		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "not ready to accept", 1) }, reply)
+		api.lookUp(job.ID, func() Response { return c.errorResponse(503, "not ready to accept", 1) }, reply)
 		return
 	}
 	if c.owner.MemoryFull(job) {
-		api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "too much unfinished work", 10) }, reply)
+		api.lookUp(job.ID, func() Response { return c.errorResponse(503, "too much unfinished work", 10) }, reply)
 		return
 	}
 	c.owner.CreateJob(job, c.env.Wall().UnixMilli(), c.now()+submitTimeout, func(r storage.CreateResult) {
@@ -45,7 +45,7 @@
 		case storage.Created:
 			reply(c.statusResponse(201, job.ID, protocol.StatusPending, 0, 0))
 		case storage.AlreadyExists:
-			api.lookUp(job.ID, 200, func() Response { return c.errorResponse(503, "state is being read", 1) }, reply)
+			api.lookUp(job.ID, func() Response { return c.errorResponse(503, "state is being read", 1) }, reply)
 		default:
 			reply(c.errorResponse(503, "state service is away", 1))
 		}
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -194,7 +194,8 @@
 // lookUp reads a job's record afresh, and asks its owner if it goes on.
 // Nothing less than a fresh read may say that a job is unknown, and nothing
 // less than that or its owner that it goes on.
-func (api *userAPI) lookUp(id string, code int, absent func() Response, reply func(Response)) {
+func (api *userAPI) lookUp(id string, absent func() Response, reply func(Response)) {
+	const code = 200 // of all but refusals
 	api.readRecord(id, code, absent, reply, func(record storage.KnownRecord) {
 		api.statusFromOwner(id, code, record.Shard, reply, func() {
 			// The owner does not answer. The job may have come to its end
@@ -267,7 +268,7 @@
 		})
 		return
 	}
-	api.lookUp(id, 200, absent, reply)
+	api.lookUp(id, absent, reply)
 }
 
 // cancel cancels a job, here or at its owner.
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -83,8 +83,7 @@
 	if err != nil {
 		return "", fmt.Errorf("standin: %w", err)
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	return ln.Addr().String(), ln.Close()
 }
 
 // Settings is the settings file of a member.
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -58,9 +59,8 @@
 	if err != nil {
 		return nil
 	}
-	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
-	if err != nil || resp.StatusCode != 200 {
+	if errors.Join(err, resp.Body.Close()) != nil || resp.StatusCode != http.StatusOK {
 		return nil
 	}
 	if b == nil {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -179,9 +180,8 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
-	if err != nil {
+	if errors.Join(err, resp.Body.Close()) != nil {
 		return 0, nil
 	}
 	return resp.StatusCode, b
