--- a/cmd/cobaltvale/quota_loopback_test.go
+++ b/cmd/cobaltvale/quota_loopback_test.go
@@ -156,7 +156,7 @@
 	jobs, tasks := loopbackJobs(2400, teams)
 	l.submitAll(jobs)
 	l.wait("tasks run", func() bool { return l.History.Summary().Started["south"] >= 200 })
-	l.stops["c"]() // its ledger is taken up by another, and goes back
+	l.stops["c"]() // its shard is recovered by another, and goes back
 	l.start("c")
 	l.wait("every job is done", func() bool {
 		for team, n := range l.History.Summary().Started {
@@ -203,7 +203,7 @@
 
 // triedLimits looks whether each team was admitted up to the very limit: else the
 // test shows nothing. How much of that the machines hold at one instant depends on how
-// soon their reports come.
+// soon their heartbeats come.
 func (l *loopback) triedLimits(streams []*audit.Stream, teams []standin.Team) {
 	l.t.Helper()
 	highest := make(map[string]int64)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -178,8 +178,8 @@
 		r.Revision, r.TimeMs = revision, ms
 		return r
 	}
-	of := func(r Record, ledger string, token uint64) Record {
-		r.Shard, r.FencingToken = ledger, token
+	of := func(r Record, shard string, fencingToken uint64) Record {
+		r.Shard, r.FencingToken = shard, fencingToken
 		return r
 	}
 	a0, a1 := admission("wk-1", 0, 2), admission("wk-1", 1, 4)
