--- a/cmd/cobaltvale/main_test.go
+++ b/cmd/cobaltvale/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-func TestCommandLine(t *testing.T) {
+func TestCommandLineStatusAndOutput(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("member = \"a\"\nsite = \"z\"\n"), 0o600); err != nil {
@@ -45,7 +45,7 @@
 
 // A state service whose answers take long must still be asked as often as its
 // rate allows; the connections for that stay a small part of the sockets.
-func TestConnectionsToTheStateService(t *testing.T) {
+func TestStateConnectionsUseTheRateWithinTheSockets(t *testing.T) {
 	for _, c := range []struct {
 		rps     float64
 		sockets int
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -79,7 +79,7 @@
 }
 
 // Whatever is changed, cut off, left out or added shows, with file and offset.
-func TestDamagedStreams(t *testing.T) {
+func TestDamagedStreamsAreRefused(t *testing.T) {
 	good := written(t, admission("wk-1", 0, 2), admission("wk-1", 1, 4))
 	for i := range good {
 		bad := bytes.Clone(good)
@@ -139,7 +139,7 @@
 	wantFindings(t, Verify([]*Stream{s}, time.Second), "records were dropped", "")
 }
 
-func TestSinkThatFails(t *testing.T) {
+func TestSinkFailureIsReportedOnce(t *testing.T) {
 	sink := &memory{}
 	failed := make(chan error, 1)
 	w, err := NewWriter(sink, Header{Member: "a"}, func(err error) { failed <- err })
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestVerify(t *testing.T) {
+func TestVerifyFindsWhatIsWrong(t *testing.T) {
 	release := func(r Record) Record {
 		r.Kind, r.SpentBefore, r.SpentAfter = Released, r.SpentAfter, r.SpentBefore
 		return r
--- a/internal/audit/errors_test.go
+++ b/internal/audit/errors_test.go
@@ -47,7 +47,7 @@
 
 // A segment whose hash is right but that has no header in the first place, or one in a
 // later place, is not where it was written.
-func TestMisplacedSegments(t *testing.T) {
+func TestMisplacedSegmentsAreRefused(t *testing.T) {
 	sink := &memory{}
 	w, err := newWriter(sink, Header{Member: "a"}, nil)
 	if err != nil {
--- a/internal/quota/sharing_test.go
+++ b/internal/quota/sharing_test.go
@@ -147,7 +147,7 @@
 }
 
 // Tasks as large as the limit get their turn at each controller.
-func TestTasksAsLargeAsTheLimit(t *testing.T) {
+func TestTasksAsLargeAsTheLimitTakeTurns(t *testing.T) {
 	s := newSharing(t, LimitOf(8, 0), AmountOf(8, 0), 2*time.Second)
 	for _, name := range modelShards {
 		s.queues[name] = 1000
@@ -180,7 +180,7 @@
 
 // A limit that is lowered below what runs stops nothing and lets nothing start
 // until use is below it, whichever controller has the new settings first.
-func TestLoweredLimit(t *testing.T) {
+func TestLoweredLimitReturnsAllocations(t *testing.T) {
 	s := newSharing(t, LimitOf(32, 0), AmountOf(2, 0), 30*time.Second)
 	s.queues["a"], s.queues["b"] = 8, 8
 	s.play(5 * time.Second)
@@ -215,7 +215,7 @@
 
 // While a member does not divide limits allocations bind nobody, and when all do
 // again each holder starts from what it uses by then.
-func TestWithAMemberThatDoesNotDivide(t *testing.T) {
+func TestNothingIsEnforcedBesideAMemberThatDoesNotDivide(t *testing.T) {
 	s := newSharing(t, LimitOf(32, 0), AmountOf(2, 0), time.Hour)
 	s.queues["a"] = 4
 	s.play(3 * time.Second)
@@ -292,7 +292,7 @@
 	}
 }
 
-func TestAmounts(t *testing.T) {
+func TestAmountsRoundUpAndLimitsDown(t *testing.T) {
 	for _, c := range []struct{ got, want string }{
 		{fmt.Sprint(AmountOf(0.1+0.2, 1)), "{300 1000}"},
 		{fmt.Sprint(AmountOf(0.0004, 0)), "{1 0}"},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 sockets = 1800
 `
 
-func TestParse(t *testing.T) {
+func TestParseNamesTheField(t *testing.T) {
 	f, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestTuning(t *testing.T) {
+func TestPropertiesOverrideDefaults(t *testing.T) {
 	got, err := ParseTuning("# ours\nstate.lease = 8s\nplacement.starts_per_reply=5\nloss.silence_reports: 2.5\n")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 
 // From the first write the smaller of both limits holds; what next lacks, or
 // raises, changes nothing.
-func TestNextLimits(t *testing.T) {
+func TestEffectiveLimitsAreTheSmaller(t *testing.T) {
 	for next, want := range map[string]State{
 		"":                                    {RPS: 200, WriteRPS: 40, ValueKB: 8, TxnOps: 32},
 		"next = {}":                           {RPS: 200, WriteRPS: 40, ValueKB: 8, TxnOps: 32},
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -55,7 +55,7 @@
 	return l, addr
 }
 
-func TestServerAndClient(t *testing.T) {
+func TestEveryRequestGetsItsResponse(t *testing.T) {
 	l, addr := startServer(t, func(req *Request, reply func(Response)) {
 		go reply(Response{Status: 200, Body: append([]byte(req.Method+" "+req.Path+" "), req.Body...)})
 	}, 1<<20)
@@ -86,7 +86,7 @@
 }
 
 // A request that finds the queue full has not been sent, and is told so.
-func TestClientWithAFullQueue(t *testing.T) {
+func TestFullQueueIsNotSent(t *testing.T) {
 	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200}) }, 1<<20)
 	got := make(chan HTTPResult, 1)
 	NewHTTPClient(l, addr, 1, 0).Do("GET", "/", nil, patience, func(r HTTPResult) { got <- r })
@@ -252,7 +252,7 @@
 
 // Connections that come in all at once are let in at once, each with its request,
 // although the loop rests whenever all that it took has been dealt with.
-func TestConnectionsAllAtOnce(t *testing.T) {
+func TestConnectionsAreAcceptedAtOnce(t *testing.T) {
 	const clients, within = 800, 8 * time.Second // at one in each turn it took 17 s
 	addr, l := freeAddr(t), NewLoop(70*time.Millisecond)
 	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxHeldBytes: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
