--- a/cmd/cobaltvale/main_test.go
+++ b/cmd/cobaltvale/main_test.go
@@ -17,29 +17,32 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
+		name string
 		args []string
 		code int
 		out  string // in standard output
 		err  string // in standard error, which is then one line
 	}{
-		{[]string{"version"}, 0, "cobaltvale " + version, ""},
-		{[]string{"--help"}, 0, "--properties", ""},
-		{nil, 2, "", "--config is missing"},
-		{[]string{"--config", bad}, 2, "", "api_addr"},
-		{[]string{"--config", filepath.Join(dir, "none.toml")}, 2, "", "none.toml"},
-		{[]string{"--config", bad, "more"}, 2, "", "unexpected argument"},
-		{[]string{"audit"}, 2, "", "audit takes verify"},
-		{[]string{"audit", "verify"}, 2, "", "audit takes verify"},
-		{[]string{"audit", "verify", "--guarantee-wait", "x", bad}, 2, "", "guarantee-wait"},
-		{[]string{"audit", "verify", bad}, 2, "", "bad.toml: at byte 0: not an audit stream"},
-		{[]string{"audit", "verify", filepath.Join(dir, "none.audit")}, 2, "", "none.audit: at byte 0"},
+		{"version", []string{"version"}, 0, "cobaltvale " + version, ""},
+		{"help", []string{"--help"}, 0, "--properties", ""},
+		{"no settings", nil, 2, "", "--config is missing"},
+		{"a field is missing", []string{"--config", bad}, 2, "", "api_addr"},
+		{"no such settings file", []string{"--config", filepath.Join(dir, "none.toml")}, 2, "", "none.toml"},
+		{"one argument too many", []string{"--config", bad, "more"}, 2, "", "unexpected argument"},
+		{"audit without a command", []string{"audit"}, 2, "", "audit takes verify"},
+		{"audit without files", []string{"audit", "verify"}, 2, "", "audit takes verify"},
+		{"audit with a bad wait", []string{"audit", "verify", "--guarantee-wait", "x", bad}, 2, "", "guarantee-wait"},
+		{"audit of another file", []string{"audit", "verify", bad}, 2, "", "bad.toml: at byte 0: not an audit stream"},
+		{"audit of no file", []string{"audit", "verify", filepath.Join(dir, "none.audit")}, 2, "", "none.audit: at byte 0"},
 	} {
-		var out, errOut bytes.Buffer
-		code := run(c.args, &out, &errOut)
-		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errOut.String(), c.err) ||
-			(c.err != "" && strings.Count(errOut.String(), "\n") != 1) {
-			t.Errorf("%v: status %d, output %q, errors %q", c.args, code, out.String(), errOut.String())
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var out, errOut bytes.Buffer
+			code := run(c.args, &out, &errOut)
+			if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(errOut.String(), c.err) ||
+				(c.err != "" && strings.Count(errOut.String(), "\n") != 1) {
+				t.Errorf("status %d, output %q, errors %q", code, out.String(), errOut.String())
+			}
+		})
 	}
 }
 
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -100,11 +100,13 @@
 		{"more after the end", append(bytes.Clone(good), good[len(fileMagic):]...), "more follows"},
 		{"a segment left out", append([]byte(fileMagic), good[len(fileMagic)+segmentLength(good, len(fileMagic)):]...), "missing"},
 	} {
-		_, err := Read("x.audit", c.b)
-		var e *ReadError
-		if !errors.As(err, &e) || e.Name != "x.audit" || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v, want one line with %q", c.what, err, c.says)
-		}
+		t.Run(c.what, func(t *testing.T) {
+			_, err := Read("x.audit", c.b)
+			var e *ReadError
+			if !errors.As(err, &e) || e.Name != "x.audit" || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want one line with %q", err, c.says)
+			}
+		})
 	}
 }
 
@@ -209,12 +211,13 @@
 		{"blocked for a moment", [][]Record{{a0, later(1500)}, {blocked}}, "", ""},
 		{"blocked beyond the guarantee", [][]Record{append(full[:3:3], at(release(full[2]), 5, 9000)), {blocked}}, "", ""},
 	} {
-		var streams []*Stream
-		for _, records := range c.streams {
-			streams = append(streams, stream(t, records...))
-		}
-		t.Log(c.what)
-		wantFindings(t, Verify(streams, 2*time.Second), c.text, c.kind)
+		t.Run(c.what, func(t *testing.T) {
+			var streams []*Stream
+			for _, records := range c.streams {
+				streams = append(streams, stream(t, records...))
+			}
+			wantFindings(t, Verify(streams, 2*time.Second), c.text, c.kind)
+		})
 	}
 	s := stream(t, full...)
 	s.Records = append(s.Records[:1:1], s.Records[2:]...)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -76,10 +76,12 @@
 		{`cpus = 0.0`, `cpus = -2.0`, "settings.teams[0]"},
 		{`report_s = 2.5`, `report_s = "soon"`, "report_s"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validFile, c.old, c.new, 1)))
-		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s -> %s: error %v does not name %s", c.old, c.new, err, c.field)
-		}
+		t.Run(c.old+" becomes "+c.new, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(validFile, c.old, c.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), c.field) {
+				t.Errorf("error %v does not name %s", err, c.field)
+			}
+		})
 	}
 }
 
@@ -102,10 +104,12 @@
 	}
 	for _, bad := range []string{"quota.escrow = perhaps", "quota.transfer_interval = -1s", "quota.transfer_interval = 1ms", "quota.audit = /var/audit", "quota.escro = true",
 		"state.leese = 8s", "state.lease = 8", "state.lease = 1ms", "loss.silence_reports = many", "placement.starts_per_reply = 0"} {
-		key, _, _ := strings.Cut(bad, " ")
-		if _, err := ParseTuning(bad); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name the key", bad, err)
-		}
+		t.Run(bad, func(t *testing.T) {
+			key, _, _ := strings.Cut(bad, " ")
+			if _, err := ParseTuning(bad); err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("error %v does not name the key", err)
+			}
+		})
 	}
 }
 
@@ -129,12 +133,14 @@
 		"next = { txn_ops = 5, rps = 900.0 }": {RPS: 200, WriteRPS: 40, ValueKB: 8, TxnOps: 5},
 		"next = { rps = 90.0, write_rps = 28.0, value_kb = 16.0, txn_ops = 64 }": {RPS: 90, WriteRPS: 28, ValueKB: 8, TxnOps: 32},
 	} {
-		f, err := Parse([]byte(strings.Replace(validFile, "txn_ops = 32", "txn_ops = 32\n"+next, 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := f.Settings.State.Effective(); got != want {
-			t.Errorf("%q: got %+v, want %+v", next, got, want)
-		}
+		t.Run(next, func(t *testing.T) {
+			f, err := Parse([]byte(strings.Replace(validFile, "txn_ops = 32", "txn_ops = 32\n"+next, 1)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := f.Settings.State.Effective(); got != want {
+				t.Errorf("got %+v, want %+v", got, want)
+			}
+		})
 	}
 }
--- a/internal/transport/http_parser_test.go
+++ b/internal/transport/http_parser_test.go
@@ -39,14 +39,15 @@
 		{name: "chunks above the limit", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", err: errTooLarge},
 		{name: "head above the limit", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes), err: errTooLarge},
 	} {
-		m, err := parseMessage([]byte(c.in), c.kind, maxBodyBytes)
-		if !errors.Is(err, c.err) || (c.err == nil && err != nil) {
-			t.Errorf("%s: got error %v, want %v", c.name, err, c.err)
-			continue
-		}
-		if err == nil && (string(m.body) != c.body || m.size != c.size || m.close != c.close) {
-			t.Errorf("%s: got body %q, size %d, close %v", c.name, m.body, m.size, m.close)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			m, err := parseMessage([]byte(c.in), c.kind, maxBodyBytes)
+			if !errors.Is(err, c.err) || (c.err == nil && err != nil) {
+				t.Fatalf("got error %v, want %v", err, c.err)
+			}
+			if err == nil && (string(m.body) != c.body || m.size != c.size || m.close != c.close) {
+				t.Errorf("got body %q, size %d, close %v", m.body, m.size, m.close)
+			}
+		})
 	}
 }
 
