--- a/cmd/cobaltvale/audit_log.go
+++ b/cmd/cobaltvale/audit_log.go
@@ -47,6 +47,7 @@
 	return a.writer.Append
 }
 
+// close ends the history with its last segment.
 func (a *auditLog) close() error {
 	if a == nil {
 		return nil
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -81,6 +81,7 @@
 	return httpCaller{transport.NewHTTPClient(n.connections, addr, maxConns, clientQueueLength), n.events}
 }
 
+// meshConfig describes this member's side of the mesh.
 func meshConfig(file *settings.File) transport.MeshConfig {
 	peers := make([]transport.MeshPeer, 0, len(file.Peers))
 	for _, peer := range file.Peers {
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -95,6 +95,7 @@
 	chain    [hashBytes]byte
 }
 
+// readSegment adds the next segment to the stream.
 func (r *reader) readSegment() error {
 	if r.stream.HasLastSegment {
 		return ErrTrailingData
--- a/internal/audit/replay.go
+++ b/internal/audit/replay.go
@@ -51,6 +51,7 @@
 	reported                   bool
 }
 
+// newReplay begins at an empty cluster.
 func newReplay(team string, guaranteeWait time.Duration) *replay {
 	return &replay{
 		team: team, guaranteeWait: guaranteeWait, usage: TeamUsage{Team: team},
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -40,6 +40,7 @@
 	return fmt.Sprintf("TaskState(%d)", uint8(s))
 }
 
+// parseTaskState returns the state of a wire word, and whether there is one.
 func parseTaskState(s string) (TaskState, bool) {
 	switch s {
 	case "fetching":
@@ -90,6 +91,7 @@
 	return fmt.Sprintf("ExitReason(%d)", uint8(r))
 }
 
+// parseExitReason returns the reason of a wire word, and whether there is one.
 func parseExitReason(s string) (ExitReason, bool) {
 	switch s {
 	case "done":
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -50,6 +50,7 @@
 	return fmt.Sprintf("Priority(%d)", uint8(p))
 }
 
+// parsePriority returns the priority of a wire word, and whether there is one.
 func parsePriority(s string) (Priority, bool) {
 	switch s {
 	case "best_effort":
--- a/internal/protocol/validation.go
+++ b/internal/protocol/validation.go
@@ -55,4 +55,5 @@
 	return nil
 }
 
+// isNameLength tells whether a name is of a length that names have.
 func isNameLength(name string) bool { return name != "" && len(name) <= maxNameLength }
--- a/internal/settings/properties.go
+++ b/internal/settings/properties.go
@@ -96,6 +96,7 @@
 	return t, t.check()
 }
 
+// propertyError is the error of a property whose text begins with its key.
 func propertyError(key, problem string) error {
 	return fmt.Errorf("properties: %w", fieldError(key, problem))
 }
@@ -121,6 +122,7 @@
 	}
 }
 
+// durationParser takes a duration such as 1.5s, within bounds.
 func durationParser(to *time.Duration, least, most time.Duration) parser {
 	return func(value string) error {
 		v, err := time.ParseDuration(value)
@@ -132,6 +134,7 @@
 	}
 }
 
+// numberParser takes a decimal number, within bounds.
 func numberParser(to *float64, least, most float64) parser {
 	return func(value string) error {
 		v, err := strconv.ParseFloat(value, 64)
@@ -143,6 +146,7 @@
 	}
 }
 
+// countParser takes a whole number, within bounds.
 func countParser(to *int, least, most int) parser {
 	return func(value string) error {
 		v, err := strconv.Atoi(value)
@@ -154,6 +158,7 @@
 	}
 }
 
+// booleanParser takes true or false.
 func booleanParser(to *bool) parser {
 	return func(value string) error {
 		v, err := strconv.ParseBool(value)
@@ -165,6 +170,7 @@
 	}
 }
 
+// textParser takes any text.
 func textParser(to *string) parser {
 	return func(value string) error {
 		*to = value
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -19,6 +19,7 @@
 	return nil
 }
 
+// checkNames checks whose file it is.
 func (f *File) checkNames() error {
 	for _, name := range []struct{ path, value string }{
 		{"member", f.Member}, {"site", f.Site},
@@ -30,6 +31,7 @@
 	return nil
 }
 
+// checkAddresses checks where this controller listens and which services it calls.
 func (f *File) checkAddresses() error {
 	for _, address := range []struct{ path, value string }{
 		{"api_addr", f.APIAddr}, {"mesh_addr", f.MeshAddr},
@@ -42,6 +44,7 @@
 	return nil
 }
 
+// checkPeers checks the other controllers: each has another name.
 func (f *File) checkPeers() error {
 	seen := map[string]bool{f.Member: true}
 	for i, peer := range f.Peers {
@@ -65,6 +68,7 @@
 	return *value
 }
 
+// checkNumbers checks that all numbers are present and within what makes sense.
 func (s *Settings) checkNumbers() error {
 	next := &s.State.Next
 	nextOps := float64(s.State.TxnOps)
@@ -101,6 +105,7 @@
 	return nil
 }
 
+// checkTeams checks that there are teams, each with another name and no negative amount.
 func (s *Settings) checkTeams() error {
 	if len(s.Teams) == 0 {
 		return fieldError("settings.teams", "is missing")
@@ -121,6 +126,7 @@
 	return nil
 }
 
+// checkAddress checks that an address is an IP address with a port: names are not resolved.
 func checkAddress(path, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -201,6 +201,7 @@
 	h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", cause)})
 }
 
+// onTraffic takes a response, if all of it has arrived.
 func (hc *httpConn) onTraffic(c gnet.Conn) gnet.Action {
 	buf, err := c.Peek(-1)
 	if err != nil || len(buf) == 0 {
@@ -257,6 +258,7 @@
 	return call, closing
 }
 
+// onClose fails the call that the connection carried.
 func (hc *httpConn) onClose(gnet.Conn) {
 	h := hc.client
 	h.mu.Lock()
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -210,6 +210,7 @@
 // once.
 func (l *Loop) WaitTurn() { l.execute(l.waitTurn) }
 
+// waitTurn runs on the loop's goroutine. It does not sleep while connections come in.
 func (l *Loop) waitTurn() {
 	if l.busy && !l.lastAccept.After(l.lastTurn) {
 		l.sleepUntilTurn(time.Now())
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// keepDialing dials a peer whenever there is no link to it.
 func (m *Mesh) keepDialing(ctx context.Context, peer MeshPeer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -92,6 +93,7 @@
 	}
 }
 
+// isLinked tells whether there is a link to a member, or one is being dialed.
 func (m *Mesh) isLinked(member string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,10 +122,12 @@
 	l.Flush()
 }
 
+// hello is the first frame of a link.
 func (m *Mesh) hello() *meshpb.Frame {
 	return &meshpb.Frame{Body: &meshpb.Frame_Hello{Hello: &meshpb.Hello{Member: m.cfg.Self}}}
 }
 
+// removeLink forgets a link whose connection has closed, or was never opened.
 func (m *Mesh) removeLink(l *MeshLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,8 +137,10 @@
 	}
 }
 
+// address implements service.
 func (m *Mesh) address() string { return m.cfg.Addr }
 
+// accept implements service.
 func (m *Mesh) accept(c gnet.Conn) connection {
 	l := &MeshLink{mesh: m, conn: c, lastReceived: time.Now()}
 	m.mu.Lock()
@@ -163,6 +169,7 @@
 	}
 }
 
+// isPeer tells whether a member is one of the configured peers.
 func (m *Mesh) isPeer(member string) bool {
 	return slices.ContainsFunc(m.cfg.Peers, func(peer MeshPeer) bool { return peer.Member == member })
 }
--- a/internal/transport/mesh_link.go
+++ b/internal/transport/mesh_link.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// onTraffic takes the frames that have arrived in full, and tells of them in one event.
 func (l *MeshLink) onTraffic(c gnet.Conn) gnet.Action {
 	l.mu.Lock()
 	l.lastReceived = time.Now()
@@ -185,6 +186,7 @@
 	l.Close()
 }
 
+// onClose implements connection.
 func (l *MeshLink) onClose(gnet.Conn) {
 	l.mesh.removeLink(l)
 	l.reportDown()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -71,8 +71,10 @@
 	return &Server{cfg: cfg, loop: l, handler: h, conns: make(map[gnet.Conn]*serverConn)}
 }
 
+// address implements service.
 func (s *Server) address() string { return s.cfg.Addr }
 
+// accept implements service.
 func (s *Server) accept(c gnet.Conn) connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -39,6 +39,7 @@
 	return slow || now.Sub(sc.lastActive) > sc.server.cfg.IdleTimeout
 }
 
+// isBusy tells whether a request is with the handler.
 func (sc *serverConn) isBusy() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -54,6 +55,7 @@
 	}
 }
 
+// onClose implements connection. Responses that are queued are dropped.
 func (sc *serverConn) onClose(c gnet.Conn) {
 	sc.closed = true
 	sc.server.mu.Lock()
@@ -61,6 +63,7 @@
 	delete(sc.server.conns, c)
 }
 
+// onTraffic takes a request, if all of it has arrived and none is with the handler.
 func (sc *serverConn) onTraffic(c gnet.Conn) gnet.Action {
 	if sc.isBusy() {
 		if c.InboundBuffered() > maxHeadBytes+maxBodyBytes {
