--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -21,8 +21,8 @@
 func newEscrowSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
-	sim.tuning.QuotaEscrow = true
-	sim.startAll()
+	sim.Tuning.QuotaEscrow = true
+	sim.StartAll()
 	return sim
 }
 
@@ -34,15 +34,15 @@
 }
 
 func withAllocationChecks(scenario *faultScenario) *faultScenario {
-	started := scenario.onStart
-	scenario.onStart = func(agent *machineAgent, task *agentTask) {
+	started := scenario.OnStart
+	scenario.OnStart = func(agent *Agent, task *AgentTask) {
 		started(agent, task)
-		id, _, _ := strings.Cut(task.name, "/")
+		id, _, _ := strings.Cut(task.Name, "/")
 		if scenario.jobs[id]["crew"] == "red" {
 			scenario.redStarts++
 		}
 	}
-	scenario.onTick = func() {
+	scenario.OnTick = func() {
 		scenario.checkInvariants()
 		scenario.checkAllocations()
 	}
@@ -52,9 +52,9 @@
 // quotaRecord is a team's record in the state service.
 func (sim *simulation) quotaRecord(team string) quota.Record {
 	var r quota.Record
-	if entry := sim.state.keys[storage.QuotaKey(team)]; entry != nil {
-		if err := sim.codec.Decode(entry.value, &r); err != nil {
-			sim.t.Fatal(err)
+	if entry := sim.State.Keys[storage.QuotaKey(team)]; entry != nil {
+		if err := sim.Codec.Decode(entry.Value, &r); err != nil {
+			sim.T.Fatal(err)
 		}
 	}
 	return r
@@ -63,9 +63,9 @@
 // shardOf is the ledger that a job's record names.
 func (sim *simulation) shardOf(job string) string {
 	var r storage.JobRecord
-	if entry := sim.state.keys[storage.JobKey(job)]; entry != nil {
-		if err := sim.codec.Decode(entry.value, &r); err != nil {
-			sim.t.Fatal(err)
+	if entry := sim.State.Keys[storage.JobKey(job)]; entry != nil {
+		if err := sim.Codec.Decode(entry.Value, &r); err != nil {
+			sim.T.Fatal(err)
 		}
 	}
 	return r.Shard
@@ -77,13 +77,13 @@
 func (scenario *faultScenario) checkAllocations() {
 	r := scenario.quotaRecord("red")
 	if limit := quota.LimitOf(redLimit, 0); !r.Allocated().Within(limit) {
-		scenario.t.Fatalf("allocations of %v in all, the limit is %v", r.Allocated(), limit)
+		scenario.T.Fatalf("allocations of %v in all, the limit is %v", r.Allocated(), limit)
 	}
 	use := make(map[string]quota.Amount)
-	for _, agent := range scenario.agents {
-		for _, task := range agent.tasks {
-			id, _, _ := strings.Cut(task.name, "/")
-			if request := scenario.jobs[id]; task.state != "ended" && request["crew"] == "red" {
+	for _, agent := range scenario.Agents {
+		for _, task := range agent.Tasks {
+			id, _, _ := strings.Cut(task.Name, "/")
+			if request := scenario.jobs[id]; task.State != "ended" && request["crew"] == "red" {
 				ledger := scenario.shardOf(id)
 				use[ledger] = use[ledger].Add(quota.AmountOf(request["vcpus"].(float64), 0))
 			}
@@ -91,19 +91,19 @@
 	}
 	for ledger, u := range use {
 		if got := r.Shares[ledger].Allocation; !u.Within(got) {
-			scenario.t.Fatalf("tasks of ledger %s use %v out of an allocation of %v", ledger, u, got)
+			scenario.T.Fatalf("tasks of ledger %s use %v out of an allocation of %v", ledger, u, got)
 		}
 	}
-	for _, name := range scenario.names {
-		n := scenario.nodes[name]
-		if !n.up || n.paused || !n.controller.election.MayAct(scenario.now) {
+	for _, name := range scenario.Names {
+		n := scenario.Nodes[name]
+		if !n.Up || n.Paused || !n.controller.election.MayAct(scenario.now) {
 			continue
 		}
 		for shard := range n.controller.owner.Shards() {
 			ledger := shard.Name()
 			got := n.controller.admission.Allocation(ledger, "red")
 			if n.controller.admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
-				scenario.t.Fatalf("%s counts on %v for ledger %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
+				scenario.T.Fatalf("%s counts on %v for ledger %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
 			}
 		}
 	}
@@ -111,8 +111,8 @@
 
 // submitRedJobs come at all controllers, more than the limit allows, some cancelled.
 func (scenario *faultScenario) submitRedJobs(s int) {
-	for _, name := range scenario.names {
-		if n := scenario.nodes[name]; n.up && s%2 == 0 {
+	for _, name := range scenario.Names {
+		if n := scenario.Nodes[name]; n.Up && s%2 == 0 {
 			scenario.submit(n, 1+scenario.rand.IntN(5), "crew", "red")
 		}
 	}
@@ -124,16 +124,16 @@
 // addMachines has machines of one zone report from now on.
 func (sim *simulation) addMachines(n int) {
 	for i := range n {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 }
 
 // submitRedEverywhere hands a job of red in at each controller.
 func (sim *simulation) submitRedEverywhere(tasks int) {
-	sim.t.Helper()
-	for i, name := range sim.names {
-		if got := sim.nodes[name].submit(batchJob(fmt.Sprintf("wk-%d", i), tasks).with("crew", "red")).Status; got != 201 {
-			sim.t.Fatalf("submission at %s is answered %d", name, got)
+	sim.T.Helper()
+	for i, name := range sim.Names {
+		if got := sim.Nodes[name].Submit(BatchJob(fmt.Sprintf("wk-%d", i), tasks).With("crew", "red")).Status; got != 201 {
+			sim.T.Fatalf("submission at %s is answered %d", name, got)
 		}
 	}
 }
@@ -184,15 +184,15 @@
 // checkAudit replays what all processes have recorded. In troubles guarantees may
 // have to wait; limits hold all the same, and nothing is missing.
 func (scenario *faultScenario) checkAudit() {
-	scenario.t.Helper()
-	report := audit.Verify(scenario.auditStreams, 5*time.Second)
+	scenario.T.Helper()
+	report := audit.Verify(scenario.AuditStreams, 5*time.Second)
 	for _, f := range report.Findings {
 		if f.Kind != audit.GuaranteeUnmet {
-			scenario.t.Errorf("%s of %s: %s", f.Kind, f.Team, f.Text)
+			scenario.T.Errorf("%s of %s: %s", f.Kind, f.Team, f.Text)
 		}
 	}
 	if len(report.Teams) != 1 || report.Teams[0].Admissions < scenario.redStarts {
-		scenario.t.Errorf("machines have started %d tasks, the history shows %+v", scenario.redStarts, report.Teams)
+		scenario.T.Errorf("machines have started %d tasks, the history shows %+v", scenario.redStarts, report.Teams)
 	}
 }
 
@@ -202,7 +202,7 @@
 }
 
 func repeatTransfers(scenario *faultScenario) func(int) {
-	scenario.state.onTransaction = func(_ string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+	scenario.State.OnTransaction = func(_ string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		if !isTransfer(t) {
 			return false
 		}
@@ -218,9 +218,9 @@
 func makeViewsStale(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
-		clear(scenario.state.stalledWatches)
+		clear(scenario.State.StalledWatches)
 		if s < 36 { // each in turn hears nothing for six seconds
-			scenario.state.stalledWatches[scenario.names[s/6%3]] = true
+			scenario.State.StalledWatches[scenario.Names[s/6%3]] = true
 		}
 	}
 }
@@ -228,12 +228,12 @@
 func pauseHolderInTransfer(scenario *faultScenario) func(int) {
 	var frozen string
 	caught := false
-	scenario.state.onTransaction = func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+	scenario.State.OnTransaction = func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		if !caught || frozen != "" || !isTransfer(t) {
 			return false
 		}
 		frozen = from
-		scenario.nodes[from].paused = true
+		scenario.Nodes[from].Paused = true
 		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + 9*time.Second, func() { done(apply()) }})
 		return true
 	}
@@ -241,14 +241,14 @@
 		caught = s >= 8
 		scenario.submitRedJobs(s)
 		if s == 22 && frozen != "" {
-			scenario.nodes[frozen].paused = false
-			scenario.deliverAll()
-			scenario.reconnect(frozen)
+			scenario.Nodes[frozen].Paused = false
+			scenario.DeliverAll()
+			scenario.Reconnect(frozen)
 		}
-		if n := scenario.nodes[frozen]; s == 13 && n != nil { // the others take its silence for a cut
-			for _, other := range scenario.names {
+		if n := scenario.Nodes[frozen]; s == 13 && n != nil { // the others take its silence for a cut
+			for _, other := range scenario.Names {
 				if other != frozen {
-					scenario.nodes[other].controller.LinkDown(scenario.nodes[other].links[frozen])
+					scenario.Nodes[other].controller.LinkDown(scenario.Nodes[other].Links[frozen])
 				}
 			}
 		}
@@ -260,14 +260,14 @@
 		scenario.submitRedJobs(s)
 		switch s {
 		case 10:
-			lead := scenario.leader().name
-			for _, name := range scenario.names {
+			lead := scenario.Leader().Name
+			for _, name := range scenario.Names {
 				if name != lead {
-					scenario.crash(name)
+					scenario.Crash(name)
 					break
 				}
 			}
-			scenario.crash(lead)
+			scenario.Crash(lead)
 		case 20:
 			scenario.restoreAll()
 		}
@@ -277,18 +277,18 @@
 func outageWhileAllocationsAreShort(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
-		scenario.state.unavailable[""] = s >= 8 && s < 22
+		scenario.State.Unavailable[""] = s >= 8 && s < 22
 	}
 }
 
 func refuseOneController(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
-		clear(scenario.state.unavailable)
+		clear(scenario.State.Unavailable)
 		if s >= 8 && s < 20 {
-			scenario.state.unavailable["a"] = true
+			scenario.State.Unavailable["a"] = true
 		} else if s >= 24 && s < 30 {
-			scenario.state.unavailable["b"] = true
+			scenario.State.Unavailable["b"] = true
 		}
 	}
 }
@@ -299,31 +299,31 @@
 		if s != 10 && s != 25 {
 			return
 		}
-		for _, name := range scenario.names {
-			scenario.crash(name)
+		for _, name := range scenario.Names {
+			scenario.Crash(name)
 		}
 		scenario.restoreAll()
 	}
 }
 
 func cancelOnSilentMachines(scenario *faultScenario) func(int) {
-	var hung []*machineAgent
+	var hung []*Agent
 	return func(s int) {
 		scenario.submitRedJobs(s)
 		switch s % 14 {
 		case 5:
 			hung = scenario.busyMachines(4)
 			for i, agent := range hung {
-				agent.silent, agent.losesResponses = i%2 == 0, i%2 == 1
+				agent.Silent, agent.LosesResponses = i%2 == 0, i%2 == 1
 			}
 			scenario.cancelRandomJobs(20)
 		case 8:
 			if s > 14 {
-				scenario.restart(scenario.leader().name)
+				scenario.restart(scenario.Leader().Name)
 			}
 		case 12:
 			for _, agent := range hung {
-				agent.silent, agent.losesResponses = false, false
+				agent.Silent, agent.LosesResponses = false, false
 			}
 		}
 	}
@@ -336,8 +336,8 @@
 			for _, agent := range scenario.busyMachines(2) {
 				scenario.failMachine(agent)
 			}
-			scenario.addMachine(fmt.Sprint("vm-1", s), "z1").taskDuration = 3 * time.Second
-			scenario.addMachine(fmt.Sprint("vm-2", s), "z2").taskDuration = 3 * time.Second
+			scenario.AddMachine(fmt.Sprint("vm-1", s), "z1").TaskDuration = 3 * time.Second
+			scenario.AddMachine(fmt.Sprint("vm-2", s), "z2").TaskDuration = 3 * time.Second
 		}
 	}
 }
@@ -345,8 +345,8 @@
 func moveShardAndBack(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
-		if name := scenario.names[s/10%3]; s%10 == 3 {
-			scenario.crash(name)
+		if name := scenario.Names[s/10%3]; s%10 == 3 {
+			scenario.Crash(name)
 		} else if s%10 == 7 {
 			scenario.restoreAll()
 		}
@@ -370,21 +370,21 @@
 func TestLastCapacityIsGrantedOnce(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(6)
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 15).with("crew", "red")).Status, 201)
-	sim.run(8 * time.Second)
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
+	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 15)
-	body := func(id string) []byte { return sim.codec.Encode(map[string]any(batchJob(id, 1).with("crew", "red"))) }
+	body := func(id string) []byte { return sim.Codec.Encode(map[string]any(BatchJob(id, 1).With("crew", "red"))) }
 	for i, name := range []string{"b", "c"} {
-		sim.nodes[name].controller.HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
+		sim.Nodes[name].controller.HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
 	}
-	sim.run(8 * time.Second)
+	sim.Run(8 * time.Second)
 	want(t, "running at the limit", sim.runningTasks(), 16)
 	sim.finishTask("wk-1/0")
-	sim.run(6 * time.Second)
+	sim.Run(6 * time.Second)
 	want(t, "both run", sim.runningTasks(), 16)
 	for i, name := range []string{"b", "c"} {
-		sim.wantStatus(sim.nodes[name], fmt.Sprint("wk-", i+2), 200, "running")
+		sim.wantStatus(sim.Nodes[name], fmt.Sprint("wk-", i+2), 200, "running")
 	}
 }
 
@@ -393,16 +393,16 @@
 func TestGuaranteeFollowsDemand(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(4)
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 16).with("crew", "red")).Status, 201)
-	sim.run(8 * time.Second)
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
+	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
-	for _, agent := range sim.agents {
-		agent.finishTasks("done")
+	for _, agent := range sim.Agents {
+		agent.FinishTasks("done")
 	}
-	sim.run(3 * time.Second)
-	want(t, "submit", sim.nodes["b"].submit(batchJob("wk-2", 4).with("crew", "red")).Status, 201)
-	sim.run(4 * time.Second)
+	sim.Run(3 * time.Second)
+	want(t, "submit", sim.Nodes["b"].Submit(BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "running of a guarantee of 8 CPUs", sim.runningTasks(), 4)
 }
 
@@ -411,13 +411,13 @@
 func TestRemainderStaysWithOneController(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(8)
-	sim.run(8 * time.Second)
+	sim.Run(8 * time.Second)
 	sim.submitRedEverywhere(12)
-	sim.run(6 * time.Second)
+	sim.Run(6 * time.Second)
 	want(t, "running at the limit", sim.runningTasks(), 16)
-	writes := sim.state.transactions
-	sim.run(20 * time.Second)
-	if got := sim.state.transactions - writes; got > 4 {
+	writes := sim.State.Transactions
+	sim.Run(20 * time.Second)
+	if got := sim.State.Transactions - writes; got > 4 {
 		t.Errorf("%d transactions in 20 s though nothing changes", got)
 	}
 }
@@ -427,27 +427,27 @@
 func TestLimitLoweredWhileRunning(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(6)
-	sim.run(2 * time.Second)
+	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
-	sim.run(8 * time.Second)
+	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
-	sim.adjustSettings = func(f *settings.File) { f.Settings.Teams[0].CPUsMax = 16 }
-	sim.crash("a")
-	sim.crash("b")
-	sim.run(4 * time.Second)
-	sim.start("a")
-	sim.run(6 * time.Second)
-	sim.start("b")
-	sim.run(2 * time.Second)
-	sim.crash("c")
-	sim.start("c")
-	sim.run(beyondAnyLease)
+	sim.AdjustSettings = func(f *settings.File) { f.Settings.Teams[0].CPUsMax = 16 }
+	sim.Crash("a")
+	sim.Crash("b")
+	sim.Run(4 * time.Second)
+	sim.Start("a")
+	sim.Run(6 * time.Second)
+	sim.Start("b")
+	sim.Run(2 * time.Second)
+	sim.Crash("c")
+	sim.Start("c")
+	sim.Run(beyondAnyLease)
 	starts := 0
-	sim.onStart = func(*machineAgent, *agentTask) { starts++ }
+	sim.OnStart = func(*Agent, *AgentTask) { starts++ }
 	want(t, "running on", sim.runningTasks(), 16)
 	for round := range 10 {
 		sim.finishTask(sim.anyRunningTask())
-		sim.run(4 * time.Second)
+		sim.Run(4 * time.Second)
 		if round < 7 {
 			want(t, "starts while use is above the limit", starts, 0)
 		}
@@ -460,12 +460,12 @@
 
 // anyRunningTask names a running task.
 func (sim *simulation) anyRunningTask() string {
-	for _, name := range sim.agentNames() {
-		if tasks := sim.agents[name].running(); len(tasks) > 0 {
+	for _, name := range sim.AgentNames() {
+		if tasks := sim.Agents[name].Running(); len(tasks) > 0 {
 			return tasks[0]
 		}
 	}
-	sim.t.Fatal("nothing runs")
+	sim.T.Fatal("nothing runs")
 	return ""
 }
 
@@ -474,36 +474,36 @@
 // The version before passes over the records that it finds.
 func TestAllocationsBesideThePreviousVersion(t *testing.T) {
 	sim := prepareSimulation(t, "", []string{"b"}, "a", "b", "c")
-	sim.tuning.QuotaEscrow = true
-	sim.startAll()
+	sim.Tuning.QuotaEscrow = true
+	sim.StartAll()
 	sim.addMachines(8)
-	sim.run(2 * time.Second)
+	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
-	sim.run(8 * time.Second)
+	sim.Run(8 * time.Second)
 	want(t, "running beside the version before", sim.runningTasks(), 16)
 	want(t, "shares", len(sim.quotaRecord("red").Shares), 0)
-	sim.crash("b")
-	delete(sim.previousVersion, "b")
-	sim.start("b")
-	sim.run(beyondAnyLease)
+	sim.Crash("b")
+	delete(sim.PreviousVersion, "b")
+	sim.Start("b")
+	sim.Run(beyondAnyLease)
 	want(t, "shares once all divide limits", len(sim.quotaRecord("red").Shares), 3)
 	want(t, "running", sim.runningTasks(), 16)
 	for range 6 {
 		sim.finishTask(sim.anyRunningTask())
-		sim.run(2 * time.Second)
+		sim.Run(2 * time.Second)
 	}
-	sim.run(4 * time.Second)
+	sim.Run(4 * time.Second)
 	want(t, "running out of allocations", sim.runningTasks(), 16)
 	want(t, "allocated", sim.quotaRecord("red").Allocated(), quota.AmountOf(redLimit, 0))
-	sim.crash("b")
-	sim.previousVersion["b"] = true
-	sim.start("b")
-	sim.run(beyondAnyLease)
+	sim.Crash("b")
+	sim.PreviousVersion["b"] = true
+	sim.Start("b")
+	sim.Run(beyondAnyLease)
 	if n := len(sim.quotaRecord("red").Shares); n > 1 { // b's own is b's to withdraw
 		t.Errorf("%d shares are left beside the version before", n)
 	}
 	sim.finishTask(sim.anyRunningTask())
-	sim.run(4 * time.Second)
+	sim.Run(4 * time.Second)
 	want(t, "running beside the version before again", sim.runningTasks(), 16)
 }
 
@@ -512,8 +512,8 @@
 func TestMalformedQuotaMessagesAreDropped(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(2)
-	sim.run(4 * time.Second)
-	c := sim.nodes["a"].controller
+	sim.Run(4 * time.Second)
+	c := sim.Nodes["a"].controller
 	p := c.peers["b"]
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for what, f := range map[string]*meshpb.QuotaDemands{
@@ -528,28 +528,28 @@
 		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
 		want(t, what+": dropped", c.admission.Dropped(), before+1)
 	}
-	sim.state.revision++
+	sim.State.Revision++
 	key := storage.QuotaKey("red")
 	value := map[string]any{"s": "no shares"}
-	sim.state.keys[key] = &stateKey{sim.codec.Encode(value), sim.state.revision, 0}
-	sim.state.changes = append(sim.state.changes, stateChange{sim.state.revision, map[string]any{"write": key, "v": value, "stamp": sim.state.revision}, key})
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 2).with("crew", "red")).Status, 201)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-2", 2)).Status, 201)
-	sim.run(6 * time.Second)
-	want(t, "running", fmt.Sprint(sim.nodes["a"].controller.owner.Job("wk-1").Running(), sim.nodes["a"].controller.owner.Job("wk-2").Running()), "0 2")
+	sim.State.Keys[key] = &StateKey{sim.Codec.Encode(value), sim.State.Revision, 0}
+	sim.State.changes = append(sim.State.changes, stateChange{sim.State.Revision, map[string]any{"write": key, "v": value, "stamp": sim.State.Revision}, key})
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 2)).Status, 201)
+	sim.Run(6 * time.Second)
+	want(t, "running", fmt.Sprint(sim.Nodes["a"].controller.owner.Job("wk-1").Running(), sim.Nodes["a"].controller.owner.Job("wk-2").Running()), "0 2")
 }
 
 // A team's name may be longer than a key.
 func TestTeamNameTooLongForAKey(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a")
-	sim.tuning.QuotaEscrow = true
-	file, err := settings.Parse(fmt.Appendf(nil, testSettings, "a", ""))
+	sim.Tuning.QuotaEscrow = true
+	file, err := settings.Parse(fmt.Appendf(nil, settingsFormat, "a", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	file.Settings.Teams[0].Name = strings.Repeat("x", 120)
-	if _, err := New(file, sim.tuning, Env{Clock: sim}, 1); err == nil || strings.Contains(err.Error(), "\n") {
+	if _, err := New(file, sim.Tuning, Env{Clock: sim}, 1); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Fatalf("got %v, want one line that says so", err)
 	}
 }
@@ -559,20 +559,20 @@
 func TestAuditFindsAnExceededLimit(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.addMachines(10)
-	for _, n := range sim.nodes {
+	for _, n := range sim.Nodes {
 		n.controller.cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
 	}
-	for _, name := range sim.names { // the members say that they don't divide limits
-		sim.state.announce(storage.ProcessKey(name), storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat})
+	for _, name := range sim.Names { // the members say that they don't divide limits
+		sim.State.Announce(storage.ProcessKey(name), storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat})
 	}
-	sim.run(2 * time.Second)
+	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(12)
-	sim.run(8 * time.Second)
+	sim.Run(8 * time.Second)
 	if sim.redUse() <= redLimit {
 		t.Fatalf("red uses %v CPUs, the quota is not broken", sim.redUse())
 	}
 	found := false
-	for _, f := range audit.Verify(sim.auditStreams, time.Second).Findings {
+	for _, f := range audit.Verify(sim.AuditStreams, time.Second).Findings {
 		found = found || (f.Kind == audit.Overshoot && f.Team == "red")
 	}
 	want(t, "the audit finds it", found, true)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -23,29 +23,29 @@
 		b.Run(size.name, func(b *testing.B) {
 			sim := newSimulation(b, "a", "b", "c")
 			for i := range size.machines {
-				agent := sim.addMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
-				agent.taskDuration, agent.durationSpread = 20*time.Second, 2*time.Second
+				agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
+				agent.TaskDuration, agent.DurationSpread = 20*time.Second, 2*time.Second
 			}
-			sim.run(3 * time.Second)
+			sim.Run(3 * time.Second)
 			jobs := 0
 			submit := func() {
 				jobs++
-				n := sim.nodes[sim.names[jobs%3]]
-				request := batchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).with("crew", size.crew).with("plate", fmt.Sprint("img-", jobs%16))
-				if r := n.submit(request); r.Status != 201 && r.Status != 0 {
+				n := sim.Nodes[sim.Names[jobs%3]]
+				request := BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.crew).With("plate", fmt.Sprint("img-", jobs%16))
+				if r := n.Submit(request); r.Status != 201 && r.Status != 0 {
 					b.Fatalf("submission was answered %d", r.Status)
 				}
 			}
 			for range size.jobs {
 				submit()
-				sim.advance(50 * time.Millisecond)
+				sim.Advance(50 * time.Millisecond)
 			}
-			sim.run(2 * time.Second)
+			sim.Run(2 * time.Second)
 			for b.Loop() {
 				for range 2 {
 					submit()
 				}
-				sim.run(time.Second)
+				sim.Run(time.Second)
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*size.machines), "µs/report")
 		})
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -16,10 +16,10 @@
 // cease to answer. day.check looks for what is left of it after cancel_s.
 
 // startLongJob starts a long job of an owner that doesn't lead, and returns both.
-func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *node, id string) {
+func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *Node, id string) {
 	t.Helper()
 	scenario = newFaultScenario(t, seed, 4)
-	lead, owner = scenario.leader(), scenario.follower()
+	lead, owner = scenario.Leader(), scenario.Follower()
 	id = scenario.submit(owner, 8)
 	scenario.submit(lead, 4)
 	scenario.play(4, func(int) {})
@@ -28,9 +28,9 @@
 }
 
 // otherNode is the member that is neither.
-func (scenario *faultScenario) otherNode(a, b *node) *node {
-	for _, name := range scenario.names {
-		if n := scenario.nodes[name]; n != a && n != b {
+func (scenario *faultScenario) otherNode(a, b *Node) *Node {
+	for _, name := range scenario.Names {
+		if n := scenario.Nodes[name]; n != a && n != b {
 			return n
 		}
 	}
@@ -40,11 +40,11 @@
 // outageAfterCancellation lets the state service be down for everybody for longer than a
 // cancellation has, and wants the cancelled job's tasks gone by then.
 func (scenario *faultScenario) outageAfterCancellation(id string) {
-	scenario.t.Helper()
+	scenario.T.Helper()
 	if scenario.knownStatus[id] != protocol.StatusCancelled {
-		scenario.t.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
+		scenario.T.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
 	}
-	scenario.state.unavailable[""] = true
+	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {}) // check fails the test if something runs on
 	scenario.recoverAndCheck()
 }
@@ -69,10 +69,10 @@
 func cancelBetweenRefusalAndOutage(t *testing.T, refused time.Duration, owns, mesh string, service bool) {
 	t.Helper()
 	scenario := newFaultScenario(t, uint64(refused), 4)
-	lead := scenario.leader()
-	confirming := scenario.follower()
+	lead := scenario.Leader()
+	confirming := scenario.Follower()
 	third := scenario.otherNode(lead, confirming)
-	owner := map[string]*node{"leader": lead, "confirming": confirming, "third": third}[owns]
+	owner := map[string]*Node{"leader": lead, "confirming": confirming, "third": third}[owns]
 	submit := scenario.submit
 	if service {
 		submit = scenario.submitService
@@ -80,24 +80,24 @@
 	id := submit(owner, 8)
 	scenario.play(4, func(int) {})
 	want(t, "running", scenario.runningTasks(), 8)
-	scenario.state.unavailable[lead.name] = true
+	scenario.State.Unavailable[lead.Name] = true
 	switch mesh {
 	case "cut from the owner":
-		scenario.disconnect(lead.name, confirming.name)
+		scenario.Disconnect(lead.Name, confirming.Name)
 	case "cut from the third":
-		scenario.disconnect(lead.name, third.name)
+		scenario.Disconnect(lead.Name, third.Name)
 	}
 	for end := scenario.now + refused; scenario.now < end; {
 		scenario.query(confirming, "ABORT", id)
-		scenario.advance(100 * time.Millisecond)
+		scenario.Advance(100 * time.Millisecond)
 	}
 	if owns == "third" {
-		scenario.restart(third.name) // it ends with what it knows
+		scenario.restart(third.Name) // it ends with what it knows
 	}
 	if refused >= 10*time.Second && owns != "third" && mesh == "whole" {
 		want(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
 	}
-	scenario.state.unavailable[""] = true
+	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {})
 	scenario.recoverAndCheck()
 }
@@ -106,8 +106,8 @@
 // answer, and so does not know. Nothing may wait for that.
 func TestCancellationUnknownToItsOwner(t *testing.T) {
 	scenario, _, owner, id := startLongJob(t, 1)
-	scenario.state.onTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-		if from != owner.name {
+	scenario.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+		if from != owner.Name {
 			return false
 		}
 		apply()
@@ -115,9 +115,9 @@
 		return true
 	}
 	scenario.query(owner, "ABORT", id)
-	scenario.deliverAll()
-	scenario.query(scenario.leader(), "ABORT", id) // reads what is written
-	scenario.deliverAll()
+	scenario.DeliverAll()
+	scenario.query(scenario.Leader(), "ABORT", id) // reads what is written
+	scenario.DeliverAll()
 	scenario.outageAfterCancellation(id)
 }
 
@@ -126,21 +126,21 @@
 // others do, and nobody is left who knows.
 func TestCancellationSurvivesOwnerCrash(t *testing.T) {
 	scenario, lead, owner, id := startLongJob(t, 2)
-	scenario.disconnect(lead.name, owner.name)
+	scenario.Disconnect(lead.Name, owner.Name)
 	scenario.query(owner, "ABORT", id)
-	scenario.advance(400 * time.Millisecond)
-	scenario.crash(owner.name)
-	scenario.state.onTransaction = func(from string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
+	scenario.Advance(400 * time.Millisecond)
+	scenario.Crash(owner.Name)
+	scenario.State.OnTransaction = func(from string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
 		for _, c := range txn.Then {
-			if from == owner.name && c.Put == storage.ShardKey(owner.name) {
+			if from == owner.Name && c.Put == storage.ShardKey(owner.Name) {
 				done(storage.Response{}) // lost
 				return true
 			}
 		}
 		return false
 	}
-	scenario.start(owner.name)
-	scenario.advance(300 * time.Millisecond)
+	scenario.Start(owner.Name)
+	scenario.Advance(300 * time.Millisecond)
 	want(t, "the owner's next process is known", owner.controller.election.Registered(), true)
 	scenario.outageAfterCancellation(id)
 }
@@ -152,16 +152,16 @@
 	scenario, lead, owner, id := startLongJob(t, 3)
 	scenario.submit(owner, 2)
 	scenario.play(4, func(int) {})
-	scenario.state.stalledWatches[owner.name] = true
-	scenario.state.unavailable[lead.name] = true
+	scenario.State.StalledWatches[owner.Name] = true
+	scenario.State.Unavailable[lead.Name] = true
 	scenario.play(9, func(int) {})
-	if scenario.leader() == lead || scenario.leader() == owner {
+	if scenario.Leader() == lead || scenario.Leader() == owner {
 		t.Fatal("the third member does not lead")
 	}
 	scenario.query(owner, "ABORT", id)
-	scenario.advance(400 * time.Millisecond)
+	scenario.Advance(400 * time.Millisecond)
 	started := scenario.startedTasks
-	scenario.state.unavailable[""] = true
+	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {})
 	want(t, "running, started anew", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
 	scenario.outageAfterCancellation(id)
--- a/internal/coordination/cloud_test.go
+++ b/internal/coordination/cloud_test.go
@@ -10,35 +10,35 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// fakeCloud rents machines that never come up by themselves: a test adds
+// Cloud rents machines that never come up by themselves: a test adds
 // their workers.
-type fakeCloud struct {
+type Cloud struct {
 	sim              *simulation
-	machines         []cloudMachine
+	Machines         []CloudMachine
 	answers          map[string][]string
-	scaleOutRequests []protocol.ScaleOutRequest
-	released         []string
-	refusesScaleOut  bool
-	moreTypes        []protocol.MachineType // besides m8
-	losesResponses   bool                   // carries requests out but gives no answer
-	refusesRelease   bool                   // releases nothing
-	maxPerRequest    int                    // machines that one request fills; 0: all
-	releaseSizes     []int                  // names in each release
-	staleList        []cloudMachine         // listed instead, if not nil
-	rps              float64                // calls beyond it are answered 429; 0: none are
+	ScaleOutRequests []protocol.ScaleOutRequest
+	Released         []string
+	RefusesScaleOut  bool
+	MoreTypes        []protocol.MachineType // besides m8
+	LosesResponses   bool                   // carries requests out but gives no answer
+	RefusesRelease   bool                   // releases nothing
+	MaxPerRequest    int                    // machines that one request fills; 0: all
+	ReleaseSizes     []int                  // names in each release
+	StaleList        []CloudMachine         // listed instead, if not nil
+	RPS              float64                // calls beyond it are answered 429; 0: none are
 	callBudget       float64                // calls that it allows at present
 	budgetAt         time.Duration
 	rateLimited      int // calls answered 429
-	created          int
+	Created          int
 }
 
-type cloudMachine struct {
-	name, zone, status string
-	at                 time.Duration
+type CloudMachine struct {
+	Name, Zone, Status string
+	At                 time.Duration
 }
 
-func (c *fakeCloud) serve(_, method, path string, body []byte, done func(storage.Response)) {
-	answer := func(status int, v any) { done(storage.Response{Status: status, Body: c.sim.codec.Encode(v)}) }
+func (c *Cloud) serve(_, method, path string, body []byte, done func(storage.Response)) {
+	answer := func(status int, v any) { done(storage.Response{Status: status, Body: c.sim.Codec.Encode(v)}) }
 	if !c.allowCall() {
 		c.rateLimited++
 		answer(429, map[string]any{"error": "too many requests"})
@@ -47,47 +47,47 @@
 	switch {
 	case path == "/catalog":
 		answer(200, protocol.Catalog{Types: append([]protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
-			FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}}, c.moreTypes...)})
+			FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}}, c.MoreTypes...)})
 	case path == "/hosts" && method == "POST":
 		var q protocol.ScaleOutRequest
-		if err := c.sim.codec.Decode(body, &q); err != nil {
-			c.sim.t.Fatal(err)
+		if err := c.sim.Codec.Decode(body, &q); err != nil {
+			c.sim.T.Fatal(err)
 		}
-		c.scaleOutRequests = append(c.scaleOutRequests, q)
-		if c.refusesScaleOut {
+		c.ScaleOutRequests = append(c.ScaleOutRequests, q)
+		if c.RefusesScaleOut {
 			answer(503, map[string]any{"error": "no capacity"})
 			return
 		}
 		names, ok := c.answers[q.RequestID]
-		for i := 0; !ok && i < q.Count && (c.maxPerRequest == 0 || i < c.maxPerRequest); i++ {
-			c.created++
-			name := fmt.Sprintf("vm-9%05d", c.created)
+		for i := 0; !ok && i < q.Count && (c.MaxPerRequest == 0 || i < c.MaxPerRequest); i++ {
+			c.Created++
+			name := fmt.Sprintf("vm-9%05d", c.Created)
 			names = append(names, name)
-			c.machines = append(c.machines, cloudMachine{name, q.Zone, "starting", c.sim.now})
+			c.Machines = append(c.Machines, CloudMachine{name, q.Zone, "starting", c.sim.now})
 		}
 		c.answers[q.RequestID] = names
-		if c.losesResponses {
+		if c.LosesResponses {
 			done(storage.Response{})
 			return
 		}
 		answer(200, protocol.MachineNames{Machines: names})
-	case path == "/hosts/release" && c.refusesRelease:
+	case path == "/hosts/release" && c.RefusesRelease:
 		answer(503, map[string]any{"error": "trouble"})
 	case path == "/hosts/release":
 		var q protocol.MachineNames
-		if err := c.sim.codec.Decode(body, &q); err != nil {
-			c.sim.t.Fatal(err)
+		if err := c.sim.Codec.Decode(body, &q); err != nil {
+			c.sim.T.Fatal(err)
 		}
-		c.releaseSizes = append(c.releaseSizes, len(q.Machines))
+		c.ReleaseSizes = append(c.ReleaseSizes, len(q.Machines))
 		for _, n := range q.Machines {
-			c.released = append(c.released, n)
-			if agent := c.sim.agents[n]; agent != nil {
-				agent.tasks = nil
-				delete(c.sim.agents, n)
+			c.Released = append(c.Released, n)
+			if agent := c.sim.Agents[n]; agent != nil {
+				agent.Tasks = nil
+				delete(c.sim.Agents, n)
 			}
-			for i := range c.machines {
-				if c.machines[i].name == n {
-					c.machines = append(c.machines[:i], c.machines[i+1:]...)
+			for i := range c.Machines {
+				if c.Machines[i].Name == n {
+					c.Machines = append(c.Machines[:i], c.Machines[i+1:]...)
 					break
 				}
 			}
@@ -96,41 +96,41 @@
 	default:
 		u, err := url.Parse(path)
 		if err != nil {
-			c.sim.t.Fatal(err)
+			c.sim.T.Fatal(err)
 		}
 		limit, err := strconv.Atoi(u.Query().Get("limit"))
 		if err != nil {
-			c.sim.t.Fatal(err)
+			c.sim.T.Fatal(err)
 		}
 		after := u.Query().Get("from")
 		out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		listed := c.machines
-		if c.staleList != nil {
-			listed = c.staleList
+		listed := c.Machines
+		if c.StaleList != nil {
+			listed = c.StaleList
 		}
 		for _, m := range listed {
-			if c.sim.now-m.at < 6*time.Second {
+			if c.sim.now-m.At < 6*time.Second {
 				continue // lists lag
 			}
-			if m.name <= after {
+			if m.Name <= after {
 				continue
 			}
 			if len(out.Machines) == limit {
 				out.More = true
 				break
 			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.name, Type: "m8", Zone: m.zone, Status: m.status, AgeS: (c.sim.now - m.at).Seconds()})
+			out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.Name, Type: "m8", Zone: m.Zone, Status: m.Status, AgeS: (c.sim.now - m.At).Seconds()})
 		}
 		answer(200, out)
 	}
 }
 
 // allowCall is the cloud's limit of calls, with bursts of two seconds' worth.
-func (c *fakeCloud) allowCall() bool {
-	if c.rps == 0 {
+func (c *Cloud) allowCall() bool {
+	if c.RPS == 0 {
 		return true
 	}
-	c.callBudget = min(2*c.rps, c.callBudget+c.rps*(c.sim.now-c.budgetAt).Seconds())
+	c.callBudget = min(2*c.RPS, c.callBudget+c.RPS*(c.sim.now-c.budgetAt).Seconds())
 	c.budgetAt = c.sim.now
 	if c.callBudget < 1 {
 		return false
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -11,10 +11,10 @@
 // is known and done once the troubles are over.
 
 // busyMachines returns up to n machines that run tasks.
-func (scenario *faultScenario) busyMachines(n int) []*machineAgent {
-	var out []*machineAgent
-	for _, name := range scenario.agentNames() {
-		if agent := scenario.agents[name]; len(out) < n && len(agent.running()) > 0 {
+func (scenario *faultScenario) busyMachines(n int) []*Agent {
+	var out []*Agent
+	for _, name := range scenario.AgentNames() {
+		if agent := scenario.Agents[name]; len(out) < n && len(agent.Running()) > 0 {
 			out = append(out, agent)
 		}
 	}
@@ -23,14 +23,14 @@
 
 // restart ends a node and starts it again at once.
 func (scenario *faultScenario) restart(name string) {
-	scenario.crash(name)
-	scenario.start(name)
+	scenario.Crash(name)
+	scenario.Start(name)
 }
 
 // activeLeader returns who leads, if anybody does.
-func (scenario *faultScenario) activeLeader() *node {
-	for _, name := range scenario.names {
-		if n := scenario.nodes[name]; n.up && n.controller.leader != nil && n.controller.election.MayAct(scenario.now) {
+func (scenario *faultScenario) activeLeader() *Node {
+	for _, name := range scenario.Names {
+		if n := scenario.Nodes[name]; n.Up && n.controller.leader != nil && n.controller.election.MayAct(scenario.now) {
 			return n
 		}
 	}
@@ -38,24 +38,24 @@
 }
 
 // recordHeartbeats keeps what machines report, to be sent again later.
-func (scenario *faultScenario) recordHeartbeats() map[*machineAgent][]byte {
-	out := make(map[*machineAgent][]byte)
-	for _, agent := range scenario.agents {
-		out[agent] = append([]byte(nil), agent.lastHeartbeat...)
+func (scenario *faultScenario) recordHeartbeats() map[*Agent][]byte {
+	out := make(map[*Agent][]byte)
+	for _, agent := range scenario.Agents {
+		out[agent] = append([]byte(nil), agent.LastHeartbeat...)
 	}
 	return out
 }
 
 // replayHeartbeats sends old reports to every node; their answers reach nobody.
-func (scenario *faultScenario) replayHeartbeats(old map[*machineAgent][]byte) {
+func (scenario *faultScenario) replayHeartbeats(old map[*Agent][]byte) {
 	for _, body := range old {
-		for _, name := range scenario.names {
-			if n := scenario.nodes[name]; n.up && !n.paused {
+		for _, name := range scenario.Names {
+			if n := scenario.Nodes[name]; n.Up && !n.Paused {
 				n.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: 1 << 30}, func(Response) {})
 			}
 		}
 	}
-	scenario.deliverAll()
+	scenario.DeliverAll()
 }
 
 func TestFaultScenarios(t *testing.T) {
@@ -92,17 +92,17 @@
 
 // setTaskDuration has the tasks of all machines take some time.
 func (scenario *faultScenario) setTaskDuration(takes time.Duration) {
-	for _, agent := range scenario.agents {
-		agent.taskDuration, agent.durationSpread = takes, takes/4
+	for _, agent := range scenario.Agents {
+		agent.TaskDuration, agent.DurationSpread = takes, takes/4
 	}
 }
 
 // failMachine ends a machine and all on it.
-func (scenario *faultScenario) failMachine(agent *machineAgent) {
-	delete(scenario.agents, agent.name)
-	for i := range scenario.cloud.machines {
-		if scenario.cloud.machines[i].name == agent.name {
-			scenario.cloud.machines[i].status = "failed"
+func (scenario *faultScenario) failMachine(agent *Agent) {
+	delete(scenario.Agents, agent.Name)
+	for i := range scenario.Cloud.Machines {
+		if scenario.Cloud.Machines[i].Name == agent.Name {
+			scenario.Cloud.Machines[i].Status = "failed"
 		}
 	}
 }
@@ -119,40 +119,40 @@
 }
 
 func playConcurrentFaults(scenario *faultScenario) {
-	scenario.t.Helper()
+	scenario.T.Helper()
 	scenario.setTaskDuration(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
 	r := scenario.rand
 	pause := func() int { return 1 + r.IntN(25) }
-	var lead *node
+	var lead *Node
 	troubles := []func() (begin, end func()){
 		func() (func(), func()) {
-			return func() { scenario.state.unavailable[""] = true }, func() { scenario.state.unavailable[""] = false }
+			return func() { scenario.State.Unavailable[""] = true }, func() { scenario.State.Unavailable[""] = false }
 		},
 		func() (func(), func()) { // the leader is refused alone
 			return func() {
 				if lead = scenario.activeLeader(); lead != nil {
-					scenario.state.unavailable[lead.name] = true
+					scenario.State.Unavailable[lead.Name] = true
 				}
-			}, func() { clear(scenario.state.unavailable) }
+			}, func() { clear(scenario.State.Unavailable) }
 		},
 		func() (func(), func()) { // and cut from the other controllers
 			return func() {
 				if lead = scenario.activeLeader(); lead == nil {
 					return
 				}
-				scenario.state.unavailable[lead.name] = true
-				for _, other := range scenario.names {
-					if other != lead.name {
-						scenario.disconnect(lead.name, other)
+				scenario.State.Unavailable[lead.Name] = true
+				for _, other := range scenario.Names {
+					if other != lead.Name {
+						scenario.Disconnect(lead.Name, other)
 					}
 				}
-			}, func() { clear(scenario.state.unavailable); scenario.restoreAll() }
+			}, func() { clear(scenario.State.Unavailable); scenario.restoreAll() }
 		},
 		func() (func(), func()) {
 			a, b := r.IntN(3), r.IntN(3)
 			return func() {
 				if a != b {
-					scenario.disconnect(scenario.names[a], scenario.names[b])
+					scenario.Disconnect(scenario.Names[a], scenario.Names[b])
 				}
 			}, scenario.restoreAll
 		},
@@ -163,30 +163,30 @@
 			return func() { scenario.loseTransactions(0.2, false) }, func() { scenario.loseTransactions(0, true) }
 		},
 		func() (func(), func()) {
-			name := scenario.names[r.IntN(3)]
-			return func() { scenario.crash(name) }, scenario.restoreAll
+			name := scenario.Names[r.IntN(3)]
+			return func() { scenario.Crash(name) }, scenario.restoreAll
 		},
 		func() (func(), func()) {
 			return func() { scenario.crashOnConfirm = true }, func() { scenario.crashOnConfirm = false; scenario.restoreAll() }
 		},
 		func() (func(), func()) { // all are back at once
 			return func() {
-				for _, name := range scenario.names {
-					scenario.crash(name)
+				for _, name := range scenario.Names {
+					scenario.Crash(name)
 				}
 				scenario.restoreAll()
 			}, func() {}
 		},
 		func() (func(), func()) {
-			var agents []*machineAgent
+			var agents []*Agent
 			return func() {
 					agents = scenario.busyMachines(1 + r.IntN(5))
 					for i, agent := range agents {
-						agent.silent, agent.losesResponses = i%2 == 0, i%2 == 1
+						agent.Silent, agent.LosesResponses = i%2 == 0, i%2 == 1
 					}
 				}, func() {
 					for _, agent := range agents {
-						agent.silent, agent.losesResponses = false, false
+						agent.Silent, agent.LosesResponses = false, false
 					}
 				}
 		},
@@ -198,7 +198,7 @@
 			return func() { scenario.cancelRandomJobs(6) }, func() { scenario.cancelRandomJobs(6) }
 		},
 		func() (func(), func()) {
-			return func() { scenario.state.stalledWatches[scenario.names[r.IntN(3)]] = true }, func() { clear(scenario.state.stalledWatches) }
+			return func() { scenario.State.StalledWatches[scenario.Names[r.IntN(3)]] = true }, func() { clear(scenario.State.StalledWatches) }
 		},
 		func() (func(), func()) {
 			return func() {
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -11,12 +11,12 @@
 // returns how many.
 func (sim *simulation) failJobs(jobs ...string) int {
 	n := 0
-	for _, agent := range sim.agents {
-		for _, task := range agent.tasks {
-			job, _, _ := strings.Cut(task.name, "/")
+	for _, agent := range sim.Agents {
+		for _, task := range agent.Tasks {
+			job, _, _ := strings.Cut(task.Name, "/")
 			for _, j := range jobs {
-				if job == j && task.state == "running" {
-					task.state, task.cause = "ended", "error"
+				if job == j && task.State == "running" {
+					task.State, task.Cause = "ended", "error"
 					n++
 				}
 			}
@@ -33,47 +33,47 @@
 	for _, machines := range []int{2, 5} {
 		sim := newSimulation(t, "a", "b", "c")
 		for i := range machines {
-			sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		}
-		sim.run(2 * time.Second)
-		want(t, "good job", sim.follower().submit(batchJob("wk-9", machines).with("vcpus", 6.0)).Status, 201)
-		sim.run(3 * time.Second)
+		sim.Run(2 * time.Second)
+		want(t, "good job", sim.Follower().Submit(BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
+		sim.Run(3 * time.Second)
 		bad := []string{"wk-1", "wk-2", "wk-3"}
 		for i, id := range bad {
 			urgency := []string{"urgent", "standard", "standard"}[i]
-			want(t, "bad job", sim.leader().submit(batchJob(id, 30).with("urgency", urgency)).Status, 201)
+			want(t, "bad job", sim.Leader().Submit(BatchJob(id, 30).With("urgency", urgency)).Status, 201)
 		}
 		fails := 0
 		seconds := func(n int) {
 			for range n {
-				sim.run(time.Second)
+				sim.Run(time.Second)
 				fails += sim.failJobs(bad...)
 			}
 		}
 		seconds(30)
 		fails = 0
-		rented := len(sim.cloud.scaleOutRequests)
+		rented := len(sim.Cloud.ScaleOutRequests)
 		seconds(60)
 		if fails > 3*12 {
 			t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
 		}
-		want(t, "requests for machines", len(sim.cloud.scaleOutRequests)-rented, 0)
-		sim.crash(sim.leader().name)
+		want(t, "requests for machines", len(sim.Cloud.ScaleOutRequests)-rented, 0)
+		sim.Crash(sim.Leader().Name)
 		seconds(30)
 		fails = 0
 		seconds(60)
 		if fails > 3*30 {
 			t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
 		}
-		want(t, "machines that are left", len(sim.agents), machines)
+		want(t, "machines that are left", len(sim.Agents), machines)
 		want(t, "good tasks that run on", sim.runningTasks(), machines)
 		for _, id := range bad {
-			code, _ := sim.follower().cancel(id)
+			code, _ := sim.Follower().Cancel(id)
 			want(t, "abort", code, 200)
 		}
-		sim.run(5 * time.Second)
-		want(t, "good job after", sim.leader().submit(batchJob("wk-8", machines)).Status, 201)
-		sim.run(6 * time.Second)
+		sim.Run(5 * time.Second)
+		want(t, "good job after", sim.Leader().Submit(BatchJob("wk-8", machines)).Status, 201)
+		sim.Run(6 * time.Second)
 		want(t, "running", sim.runningTasks(), 2*machines)
 	}
 }
@@ -83,16 +83,16 @@
 func TestOpenBreakerClosesAgain(t *testing.T) {
 	sim := newSimulation(t, "a")
 	for i := range 6 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 20)).Status, 201)
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 20)).Status, 201)
 	for range 4 {
-		sim.run(time.Second)
+		sim.Run(time.Second)
 		sim.failJobs("wk-1")
 	}
-	want(t, "breaker is open", sim.nodes["a"].controller.owner.Job("wk-1").BreakerOpen(), true)
-	sim.run(30 * time.Second)
+	want(t, "breaker is open", sim.Nodes["a"].controller.owner.Job("wk-1").BreakerOpen(), true)
+	sim.Run(30 * time.Second)
 	want(t, "running", sim.runningTasks(), 20)
 }
 
@@ -100,17 +100,17 @@
 // rented, instead of taking every job for a mistaken one.
 func TestOnlyFailingMachineIsReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
+	sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
 	for i := range 3 {
-		want(t, "submit", sim.nodes["a"].submit(batchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		want(t, "submit", sim.Nodes["a"].Submit(BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	for range 20 {
-		sim.run(time.Second)
+		sim.Run(time.Second)
 		sim.failJobs("wk-1", "wk-2", "wk-3")
 	}
-	want(t, "returned", fmt.Sprint(sim.cloud.released), "[vm-1]")
-	sim.addMachine("vm-2", "z1")
-	sim.run(20 * time.Second)
+	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	sim.AddMachine("vm-2", "z1")
+	sim.Run(20 * time.Second)
 	want(t, "running", sim.runningTasks(), 3)
 }
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -16,10 +16,10 @@
 
 // finishTask ends one running task wherever it runs.
 func (sim *simulation) finishTask(name string) {
-	for _, agent := range sim.agents {
-		for _, task := range agent.tasks {
-			if task.name == name && task.state == "running" {
-				task.state, task.cause = "ended", "done"
+	for _, agent := range sim.Agents {
+		for _, task := range agent.Tasks {
+			if task.Name == name && task.State == "running" {
+				task.State, task.Cause = "ended", "done"
 			}
 		}
 	}
@@ -27,8 +27,8 @@
 
 func (sim *simulation) startCount() int {
 	n := 0
-	for _, agent := range sim.agents {
-		n += agent.starts
+	for _, agent := range sim.Agents {
+		n += agent.Starts
 	}
 	return n
 }
@@ -38,33 +38,33 @@
 func TestShortJobEndsAcrossLeaderChange(t *testing.T) {
 	for _, at := range []string{"leader", "follower"} {
 		sim := newSimulation(t, "a", "b", "c")
-		sim.addMachine("vm-1", "z1")
-		sim.addMachine("vm-2", "z2")
-		sim.run(2 * time.Second)
-		lead := sim.leader()
+		sim.AddMachine("vm-1", "z1")
+		sim.AddMachine("vm-2", "z2")
+		sim.Run(2 * time.Second)
+		lead := sim.Leader()
 		n := lead
 		if at == "follower" {
-			n = sim.follower()
+			n = sim.Follower()
 		}
-		want(t, "submit", n.submit(batchJob("wk-1", 3)).Status, 201)
-		sim.run(3 * time.Second)
+		want(t, "submit", n.Submit(BatchJob("wk-1", 3)).Status, 201)
+		sim.Run(3 * time.Second)
 		sim.finishTask("wk-1/0")
-		sim.run(300 * time.Millisecond) // reported, and perhaps not yet written
-		sim.crash(lead.name)
-		sim.run(time.Second)
+		sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
+		sim.Crash(lead.Name)
+		sim.Run(time.Second)
 		sim.finishTask("wk-1/1")
-		sim.run(15 * time.Second)
-		next := sim.leader()
-		if code, s := next.status("wk-1"); code != 200 || s.Status == "done" {
+		sim.Run(15 * time.Second)
+		next := sim.Leader()
+		if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
 			t.Fatalf("%d %q while a task runs", code, s.Status)
 		}
 		want(t, "starts", sim.startCount(), 3)
-		sim.start(lead.name)
-		sim.run(10 * time.Second)
+		sim.Start(lead.Name)
+		sim.Run(10 * time.Second)
 		sim.finishTask("wk-1/2")
-		sim.run(5 * time.Second)
-		for _, name := range sim.names {
-			sim.wantStatus(sim.nodes[name], "wk-1", 200, "done")
+		sim.Run(5 * time.Second)
+		for _, name := range sim.Names {
+			sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
 		}
 		want(t, "starts in all", sim.startCount(), 3)
 	}
@@ -78,35 +78,35 @@
 		for _, back := range []bool{false, true} {
 			sim := newSimulation(t, "a", "b", "c")
 			for i := range 10 {
-				sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+				sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 			}
-			sim.run(2 * time.Second)
-			lead := sim.leader()
-			want(t, "submit", lead.submit(batchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
-			sim.run(4 * time.Second)
+			sim.Run(2 * time.Second)
+			lead := sim.Leader()
+			want(t, "submit", lead.Submit(BatchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
+			sim.Run(4 * time.Second)
 			want(t, "running", sim.runningTasks(), 20)
-			var lost []*machineAgent
-			for _, name := range sim.agentNames() {
-				if agent := sim.agents[name]; len(lost) < 3 && len(agent.running()) > 0 {
-					agent.silent, agent.losesResponses = !deaf, deaf
+			var lost []*Agent
+			for _, name := range sim.AgentNames() {
+				if agent := sim.Agents[name]; len(lost) < 3 && len(agent.Running()) > 0 {
+					agent.Silent, agent.LosesResponses = !deaf, deaf
 					lost = append(lost, agent)
 				}
 			}
-			sim.crash(lead.name)
-			sim.run(10 * time.Second) // within their leases of 16 s
+			sim.Crash(lead.Name)
+			sim.Run(10 * time.Second) // within their leases of 16 s
 			want(t, "starts before the leases are over", sim.startCount(), 20)
 			if back {
 				for _, agent := range lost {
-					agent.silent, agent.losesResponses = false, false
+					agent.Silent, agent.LosesResponses = false, false
 				}
-				sim.run(15 * time.Second)
+				sim.Run(15 * time.Second)
 				want(t, "starts of tasks whose machines are back", sim.startCount(), 20)
 				continue
 			}
 			for _, agent := range lost {
-				agent.expireLease()
+				agent.ExpireLease()
 			}
-			sim.run(30 * time.Second)
+			sim.Run(30 * time.Second)
 			want(t, "running again", sim.runningTasks(), 20)
 		}
 	}
@@ -117,22 +117,22 @@
 // durable, and once it is back everything is answered and what was cancelled goes.
 func TestCancellationDuringLongOutage(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.addMachine("vm-1", "z1")
-	sim.addMachine("vm-2", "z1")
-	sim.run(2 * time.Second)
-	first := sim.leader()
-	want(t, "submit", first.submit(batchJob("wk-1", 2)).Status, 201)
-	want(t, "submit", sim.follower().submit(batchJob("wk-2", 2)).Status, 201)
-	sim.run(3 * time.Second)
-	sim.state.unavailable[first.name] = true
-	sim.run(8 * time.Second)
-	sim.state.unavailable[""] = true
+	sim.AddMachine("vm-1", "z1")
+	sim.AddMachine("vm-2", "z1")
+	sim.Run(2 * time.Second)
+	first := sim.Leader()
+	want(t, "submit", first.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(BatchJob("wk-2", 2)).Status, 201)
+	sim.Run(3 * time.Second)
+	sim.State.Unavailable[first.Name] = true
+	sim.Run(8 * time.Second)
+	sim.State.Unavailable[""] = true
 	told := make(map[string]bool)
 	for i := range 50 { // cancel_s is 40
-		for _, name := range sim.names {
-			out := sim.nodes[name].send("POST", "/submissions/wk-1/abort")
-			ask := sim.nodes[name].send("GET", "/submissions/wk-2")
-			sim.run(time.Second)
+		for _, name := range sim.Names {
+			out := sim.Nodes[name].send("POST", "/submissions/wk-1/abort")
+			ask := sim.Nodes[name].send("GET", "/submissions/wk-2")
+			sim.Run(time.Second)
 			if out.Status == 200 {
 				t.Fatal("a cancellation was told that nothing holds")
 			}
@@ -143,14 +143,14 @@
 		}
 	}
 	want(t, "somebody answers to the end for the job that runs", told["200 true"], true)
-	clear(sim.state.unavailable)
-	sim.run(6 * time.Second)
-	code, status := sim.leader().cancel("wk-1")
+	clear(sim.State.Unavailable)
+	sim.Run(6 * time.Second)
+	code, status := sim.Leader().Cancel("wk-1")
 	want(t, "cancelled", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
-	sim.run(6 * time.Second)
+	sim.Run(6 * time.Second)
 	want(t, "running", sim.runningTasks(), 2)
-	for _, name := range sim.names {
-		sim.wantStatus(sim.nodes[name], "wk-1", 200, "withdrawn")
+	for _, name := range sim.Names {
+		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 	}
 }
 
@@ -159,29 +159,29 @@
 func TestDelayedResponseOfACrashedLeader(t *testing.T) {
 	for _, arrives := range []bool{true, false} {
 		sim := newSimulation(t, "a", "b", "c")
-		agent, other := sim.addMachine("vm-1", "z1"), sim.addMachine("vm-2", "z1")
-		sim.run(2 * time.Second)
-		lead := sim.leader()
-		want(t, "submit", lead.submit(batchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
-		if agent.connectedTo != lead.controller {
-			agent.heartbeatTo(lead)
+		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+		sim.Run(2 * time.Second)
+		lead := sim.Leader()
+		want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
+		if agent.ConnectedTo != lead.controller {
+			agent.HeartbeatTo(lead)
 		}
 		held := &Response{}
-		lead.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.heartbeatBody(), Conn: agent.connection}, func(r Response) { *held = r })
-		sim.advance(400 * time.Millisecond)
+		lead.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
+		sim.Advance(400 * time.Millisecond)
 		want(t, "answer", held.Status, 200)
-		agent.silent = true // it waits for the answer
-		sim.crash(lead.name)
+		agent.Silent = true // it waits for the answer
+		sim.Crash(lead.Name)
 		for range 3 {
-			sim.advance(time.Second)
-			other.heartbeat()
+			sim.Advance(time.Second)
+			other.Heartbeat()
 		}
-		agent.silent = false
+		agent.Silent = false
 		if arrives {
-			agent.execute(held.Body)
+			agent.Execute(held.Body)
 		}
-		agent.connectedTo = nil
-		sim.run(20 * time.Second)
+		agent.ConnectedTo = nil
+		sim.Run(20 * time.Second)
 		want(t, "running", sim.runningTasks(), 2)
 		want(t, "starts", sim.startCount(), 2)
 	}
@@ -192,30 +192,30 @@
 func TestOneMemberRecoversAfterAllCrash(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
 		sim := newSimulation(t, "a", "b", "c")
-		sim.addMachine("vm-1", "z1")
-		sim.addMachine("vm-2", "z1")
-		sim.run(2 * time.Second)
-		for i, n := range sim.names {
-			want(t, "submit", sim.nodes[n].submit(batchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+		sim.AddMachine("vm-1", "z1")
+		sim.AddMachine("vm-2", "z1")
+		sim.Run(2 * time.Second)
+		for i, n := range sim.Names {
+			want(t, "submit", sim.Nodes[n].Submit(BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 		}
-		sim.run(4 * time.Second)
-		for _, n := range sim.names {
-			sim.crash(n)
+		sim.Run(4 * time.Second)
+		for _, n := range sim.Names {
+			sim.Crash(n)
 		}
-		sim.advance(300 * time.Millisecond)
-		sim.start(name)
-		sim.run(14 * time.Second)
-		n := sim.nodes[name]
-		want(t, "leads", sim.leader(), n)
+		sim.Advance(300 * time.Millisecond)
+		sim.Start(name)
+		sim.Run(14 * time.Second)
+		n := sim.Nodes[name]
+		want(t, "leads", sim.Leader(), n)
 		want(t, "running", sim.runningTasks(), 6)
-		for i := range sim.names {
+		for i := range sim.Names {
 			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
 		}
-		for _, agent := range sim.agents {
-			agent.finishTasks("done")
+		for _, agent := range sim.Agents {
+			agent.FinishTasks("done")
 		}
-		sim.run(5 * time.Second)
-		for i := range sim.names {
+		sim.Run(5 * time.Second)
+		for i := range sim.Names {
 			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
 		}
 		want(t, "starts", sim.startCount(), 6)
@@ -246,7 +246,7 @@
 			}
 			var held []late
 			n, hits := 0, 0
-			sim.state.onTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+			sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 				hit := false
 				for _, c := range txn.Then {
 					hit = hit || is(c)
@@ -263,12 +263,12 @@
 				return true
 			}
 			for i := range 6 {
-				agent := sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
-				agent.taskDuration, agent.durationSpread = 2*time.Second, time.Second
+				agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+				agent.TaskDuration, agent.DurationSpread = 2*time.Second, time.Second
 			}
 			second := func() {
-				sim.run(time.Second)
-				sim.bootMachines(2 * time.Second)
+				sim.Run(time.Second)
+				sim.BootMachines(2 * time.Second)
 				kept := held[:0]
 				for _, l := range held {
 					if sim.now < l.at {
@@ -283,34 +283,34 @@
 			for i := range 40 {
 				second()
 				id := fmt.Sprint("wk-", i+1)
-				r := sim.nodes[sim.names[i%3]]
-				if r.up && r.submit(batchJob(id, 1+i%9)).Status == 201 {
+				r := sim.Nodes[sim.Names[i%3]]
+				if r.Up && r.Submit(BatchJob(id, 1+i%9)).Status == 201 {
 					accepted[id] = true
 				}
-				if i%7 == 6 && r.up && accepted[fmt.Sprint("wk-", i)] {
-					if code, s := r.cancel(fmt.Sprint("wk-", i)); code == 200 && s == "withdrawn" {
+				if i%7 == 6 && r.Up && accepted[fmt.Sprint("wk-", i)] {
+					if code, s := r.Cancel(fmt.Sprint("wk-", i)); code == 200 && s == "withdrawn" {
 						cancelled[fmt.Sprint("wk-", i)] = true
 					}
 				}
 				switch {
 				case variant == 3 && i == 15:
-					sim.crash(sim.leader().name)
+					sim.Crash(sim.Leader().Name)
 				case variant == 3 && i == 25:
-					for _, name := range sim.names {
-						if !sim.nodes[name].up {
-							sim.start(name)
+					for _, name := range sim.Names {
+						if !sim.Nodes[name].Up {
+							sim.Start(name)
 						}
 					}
 				case variant == 2 && i == 20:
-					name := sim.leader().name
-					sim.crash(name)
-					sim.start(name) // back at once
+					name := sim.Leader().Name
+					sim.Crash(name)
+					sim.Start(name) // back at once
 				}
 			}
 			for range 60 {
 				second()
 			}
-			sim.state.onTransaction = nil
+			sim.State.OnTransaction = nil
 			for len(held) > 0 {
 				second()
 			}
@@ -328,7 +328,7 @@
 				if cancelled[id] {
 					end = "withdrawn"
 				}
-				if code, s := sim.leader().status(id); code != 200 || (s.Status != end && s.Status != "withdrawn") || (s.Status == "withdrawn") != (end == "withdrawn") {
+				if code, s := sim.Leader().Status(id); code != 200 || (s.Status != end && s.Status != "withdrawn") || (s.Status == "withdrawn") != (end == "withdrawn") {
 					t.Fatalf("%s %d: %s is answered %d %q, not %q", kind, variant, id, code, s.Status, end)
 				}
 			}
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -18,7 +18,7 @@
 type faultScenario struct {
 	*simulation
 	rand            *rand.Rand
-	jobs            map[string]jobRequest
+	jobs            map[string]JobRequest
 	knownStatus     map[string]string // the newest that any node has told of a job
 	knownSince      map[string]time.Duration
 	cancelRequested map[string]bool // its user has asked to cancel it
@@ -55,52 +55,52 @@
 // newFaultScenarioIn plays a day of a deployment that is there already.
 func newFaultScenarioIn(t *testing.T, sim *simulation, seed uint64, machines int) *faultScenario {
 	t.Helper()
-	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]jobRequest),
+	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]JobRequest),
 		knownStatus: make(map[string]string), knownSince: make(map[string]time.Duration), cancelRequested: make(map[string]bool),
 		completedTasks: make(map[string]bool), lastAnswers: make(map[string]time.Duration)}
-	scenario.expireLeases = true
+	scenario.ExpireLeases = true
 	scenario.loseTransactions(0, true)
-	scenario.onTick = scenario.checkInvariants
-	scenario.onTaskDone = func(_ *machineAgent, name string) { scenario.completedTasks[name] = true }
-	scenario.isEndless = func(name string) bool {
+	scenario.OnTick = scenario.checkInvariants
+	scenario.OnTaskDone = func(_ *Agent, name string) { scenario.completedTasks[name] = true }
+	scenario.IsEndless = func(name string) bool {
 		id, _, _ := strings.Cut(name, "/")
 		return scenario.isService(id)
 	}
-	scenario.onStart = func(agent *machineAgent, task *agentTask) {
+	scenario.OnStart = func(agent *Agent, task *AgentTask) {
 		scenario.startedTasks++
-		id, _, _ := strings.Cut(task.name, "/")
+		id, _, _ := strings.Cut(task.Name, "/")
 		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.now-scenario.knownSince[id] > 100*time.Millisecond {
-			t.Fatalf("%s starts %s after its cancellation was confirmed", task.name, scenario.now-scenario.knownSince[id])
+			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.now-scenario.knownSince[id])
 		}
-		if zone := scenario.jobs[id]["hall"]; zone != nil && zone != agent.zone {
-			t.Fatalf("%s starts in %s", task.name, agent.zone)
+		if zone := scenario.jobs[id]["hall"]; zone != nil && zone != agent.Zone {
+			t.Fatalf("%s starts in %s", task.Name, agent.Zone)
 		}
 	}
 	for i := range machines {
-		scenario.addMachine(fmt.Sprintf("vm-%02d", i), []string{"z1", "z2"}[i%2])
+		scenario.AddMachine(fmt.Sprintf("vm-%02d", i), []string{"z1", "z2"}[i%2])
 	}
-	scenario.run(2 * time.Second)
+	scenario.Run(2 * time.Second)
 	return scenario
 }
 
 // checkInvariants looks at the rules, and does what has come due.
 func (scenario *faultScenario) checkInvariants() {
 	use := make(map[string]float64)
-	for _, agent := range scenario.agents {
-		for _, task := range agent.tasks {
-			if task.state == "ended" {
+	for _, agent := range scenario.Agents {
+		for _, task := range agent.Tasks {
+			if task.State == "ended" {
 				continue
 			}
-			id, _, _ := strings.Cut(task.name, "/")
+			id, _, _ := strings.Cut(task.Name, "/")
 			request := scenario.jobs[id]
 			use[request["crew"].(string)] += request["vcpus"].(float64)
 			if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.now-scenario.knownSince[id] > cancelWithin {
-				scenario.t.Fatalf("%s is on %s %s after its cancellation was confirmed", task.name, agent.name, scenario.now-scenario.knownSince[id])
+				scenario.T.Fatalf("%s is on %s %s after its cancellation was confirmed", task.Name, agent.Name, scenario.now-scenario.knownSince[id])
 			}
 		}
 	}
 	if use["red"] > 32 {
-		scenario.t.Fatalf("red uses %v of 32 CPUs", use["red"])
+		scenario.T.Fatalf("red uses %v of 32 CPUs", use["red"])
 	}
 	kept := scenario.delayedCalls[:0]
 	var due []func()
@@ -127,40 +127,40 @@
 
 // queryEverywhere asks all nodes about a job and repeats its submission.
 func (scenario *faultScenario) queryEverywhere(id string) {
-	for _, name := range scenario.names {
-		scenario.query(scenario.nodes[name], "GET", id)
-		scenario.query(scenario.nodes[name], "POST", id)
+	for _, name := range scenario.Names {
+		scenario.query(scenario.Nodes[name], "GET", id)
+		scenario.query(scenario.Nodes[name], "POST", id)
 	}
 }
 
 // query puts a question to a node: GET, POST (a submission) or ABORT. Whatever
 // it answers may not be older than what any node had told when it was put.
-func (scenario *faultScenario) query(n *node, what, id string) {
-	if !n.up || n.paused {
+func (scenario *faultScenario) query(n *Node, what, id string) {
+	if !n.Up || n.Paused {
 		return
 	}
 	before := scenario.knownStatus[id]
 	req := &Request{Method: "GET", Path: "/submissions/" + id}
 	switch what {
 	case "POST":
-		req = &Request{Method: "POST", Path: "/submissions", Body: scenario.codec.Encode(map[string]any(scenario.jobs[id]))}
+		req = &Request{Method: "POST", Path: "/submissions", Body: scenario.Codec.Encode(map[string]any(scenario.jobs[id]))}
 	case "ABORT":
 		req = &Request{Method: "POST", Path: "/submissions/" + id + "/abort"}
 		scenario.cancelRequested[id] = true
 	}
 	controller := n.controller
 	controller.HandleHTTP(req, func(r Response) {
-		if n.controller != controller || !n.up {
+		if n.controller != controller || !n.Up {
 			return // nobody hears it
 		}
 		scenario.checkResponse(n, what, id, before, r)
 	})
 }
 
-func (scenario *faultScenario) checkResponse(n *node, what, id, before string, r Response) {
+func (scenario *faultScenario) checkResponse(n *Node, what, id, before string, r Response) {
 	fail := func(rule string) {
-		scenario.t.Helper()
-		scenario.t.Fatalf("%s: %s %s at %s is answered %d after %q", rule, what, id, n.name, r.Status, before)
+		scenario.T.Helper()
+		scenario.T.Fatalf("%s: %s %s at %s is answered %d after %q", rule, what, id, n.Name, r.Status, before)
 	}
 	switch r.Status {
 	case 404, 400, 422:
@@ -173,8 +173,8 @@
 		return
 	}
 	var s protocol.JobStatus
-	if err := scenario.codec.Decode(r.Body, &s); err != nil {
-		scenario.t.Fatal(err)
+	if err := scenario.Codec.Decode(r.Body, &s); err != nil {
+		scenario.T.Fatal(err)
 	}
 	scenario.lastAnswers[id] = scenario.now
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
@@ -200,19 +200,19 @@
 		scenario.knownStatus[id], scenario.knownSince[id] = news, scenario.now
 		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.now + 500*time.Millisecond})
 		if scenario.crashOnConfirm && news == protocol.StatusCancelled && n.controller.owner.Job(id) == nil {
-			scenario.crashOnConfirm, n.up = false, false // nothing that it has not sent yet is sent
-			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now, func() { scenario.crash(n.name) }})
+			scenario.crashOnConfirm, n.Up = false, false // nothing that it has not sent yet is sent
+			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now, func() { scenario.Crash(n.Name) }})
 		}
 	}
 }
 
 // submit hands a new job in at a node and returns its id.
-func (scenario *faultScenario) submit(n *node, pages int, with ...any) string {
+func (scenario *faultScenario) submit(n *Node, pages int, with ...any) string {
 	scenario.submitted++
 	id := fmt.Sprint("wk-", scenario.submitted)
-	request := batchJob(id, pages)
+	request := BatchJob(id, pages)
 	for i := 0; i+1 < len(with); i += 2 {
-		request = request.with(with[i].(string), with[i+1])
+		request = request.With(with[i].(string), with[i+1])
 	}
 	scenario.jobs[id] = request
 	scenario.query(n, "POST", id)
@@ -220,7 +220,7 @@
 }
 
 // submitService hands a new service in at a node.
-func (scenario *faultScenario) submitService(n *node, replicas int, with ...any) string {
+func (scenario *faultScenario) submitService(n *Node, replicas int, with ...any) string {
 	return scenario.submit(n, replicas, append([]any{"form", "service", "urgency", "production", "expectedS", 0.0}, with...)...)
 }
 
@@ -228,8 +228,8 @@
 	return scenario.jobs[id]["form"] == "service"
 }
 
-func (scenario *faultScenario) randomNode() *node {
-	return scenario.nodes[scenario.names[scenario.rand.IntN(len(scenario.names))]]
+func (scenario *faultScenario) randomNode() *Node {
+	return scenario.Nodes[scenario.Names[scenario.rand.IntN(len(scenario.Names))]]
 }
 
 // unfinishedJobs returns the jobs that go on for all that was told.
@@ -266,8 +266,8 @@
 func (scenario *faultScenario) play(seconds int, script func(second int)) {
 	for i := range seconds {
 		script(i)
-		scenario.run(time.Second)
-		scenario.bootMachines(3 * time.Second)
+		scenario.Run(time.Second)
+		scenario.BootMachines(3 * time.Second)
 		scenario.retryCancellations()
 		if ids := scenario.unfinishedJobs(); len(ids) > 0 {
 			scenario.query(scenario.randomNode(), "GET", ids[scenario.rand.IntN(len(ids))])
@@ -277,16 +277,16 @@
 
 // restoreAll starts all nodes that are down and mends the mesh.
 func (scenario *faultScenario) restoreAll() {
-	for _, name := range scenario.names {
-		if n := scenario.nodes[name]; !n.up {
-			scenario.crash(name) // one that died as it spoke
-			scenario.start(name)
+	for _, name := range scenario.Names {
+		if n := scenario.Nodes[name]; !n.Up {
+			scenario.Crash(name) // one that died as it spoke
+			scenario.Start(name)
 		}
 	}
-	for i, name := range scenario.names {
-		for _, other := range scenario.names[i+1:] {
-			if l := scenario.nodes[name].links[other]; l == nil || l.closed {
-				scenario.connect(name, other)
+	for i, name := range scenario.Names {
+		for _, other := range scenario.Names[i+1:] {
+			if l := scenario.Nodes[name].Links[other]; l == nil || l.Closed {
+				scenario.Connect(name, other)
 			}
 		}
 	}
@@ -296,16 +296,16 @@
 // whatever was not cancelled has to be done: nothing waits 90 s while there is
 // room.
 func (scenario *faultScenario) recoverAndCheck() {
-	clear(scenario.state.unavailable)
-	clear(scenario.state.stalledWatches)
+	clear(scenario.State.Unavailable)
+	clear(scenario.State.StalledWatches)
 	scenario.loseTransactions(0, true)
-	scenario.cloud.refusesScaleOut, scenario.cloud.losesResponses, scenario.cloud.refusesRelease = false, false, false
+	scenario.Cloud.RefusesScaleOut, scenario.Cloud.LosesResponses, scenario.Cloud.RefusesRelease = false, false, false
 	scenario.crashOnConfirm = false
 	scenario.restoreAll()
-	for _, agent := range scenario.agents {
-		agent.silent, agent.losesResponses, agent.dropsStarts = false, false, false
-		if agent.taskDuration == 0 {
-			agent.taskDuration = 3 * time.Second
+	for _, agent := range scenario.Agents {
+		agent.Silent, agent.LosesResponses, agent.DropsStarts = false, false, false
+		if agent.TaskDuration == 0 {
+			agent.TaskDuration = 3 * time.Second
 		}
 	}
 	at := scenario.now
@@ -318,28 +318,28 @@
 	for id := range scenario.knownStatus {
 		scenario.query(scenario.randomNode(), "GET", id)
 	}
-	scenario.run(3 * time.Second)
+	scenario.Run(3 * time.Second)
 	for id := range scenario.knownStatus {
 		if scenario.lastAnswers[id] < at {
-			scenario.t.Fatalf("forgotten: no question about %s is answered for 75 s", id)
+			scenario.T.Fatalf("forgotten: no question about %s is answered for 75 s", id)
 		}
 	}
 	scenario.play(45, quiet)
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.isService(id) && !scenario.cancelRequested[id] {
 			if n := len(scenario.machinesOfJob(id)); n != scenario.jobs[id]["pages"].(int) {
-				scenario.t.Errorf("of %s (%v replicas) %d run 120 s after the last trouble", id, scenario.jobs[id]["pages"], n)
+				scenario.T.Errorf("of %s (%v replicas) %d run 120 s after the last trouble", id, scenario.jobs[id]["pages"], n)
 			}
 			continue
 		}
-		scenario.t.Errorf("%s (%v tasks) is not over 120 s after the last trouble, cancelled: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
+		scenario.T.Errorf("%s (%v tasks) is not over 120 s after the last trouble, cancelled: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
 	}
 }
 
 // loseTransactions has a share of the transactions get no answer; they are carried out at
 // once, or 2 to 12 s later. Others are answered up to 0.3 s after they were.
 func (scenario *faultScenario) loseTransactions(share float64, atOnce bool) {
-	scenario.state.onTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+	scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		lost := scenario.rand.Float64() < share
 		if lost && !atOnce {
 			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + 2*time.Second + time.Duration(scenario.rand.Int64N(int64(10*time.Second))), func() { apply() }})
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -14,7 +14,7 @@
 // submitRandomJob comes at about one job a second.
 func (scenario *faultScenario) submitRandomJob() {
 	crew := []string{"red", "blue", "guest"}[scenario.rand.IntN(3)]
-	if n := scenario.randomNode(); n.up {
+	if n := scenario.randomNode(); n.Up {
 		scenario.submit(n, 1+scenario.rand.IntN(4), "crew", crew, "urgency", []string{"urgent", "standard"}[scenario.rand.IntN(2)])
 	}
 }
@@ -25,7 +25,7 @@
 	return func(s int) {
 		scenario.submitRandomJob()
 		id := scenario.submit(scenario.randomNode(), 1)
-		scenario.deliverAll()
+		scenario.DeliverAll()
 		if s%3 == 0 { // some cancel at once
 			scenario.query(scenario.randomNode(), "ABORT", id)
 		}
@@ -45,7 +45,7 @@
 			scenario.cancelRandomJobs(1)
 		}
 		if s == 20 {
-			scenario.restart(scenario.leader().name)
+			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 			scenario.cancelRandomJobs(1)
 		}
 		if s == 15 {
-			scenario.restart(scenario.leader().name)
+			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
@@ -70,27 +70,27 @@
 	for range 3 {
 		scenario.submit(scenario.randomNode(), 8, "crew", "red")
 	}
-	var hung []*machineAgent
+	var hung []*Agent
 	return func(s int) {
 		switch s {
 		case 6:
 			hung = scenario.busyMachines(3)
 			for i, agent := range hung {
-				agent.silent, agent.losesResponses = i != 1, i == 1
+				agent.Silent, agent.LosesResponses = i != 1, i == 1
 			}
 			for _, id := range scenario.unfinishedJobs() {
 				scenario.query(scenario.randomNode(), "ABORT", id)
 			}
 		case 7:
-			scenario.crash(scenario.leader().name)
-			for _, name := range scenario.names {
-				if n := scenario.nodes[name]; n.up {
+			scenario.Crash(scenario.Leader().Name)
+			for _, name := range scenario.Names {
+				if n := scenario.Nodes[name]; n.Up {
 					scenario.submit(n, 16, "crew", "red")
 				}
 			}
 		case 17:
 			for _, agent := range hung {
-				agent.silent, agent.losesResponses = false, false
+				agent.Silent, agent.LosesResponses = false, false
 			}
 		}
 	}
@@ -107,16 +107,16 @@
 		}
 		if s%12 == 9 {
 			scenario.crashOnConfirm = false
-			for _, name := range scenario.names {
-				if !scenario.nodes[name].up {
-					scenario.start(name)
+			for _, name := range scenario.Names {
+				if !scenario.Nodes[name].Up {
+					scenario.Start(name)
 				}
 			}
 		}
 		scenario.submitRandomJob()
 		for range 10 { // in the very seconds
 			scenario.cancelRandomJobs(1)
-			scenario.advance(100 * time.Millisecond)
+			scenario.Advance(100 * time.Millisecond)
 		}
 	}
 }
@@ -125,18 +125,18 @@
 func startOnNewMachinesWhileWritesLag(scenario *faultScenario) func(int) {
 	return func(s int) {
 		if s < 20 {
-			scenario.addMachine(fmt.Sprintf("vm-1%02d", s), "z1").taskDuration = 4 * time.Second
+			scenario.AddMachine(fmt.Sprintf("vm-1%02d", s), "z1").TaskDuration = 4 * time.Second
 			scenario.submit(scenario.randomNode(), 4)
 		}
 		if s == 4 {
-			scenario.state.onTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+			scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 				r := apply()
 				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Second, func() { done(r) }})
 				return true
 			}
 		}
 		if s == 8 || s == 14 {
-			scenario.restart(scenario.leader().name)
+			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 // old reports reach every controller as a new leader begins.
 func replayOldHeartbeats(scenario *faultScenario) func(int) {
 	scenario.setTaskDuration(5 * time.Second)
-	var old map[*machineAgent][]byte
+	var old map[*Agent][]byte
 	return func(s int) {
 		scenario.submitRandomJob()
 		scenario.submitRandomJob()
@@ -154,15 +154,15 @@
 		case 2: // after newer ones
 			scenario.replayHeartbeats(old)
 		case 4:
-			lead := scenario.leader()
-			scenario.restart(lead.name)
+			lead := scenario.Leader()
+			scenario.restart(lead.Name)
 			for i := 0; i < 80 && (scenario.activeLeader() == nil || scenario.activeLeader().controller == lead.controller); i++ {
-				scenario.advance(100 * time.Millisecond)
+				scenario.Advance(100 * time.Millisecond)
 			}
 			scenario.replayHeartbeats(old) // before any machine says anything new
 		case 7: // of an earlier session
 			for _, agent := range scenario.busyMachines(1) {
-				agent.expireLease()
+				agent.ExpireLease()
 			}
 		}
 	}
@@ -174,13 +174,13 @@
 	return func(s int) {
 		for i := range 4 {
 			id := scenario.submit(scenario.randomNode(), 1, "vcpus", 1.0)
-			scenario.deliverAll()
+			scenario.DeliverAll()
 			if i == s%4 {
 				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Duration(s%5)*700*time.Millisecond, func() { scenario.query(scenario.randomNode(), "ABORT", id) }})
 			}
 		}
 		if s == 20 || s == 30 { // what has ended stays so
-			scenario.restart(scenario.names[s/10%3])
+			scenario.restart(scenario.Names[s/10%3])
 		}
 	}
 }
@@ -191,9 +191,9 @@
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s%5 == 2 {
-			scenario.restart(scenario.names[s/5%3])
+			scenario.restart(scenario.Names[s/5%3])
 		}
-		scenario.state.unavailable[""] = s >= 22 && s < 30
+		scenario.State.Unavailable[""] = s >= 22 && s < 30
 		if s%7 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
@@ -208,12 +208,12 @@
 		case s < 10 || s > 35:
 			scenario.submitRandomJob()
 		case s == 12:
-			for _, name := range scenario.names {
-				scenario.crash(name)
+			for _, name := range scenario.Names {
+				scenario.Crash(name)
 			}
 		case s == 34:
-			for _, name := range scenario.names {
-				scenario.start(name)
+			for _, name := range scenario.Names {
+				scenario.Start(name)
 			}
 		}
 	}
@@ -225,19 +225,19 @@
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
-			scenario.disconnect("a", "b")
-			scenario.disconnect("a", "c")
-			scenario.state.unavailable["a"] = true
-			for _, agent := range scenario.agents {
-				agent.silent = agent.zone == "z2"
+			scenario.Disconnect("a", "b")
+			scenario.Disconnect("a", "c")
+			scenario.State.Unavailable["a"] = true
+			for _, agent := range scenario.Agents {
+				agent.Silent = agent.Zone == "z2"
 			}
 		}
 		if s == 28 {
-			delete(scenario.state.unavailable, "a")
-			scenario.connect("a", "b")
-			scenario.connect("a", "c")
-			for _, agent := range scenario.agents {
-				agent.silent = false
+			delete(scenario.State.Unavailable, "a")
+			scenario.Connect("a", "b")
+			scenario.Connect("a", "c")
+			for _, agent := range scenario.Agents {
+				agent.Silent = false
 			}
 		}
 		if s%6 == 0 {
@@ -249,15 +249,15 @@
 // a leader keeps its workers and users alone.
 func isolateLeader(scenario *faultScenario) func(int) {
 	scenario.setTaskDuration(20 * time.Second)
-	var lead *node
+	var lead *Node
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
-			lead = scenario.leader()
-			scenario.state.unavailable[lead.name] = true
-			for _, other := range scenario.names {
-				if other != lead.name {
-					scenario.disconnect(lead.name, other)
+			lead = scenario.Leader()
+			scenario.State.Unavailable[lead.Name] = true
+			for _, other := range scenario.Names {
+				if other != lead.Name {
+					scenario.Disconnect(lead.Name, other)
 				}
 			}
 		}
@@ -265,10 +265,10 @@
 			scenario.cancelRandomJobs(1)
 		}
 		if s == 30 {
-			delete(scenario.state.unavailable, lead.name)
-			for _, other := range scenario.names {
-				if other != lead.name {
-					scenario.connect(lead.name, other)
+			delete(scenario.State.Unavailable, lead.Name)
+			for _, other := range scenario.Names {
+				if other != lead.Name {
+					scenario.Connect(lead.Name, other)
 				}
 			}
 		}
@@ -286,7 +286,7 @@
 			}
 		}
 		if s == 11 {
-			scenario.restart(scenario.leader().name)
+			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
@@ -318,12 +318,12 @@
 		scenario.submitRandomJob()
 		if s == 8 {
 			for _, agent := range scenario.busyMachines(3) {
-				agent.silent = true // nothing is sent to machines but answers
+				agent.Silent = true // nothing is sent to machines but answers
 			}
 			scenario.cancelRandomJobs(2)
 		}
 		if s == 20 {
-			scenario.restart(scenario.leader().name)
+			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -21,13 +21,13 @@
 func newLargeSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
-	sim.cloud.rps = 3
-	sim.adjustSettings = func(f *settings.File) {
-		f.Settings.Cloud.RPS = sim.cloud.rps
+	sim.Cloud.RPS = 3
+	sim.AdjustSettings = func(f *settings.File) {
+		f.Settings.Cloud.RPS = sim.Cloud.RPS
 		f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS, f.Settings.Workers.CancelS = largeFleetInterval.Seconds(), 40, 100
 	}
-	sim.expireLeases, sim.workerLease = true, 40*time.Second
-	sim.startAll()
+	sim.ExpireLeases, sim.WorkerLease = true, 40*time.Second
+	sim.StartAll()
 	return sim
 }
 
@@ -36,36 +36,36 @@
 type largeFleetScenario struct {
 	*simulation
 	nextAgent int
-	retries   map[time.Duration][]*machineAgent
+	retries   map[time.Duration][]*Agent
 	refused   map[string]int
 }
 
 func (scenario *largeFleetScenario) play(span time.Duration) {
 	for end := scenario.now + span; scenario.now < end; {
-		scenario.advance(tickInterval)
+		scenario.Advance(tickInterval)
 		if scenario.now%time.Second == 0 {
-			scenario.bootMachines(0)
+			scenario.BootMachines(0)
 		}
 		again := scenario.retries[scenario.now]
 		delete(scenario.retries, scenario.now)
 		for _, agent := range again {
-			if scenario.agents[agent.name] == agent {
+			if scenario.Agents[agent.Name] == agent {
 				scenario.heartbeat(agent)
 			}
 		}
-		names := scenario.agentNames()
+		names := scenario.AgentNames()
 		for range min(heartbeatsPerTick, len(names)) {
 			if scenario.nextAgent >= len(names) {
 				scenario.nextAgent = 0
 			}
-			scenario.heartbeat(scenario.agents[names[scenario.nextAgent]])
+			scenario.heartbeat(scenario.Agents[names[scenario.nextAgent]])
 			scenario.nextAgent++
 		}
 	}
 }
 
-func (scenario *largeFleetScenario) heartbeat(agent *machineAgent) {
-	r := agent.heartbeat()
+func (scenario *largeFleetScenario) heartbeat(agent *Agent) {
+	r := agent.Heartbeat()
 	if r != nil && r.Status == 200 {
 		return
 	}
@@ -75,8 +75,8 @@
 		var e struct {
 			Error string `cbor:"error"`
 		}
-		if err := scenario.codec.Decode(r.Body, &e); err != nil {
-			scenario.t.Fatal(err)
+		if err := scenario.Codec.Decode(r.Body, &e); err != nil {
+			scenario.T.Fatal(err)
 		}
 		scenario.refused[e.Error]++
 	}
@@ -84,10 +84,10 @@
 
 // waitFor plays until something holds.
 func (scenario *largeFleetScenario) waitFor(what string, limit time.Duration, holds func() bool) {
-	scenario.t.Helper()
+	scenario.T.Helper()
 	for end := scenario.now + limit; !holds(); {
 		if scenario.now >= end {
-			scenario.t.Fatalf("%s: not within %s; %d machines, %d tasks run", what, limit, len(scenario.agents), scenario.runningTasks())
+			scenario.T.Fatalf("%s: not within %s; %d machines, %d tasks run", what, limit, len(scenario.Agents), scenario.runningTasks())
 		}
 		scenario.play(time.Second)
 	}
@@ -99,57 +99,57 @@
 // whole, as its pages came faster than the cloud answers.
 func TestFleetOfSixThousandMachines(t *testing.T) {
 	sim := newLargeSimulation(t)
-	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*machineAgent), refused: make(map[string]int)}
+	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*Agent), refused: make(map[string]int)}
 	const tasksPerJob = 200
 	jobs := largeFleetSize / tasksPerJob
 	for i := range jobs {
-		n := sim.nodes[sim.names[i%3]]
-		request := batchJob(fmt.Sprint("wk-", i), tasksPerJob).with("vcpus", 8.0).with("expectedS", 3000.0)
-		want(t, "submit", n.submit(request).Status, 201)
+		n := sim.Nodes[sim.Names[i%3]]
+		request := BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
+		want(t, "submit", n.Submit(request).Status, 201)
 	}
 	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
-	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(sim.leader().controller.cloud.AllListed())) >= largeFleetSize })
+	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(sim.Leader().controller.cloud.AllListed())) >= largeFleetSize })
 	started := scenario.startCount()
 	want(t, "starts", started, largeFleetSize)
 
-	lead := sim.leader()
-	sim.crash(lead.name)
+	lead := sim.Leader()
+	sim.Crash(lead.Name)
 	scenario.play(20 * time.Second)
 	want(t, "tasks that run after the leader was lost", scenario.runningTasks(), largeFleetSize)
-	sim.start(lead.name)
+	sim.Start(lead.Name)
 	scenario.play(10 * time.Second)
 
-	for _, n := range sim.names {
-		sim.crash(n)
+	for _, n := range sim.Names {
+		sim.Crash(n)
 	}
-	sim.advance(5 * time.Second)
-	for _, n := range sim.names {
-		sim.start(n)
+	sim.Advance(5 * time.Second)
+	for _, n := range sim.Names {
+		sim.Start(n)
 	}
 	scenario.play(40 * time.Second)
 	want(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
 	want(t, "starts in all", scenario.startCount(), started)
 	want(t, "reports refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
 
-	for _, agent := range sim.agents {
-		agent.finishTasks("done")
+	for _, agent := range sim.Agents {
+		agent.FinishTasks("done")
 	}
 	scenario.waitFor("every job is done", time.Minute, func() bool {
 		for i := range jobs {
-			if _, s := sim.nodes["a"].status(fmt.Sprint("wk-", i)); s.Status != "done" {
+			if _, s := sim.Nodes["a"].Status(fmt.Sprint("wk-", i)); s.Status != "done" {
 				return false
 			}
 		}
 		return true
 	})
-	scenario.waitFor("every machine is returned", 4*time.Minute, func() bool { return len(sim.cloud.machines) == 0 })
+	scenario.waitFor("every machine is returned", 4*time.Minute, func() bool { return len(sim.Cloud.Machines) == 0 })
 	want(t, "records of machines", scenario.machineRecordsDeleted(), true)
 }
 
 func (scenario *largeFleetScenario) startCount() int {
 	n := 0
-	for _, agent := range scenario.agents {
-		n += agent.starts
+	for _, agent := range scenario.Agents {
+		n += agent.Starts
 	}
 	return n
 }
@@ -158,7 +158,7 @@
 func (scenario *largeFleetScenario) machineRecordsDeleted() bool {
 	for range 240 {
 		left := 0
-		for key := range scenario.state.keys {
+		for key := range scenario.State.Keys {
 			if len(key) > 6 && key[:6] == "fleet/" {
 				left++
 			}
@@ -176,21 +176,21 @@
 	b.Helper()
 	sim := newSimulation(b, "a", "b", "c")
 	for i := range machines {
-		sim.addMachine(fmt.Sprintf("vm-%06d", i), []string{"z1", "z2"}[i%2])
+		sim.AddMachine(fmt.Sprintf("vm-%06d", i), []string{"z1", "z2"}[i%2])
 	}
 	reportAll := func() {
-		for _, name := range sim.agentNames() {
-			sim.agents[name].heartbeat()
+		for _, name := range sim.AgentNames() {
+			sim.Agents[name].Heartbeat()
 		}
 	}
 	reportAll()
-	sim.advance(5 * time.Second)
+	sim.Advance(5 * time.Second)
 	for i := range machines / 50 {
-		sim.nodes[sim.names[i%3]].submit(batchJob(fmt.Sprint("wk-", i), 100))
+		sim.Nodes[sim.Names[i%3]].Submit(BatchJob(fmt.Sprint("wk-", i), 100))
 	}
 	for range 3 {
 		reportAll()
-		sim.advance(time.Second)
+		sim.Advance(time.Second)
 	}
 	return sim
 }
@@ -201,11 +201,11 @@
 	for _, machines := range []int{600, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			sim := newBusySimulation(b, machines)
-			lead, owner := sim.leader(), sim.follower()
+			lead, owner := sim.Leader(), sim.Follower()
 			for b.Loop() {
-				sim.disconnect(lead.name, owner.name)
-				sim.connect(lead.name, owner.name)
-				sim.deliverAll()
+				sim.Disconnect(lead.Name, owner.Name)
+				sim.Connect(lead.Name, owner.Name)
+				sim.DeliverAll()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*machines), "ns/machine")
 		})
@@ -221,12 +221,12 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			sim := newBusySimulation(b, machines)
-			names := sim.agentNames()
+			names := sim.AgentNames()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			next := 0
 			for b.Loop() {
-				sim.agents[names[next%len(names)]].heartbeat()
+				sim.Agents[names[next%len(names)]].Heartbeat()
 				next++
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(machines), "heap-B/machine")
@@ -239,19 +239,19 @@
 // is not taken for a failed boot and returned with its tasks.
 func TestLongHeartbeatIntervalIsNoFailedBoot(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
-	sim.adjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
-	sim.startAll()
-	agent := sim.addMachine("vm-1", "z1")
-	sim.cloud.machines[0].at = sim.now - time.Hour
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.follower().submit(batchJob("wk-1", 2)).Status, 201)
-	sim.run(3 * time.Second)
-	want(t, "running", len(agent.running()), 2)
-	sim.crash(sim.leader().name)
-	agent.silent = true
-	sim.run(12 * time.Second) // an election within a second, and the longest interval
-	agent.silent = false
-	sim.run(3 * time.Second)
-	want(t, "returned", len(sim.cloud.released), 0)
-	want(t, "running", len(agent.running()), 2)
+	sim.AdjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
+	sim.StartAll()
+	agent := sim.AddMachine("vm-1", "z1")
+	sim.Cloud.Machines[0].At = sim.now - time.Hour
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Follower().Submit(BatchJob("wk-1", 2)).Status, 201)
+	sim.Run(3 * time.Second)
+	want(t, "running", len(agent.Running()), 2)
+	sim.Crash(sim.Leader().Name)
+	agent.Silent = true
+	sim.Run(12 * time.Second) // an election within a second, and the longest interval
+	agent.Silent = false
+	sim.Run(3 * time.Second)
+	want(t, "returned", len(sim.Cloud.Released), 0)
+	want(t, "running", len(agent.Running()), 2)
 }
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -11,8 +11,8 @@
 func (sim *simulation) redirectTarget(r *Response) string {
 	var to protocol.Redirect
 	if r.Status == 421 {
-		if err := sim.codec.Decode(r.Body, &to); err != nil {
-			sim.t.Fatal(err)
+		if err := sim.Codec.Decode(r.Body, &to); err != nil {
+			sim.T.Fatal(err)
 		}
 	}
 	return fmt.Sprintf("%d %s", r.Status, to.HeartbeatTo)
@@ -21,34 +21,34 @@
 // A member that does not lead passes reports on, and the answers back.
 func TestFollowersForwardHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead, follower := sim.leader(), sim.follower()
-	agent := sim.addMachine("vm-1", "z1")
+	lead, follower := sim.Leader(), sim.Follower()
+	agent := sim.AddMachine("vm-1", "z1")
 	for range 3 {
-		want(t, "report to a follower", agent.heartbeatTo(follower).Status, 200)
-		sim.advance(time.Second)
+		want(t, "report to a follower", agent.HeartbeatTo(follower).Status, 200)
+		sim.Advance(time.Second)
 	}
-	want(t, "submit", follower.submit(batchJob("wk-1", 2)).Status, 201)
-	agent.heartbeatTo(follower)
-	want(t, "running", len(agent.running()), 2)
+	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	agent.HeartbeatTo(follower)
+	want(t, "running", len(agent.Running()), 2)
 	sim.wantStatus(lead, "wk-1", 200, "pending")
-	agent.heartbeatTo(follower)
+	agent.HeartbeatTo(follower)
 	sim.wantStatus(lead, "wk-1", 200, "running")
-	agent.finishTasks("done")
+	agent.FinishTasks("done")
 	for range 3 {
-		agent.heartbeatTo(follower)
-		sim.advance(time.Second)
+		agent.HeartbeatTo(follower)
+		sim.Advance(time.Second)
 	}
 	sim.wantStatus(lead, "wk-1", 200, "done")
 
 	// The answer that a report waits for when the stream breaks comes at once:
 	// held back until its end, it would keep the worker from the next member.
-	body := agent.heartbeatBody()
+	body := agent.HeartbeatBody()
 	out := &Response{}
-	follower.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.connection}, func(r Response) { *out = r })
+	follower.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *out = r })
 	want(t, "answers before the stream breaks", out.Status, 0)
-	sim.disconnect(follower.name, lead.name)
+	sim.Disconnect(follower.Name, lead.Name)
 	want(t, "answer when the stream breaks", out.Status, 503)
-	want(t, "without a stream to the leader", sim.redirectTarget(follower.call("POST", "/checkin", agent.heartbeatBody())), "421 "+lead.name)
+	want(t, "without a stream to the leader", sim.redirectTarget(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
 }
 
 // A member that gets a passed-on report and does not lead passes it no
@@ -56,40 +56,40 @@
 // back and forth for ever.
 func TestHeartbeatIsForwardedOnce(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead, follower := sim.leader(), sim.follower()
-	agent := sim.addMachine("vm-1", "z1")
-	want(t, "before", agent.heartbeatTo(follower).Status, 200)
+	lead, follower := sim.Leader(), sim.Follower()
+	agent := sim.AddMachine("vm-1", "z1")
+	want(t, "before", agent.HeartbeatTo(follower).Status, 200)
 	lead.controller.election.Abstain(sim.now + time.Minute)
 	lead.controller.endLeadership()
-	want(t, "leader that leads no more", agent.heartbeatTo(follower).Status, 503)
+	want(t, "leader that leads no more", agent.HeartbeatTo(follower).Status, 503)
 }
 
 // Workers that all come to one member are shared out, a few at a time.
 func TestWorkersAreBalancedAcrossMembers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*machineAgent]*node)
+	at := make(map[*Agent]*Node)
 	for i := range 90 {
-		agent := sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
-		at[agent] = sim.leader()
+		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+		at[agent] = sim.Leader()
 	}
 	most := 0
 	for range 60 {
 		moved := 0
-		for _, name := range sim.agentNames() {
-			agent := sim.agents[name]
-			if r := agent.heartbeatTo(at[agent]); r.Status == 421 {
+		for _, name := range sim.AgentNames() {
+			agent := sim.Agents[name]
+			if r := agent.HeartbeatTo(at[agent]); r.Status == 421 {
 				var to protocol.Redirect
-				if err := sim.codec.Decode(r.Body, &to); err != nil {
+				if err := sim.Codec.Decode(r.Body, &to); err != nil {
 					t.Fatal(err)
 				}
-				at[agent] = sim.nodes[to.HeartbeatTo]
+				at[agent] = sim.Nodes[to.HeartbeatTo]
 				moved++
 			}
 		}
 		most = max(most, moved)
-		sim.advance(time.Second)
+		sim.Advance(time.Second)
 	}
-	for name, n := range sim.nodes {
+	for name, n := range sim.Nodes {
 		served := 0
 		for _, m := range at {
 			if m == n {
@@ -123,12 +123,12 @@
 	want(t, "a user's request beside it", q.TryPost(ClassOther, func() {}), true)
 
 	sim := newSimulation(t, "a")
-	agent := sim.addMachine("vm-1", "z1")
-	want(t, "report", agent.heartbeat().Status, 200)
-	m := sim.leader().controller.leader.machines.get("vm-1")
+	agent := sim.AddMachine("vm-1", "z1")
+	want(t, "report", agent.Heartbeat().Status, 200)
+	m := sim.Leader().controller.leader.machines.get("vm-1")
 	seq := m.sequence
 	out := &Response{}
-	sim.nodes["a"].controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.heartbeatBody(), Conn: agent.connection, ReceivedAt: sim.now - 4*time.Second},
+	sim.Nodes["a"].controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.now - 4*time.Second},
 		func(r Response) { *out = r })
 	want(t, "report that waited for 4 s", out.Status, 503)
 	want(t, "last report taken", m.sequence, seq)
@@ -140,32 +140,32 @@
 // all their tasks (incidents/inc-f551.md).
 func TestFewRedirectsToMemberWithoutHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*machineAgent]*node)
+	at := make(map[*Agent]*Node)
 	for i := range 90 {
-		agent := sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
-		at[agent] = sim.leader()
+		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+		at[agent] = sim.Leader()
 	}
-	want(t, "submit", sim.leader().submit(batchJob("wk-1", 90).with("vcpus", 8.0)).Status, 201) // none of them is idle
-	cut := sim.follower()
+	want(t, "submit", sim.Leader().Submit(BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // none of them is idle
+	cut := sim.Follower()
 	sent := 0
 	second := func() {
-		for _, name := range sim.agentNames() {
-			agent := sim.agents[name]
-			r := agent.heartbeatTo(at[agent])
+		for _, name := range sim.AgentNames() {
+			agent := sim.Agents[name]
+			r := agent.HeartbeatTo(at[agent])
 			if r.Status != 421 {
 				continue
 			}
 			var to protocol.Redirect
-			if err := sim.codec.Decode(r.Body, &to); err != nil {
+			if err := sim.Codec.Decode(r.Body, &to); err != nil {
 				t.Fatal(err)
 			}
-			if to.HeartbeatTo == cut.name {
+			if to.HeartbeatTo == cut.Name {
 				sent++
 				continue // it tries in vain, and comes back
 			}
-			at[agent] = sim.nodes[to.HeartbeatTo]
+			at[agent] = sim.Nodes[to.HeartbeatTo]
 		}
-		sim.advance(time.Second)
+		sim.Advance(time.Second)
 	}
 	for range 60 {
 		second()
@@ -175,7 +175,7 @@
 	}
 	// Once they reach it again it soon has its share.
 	here := cut
-	cut = &node{}
+	cut = &Node{}
 	for range 90 {
 		second()
 	}
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -15,34 +15,34 @@
 
 // startOneTask runs one task, of a job of the given member, and returns the
 // machine that has it and one that has nothing.
-func startOneTask(t *testing.T, sim *simulation, owner *node) (busy, idle *machineAgent) {
+func startOneTask(t *testing.T, sim *simulation, owner *Node) (busy, idle *Agent) {
 	t.Helper()
-	busy, idle = sim.addMachine("vm-1", "z1"), sim.addMachine("vm-2", "z1")
-	sim.run(2 * time.Second)
-	want(t, "submit", owner.submit(batchJob("wk-1", 1)).Status, 201)
-	sim.run(3 * time.Second)
-	if len(idle.running()) == 1 {
+	busy, idle = sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+	sim.Run(2 * time.Second)
+	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	sim.Run(3 * time.Second)
+	if len(idle.Running()) == 1 {
 		busy, idle = idle, busy
 	}
-	want(t, "running", len(busy.running()), 1)
+	want(t, "running", len(busy.Running()), 1)
 	return busy, idle
 }
 
 // heartbeatFor has the machines report once a second.
-func (sim *simulation) heartbeatFor(seconds int, machines ...*machineAgent) {
+func (sim *simulation) heartbeatFor(seconds int, machines ...*Agent) {
 	for range seconds {
 		for _, agent := range machines {
-			agent.heartbeat()
+			agent.Heartbeat()
 		}
-		sim.advance(time.Second)
+		sim.Advance(time.Second)
 	}
 }
 
 // allowOnlyLeader has only one of the members lead for the next minute.
 func (sim *simulation) allowOnlyLeader(allBut string) {
-	for _, name := range sim.names {
-		if name != allBut && sim.nodes[name].up {
-			sim.nodes[name].controller.election.Abstain(sim.now + time.Minute)
+	for _, name := range sim.Names {
+		if name != allBut && sim.Nodes[name].Up {
+			sim.Nodes[name].controller.election.Abstain(sim.now + time.Minute)
 		}
 	}
 }
@@ -61,20 +61,20 @@
 // taken the ledger up joins.
 func TestRecoveredTaskOfAJobUnknownToTheLeader(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
-		busy, idle := startOneTask(t, sim, sim.nodes["b"])
+		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
 		sim.restartAllWithHidden("own/")
 		sim.allowOnlyLeader("a")
-		sim.advance(4 * time.Second)
+		sim.Advance(4 * time.Second)
 		sim.heartbeatFor(3, busy, idle)
-		sim.state.hiddenPrefix = ""
-		sim.advance(2 * time.Second) // the owner joins, and no machine reports meanwhile
+		sim.State.HiddenPrefix = ""
+		sim.Advance(2 * time.Second) // the owner joins, and no machine reports meanwhile
 		sim.heartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
 		sim.heartbeatFor(5, busy, idle)
-		want(t, "leader", sim.leader().name, "a")
-		want(t, "settled", sim.nodes["b"].controller.owner.Shard("b").Reconciled(), true)
+		want(t, "leader", sim.Leader().Name, "a")
+		want(t, "settled", sim.Nodes["b"].controller.owner.Shard("b").Reconciled(), true)
 		sim.heartbeatFor(15, busy, idle)
-		want(t, "copies on the other machine", idle.starts, 0)
-		want(t, "still running", len(busy.running()), 1)
+		want(t, "copies on the other machine", idle.Starts, 0)
+		want(t, "still running", len(busy.Running()), 1)
 	})
 }
 
@@ -82,29 +82,29 @@
 // the new leader comes up after a machine has reported there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
-		sim.nodes["b"].controller.election.Abstain(sim.now + time.Hour) // it owns the task
-		if sim.leader().name != "c" {
-			sim.nodes["a"].controller.election.Abstain(sim.now + 4*time.Second)
-			sim.crash(sim.leader().name)
-			sim.advance(4 * time.Second)
+		sim.Nodes["b"].controller.election.Abstain(sim.now + time.Hour) // it owns the task
+		if sim.Leader().Name != "c" {
+			sim.Nodes["a"].controller.election.Abstain(sim.now + 4*time.Second)
+			sim.Crash(sim.Leader().Name)
+			sim.Advance(4 * time.Second)
 			sim.startDown()
-			sim.advance(6 * time.Second)
+			sim.Advance(6 * time.Second)
 		}
-		want(t, "first leader", sim.leader().name, "c")
-		busy, idle := startOneTask(t, sim, sim.nodes["b"])
-		sim.state.hiddenPrefix, sim.state.hiddenFrom = "own/", "a"
-		sim.disconnect("a", "b")
-		sim.crash("c")
-		sim.advance(4 * time.Second)
-		want(t, "leader", sim.leader().name, "a")
+		want(t, "first leader", sim.Leader().Name, "c")
+		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
+		sim.State.HiddenPrefix, sim.State.HiddenFrom = "own/", "a"
+		sim.Disconnect("a", "b")
+		sim.Crash("c")
+		sim.Advance(4 * time.Second)
+		want(t, "leader", sim.Leader().Name, "a")
 		sim.heartbeatFor(1, busy, idle)
-		busy.heartbeat()
-		sim.connect("a", "b")
-		sim.advance(2 * time.Second)
+		busy.Heartbeat()
+		sim.Connect("a", "b")
+		sim.Advance(2 * time.Second)
 		sim.heartbeatFor(3, idle)
 		sim.heartbeatFor(20, busy, idle)
-		want(t, "copies on the other machine", idle.starts, 0)
-		want(t, "still running", len(busy.running()), 1)
+		want(t, "copies on the other machine", idle.Starts, 0)
+		want(t, "still running", len(busy.Running()), 1)
 	})
 }
 
@@ -113,34 +113,34 @@
 // the ledger's tasks, and say so.
 func TestStatusIsCompleteOnlyForRegisteredShards(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead := sim.leader()
-	owner := sim.follower()
+	lead := sim.Leader()
+	owner := sim.Follower()
 	busy, idle := startOneTask(t, sim, owner)
 	l := lead.controller.leader
-	l.setShardOwner(l.shards.get(owner.name), lead.controller.selfPeer)
-	busy.tasks["other#1"] = &agentTask{name: "wk-9/0", replica: 1, state: "ended", cause: "halted"}
+	l.setShardOwner(l.shards.get(owner.Name), lead.controller.selfPeer)
+	busy.Tasks["other#1"] = &AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
 	job := owner.controller.owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
-	l.setShardOwner(l.shards.get(owner.name), lead.controller.peers[owner.name])
+	l.setShardOwner(l.shards.get(owner.Name), lead.controller.peers[owner.Name])
 	sim.heartbeatFor(15, busy, idle)
-	want(t, "copies on the other machine", idle.starts, 0)
+	want(t, "copies on the other machine", idle.Starts, 0)
 }
 
 // An owner that joins a leader of the version before still learns from its lists
 // that a task is gone: from those of machines that have reported since.
 func TestTaskThatEndedUnderALeaderOfThePreviousVersion(t *testing.T) {
 	sim := newSimulationWith(t, "", []string{"a", "b", "c"}, "a", "b", "c")
-	owner := sim.follower()
-	delete(sim.previousVersion, owner.name)
-	sim.crash(owner.name)
-	sim.start(owner.name)
-	sim.run(8 * time.Second)
-	owner = sim.nodes[owner.name]
+	owner := sim.Follower()
+	delete(sim.PreviousVersion, owner.Name)
+	sim.Crash(owner.Name)
+	sim.Start(owner.Name)
+	sim.Run(8 * time.Second)
+	owner = sim.Nodes[owner.Name]
 	busy, idle := startOneTask(t, sim, owner)
-	clear(busy.tasks) // as if the machine had lost it, within its session
-	sim.run(20 * time.Second)
-	want(t, "starts", busy.starts+idle.starts, 2)
+	clear(busy.Tasks) // as if the machine had lost it, within its session
+	sim.Run(20 * time.Second)
+	want(t, "starts", busy.Starts+idle.Starts, 2)
 	want(t, "running", sim.runningTasks(), 1)
 }
 
@@ -148,38 +148,38 @@
 // is told once the first has joined says nothing of the second.
 func TestTasksOfTheSecondShardToRegister(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead := sim.leader()
+	lead := sim.Leader()
 	var gone string
-	for _, name := range sim.names {
-		if name != lead.name {
+	for _, name := range sim.Names {
+		if name != lead.Name {
 			gone = name
 		}
 	}
-	first, second, idle := sim.addMachine("vm-1", "z1"), sim.addMachine("vm-2", "z1"), sim.addMachine("vm-3", "z1")
-	sim.run(2 * time.Second)
-	want(t, "submit", lead.submit(batchJob("wk-1", 4)).Status, 201)
-	want(t, "submit", sim.nodes[gone].submit(batchJob("wk-2", 4)).Status, 201)
-	sim.run(3 * time.Second)
+	first, second, idle := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
+	sim.Run(2 * time.Second)
+	want(t, "submit", lead.Submit(BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit", sim.Nodes[gone].Submit(BatchJob("wk-2", 4)).Status, 201)
+	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	sim.crash(gone)
-	sim.run(25 * time.Second)
+	sim.Crash(gone)
+	sim.Run(25 * time.Second)
 	want(t, "ledgers of the leader", len(slices.Collect(lead.controller.owner.Shards())), 2)
-	started := first.starts + second.starts + idle.starts
+	started := first.Starts + second.Starts + idle.Starts
 	var next string
-	for _, name := range sim.names {
-		if name != lead.name && name != gone {
+	for _, name := range sim.Names {
+		if name != lead.Name && name != gone {
 			next = name
 		}
 	}
-	sim.disconnect(lead.name, next) // it joins only once the machines have reported there
+	sim.Disconnect(lead.Name, next) // it joins only once the machines have reported there
 	lead.controller.election.Resign(election.WorkersUnreachable)
-	sim.advance(2 * time.Second)
-	want(t, "leader", sim.leader().name, next)
+	sim.Advance(2 * time.Second)
+	want(t, "leader", sim.Leader().Name, next)
 	sim.heartbeatFor(3, first, second, idle)
-	sim.connect(lead.name, next)
-	sim.advance(2 * time.Second)
+	sim.Connect(lead.Name, next)
+	sim.Advance(2 * time.Second)
 	sim.heartbeatFor(20, first, second, idle)
-	want(t, "starts", first.starts+second.starts+idle.starts, started)
+	want(t, "starts", first.Starts+second.Starts+idle.Starts, started)
 	want(t, "running", sim.runningTasks(), 8)
 }
 
@@ -188,24 +188,24 @@
 // its lease counts from its own last report, not from the join.
 func TestUnreadRecordsProveNoLossOfAnAnsweredMachine(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	busy, idle := startOneTask(t, sim, sim.nodes["a"])
+	busy, idle := startOneTask(t, sim, sim.Nodes["a"])
 	sim.restartAllWithHidden("fleet/")
-	sim.advance(3 * time.Second)
+	sim.Advance(3 * time.Second)
 	sim.heartbeatFor(9, idle)
-	busy.heartbeat() // its first here, with the token of before; its lease begins anew
+	busy.Heartbeat() // its first here, with the token of before; its lease begins anew
 	sim.heartbeatFor(13, idle)
-	want(t, "copies within the lease", idle.starts, 0)
-	sim.state.hiddenPrefix = ""
+	want(t, "copies within the lease", idle.Starts, 0)
+	sim.State.HiddenPrefix = ""
 	sim.heartbeatFor(10, busy, idle)
-	want(t, "copies on the other machine", idle.starts, 0)
-	want(t, "still running", len(busy.running()), 1)
+	want(t, "copies on the other machine", idle.Starts, 0)
+	want(t, "still running", len(busy.Running()), 1)
 }
 
 // startDown starts the members that are down.
 func (sim *simulation) startDown() {
-	for _, name := range sim.names {
-		if !sim.nodes[name].up {
-			sim.start(name)
+	for _, name := range sim.Names {
+		if !sim.Nodes[name].Up {
+			sim.Start(name)
 		}
 	}
 }
@@ -213,10 +213,10 @@
 // restartAllWithHidden ends all members and starts them 4 s later, while listings of the
 // keys with a prefix are refused.
 func (sim *simulation) restartAllWithHidden(prefix string) {
-	for _, name := range sim.names {
-		sim.crash(name)
+	for _, name := range sim.Names {
+		sim.Crash(name)
 	}
-	sim.advance(4 * time.Second)
-	sim.state.hiddenPrefix = prefix
+	sim.Advance(4 * time.Second)
+	sim.State.HiddenPrefix = prefix
 	sim.startDown()
 }
--- a/internal/coordination/machine_agent_test.go
+++ b/internal/coordination/machine_agent_test.go
@@ -9,154 +9,154 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// machineAgent is a scripted machine. It follows the protocol's rules for tokens
+// Agent is a scripted machine. It follows the protocol's rules for tokens
 // and commands; its lease ends only when a test says so.
-type machineAgent struct {
+type Agent struct {
 	sim              *simulation
-	name             string
-	zone             string
-	machineType      string // its type; empty: m8
-	epoch            uint64
-	sequence         uint64
-	fencingToken     uint64
-	tasks            map[string]*agentTask // by name and attempt
-	preemptionNotice any
-	silent           bool
-	starts           int
-	lastHeartbeat    []byte
-	dropsStarts      bool          // drops starts, as if the answer were lost
-	losesResponses   bool          // no answer reaches it
-	taskDuration     time.Duration // tasks end by themselves after it; 0: never
-	durationSpread   time.Duration // and up to six times this more
-	connectedTo      *Controller   // where its last report was answered
-	redirectedTo     string        // the member that it was told to report to
-	connection       uint64
-	lastAnswered     time.Duration // when the last report that was answered was sent, or the session began
+	Name             string
+	Zone             string
+	MachineType      string // its type; empty: m8
+	Epoch            uint64
+	Sequence         uint64
+	FencingToken     uint64
+	Tasks            map[string]*AgentTask // by name and attempt
+	PreemptionNotice any
+	Silent           bool
+	Starts           int
+	LastHeartbeat    []byte
+	DropsStarts      bool          // drops starts, as if the answer were lost
+	LosesResponses   bool          // no answer reaches it
+	TaskDuration     time.Duration // tasks end by themselves after it; 0: never
+	DurationSpread   time.Duration // and up to six times this more
+	ConnectedTo      *Controller   // where its last report was answered
+	RedirectedTo     string        // the member that it was told to report to
+	Connection       uint64
+	LastAnswered     time.Duration // when the last report that was answered was sent, or the session began
 }
 
-type agentTask struct {
-	name      string
-	replica   uint64
-	state     string
-	cause     any
-	startedAt time.Duration
+type AgentTask struct {
+	Name      string
+	Replica   uint64
+	State     string
+	Cause     any
+	StartedAt time.Duration
 }
 
-func (sim *simulation) addMachine(name, zone string) *machineAgent {
-	agent := &machineAgent{sim: sim, name: name, zone: zone, epoch: 1, tasks: make(map[string]*agentTask), lastAnswered: sim.now}
-	sim.agents[name] = agent
-	sim.cloud.machines = append(sim.cloud.machines, cloudMachine{name: name, zone: zone, status: "running", at: sim.now})
+func (sim *simulation) AddMachine(name, zone string) *Agent {
+	agent := &Agent{sim: sim, Name: name, Zone: zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LastAnswered: sim.now}
+	sim.Agents[name] = agent
+	sim.Cloud.Machines = append(sim.Cloud.Machines, CloudMachine{Name: name, Zone: zone, Status: "running", At: sim.now})
 	return agent
 }
 
-// bootMachines brings up the machines that were rented a while ago; their tasks take
+// BootMachines brings up the machines that were rented a while ago; their tasks take
 // the given time.
-func (sim *simulation) bootMachines(takes time.Duration) {
-	for _, m := range sim.cloud.machines {
-		if sim.agents[m.name] == nil && m.status == "starting" && sim.now-m.at > 5*time.Second {
-			sim.agents[m.name] = &machineAgent{sim: sim, name: m.name, zone: m.zone, epoch: 1, tasks: make(map[string]*agentTask), taskDuration: takes, lastAnswered: sim.now}
+func (sim *simulation) BootMachines(takes time.Duration) {
+	for _, m := range sim.Cloud.Machines {
+		if sim.Agents[m.Name] == nil && m.Status == "starting" && sim.now-m.At > 5*time.Second {
+			sim.Agents[m.Name] = &Agent{sim: sim, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), TaskDuration: takes, LastAnswered: sim.now}
 		}
 	}
 }
 
-func (agent *machineAgent) heartbeatBody() []byte {
-	agent.sequence++
+func (agent *Agent) HeartbeatBody() []byte {
+	agent.Sequence++
 	pages := []any{}
 	var keys []string
-	for key := range agent.tasks {
+	for key := range agent.Tasks {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		task := agent.tasks[key]
-		if agent.taskDuration > 0 && task.state == "running" && !(agent.sim.isEndless != nil && agent.sim.isEndless(task.name)) && agent.sim.now-task.startedAt >= agent.taskDuration+agent.durationSpread*time.Duration(task.replica%7) {
-			task.state, task.cause = "ended", "done"
+		task := agent.Tasks[key]
+		if agent.TaskDuration > 0 && task.State == "running" && !(agent.sim.IsEndless != nil && agent.sim.IsEndless(task.Name)) && agent.sim.now-task.StartedAt >= agent.TaskDuration+agent.DurationSpread*time.Duration(task.Replica%7) {
+			task.State, task.Cause = "ended", "done"
 		}
-		if task.state == "ended" && task.cause == "done" && agent.sim.onTaskDone != nil {
-			agent.sim.onTaskDone(agent, task.name)
+		if task.State == "ended" && task.Cause == "done" && agent.sim.OnTaskDone != nil {
+			agent.sim.OnTaskDone(agent, task.Name)
 		}
-		pages = append(pages, map[string]any{"page": task.name, "try": task.replica, "status": task.state, "cause": task.cause})
+		pages = append(pages, map[string]any{"page": task.Name, "try": task.Replica, "status": task.State, "cause": task.Cause})
 	}
-	machine := agent.machineType
+	machine := agent.MachineType
 	if machine == "" {
 		machine = "m8"
 	}
-	return agent.sim.codec.Encode(map[string]any{"roost": agent.name, "address": "10.1.0.1:1", "breed": machine, "hall": agent.zone, "loaners": false,
-		"perch": agent.epoch, "tick": agent.sequence, "baton": agent.fencingToken, "recallInS": agent.preemptionNotice, "pages": pages})
+	return agent.sim.Codec.Encode(map[string]any{"roost": agent.Name, "address": "10.1.0.1:1", "breed": machine, "hall": agent.Zone, "loaners": false,
+		"perch": agent.Epoch, "tick": agent.Sequence, "baton": agent.FencingToken, "recallInS": agent.PreemptionNotice, "pages": pages})
 }
 
-// heartbeat sends one report to the leader, or where it was told to, and carries
+// Heartbeat sends one report to the leader, or where it was told to, and carries
 // out the answer.
-func (agent *machineAgent) heartbeat() *Response {
-	if agent.silent {
+func (agent *Agent) Heartbeat() *Response {
+	if agent.Silent {
 		return nil
 	}
-	if n := agent.sim.nodes[agent.redirectedTo]; n != nil && n.up && !n.paused {
-		return agent.heartbeatTo(n)
+	if n := agent.sim.Nodes[agent.RedirectedTo]; n != nil && n.Up && !n.Paused {
+		return agent.HeartbeatTo(n)
 	}
-	for _, name := range agent.sim.names {
-		if n := agent.sim.nodes[name]; n.up && !n.paused && n.controller.leader != nil {
-			return agent.heartbeatTo(n)
+	for _, name := range agent.sim.Names {
+		if n := agent.sim.Nodes[name]; n.Up && !n.Paused && n.controller.leader != nil {
+			return agent.HeartbeatTo(n)
 		}
 	}
 	return nil
 }
 
-func (agent *machineAgent) heartbeatTo(n *node) *Response {
-	agent.lastHeartbeat = agent.heartbeatBody()
-	session, sent := agent.epoch, agent.sim.now
-	if agent.connectedTo != n.controller { // it has closed its last connection
+func (agent *Agent) HeartbeatTo(n *Node) *Response {
+	agent.LastHeartbeat = agent.HeartbeatBody()
+	session, sent := agent.Epoch, agent.sim.now
+	if agent.ConnectedTo != n.controller { // it has closed its last connection
 		agent.sim.lastConnection++
-		agent.connection, agent.connectedTo = agent.sim.lastConnection, n.controller
+		agent.Connection, agent.ConnectedTo = agent.sim.lastConnection, n.controller
 	}
-	r := n.callOnConnection(agent.connection, "POST", "/checkin", agent.lastHeartbeat)
+	r := n.CallOnConnection(agent.Connection, "POST", "/checkin", agent.LastHeartbeat)
 	if r.Status == 0 { // the answer waits for picks
-		agent.sim.advance(400 * time.Millisecond)
+		agent.sim.Advance(400 * time.Millisecond)
 	}
-	agent.redirectedTo = ""
+	agent.RedirectedTo = ""
 	if r.Status == 421 {
 		var to protocol.Redirect
-		if err := agent.sim.codec.Decode(r.Body, &to); err != nil {
-			agent.sim.t.Fatal(err)
+		if err := agent.sim.Codec.Decode(r.Body, &to); err != nil {
+			agent.sim.T.Fatal(err)
 		}
-		agent.redirectedTo = to.HeartbeatTo
+		agent.RedirectedTo = to.HeartbeatTo
 	}
-	if r.Status != 200 || agent.losesResponses {
-		agent.connectedTo = nil
+	if r.Status != 200 || agent.LosesResponses {
+		agent.ConnectedTo = nil
 		return r
 	}
-	agent.redirectedTo = n.name
-	if agent.epoch == session { // else it belongs to one that is over
-		agent.execute(r.Body)
-		agent.lastAnswered = max(agent.lastAnswered, sent)
+	agent.RedirectedTo = n.Name
+	if agent.Epoch == session { // else it belongs to one that is over
+		agent.Execute(r.Body)
+		agent.LastAnswered = max(agent.LastAnswered, sent)
 	}
 	return r
 }
 
-func (agent *machineAgent) execute(body []byte) {
+func (agent *Agent) Execute(body []byte) {
 	var a protocol.HeartbeatResponse
-	if err := agent.sim.codec.Decode(body, &a); err != nil {
-		agent.sim.t.Fatal(err)
+	if err := agent.sim.Codec.Decode(body, &a); err != nil {
+		agent.sim.T.Fatal(err)
 	}
-	if a.FencingToken < agent.fencingToken {
+	if a.FencingToken < agent.FencingToken {
 		return
 	}
-	agent.fencingToken = a.FencingToken
+	agent.FencingToken = a.FencingToken
 	for _, c := range a.Commands {
 		key := c.Task + "#" + strconv.FormatUint(c.Replica, 10)
-		task := agent.tasks[key]
+		task := agent.Tasks[key]
 		switch {
-		case c.Op == protocol.CommandStart && task == nil && !agent.dropsStarts:
+		case c.Op == protocol.CommandStart && task == nil && !agent.DropsStarts:
 			agent.sim.checkRunsOnce(c.Task, agent)
-			agent.starts++
-			agent.tasks[key] = &agentTask{name: c.Task, replica: c.Replica, state: "running", startedAt: agent.sim.now}
-			if agent.sim.onStart != nil {
-				agent.sim.onStart(agent, agent.tasks[key])
+			agent.Starts++
+			agent.Tasks[key] = &AgentTask{Name: c.Task, Replica: c.Replica, State: "running", StartedAt: agent.sim.now}
+			if agent.sim.OnStart != nil {
+				agent.sim.OnStart(agent, agent.Tasks[key])
 			}
-		case c.Op == protocol.CommandStop && task != nil && task.state != "ended":
-			task.state, task.cause = "ended", "halted"
-		case c.Op == protocol.CommandReap && task != nil && task.state == "ended":
-			delete(agent.tasks, key)
+		case c.Op == protocol.CommandStop && task != nil && task.State != "ended":
+			task.State, task.Cause = "ended", "halted"
+		case c.Op == protocol.CommandReap && task != nil && task.State == "ended":
+			delete(agent.Tasks, key)
 		}
 	}
 }
@@ -164,43 +164,43 @@
 // checkRunsOnce is the rule ran_twice. It looks at the machines on which the task was
 // started before: nothing else brings a copy of it onto a machine, but for tests
 // that put old ones there, which have ended or are of an earlier number.
-func (sim *simulation) checkRunsOnce(task string, on *machineAgent) {
-	if _, bench := sim.t.(*testing.B); bench {
+func (sim *simulation) checkRunsOnce(task string, on *Agent) {
+	if _, bench := sim.T.(*testing.B); bench {
 		return // it would cost more than what is measured
 	}
 	for _, agent := range sim.startedOn[task] {
-		for _, t := range agent.tasks {
-			if t.name == task && t.state != "ended" && sim.agents[agent.name] == agent {
-				sim.t.Fatalf("%s is started on %s while it runs on %s", task, on.name, agent.name)
+		for _, t := range agent.Tasks {
+			if t.Name == task && t.State != "ended" && sim.Agents[agent.Name] == agent {
+				sim.T.Fatalf("%s is started on %s while it runs on %s", task, on.Name, agent.Name)
 			}
 		}
 	}
 	sim.startedOn[task] = append(sim.startedOn[task], on)
 }
 
-func (agent *machineAgent) running() []string {
+func (agent *Agent) Running() []string {
 	var out []string
-	for _, task := range agent.tasks {
-		if task.state == "running" {
-			out = append(out, task.name)
+	for _, task := range agent.Tasks {
+		if task.State == "running" {
+			out = append(out, task.Name)
 		}
 	}
 	sort.Strings(out)
 	return out
 }
 
-// finishTasks ends every running task.
-func (agent *machineAgent) finishTasks(why string) {
-	for _, task := range agent.tasks {
-		if task.state == "running" {
-			task.state, task.cause = "ended", why
+// FinishTasks ends every running task.
+func (agent *Agent) FinishTasks(why string) {
+	for _, task := range agent.Tasks {
+		if task.State == "running" {
+			task.State, task.Cause = "ended", why
 		}
 	}
 }
 
-// expireLease ends the worker's session, as its lease's end does.
-func (agent *machineAgent) expireLease() {
-	agent.tasks = make(map[string]*agentTask)
-	agent.epoch++
-	agent.lastAnswered = agent.sim.now
+// ExpireLease ends the worker's session, as its lease's end does.
+func (agent *Agent) ExpireLease() {
+	agent.Tasks = make(map[string]*AgentTask)
+	agent.Epoch++
+	agent.LastAnswered = agent.sim.now
 }
--- a/internal/coordination/previous_version_test.go
+++ b/internal/coordination/previous_version_test.go
@@ -80,51 +80,51 @@
 	return out
 }
 
-// stateLimits are what the stand-in of the state service takes.
-type stateLimits struct {
-	valueBytes, ops int
-	writeRPS        float64
-	writeBudget     float64 // changes that the rate allows now
-	budgetAt        time.Duration
-	rateLimited     int // requests, for the rate
+// StateLimits are what the stand-in of the state service takes.
+type StateLimits struct {
+	ValueBytes, Operations int
+	WriteRPS               float64
+	WriteBudget            float64 // changes that the rate allows now
+	BudgetAt               time.Duration
+	rateLimited            int // requests, for the rate
 }
 
 // checkLimits is the status of a transaction that goes beyond the limits, or 0.
 // Only the version before may write what is too large.
-func (s *fakeState) checkLimits(from string, t *protocol.Transaction) int {
-	l := s.limits
+func (s *State) checkLimits(from string, t *protocol.Transaction) int {
+	l := s.Limits
 	if l == nil {
 		return 0
 	}
-	l.writeBudget = min(l.writeRPS, l.writeBudget+l.writeRPS*(s.sim.now-l.budgetAt).Seconds())
-	l.budgetAt = s.sim.now
-	if l.writeBudget < float64(len(t.Then)) {
+	l.WriteBudget = min(l.WriteRPS, l.WriteBudget+l.WriteRPS*(s.sim.now-l.BudgetAt).Seconds())
+	l.BudgetAt = s.sim.now
+	if l.WriteBudget < float64(len(t.Then)) {
 		l.rateLimited++
 		return 429
 	}
-	l.writeBudget -= float64(len(t.Then))
-	large := len(t.Then) > l.ops
+	l.WriteBudget -= float64(len(t.Then))
+	large := len(t.Then) > l.Operations
 	for _, c := range t.Then {
-		large = large || (c.Put != "" && s.jsonSize(c) > l.valueBytes)
+		large = large || (c.Put != "" && s.jsonSize(c) > l.ValueBytes)
 	}
 	if !large {
 		return 0
 	}
-	if !s.sim.previousVersion[from] {
-		s.sim.t.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
+	if !s.sim.PreviousVersion[from] {
+		s.sim.T.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
 	}
 	return 400
 }
 
 // jsonSize is what the value of a change counts as.
-func (s *fakeState) jsonSize(c protocol.Change) int {
+func (s *State) jsonSize(c protocol.Change) int {
 	var v map[string]any // a codec takes maps only
-	if err := s.sim.codec.Decode(s.sim.codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
-		s.sim.t.Fatal(err)
+	if err := s.sim.Codec.Decode(s.sim.Codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
+		s.sim.T.Fatal(err)
 	}
 	b, err := json.Marshal(textKeys(v["v"]))
 	if err != nil {
-		s.sim.t.Fatal(err)
+		s.sim.T.Fatal(err)
 	}
 	return len(b)
 }
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -9,11 +9,11 @@
 // replicas can't be reached, and the leader ends; they go on when they may. day
 // checks that nothing of it is left after cancel_s, and that nothing starts.
 func TestCancelledServiceOnUnreachableMachines(t *testing.T) {
-	for name, trouble := range map[string]func(agent *machineAgent, on bool){
-		"hung": func(agent *machineAgent, on bool) { agent.silent = on },
-		"deaf": func(agent *machineAgent, on bool) { agent.losesResponses = on },
-		"loses its starts": func(agent *machineAgent, on bool) {
-			agent.losesResponses, agent.dropsStarts = on, on
+	for name, trouble := range map[string]func(agent *Agent, on bool){
+		"hung": func(agent *Agent, on bool) { agent.Silent = on },
+		"deaf": func(agent *Agent, on bool) { agent.LosesResponses = on },
+		"loses its starts": func(agent *Agent, on bool) {
+			agent.LosesResponses, agent.DropsStarts = on, on
 		},
 	} {
 		for _, lasts := range []int{6, 30} {
@@ -21,18 +21,18 @@
 				t.Run(fmt.Sprint(name, " for ", lasts, " s, leader ends ", leaderEnds), func(t *testing.T) {
 					t.Parallel()
 					scenario := newFaultScenario(t, uint64(lasts), 6)
-					id := scenario.submitService(scenario.follower(), 6)
-					other := scenario.submitService(scenario.leader(), 2)
+					id := scenario.submitService(scenario.Follower(), 6)
+					other := scenario.submitService(scenario.Leader(), 2)
 					scenario.play(5, func(int) {})
 					want(t, "replicas", len(scenario.machinesOfJob(id)), 6)
 					agents := scenario.busyMachines(4)
 					for _, agent := range agents {
 						trouble(agent, true)
 					}
-					scenario.query(scenario.follower(), "ABORT", id)
+					scenario.query(scenario.Follower(), "ABORT", id)
 					scenario.play(lasts, func(s int) {
 						if s == 2 && leaderEnds {
-							scenario.restart(scenario.leader().name)
+							scenario.restart(scenario.Leader().Name)
 						}
 					})
 					for _, agent := range agents {
@@ -52,48 +52,48 @@
 // owner or the leader ends, both do, or its machine is about to be taken away.
 func TestReplicaEndsDuringOtherFaults(t *testing.T) {
 	for _, why := range []string{"done", "error"} {
-		for name, event := range map[string]func(scenario *faultScenario, owner *node, id string, on *machineAgent){
-			"cancelled": func(scenario *faultScenario, owner *node, id string, _ *machineAgent) {
+		for name, event := range map[string]func(scenario *faultScenario, owner *Node, id string, on *Agent){
+			"cancelled": func(scenario *faultScenario, owner *Node, id string, _ *Agent) {
 				scenario.query(owner, "ABORT", id)
 			},
-			"cancelled nearby": func(scenario *faultScenario, owner *node, id string, _ *machineAgent) {
-				scenario.query(scenario.otherNode(owner, scenario.leader()), "ABORT", id)
+			"cancelled nearby": func(scenario *faultScenario, owner *Node, id string, _ *Agent) {
+				scenario.query(scenario.otherNode(owner, scenario.Leader()), "ABORT", id)
 			},
-			"the owner ends": func(scenario *faultScenario, owner *node, _ string, _ *machineAgent) { scenario.restart(owner.name) },
-			"the leader ends": func(scenario *faultScenario, _ *node, _ string, _ *machineAgent) {
-				scenario.restart(scenario.leader().name)
+			"the owner ends": func(scenario *faultScenario, owner *Node, _ string, _ *Agent) { scenario.restart(owner.Name) },
+			"the leader ends": func(scenario *faultScenario, _ *Node, _ string, _ *Agent) {
+				scenario.restart(scenario.Leader().Name)
 			},
-			"all end": func(scenario *faultScenario, _ *node, _ string, _ *machineAgent) {
+			"all end": func(scenario *faultScenario, _ *Node, _ string, _ *Agent) {
 				scenario.restart("a")
 				scenario.restart("b")
 				scenario.restart("c")
 			},
-			"its machine goes":  func(_ *faultScenario, _ *node, _ string, on *machineAgent) { on.preemptionNotice = 8.0 },
-			"an answer is lost": func(_ *faultScenario, _ *node, _ string, on *machineAgent) { on.losesResponses = true },
+			"its machine goes":  func(_ *faultScenario, _ *Node, _ string, on *Agent) { on.PreemptionNotice = 8.0 },
+			"an answer is lost": func(_ *faultScenario, _ *Node, _ string, on *Agent) { on.LosesResponses = true },
 		} {
 			for _, sooner := range []bool{false, true} {
 				t.Run(fmt.Sprint(why, ", ", name, ", reported before ", sooner), func(t *testing.T) {
 					t.Parallel()
 					scenario := newFaultScenario(t, 5, 6)
-					owner := scenario.follower()
+					owner := scenario.Follower()
 					id := scenario.submitService(owner, 4)
 					scenario.play(25, func(int) {})
 					want(t, "replicas", len(scenario.machinesOfJob(id)), 4)
-					on := scenario.agents[scenario.machinesOfJob(id)[id+"/0"]]
-					for _, task := range on.tasks {
-						if task.name == id+"/0" {
-							task.state, task.cause = "ended", why
+					on := scenario.Agents[scenario.machinesOfJob(id)[id+"/0"]]
+					for _, task := range on.Tasks {
+						if task.Name == id+"/0" {
+							task.State, task.Cause = "ended", why
 						}
 					}
 					if sooner {
-						on.heartbeat()
+						on.Heartbeat()
 					}
 					event(scenario, owner, id, on)
 					if !sooner {
-						on.heartbeat()
+						on.Heartbeat()
 					}
 					scenario.play(20, func(int) {})
-					on.losesResponses = false
+					on.LosesResponses = false
 					scenario.recoverAndCheck()
 					left := 4
 					if scenario.cancelRequested[id] {
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -14,17 +14,17 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-func serviceJob(id string, tasks int) jobRequest {
-	return batchJob(id, tasks).with("form", "service").with("urgency", "production").with("expectedS", 0.0).with("loaners", false)
+func ServiceJob(id string, tasks int) JobRequest {
+	return BatchJob(id, tasks).With("form", "service").With("urgency", "production").With("expectedS", 0.0).With("loaners", false)
 }
 
 // machinesOfJob tells where a job's tasks run.
 func (sim *simulation) machinesOfJob(id string) map[string]string {
 	out := make(map[string]string)
-	for _, agent := range sim.agents {
-		for _, name := range agent.running() {
+	for _, agent := range sim.Agents {
+		for _, name := range agent.Running() {
 			if strings.HasPrefix(name, id+"/") {
-				out[name] = agent.name
+				out[name] = agent.Name
 			}
 		}
 	}
@@ -37,51 +37,51 @@
 func TestServiceRunsUntilItIsCancelled(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 4 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.follower().submit(serviceJob("wk-1", 3)).Status, 201)
-	sim.run(4 * time.Second)
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Follower().Submit(ServiceJob("wk-1", 3)).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "replicas", len(sim.machinesOfJob("wk-1")), 3)
 	for _, why := range []string{"done", "error", "halted"} {
-		sim.run(25 * time.Second)
+		sim.Run(25 * time.Second)
 		was := sim.machinesOfJob("wk-1")["wk-1/0"]
-		starts := sim.agents[was].starts
-		for _, task := range sim.agents[was].tasks {
-			if task.name == "wk-1/0" && task.state == "running" {
-				task.state, task.cause = "ended", why
+		starts := sim.Agents[was].Starts
+		for _, task := range sim.Agents[was].Tasks {
+			if task.Name == "wk-1/0" && task.State == "running" {
+				task.State, task.Cause = "ended", why
 			}
 		}
 		if why == "done" { // for a while only the machine that keeps the result reports
-			for _, agent := range sim.agents {
-				agent.silent = agent.name != was
+			for _, agent := range sim.Agents {
+				agent.Silent = agent.Name != was
 			}
-			sim.run(4 * time.Second)
-			if sim.agents[was].starts > starts {
+			sim.Run(4 * time.Second)
+			if sim.Agents[was].Starts > starts {
 				t.Fatal("it is started where its result is kept")
 			}
-			for _, agent := range sim.agents {
-				agent.silent = false
+			for _, agent := range sim.Agents {
+				agent.Silent = false
 			}
 		}
-		sim.run(4 * time.Second)
+		sim.Run(4 * time.Second)
 		want(t, "replicas after "+why, len(sim.machinesOfJob("wk-1")), 3)
-		for _, name := range sim.names {
-			code, s := sim.nodes[name].status("wk-1")
+		for _, name := range sim.Names {
+			code, s := sim.Nodes[name].Status("wk-1")
 			want(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
 		}
 	}
-	for key := range sim.state.keys {
+	for key := range sim.State.Keys {
 		if strings.HasPrefix(key, "done/") {
 			t.Fatalf("%s is written for a service", key)
 		}
 	}
-	code, status := sim.follower().cancel("wk-1")
+	code, status := sim.Follower().Cancel("wk-1")
 	want(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
-	sim.run(3 * time.Second)
+	sim.Run(3 * time.Second)
 	want(t, "replicas that are left", len(sim.machinesOfJob("wk-1")), 0)
-	want(t, "repeat", sim.nodes["a"].submit(serviceJob("wk-1", 3)).Status, 200)
-	sim.wantStatus(sim.nodes["b"], "wk-1", 200, "withdrawn")
+	want(t, "repeat", sim.Nodes["a"].Submit(ServiceJob("wk-1", 3)).Status, 200)
+	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 }
 
 // A service whose tasks end at once is no hot loop, and harms no machine; once
@@ -89,16 +89,16 @@
 func TestServiceThatEndsAtOnceIsBackedOff(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 6 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1").taskDuration = time.Second
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1").TaskDuration = time.Second
 	}
-	sim.run(2 * time.Second)
-	n := sim.leader()
+	sim.Run(2 * time.Second)
+	n := sim.Leader()
 	starts := 0
-	sim.onStart = func(*machineAgent, *agentTask) { starts++ }
-	want(t, "submit", n.submit(serviceJob("wk-1", 2)).Status, 201)
+	sim.OnStart = func(*Agent, *AgentTask) { starts++ }
+	want(t, "submit", n.Submit(ServiceJob("wk-1", 2)).Status, 201)
 	for range 90 {
-		sim.run(time.Second)
-		sim.bootMachines(time.Second)
+		sim.Run(time.Second)
+		sim.BootMachines(time.Second)
 	}
 	if starts < 5 || starts > 40 {
 		t.Fatalf("%d starts in 90 s of a service that ends at once", starts)
@@ -106,12 +106,12 @@
 	for m := range n.controller.leader.machines.all {
 		want(t, "set aside", m.quarantined, false)
 	}
-	for _, agent := range sim.agents {
-		agent.taskDuration = 0
+	for _, agent := range sim.Agents {
+		agent.TaskDuration = 0
 	}
 	for range 80 {
-		sim.run(time.Second)
-		sim.bootMachines(0)
+		sim.Run(time.Second)
+		sim.BootMachines(0)
 	}
 	want(t, "replicas", len(sim.machinesOfJob("wk-1")), 2)
 }
@@ -120,56 +120,56 @@
 func TestServiceSurvivesTakeovers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 4 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
-	sim.run(2 * time.Second)
-	for i, name := range sim.names {
-		want(t, "submit", sim.nodes[name].submit(serviceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+	sim.Run(2 * time.Second)
+	for i, name := range sim.Names {
+		want(t, "submit", sim.Nodes[name].Submit(ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 	}
-	sim.run(4 * time.Second)
+	sim.Run(4 * time.Second)
 	want(t, "replicas", sim.runningTasks(), 6)
 	for range 2 {
-		lead := sim.leader().name
-		sim.crash(lead)
-		sim.run(9 * time.Second)
-		sim.start(lead)
-		sim.run(9 * time.Second)
+		lead := sim.Leader().Name
+		sim.Crash(lead)
+		sim.Run(9 * time.Second)
+		sim.Start(lead)
+		sim.Run(9 * time.Second)
 	}
-	for _, name := range sim.names {
-		sim.crash(name)
+	for _, name := range sim.Names {
+		sim.Crash(name)
 	}
-	sim.advance(5 * time.Second)
-	for _, name := range sim.names {
-		sim.start(name)
+	sim.Advance(5 * time.Second)
+	for _, name := range sim.Names {
+		sim.Start(name)
 	}
-	sim.run(15 * time.Second)
+	sim.Run(15 * time.Second)
 	want(t, "replicas that run on", sim.runningTasks(), 6)
 	want(t, "starts", sim.startCount(), 6)
-	for i := range sim.names {
-		sim.wantStatus(sim.nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
+	for i := range sim.Names {
+		sim.wantStatus(sim.Nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
 	}
 }
 
 // What can never run is refused, whatever limit it breaks.
 func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	n := sim.nodes["a"]
-	want(t, "at the limit", n.submit(serviceJob("wk-1", 16).with("crew", "red")).Status, 201)
-	want(t, "beyond it", n.submit(serviceJob("wk-2", 17).with("crew", "red")).Status, 422)
-	want(t, "an array", n.submit(batchJob("wk-3", 17).with("crew", "red")).Status, 201)
-	want(t, "no limit", n.submit(serviceJob("wk-4", 17)).Status, 201)
-	want(t, "no urgency", n.submit(serviceJob("wk-5", 1).with("urgency", nil)).Status, 400)
-	want(t, "a gang", n.submit(serviceJob("wk-6", 1).with("form", "gang")).Status, 400)
-	want(t, "no form", n.submit(serviceJob("wk-6", 1).with("form", nil)).Status, 400)
-	want(t, "a run time", n.submit(serviceJob("wk-6", 1).with("expectedS", 30.0)).Status, 400)
-	want(t, "no run time", n.submit(serviceJob("wk-6", 1).with("expectedS", nil)).Status, 400)
-	want(t, "out of range", n.submit(serviceJob("wk-6", 1).with("vcpus", -1.0)).Status, 400)
-	want(t, "fits no machine", n.submit(serviceJob("wk-6", 1).with("vcpus", 9.0)).Status, 422)
-	want(t, "no allowed type", n.submit(serviceJob("wk-6", 1).with("breeds", []string{"x"})).Status, 422)
-	want(t, "unknown team", n.submit(serviceJob("wk-6", 1).with("crew", "green")).Status, 422)
-	want(t, "a retry, whatever it says", n.submit(serviceJob("wk-1", 17).with("crew", "red")).Status, 200)
+	sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	n := sim.Nodes["a"]
+	want(t, "at the limit", n.Submit(ServiceJob("wk-1", 16).With("crew", "red")).Status, 201)
+	want(t, "beyond it", n.Submit(ServiceJob("wk-2", 17).With("crew", "red")).Status, 422)
+	want(t, "an array", n.Submit(BatchJob("wk-3", 17).With("crew", "red")).Status, 201)
+	want(t, "no limit", n.Submit(ServiceJob("wk-4", 17)).Status, 201)
+	want(t, "no urgency", n.Submit(ServiceJob("wk-5", 1).With("urgency", nil)).Status, 400)
+	want(t, "a gang", n.Submit(ServiceJob("wk-6", 1).With("form", "gang")).Status, 400)
+	want(t, "no form", n.Submit(ServiceJob("wk-6", 1).With("form", nil)).Status, 400)
+	want(t, "a run time", n.Submit(ServiceJob("wk-6", 1).With("expectedS", 30.0)).Status, 400)
+	want(t, "no run time", n.Submit(ServiceJob("wk-6", 1).With("expectedS", nil)).Status, 400)
+	want(t, "out of range", n.Submit(ServiceJob("wk-6", 1).With("vcpus", -1.0)).Status, 400)
+	want(t, "fits no machine", n.Submit(ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
+	want(t, "no allowed type", n.Submit(ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
+	want(t, "unknown team", n.Submit(ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
+	want(t, "a retry, whatever it says", n.Submit(ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
 }
 
 // While some member runs the version before, which would take a service for an
@@ -177,47 +177,47 @@
 // of that version that is down for long keeps nobody from them.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.addMachine("vm-1", "z1")
-	sim.crash("c")
-	sim.previousVersion["c"] = true
-	sim.start("c")
-	sim.run(10 * time.Second)
-	r := sim.nodes["a"].submit(serviceJob("wk-1", 2))
+	sim.AddMachine("vm-1", "z1")
+	sim.Crash("c")
+	sim.PreviousVersion["c"] = true
+	sim.Start("c")
+	sim.Run(10 * time.Second)
+	r := sim.Nodes["a"].Submit(ServiceJob("wk-1", 2))
 	want(t, "service", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
-	want(t, "array", sim.nodes["a"].submit(batchJob("wk-2", 2)).Status, 201)
-	sim.crash("c")
-	sim.run(30 * time.Second)
-	want(t, "it may come back as it was", sim.nodes["a"].submit(serviceJob("wk-1", 2)).Status, 503)
-	sim.run(50 * time.Second)
-	want(t, "down for long", sim.nodes["a"].submit(serviceJob("wk-1", 2)).Status, 201)
-	sim.start("c")
-	sim.run(10 * time.Second)
-	want(t, "back as it was", sim.nodes["b"].submit(serviceJob("wk-3", 2)).Status, 503)
-	want(t, "known all the same", sim.nodes["b"].submit(serviceJob("wk-1", 2)).Status, 200)
-	sim.crash("c")
-	delete(sim.previousVersion, "c")
-	sim.start("c")
-	sim.run(10 * time.Second)
-	want(t, "all have the new one", sim.nodes["b"].submit(serviceJob("wk-3", 2)).Status, 201)
+	want(t, "array", sim.Nodes["a"].Submit(BatchJob("wk-2", 2)).Status, 201)
+	sim.Crash("c")
+	sim.Run(30 * time.Second)
+	want(t, "it may come back as it was", sim.Nodes["a"].Submit(ServiceJob("wk-1", 2)).Status, 503)
+	sim.Run(50 * time.Second)
+	want(t, "down for long", sim.Nodes["a"].Submit(ServiceJob("wk-1", 2)).Status, 201)
+	sim.Start("c")
+	sim.Run(10 * time.Second)
+	want(t, "back as it was", sim.Nodes["b"].Submit(ServiceJob("wk-3", 2)).Status, 503)
+	want(t, "known all the same", sim.Nodes["b"].Submit(ServiceJob("wk-1", 2)).Status, 200)
+	sim.Crash("c")
+	delete(sim.PreviousVersion, "c")
+	sim.Start("c")
+	sim.Run(10 * time.Second)
+	want(t, "all have the new one", sim.Nodes["b"].Submit(ServiceJob("wk-3", 2)).Status, 201)
 }
 
 // A replica gets room from anything of lower priority, urgent work too, when all
 // machines that it may use are full; nothing is stopped for its like.
 func TestServicePreemptsLowerPriorities(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.cloud.refusesScaleOut = true
-	sim.addMachine("vm-1", "z1")
-	sim.addMachine("vm-2", "z1")
-	sim.run(2 * time.Second)
-	n := sim.leader()
-	want(t, "urgent", n.submit(batchJob("wk-1", 8).with("urgency", "urgent")).Status, 201)
-	sim.run(4 * time.Second)
+	sim.Cloud.RefusesScaleOut = true
+	sim.AddMachine("vm-1", "z1")
+	sim.AddMachine("vm-2", "z1")
+	sim.Run(2 * time.Second)
+	n := sim.Leader()
+	want(t, "urgent", n.Submit(BatchJob("wk-1", 8).With("urgency", "urgent")).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	want(t, "service", n.submit(serviceJob("wk-2", 3)).Status, 201)
-	sim.run(6 * time.Second)
+	want(t, "service", n.Submit(ServiceJob("wk-2", 3)).Status, 201)
+	sim.Run(6 * time.Second)
 	want(t, "replicas", len(sim.machinesOfJob("wk-2")), 3)
-	want(t, "second service", n.submit(serviceJob("wk-3", 8)).Status, 201)
-	sim.run(10 * time.Second)
+	want(t, "second service", n.Submit(ServiceJob("wk-3", 8)).Status, 201)
+	sim.Run(10 * time.Second)
 	want(t, "replicas of the first", len(sim.machinesOfJob("wk-2")), 3)
 	want(t, "replicas in all", sim.runningTasks(), 8)
 }
@@ -227,28 +227,28 @@
 func TestReplicasMoveOffADrainingMachine(t *testing.T) {
 	for _, room := range []bool{true, false} {
 		sim := newSimulation(t, "a", "b", "c")
-		sim.cloud.refusesScaleOut = true
-		first := sim.addMachine("vm-0", "z1")
-		sim.run(2 * time.Second)
-		n := sim.leader()
-		want(t, "submit", n.submit(serviceJob("wk-1", 3)).Status, 201)
-		sim.run(4 * time.Second)
-		want(t, "replicas", len(first.running()), 3)
+		sim.Cloud.RefusesScaleOut = true
+		first := sim.AddMachine("vm-0", "z1")
+		sim.Run(2 * time.Second)
+		n := sim.Leader()
+		want(t, "submit", n.Submit(ServiceJob("wk-1", 3)).Status, 201)
+		sim.Run(4 * time.Second)
+		want(t, "replicas", len(first.Running()), 3)
 		if room {
-			sim.addMachine("vm-1", "z1")
-			sim.addMachine("vm-2", "z1")
-			sim.run(4 * time.Second)
+			sim.AddMachine("vm-1", "z1")
+			sim.AddMachine("vm-2", "z1")
+			sim.Run(4 * time.Second)
 		}
 		least := 3
 		for left := 14; left > 1; left-- {
-			first.preemptionNotice = float64(left)
-			sim.run(time.Second)
+			first.PreemptionNotice = float64(left)
+			sim.Run(time.Second)
 			least = min(least, len(sim.machinesOfJob("wk-1")))
 			if !room && left > 5 {
-				want(t, "replicas that stay while there is no room", len(first.running()), 3)
+				want(t, "replicas that stay while there is no room", len(first.Running()), 3)
 			}
 		}
-		want(t, "left on the machine", len(first.running()), 0)
+		want(t, "left on the machine", len(first.Running()), 0)
 		if room {
 			want(t, "moved", len(sim.machinesOfJob("wk-1")), 3)
 			want(t, "served all the while", least >= 2, true)
@@ -298,9 +298,9 @@
 // passed over; the stream goes on.
 func TestUnknownFramesAreIgnored(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
-	sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	lead, other := sim.leader(), sim.follower()
+	sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	lead, other := sim.Leader(), sim.Follower()
 	for _, raw := range [][]byte{
 		{0xba, 0x06, 0x02, 0x08, 0x01},             // body 103
 		{0x1a, 0x00},                               // an empty join
@@ -313,11 +313,11 @@
 		if proto.Unmarshal(raw, &f) != nil {
 			continue // the transport ends such a stream
 		}
-		lead.controller.LinkFrame(lead.links[other.name], &f)
-		other.controller.LinkFrame(other.links[lead.name], &f)
-		sim.deliverAll()
+		lead.controller.LinkFrame(lead.Links[other.Name], &f)
+		other.controller.LinkFrame(other.Links[lead.Name], &f)
+		sim.DeliverAll()
 	}
-	want(t, "submit", other.submit(batchJob("wk-1", 2)).Status, 201)
-	sim.run(4 * time.Second)
+	want(t, "submit", other.Submit(BatchJob("wk-1", 2)).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 2)
 }
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -19,42 +19,42 @@
 // simulation is a deployment on a fake clock: controllers, scripted workers, and
 // stand-ins for the state service and the cloud.
 type simulation struct {
-	t               testing.TB
-	codec           *protocol.Codec
+	T               testing.TB
+	Codec           *protocol.Codec
 	now             time.Duration
-	nodes           map[string]*node
-	names           []string
-	state           *fakeState
-	cloud           *fakeCloud
-	agents          map[string]*machineAgent
-	previousVersion map[string]bool            // members that run the version before, see production
-	nextLimits      string                     // settings.state.next, which only this version knows
-	adjustSettings  func(*settings.File)       // the settings of each process, as it starts; nil: as in testSettings
-	auditStreams    []*audit.Stream            // what each process has recorded of admissions
-	tuning          settings.Tuning            // the operators' settings
-	startedOn       map[string][]*machineAgent // by task: where copies of it were ever started
+	Nodes           map[string]*Node
+	Names           []string
+	State           *State
+	Cloud           *Cloud
+	Agents          map[string]*Agent
+	PreviousVersion map[string]bool      // members that run the version before, see production
+	NextLimits      string               // settings.state.next, which only this version knows
+	AdjustSettings  func(*settings.File) // the settings of each process, as it starts; nil: as in testSettings
+	AuditStreams    []*audit.Stream      // what each process has recorded of admissions
+	Tuning          settings.Tuning      // the operators' settings
+	startedOn       map[string][]*Agent  // by task: where copies of it were ever started
 	lastProcess     uint64
 	lastConnection  uint64
-	expireLeases    bool                                // workers' leases end by themselves
-	workerLease     time.Duration                       // lease_s of the settings
-	onTick          func()                              // after every tick
-	onStart         func(k *machineAgent, t *agentTask) // a start is carried out
-	isEndless       func(name string) bool              // whose tasks don't end by themselves
-	onTaskDone      func(k *machineAgent, name string)  // a task that has ended well is reported
+	ExpireLeases    bool                         // workers' leases end by themselves
+	WorkerLease     time.Duration                // lease_s of the settings
+	OnTick          func()                       // after every tick
+	OnStart         func(k *Agent, t *AgentTask) // a start is carried out
+	IsEndless       func(name string) bool       // whose tasks don't end by themselves
+	OnTaskDone      func(k *Agent, name string)  // a task that has ended well is reported
 }
 
-type node struct {
+type Node struct {
 	sim        *simulation
-	name       string
+	Name       string
 	controller *Controller
-	up         bool
-	paused     bool // it stands still: nothing of it runs, what comes for it waits
-	links      map[string]*fakeLink
+	Up         bool
+	Paused     bool // it stands still: nothing of it runs, what comes for it waits
+	Links      map[string]*Stream
 }
 
 func (sim *simulation) Now() time.Duration { return sim.now }
 
-const testSettings = `
+const settingsFormat = `
 member = "%s"
 site = "z1"
 api_addr = "10.0.0.1:1"
@@ -104,7 +104,7 @@
 func newSimulationWith(t testing.TB, next string, before []string, names ...string) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, next, before, names...)
-	sim.startAll()
+	sim.StartAll()
 	return sim
 }
 
@@ -115,201 +115,201 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim := &simulation{t: t, codec: codec, now: time.Hour, nodes: make(map[string]*node), names: names, agents: make(map[string]*machineAgent), previousVersion: make(map[string]bool),
-		startedOn: make(map[string][]*machineAgent), tuning: settings.DefaultTuning(), workerLease: testLease}
-	sim.nextLimits = next
+	sim := &simulation{T: t, Codec: codec, now: time.Hour, Nodes: make(map[string]*Node), Names: names, Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool),
+		startedOn: make(map[string][]*Agent), Tuning: settings.DefaultTuning(), WorkerLease: defaultLease}
+	sim.NextLimits = next
 	for _, name := range before {
-		sim.previousVersion[name] = true
+		sim.PreviousVersion[name] = true
 	}
-	sim.state = newFakeState(sim)
-	sim.cloud = &fakeCloud{sim: sim, answers: make(map[string][]string)}
+	sim.State = newFakeState(sim)
+	sim.Cloud = &Cloud{sim: sim, answers: make(map[string][]string)}
 	for _, name := range names {
-		sim.nodes[name] = &node{sim: sim, name: name, links: make(map[string]*fakeLink)}
+		sim.Nodes[name] = &Node{sim: sim, Name: name, Links: make(map[string]*Stream)}
 	}
 	return sim
 }
 
-// startAll starts a process of every member, and waits until one leads.
-func (sim *simulation) startAll() {
-	for _, name := range sim.names {
-		sim.start(name)
+// StartAll starts a process of every member, and waits until one leads.
+func (sim *simulation) StartAll() {
+	for _, name := range sim.Names {
+		sim.Start(name)
 	}
-	sim.advance(8 * time.Second)
+	sim.Advance(8 * time.Second)
 }
 
-// start starts a process of a member.
-func (sim *simulation) start(name string) *node {
-	n := sim.nodes[name]
+// Start starts a process of a member.
+func (sim *simulation) Start(name string) *Node {
+	n := sim.Nodes[name]
 	known := ""
-	for _, other := range sim.names {
+	for _, other := range sim.Names {
 		if other != name {
 			known += fmt.Sprintf("[[known]]\nmember = %q\nsite = \"z1\"\naddress = \"10.0.0.2:2\"\n", other)
 		}
 	}
-	text := fmt.Appendf(nil, testSettings, name, known)
-	if !sim.previousVersion[name] {
-		text = append(text, sim.nextLimits...)
+	text := fmt.Appendf(nil, settingsFormat, name, known)
+	if !sim.PreviousVersion[name] {
+		text = append(text, sim.NextLimits...)
 	}
 	file, err := settings.Parse(text)
 	if err != nil {
-		sim.t.Fatal(err)
+		sim.T.Fatal(err)
 	}
-	if sim.adjustSettings != nil {
-		sim.adjustSettings(file)
+	if sim.AdjustSettings != nil {
+		sim.AdjustSettings(file)
 	}
-	tune := sim.tuning
-	if sim.previousVersion[name] {
+	tune := sim.Tuning
+	if sim.PreviousVersion[name] {
 		tune.QuotaEscrow = false
 	}
 	sim.lastProcess++
 	stream := &audit.Stream{Name: fmt.Sprint(name, "-", sim.lastProcess), HasLastSegment: true}
-	sim.auditStreams = append(sim.auditStreams, stream)
+	sim.AuditStreams = append(sim.AuditStreams, stream)
 	controller, err := New(file, tune, Env{
 		Clock: sim, Wall: func() time.Time { return time.Unix(1e9, 0).Add(sim.now) },
 		Rand:  rand.New(rand.NewPCG(1, sim.lastProcess)),
-		State: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.state.serve}, Cloud: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.cloud.serve},
+		State: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.State.serve}, Cloud: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.Cloud.serve},
 		Log: zerolog.Nop(), Audit: func(r audit.Record) {
 			r.Seq = uint64(len(stream.Records) + 1)
 			stream.Records = append(stream.Records, r)
 		},
 	}, sim.lastProcess)
 	if err != nil {
-		sim.t.Fatal(err)
+		sim.T.Fatal(err)
 	}
-	if sim.previousVersion[name] {
+	if sim.PreviousVersion[name] {
 		controller.identity.RecordFormat = 0 // its own key says what that version's does
 		controller.election = newElection(controller)
 	}
-	n.controller, n.up = controller, true
-	for _, other := range sim.names {
-		if other != name && sim.nodes[other].up {
-			sim.connect(name, other)
+	n.controller, n.Up = controller, true
+	for _, other := range sim.Names {
+		if other != name && sim.Nodes[other].Up {
+			sim.Connect(name, other)
 		}
 	}
 	return n
 }
 
-func (sim *simulation) connect(a, b string) {
-	na, nb := sim.nodes[a], sim.nodes[b]
-	la, lb := &fakeLink{sim: sim, to: nb, toController: nb.controller}, &fakeLink{sim: sim, to: na, toController: na.controller}
+func (sim *simulation) Connect(a, b string) {
+	na, nb := sim.Nodes[a], sim.Nodes[b]
+	la, lb := &Stream{sim: sim, to: nb, toController: nb.controller}, &Stream{sim: sim, to: na, toController: na.controller}
 	la.peer, lb.peer = lb, la
-	na.links[b], nb.links[a] = la, lb
+	na.Links[b], nb.Links[a] = la, lb
 	na.controller.LinkUp(la, b)
 	nb.controller.LinkUp(lb, a)
 }
 
-// disconnect ends the stream between two members, in both directions.
-func (sim *simulation) disconnect(a, b string) {
-	na, nb := sim.nodes[a], sim.nodes[b]
-	if l := na.links[b]; l != nil {
+// Disconnect ends the stream between two members, in both directions.
+func (sim *simulation) Disconnect(a, b string) {
+	na, nb := sim.Nodes[a], sim.Nodes[b]
+	if l := na.Links[b]; l != nil {
 		l.Close()
 		l.peer.Close()
-		delete(na.links, b)
-		delete(nb.links, a)
+		delete(na.Links, b)
+		delete(nb.Links, a)
 	}
-	sim.deliverAll()
+	sim.DeliverAll()
 }
 
-// crash ends a process without a word.
-func (sim *simulation) crash(name string) {
-	n := sim.nodes[name]
-	n.up = false
-	for _, other := range sim.names {
+// Crash ends a process without a word.
+func (sim *simulation) Crash(name string) {
+	n := sim.Nodes[name]
+	n.Up = false
+	for _, other := range sim.Names {
 		if other != name {
-			sim.disconnect(name, other)
+			sim.Disconnect(name, other)
 		}
 	}
 }
 
-// pause stops a process while its clock runs on. After four seconds the
+// Pause stops a process while its clock runs on. After four seconds the
 // others take its silence for a cut; what they sent before waits for it.
-func (sim *simulation) pause(name string, d time.Duration) {
-	n := sim.nodes[name]
-	n.paused = true
-	sim.run(4 * time.Second)
-	for _, other := range sim.names {
-		if other != name && sim.nodes[other].up {
-			sim.nodes[other].controller.LinkDown(sim.nodes[other].links[name])
+func (sim *simulation) Pause(name string, d time.Duration) {
+	n := sim.Nodes[name]
+	n.Paused = true
+	sim.Run(4 * time.Second)
+	for _, other := range sim.Names {
+		if other != name && sim.Nodes[other].Up {
+			sim.Nodes[other].controller.LinkDown(sim.Nodes[other].Links[name])
 		}
 	}
-	sim.run(d - 4*time.Second)
+	sim.Run(d - 4*time.Second)
 }
 
-// resume lets a process that stood still go on, with all that has waited for it.
-func (sim *simulation) resume(name string) {
-	sim.nodes[name].paused = false
-	sim.deliverAll()
+// Resume lets a process that stood still go on, with all that has waited for it.
+func (sim *simulation) Resume(name string) {
+	sim.Nodes[name].Paused = false
+	sim.DeliverAll()
 }
 
-// reconnect ends the streams of a process that stood still and begins new ones.
-func (sim *simulation) reconnect(name string) {
-	n := sim.nodes[name]
-	for _, other := range sim.names {
+// Reconnect ends the streams of a process that stood still and begins new ones.
+func (sim *simulation) Reconnect(name string) {
+	n := sim.Nodes[name]
+	for _, other := range sim.Names {
 		if other != name {
-			n.controller.LinkDown(n.links[other])
-			sim.connect(name, other)
+			n.controller.LinkDown(n.Links[other])
+			sim.Connect(name, other)
 		}
 	}
-	sim.deliverAll()
+	sim.DeliverAll()
 }
 
-type fakeLink struct {
+type Stream struct {
 	sim          *simulation
-	to           *node
+	to           *Node
 	toController *Controller
-	peer         *fakeLink
-	queue        []*meshpb.Frame
-	closed       bool
+	peer         *Stream
+	Queue        []*meshpb.Frame
+	Closed       bool
 }
 
-func (l *fakeLink) Send(f *meshpb.Frame) {
+func (l *Stream) Send(f *meshpb.Frame) {
 	if n := proto.Size(f); n > 1<<20 {
-		l.sim.t.Fatalf("a frame of %d bytes", n)
+		l.sim.T.Fatalf("a frame of %d bytes", n)
 	}
-	if !l.closed {
-		if l.sim.previousVersion[l.peer.to.name] {
-			f = withoutUnknownTasks(l.peer.to.controller, l.to.name, f)
+	if !l.Closed {
+		if l.sim.PreviousVersion[l.peer.to.Name] {
+			f = withoutUnknownTasks(l.peer.to.controller, l.to.Name, f)
 		} else {
 			l.sim.checkStatusesComplete(l.peer.to.controller, l.to, f)
 		}
-		if l.sim.previousVersion[l.to.name] || l.sim.previousVersion[l.peer.to.name] {
-			f = previousSchema.filter(l.sim.t, f)
+		if l.sim.PreviousVersion[l.to.Name] || l.sim.PreviousVersion[l.peer.to.Name] {
+			f = previousSchema.filter(l.sim.T, f)
 		}
-		l.queue = append(l.queue, f)
+		l.Queue = append(l.Queue, f)
 	}
 }
 
-func (l *fakeLink) Flush() {}
+func (l *Stream) Flush() {}
 
-func (l *fakeLink) Close() {
-	if l.closed {
+func (l *Stream) Close() {
+	if l.Closed {
 		return
 	}
-	l.closed = true
-	if l.peer.toController != nil && l.sim.nodes[l.peer.to.name].controller == l.peer.toController {
+	l.Closed = true
+	if l.peer.toController != nil && l.sim.Nodes[l.peer.to.Name].controller == l.peer.toController {
 		l.peer.toController.LinkDown(l)
 	}
 }
 
-// deliverAll delivers everything that is on its way.
-func (sim *simulation) deliverAll() {
+// DeliverAll delivers everything that is on its way.
+func (sim *simulation) DeliverAll() {
 	for again := true; again; {
 		again = false
-		for _, name := range sim.names {
-			n := sim.nodes[name]
-			if !n.up || n.paused {
+		for _, name := range sim.Names {
+			n := sim.Nodes[name]
+			if !n.Up || n.Paused {
 				continue
 			}
 			n.controller.EndBatch()
-			for _, other := range sim.names {
-				l := n.links[other]
-				if l == nil || len(l.queue) == 0 || l.to.paused {
+			for _, other := range sim.Names {
+				l := n.Links[other]
+				if l == nil || len(l.Queue) == 0 || l.to.Paused {
 					continue
 				}
-				f := l.queue[0]
-				l.queue = l.queue[1:]
+				f := l.Queue[0]
+				l.Queue = l.Queue[1:]
 				again = true
-				if l.to.up && l.to.controller == l.toController {
+				if l.to.Up && l.to.controller == l.toController {
 					l.toController.LinkFrame(l.peer, f)
 					l.toController.EndBatch()
 				}
@@ -318,127 +318,127 @@
 	}
 }
 
-func (sim *simulation) advance(d time.Duration) {
+func (sim *simulation) Advance(d time.Duration) {
 	for end := sim.now + d; sim.now < end; {
 		sim.now += tickInterval
-		sim.state.tick()
-		for _, name := range sim.names {
-			if n := sim.nodes[name]; n.up && !n.paused {
+		sim.State.tick()
+		for _, name := range sim.Names {
+			if n := sim.Nodes[name]; n.Up && !n.Paused {
 				n.controller.Tick()
 			}
 		}
-		sim.deliverAll()
-		if sim.expireLeases {
-			for _, agent := range sim.agents {
-				if sim.now-agent.lastAnswered > sim.workerLease {
-					agent.expireLease()
+		sim.DeliverAll()
+		if sim.ExpireLeases {
+			for _, agent := range sim.Agents {
+				if sim.now-agent.LastAnswered > sim.WorkerLease {
+					agent.ExpireLease()
 				}
 			}
 		}
-		if sim.onTick != nil {
-			sim.onTick()
+		if sim.OnTick != nil {
+			sim.OnTick()
 		}
 	}
 }
 
-// testLease is lease_s of testSettings.
-const testLease = 16 * time.Second
+// defaultLease is lease_s of testSettings.
+const defaultLease = 16 * time.Second
 
-// run advances while all workers report every second or so.
-func (sim *simulation) run(d time.Duration) {
+// Run advances while all workers report every second or so.
+func (sim *simulation) Run(d time.Duration) {
 	for end := sim.now + d; sim.now < end; {
-		sim.advance(time.Second)
-		for _, name := range sim.agentNames() {
-			sim.agents[name].heartbeat()
+		sim.Advance(time.Second)
+		for _, name := range sim.AgentNames() {
+			sim.Agents[name].Heartbeat()
 		}
 	}
 }
 
-func (sim *simulation) agentNames() []string {
+func (sim *simulation) AgentNames() []string {
 	var names []string
-	for name := range sim.agents {
+	for name := range sim.Agents {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-func (sim *simulation) leader() *node {
-	for _, name := range sim.names {
-		if n := sim.nodes[name]; n.up && !n.paused && n.controller.leader != nil && n.controller.election.MayAct(sim.now) {
+func (sim *simulation) Leader() *Node {
+	for _, name := range sim.Names {
+		if n := sim.Nodes[name]; n.Up && !n.Paused && n.controller.leader != nil && n.controller.election.MayAct(sim.now) {
 			return n
 		}
 	}
-	sim.t.Fatal("nobody leads")
+	sim.T.Fatal("nobody leads")
 	return nil
 }
 
-// follower returns a running member that does not lead.
-func (sim *simulation) follower() *node {
-	for _, name := range sim.names {
-		if n := sim.nodes[name]; n.up && n.controller.leader == nil {
+// Follower returns a running member that does not lead.
+func (sim *simulation) Follower() *Node {
+	for _, name := range sim.Names {
+		if n := sim.Nodes[name]; n.Up && n.controller.leader == nil {
 			return n
 		}
 	}
-	sim.t.Fatal("no follower")
+	sim.T.Fatal("no follower")
 	return nil
 }
 
-// call sends an HTTP request and returns the answer, or a Status of 0 while
+// Call sends an HTTP request and returns the answer, or a Status of 0 while
 // there is none.
-func (n *node) call(method, path string, body []byte) *Response {
-	return n.callOnConnection(0, method, path, body)
+func (n *Node) Call(method, path string, body []byte) *Response {
+	return n.CallOnConnection(0, method, path, body)
 }
 
-// callOnConnection sends it on a connection of the given number.
-func (n *node) callOnConnection(conn uint64, method, path string, body []byte) *Response {
+// CallOnConnection sends it on a connection of the given number.
+func (n *Node) CallOnConnection(conn uint64, method, path string, body []byte) *Response {
 	out := &Response{}
 	n.controller.HandleHTTP(&Request{Method: method, Path: path, Body: body, Conn: conn}, func(r Response) {
 		if out.Status != 0 {
-			n.sim.t.Fatal("answered twice")
+			n.sim.T.Fatal("answered twice")
 		}
 		*out = r
 	})
-	n.sim.deliverAll()
+	n.sim.DeliverAll()
 	return out
 }
 
-type jobRequest map[string]any
+type JobRequest map[string]any
 
-func batchJob(id string, tasks int) jobRequest {
-	return jobRequest{"nameId": id, "desk": "d", "crew": "blue", "form": "batch", "urgency": "standard", "pages": tasks,
+func BatchJob(id string, tasks int) JobRequest {
+	return JobRequest{"nameId": id, "desk": "d", "crew": "blue", "form": "batch", "urgency": "standard", "pages": tasks,
 		"vcpus": 2.0, "cards": 0.0, "ramGb": 4.0, "plate": "img", "imageGb": 1.0, "breeds": nil, "hall": nil,
 		"together": false, "apart": false, "loaners": true, "expectedS": 30.0, "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil}
 }
 
-func (request jobRequest) with(key string, v any) jobRequest {
+func (request JobRequest) With(key string, v any) JobRequest {
 	request[key] = v
 	return request
 }
 
-func (n *node) submit(request jobRequest) *Response {
-	r := n.call("POST", "/submissions", n.sim.codec.Encode(map[string]any(request)))
-	n.sim.advance(tickInterval) // until the leader has put it in order
+func (n *Node) Submit(request JobRequest) *Response {
+	r := n.Call("POST", "/submissions", n.sim.Codec.Encode(map[string]any(request)))
+	n.sim.Advance(tickInterval) // until the leader has put it in order
 	return r
 }
 
-func (n *node) status(id string) (int, protocol.JobStatus) {
-	r := n.call("GET", "/submissions/"+id, nil)
+func (n *Node) Status(id string) (int, protocol.JobStatus) {
+	r := n.Call("GET", "/submissions/"+id, nil)
 	var s protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.sim.codec.Decode(r.Body, &s); err != nil {
-			n.sim.t.Fatal(err)
+		if err := n.sim.Codec.Decode(r.Body, &s); err != nil {
+			n.sim.T.Fatal(err)
 		}
 	}
 	return r.Status, s
 }
 
-func (n *node) cancel(id string) (int, string) {
-	r := n.call("POST", "/submissions/"+id+"/abort", nil)
+func (n *Node) Cancel(id string) (int, string) {
+	r := n.Call("POST", "/submissions/"+id+"/abort", nil)
 	var s protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.sim.codec.Decode(r.Body, &s); err != nil {
-			n.sim.t.Fatal(err)
+		if err := n.sim.Codec.Decode(r.Body, &s); err != nil {
+			n.sim.T.Fatal(err)
 		}
 	}
 	return r.Status, s.Status
