--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -22,34 +22,34 @@
 // (ran_twice, 17 times on one day with 2,767 machines).
 func TestStatusOfLostMachineIsNotForwarded(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	dead := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	owner := sim.follower()
-	want(t, "submit", owner.submit(batchJob("wk-1", 1)).Status, 201)
-	sim.run(3 * time.Second)
-	want(t, "running", len(dead.running()), 1)
-	sim.cloud.refusesRelease = true
-	dead.silent = true
-	agent2, agent3 := sim.addMachine("vm-2", "z1"), sim.addMachine("vm-3", "z1")
-	dead.expireLease()
-	sim.run(beyondAnyLease)
-	want(t, "replicas", len(agent2.running())+len(agent3.running()), 1)
+	dead := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	owner := sim.Follower()
+	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	sim.Run(3 * time.Second)
+	want(t, "running", len(dead.Running()), 1)
+	sim.Cloud.RefusesRelease = true
+	dead.Silent = true
+	agent2, agent3 := sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
+	dead.ExpireLease()
+	sim.Run(beyondAnyLease)
+	want(t, "replicas", len(agent2.Running())+len(agent3.Running()), 1)
 	live, other := agent2, agent3
-	if len(agent3.running()) == 1 {
+	if len(agent3.Running()) == 1 {
 		live, other = agent3, agent2
 	}
-	sim.crash(owner.name)
-	sim.advance(500 * time.Millisecond)
-	sim.start(owner.name)
-	sim.run(5 * time.Second)
-	sim.wantStatus(sim.nodes[owner.name], "wk-1", 200, "running")
-	want(t, "copies left alone", len(live.running()), 1)
-	sim.cloud.refusesRelease = false
-	sim.run(10 * time.Second) // the dead machine is returned
-	want(t, "second copies", len(other.running()), 0)
-	live.finishTasks("done")
-	sim.run(3 * time.Second)
-	sim.wantStatus(sim.nodes[owner.name], "wk-1", 200, "done")
+	sim.Crash(owner.Name)
+	sim.Advance(500 * time.Millisecond)
+	sim.Start(owner.Name)
+	sim.Run(5 * time.Second)
+	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "running")
+	want(t, "copies left alone", len(live.Running()), 1)
+	sim.Cloud.RefusesRelease = false
+	sim.Run(10 * time.Second) // the dead machine is returned
+	want(t, "second copies", len(other.Running()), 0)
+	live.FinishTasks("done")
+	sim.Run(3 * time.Second)
+	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "done")
 }
 
 // A report of a later session proves what the machine held gone, although it
@@ -57,31 +57,31 @@
 // ledger's next holder either.
 func TestStatusOfEarlierEpochIsNotForwarded(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	agent := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	owner := sim.follower()
-	want(t, "submit", owner.submit(batchJob("wk-1", 1)).Status, 201)
-	sim.run(3 * time.Second)
-	want(t, "running", len(agent.running()), 1)
-	agent2 := sim.addMachine("vm-2", "z1")
-	sim.run(2 * time.Second)
-	agent.expireLease()
-	token := agent.fencingToken
-	agent.fencingToken = 1
-	agent.heartbeatTo(sim.leader())
-	agent.fencingToken, agent.silent = token, true
-	sim.cloud.refusesRelease = true // nor does its return
-	sim.run(3 * time.Second)
-	want(t, "replicas", len(agent2.running()), 1)
-	sim.crash(owner.name)
-	sim.advance(500 * time.Millisecond)
-	sim.start(owner.name)
-	sim.run(5 * time.Second)
-	want(t, "copies left alone", len(agent2.running()), 1)
-	agent3 := sim.addMachine("vm-3", "z1")
-	agent2.silent = true // before it could be told to stop
-	sim.run(4 * time.Second)
-	want(t, "second copies", len(agent3.running()), 0)
+	agent := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	owner := sim.Follower()
+	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	sim.Run(3 * time.Second)
+	want(t, "running", len(agent.Running()), 1)
+	agent2 := sim.AddMachine("vm-2", "z1")
+	sim.Run(2 * time.Second)
+	agent.ExpireLease()
+	token := agent.FencingToken
+	agent.FencingToken = 1
+	agent.HeartbeatTo(sim.Leader())
+	agent.FencingToken, agent.Silent = token, true
+	sim.Cloud.RefusesRelease = true // nor does its return
+	sim.Run(3 * time.Second)
+	want(t, "replicas", len(agent2.Running()), 1)
+	sim.Crash(owner.Name)
+	sim.Advance(500 * time.Millisecond)
+	sim.Start(owner.Name)
+	sim.Run(5 * time.Second)
+	want(t, "copies left alone", len(agent2.Running()), 1)
+	agent3 := sim.AddMachine("vm-3", "z1")
+	agent2.Silent = true // before it could be told to stop
+	sim.Run(4 * time.Second)
+	want(t, "second copies", len(agent3.Running()), 0)
 }
 
 // Of several copies that are listed of a recovered task, the one with the
@@ -89,39 +89,39 @@
 // holders gave it out only once the others were proven gone.
 func TestHighestReplicaNumberCounts(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	old, live := sim.addMachine("vm-1", "z1"), sim.addMachine("vm-2", "z1")
-	old.silent = true
-	sim.run(2 * time.Second)
-	old.silent = false
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 1)).Status, 201)
-	live.heartbeat()
-	sim.advance(time.Second)
-	live.heartbeat()
-	want(t, "running", len(live.running()), 1)
-	for _, task := range live.tasks {
+	old, live := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+	old.Silent = true
+	sim.Run(2 * time.Second)
+	old.Silent = false
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	live.Heartbeat()
+	sim.Advance(time.Second)
+	live.Heartbeat()
+	want(t, "running", len(live.Running()), 1)
+	for _, task := range live.Tasks {
 		// An earlier copy, as a late report of its machine might list it.
-		old.tasks["old"] = &agentTask{name: task.name, replica: task.replica - 1, state: "fetching"}
+		old.Tasks["old"] = &AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
 	}
-	for _, name := range sim.names {
-		sim.crash(name)
+	for _, name := range sim.Names {
+		sim.Crash(name)
 	}
-	sim.advance(10 * time.Second)
-	for _, name := range sim.names {
-		sim.start(name)
+	sim.Advance(10 * time.Second)
+	for _, name := range sim.Names {
+		sim.Start(name)
 	}
-	sim.advance(3 * time.Second)
+	sim.Advance(3 * time.Second)
 	for range 3 {
-		old.heartbeat()
-		sim.advance(time.Second)
-	}
-	sim.run(3 * time.Second)
-	want(t, "copies that count", len(live.running()), 1)
-	old.tasks = make(map[string]*agentTask)
-	sim.run(3 * time.Second)
-	want(t, "second copies", len(old.running()), 0)
-	live.finishTasks("done")
-	sim.run(3 * time.Second)
-	sim.wantStatus(sim.nodes["a"], "wk-1", 200, "done")
+		old.Heartbeat()
+		sim.Advance(time.Second)
+	}
+	sim.Run(3 * time.Second)
+	want(t, "copies that count", len(live.Running()), 1)
+	old.Tasks = make(map[string]*AgentTask)
+	sim.Run(3 * time.Second)
+	want(t, "second copies", len(old.Running()), 0)
+	live.FinishTasks("done")
+	sim.Run(3 * time.Second)
+	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
 // A leader that stood still while its clock ran on wakes up with reports and
@@ -130,31 +130,31 @@
 // as a leader. The others have replaced it as fast as after a crash.
 func TestPausedLeaderDoesNotAct(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	agent := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	old, owner := sim.leader(), sim.follower()
-	want(t, "submit", owner.submit(batchJob("wk-1", 2)).Status, 201)
-	want(t, "submit to the leader", old.submit(batchJob("wk-2", 1)).Status, 201)
-	sim.run(3 * time.Second)
-	want(t, "running", len(agent.running()), 3)
-	early := agent.heartbeatBody()
-	old.paused = true
-	sim.advance(5 * time.Second)
-	if sim.leader() == old {
+	agent := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	old, owner := sim.Leader(), sim.Follower()
+	want(t, "submit", owner.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit to the leader", old.Submit(BatchJob("wk-2", 1)).Status, 201)
+	sim.Run(3 * time.Second)
+	want(t, "running", len(agent.Running()), 3)
+	early := agent.HeartbeatBody()
+	old.Paused = true
+	sim.Advance(5 * time.Second)
+	if sim.Leader() == old {
 		t.Fatal("nobody replaces the leader")
 	}
-	sim.pause(old.name, 8*time.Second)
-	sim.run(20 * time.Second)
-	agent.finishTasks("done")
-	sim.run(4 * time.Second)
-	late := agent.heartbeatBody()
+	sim.Pause(old.Name, 8*time.Second)
+	sim.Run(20 * time.Second)
+	agent.FinishTasks("done")
+	sim.Run(4 * time.Second)
+	late := agent.HeartbeatBody()
 	for _, id := range []string{"wk-1", "wk-2"} {
 		sim.wantStatus(owner, id, 200, "done")
 	}
-	calls := len(sim.cloud.scaleOutRequests) + len(sim.cloud.releaseSizes)
-	sim.state.onTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, _ func(storage.Response)) bool {
+	calls := len(sim.Cloud.ScaleOutRequests) + len(sim.Cloud.ReleaseSizes)
+	sim.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, _ func(storage.Response)) bool {
 		for _, c := range txn.Then {
-			if from == old.name && !strings.HasPrefix(c.Put, storage.MemberPrefix) {
+			if from == old.Name && !strings.HasPrefix(c.Put, storage.MemberPrefix) {
 				if r := apply(); r.Status == 200 {
 					t.Errorf("%s has changed %s%s", from, c.Put, c.Delete)
 				}
@@ -163,26 +163,26 @@
 		return false
 	}
 	for _, body := range [][]byte{early, late} {
-		got := old.call("POST", "/checkin", body)
+		got := old.Call("POST", "/checkin", body)
 		if got.Status == 200 || got.Status == 0 {
 			t.Fatalf("a report was answered %d", got.Status)
 		}
 	}
 	for _, id := range []string{"wk-1", "wk-2"} {
-		if code, s := old.status(id); code == 200 && s.Status != "done" {
+		if code, s := old.Status(id); code == 200 && s.Status != "done" {
 			t.Fatalf("%s was said to be %q", id, s.Status)
 		}
 	}
-	sim.resume(old.name)
+	sim.Resume(old.Name)
 	for range 3 {
 		old.controller.Tick()
 		old.controller.EndBatch()
 	}
-	want(t, "calls to the cloud", len(sim.cloud.scaleOutRequests)+len(sim.cloud.releaseSizes), calls)
-	sim.reconnect(old.name)
-	sim.state.onTransaction = nil
-	sim.run(6 * time.Second)
-	want(t, "its own ledger taken up again", old.controller.owner.Shard(old.name) != nil, true)
+	want(t, "calls to the cloud", len(sim.Cloud.ScaleOutRequests)+len(sim.Cloud.ReleaseSizes), calls)
+	sim.Reconnect(old.Name)
+	sim.State.OnTransaction = nil
+	sim.Run(6 * time.Second)
+	want(t, "its own ledger taken up again", old.controller.owner.Shard(old.Name) != nil, true)
 	sim.wantStatus(old, "wk-2", 200, "done")
 }
 
@@ -191,29 +191,29 @@
 // ledger's new holder has answered.
 func TestPausedOwnerDoesNotAct(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	agent1 := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	owner, lead := sim.follower(), sim.leader()
-	want(t, "submit", owner.submit(batchJob("wk-1", 1)).Status, 201)
-	owner.paused = true
-	agent1.heartbeatTo(lead) // the offer waits at the owner
-	want(t, "running", len(agent1.running()), 0)
-	sim.pause(owner.name, 30*time.Second)
-	want(t, "running for the new holder", len(agent1.running()), 1)
-	sim.addMachine("vm-2", "z1")
-	sim.resume(owner.name)
-	if _, s := owner.status("wk-1"); s.Status == "pending" {
+	agent1 := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	owner, lead := sim.Follower(), sim.Leader()
+	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	owner.Paused = true
+	agent1.HeartbeatTo(lead) // the offer waits at the owner
+	want(t, "running", len(agent1.Running()), 0)
+	sim.Pause(owner.Name, 30*time.Second)
+	want(t, "running for the new holder", len(agent1.Running()), 1)
+	sim.AddMachine("vm-2", "z1")
+	sim.Resume(owner.Name)
+	if _, s := owner.Status("wk-1"); s.Status == "pending" {
 		t.Fatal("an older state was told")
 	}
-	sim.run(2 * time.Second)
-	agent1.finishTasks("done")
-	sim.run(2 * time.Second)
+	sim.Run(2 * time.Second)
+	agent1.FinishTasks("done")
+	sim.Run(2 * time.Second)
 	sim.wantStatus(lead, "wk-1", 200, "done")
-	if code, s := owner.status("wk-1"); code == 200 && s.Status != "done" {
+	if code, s := owner.Status("wk-1"); code == 200 && s.Status != "done" {
 		t.Fatalf("after done it was said to be %q", s.Status)
 	}
-	sim.reconnect(owner.name)
-	sim.run(4 * time.Second)
+	sim.Reconnect(owner.Name)
+	sim.Run(4 * time.Second)
 	sim.wantStatus(owner, "wk-1", 200, "done")
 }
 
@@ -222,50 +222,50 @@
 // from when it was asked.
 func TestPausedMemberGrantsNoLeaseExtension(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	agent := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	lead, other := sim.leader(), sim.follower()
-	sim.state.unavailable[""] = true
-	sim.run(6 * time.Second)
-	want(t, "a report in the outage", agent.heartbeatTo(lead).Status, 200)
-	other.paused = true
-	sim.advance(3 * time.Second)
-	want(t, "a report without all extensions", agent.heartbeatTo(lead).Status, 503)
-	asked := lead.links[other.name]
-	for i, f := range asked.queue { // only the first question has come through
+	agent := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	lead, other := sim.Leader(), sim.Follower()
+	sim.State.Unavailable[""] = true
+	sim.Run(6 * time.Second)
+	want(t, "a report in the outage", agent.HeartbeatTo(lead).Status, 200)
+	other.Paused = true
+	sim.Advance(3 * time.Second)
+	want(t, "a report without all extensions", agent.HeartbeatTo(lead).Status, 503)
+	asked := lead.Links[other.Name]
+	for i, f := range asked.Queue { // only the first question has come through
 		if f.GetLeaseExtensionRequest() != nil {
-			asked.queue = asked.queue[i : i+1]
+			asked.Queue = asked.Queue[i : i+1]
 			break
 		}
 	}
-	want(t, "questions", len(asked.queue), 1)
-	other.paused = false
-	sim.deliverAll()
-	want(t, "a report after late extensions", agent.heartbeatTo(lead).Status, 503)
-	sim.advance(time.Second)
-	want(t, "a report with fresh extensions", agent.heartbeatTo(lead).Status, 200)
+	want(t, "questions", len(asked.Queue), 1)
+	other.Paused = false
+	sim.DeliverAll()
+	want(t, "a report after late extensions", agent.HeartbeatTo(lead).Status, 503)
+	sim.Advance(time.Second)
+	want(t, "a report with fresh extensions", agent.HeartbeatTo(lead).Status, 200)
 }
 
 // A relay that stood still with a leader's answer in hand says up to when it
 // may be sent, and so do a leader and an owner; see also TestNothingLateIsSent.
 func TestResponsesCarryTheirExpiry(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	agent := sim.addMachine("vm-1", "z1")
-	sim.run(2 * time.Second)
-	lead, relay := sim.leader(), sim.follower()
+	agent := sim.AddMachine("vm-1", "z1")
+	sim.Run(2 * time.Second)
+	lead, relay := sim.Leader(), sim.Follower()
 	began := sim.now
-	r := agent.heartbeatTo(relay)
+	r := agent.HeartbeatTo(relay)
 	want(t, "report", r.Status, 200)
 	if r.ValidUntil < began || r.ValidUntil > began+responseLifetime {
 		t.Fatalf("a relay's answer holds for %v", r.ValidUntil-began)
 	}
-	r = agent.heartbeatTo(lead)
+	r = agent.HeartbeatTo(lead)
 	want(t, "report", r.Status, 200)
 	if r.ValidUntil <= sim.now || r.ValidUntil > sim.now+lead.controller.tuning.StateLease {
 		t.Fatalf("a leader's answer holds for %v", r.ValidUntil-sim.now)
 	}
-	want(t, "submit", relay.submit(batchJob("wk-1", 1)).Status, 201)
-	r = relay.call("GET", "/submissions/wk-1", nil)
+	want(t, "submit", relay.Submit(BatchJob("wk-1", 1)).Status, 201)
+	r = relay.Call("GET", "/submissions/wk-1", nil)
 	want(t, "poll", r.Status, 200)
 	if r.ValidUntil <= sim.now || r.ValidUntil > sim.now+relay.controller.tuning.StateLease {
 		t.Fatalf("an owner's answer holds for %v", r.ValidUntil-sim.now)
@@ -273,9 +273,9 @@
 }
 
 // requestExtension passes a request of another member for one key on to a node.
-func (n *node) requestExtension(from *node, key string) {
+func (n *Node) requestExtension(from *Node, key string) {
 	request := &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: key}}}
-	n.controller.dispatch(n.controller.peers[from.name],
+	n.controller.dispatch(n.controller.peers[from.Name],
 		&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
 }
 
@@ -284,32 +284,32 @@
 // ends.
 func TestLeaseExtensionBindsForTheOwnShard(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.run(2 * time.Second)
-	lead, back := sim.leader(), sim.follower()
-	sim.crash(back.name)
-	sim.advance(8 * time.Second)
-	key := storage.ShardKey(back.name)
-	want(t, "taken over", lead.controller.owner.Shard(back.name) != nil, true)
-	sim.start(back.name)
-	lead.paused = true // it is slow to hear that the ledger is asked for
+	sim.Run(2 * time.Second)
+	lead, back := sim.Leader(), sim.Follower()
+	sim.Crash(back.Name)
+	sim.Advance(8 * time.Second)
+	key := storage.ShardKey(back.Name)
+	want(t, "taken over", lead.controller.owner.Shard(back.Name) != nil, true)
+	sim.Start(back.Name)
+	lead.Paused = true // it is slow to hear that the ledger is asked for
 	for !back.controller.election.Registered() || !back.controller.election.ViewLoaded() {
-		sim.advance(tickInterval)
+		sim.Advance(tickInterval)
 	}
 	back.requestExtension(lead, key)
 	granted := sim.now
-	sim.state.revision++
-	sim.state.deleteKey(key) // the holder's lease has ended
-	sim.state.notifyWatches()
+	sim.State.Revision++
+	sim.State.DeleteKey(key) // the holder's lease has ended
+	sim.State.NotifyWatches()
 	for sim.now < granted+election.ExtensionDuration {
-		sim.deliverAll()
-		if back.controller.owner.Shard(back.name) != nil {
+		sim.DeliverAll()
+		if back.controller.owner.Shard(back.Name) != nil {
 			t.Fatalf("taken %v after the extension", sim.now-granted)
 		}
-		sim.advance(tickInterval)
+		sim.Advance(tickInterval)
 	}
-	sim.advance(time.Second)
-	want(t, "taken after the extension", back.controller.owner.Shard(back.name) != nil, true)
-	want(t, "by the extension alone", lead.controller.owner.Shard(back.name) != nil, true)
+	sim.Advance(time.Second)
+	want(t, "taken after the extension", back.controller.owner.Shard(back.Name) != nil, true)
+	want(t, "by the extension alone", lead.controller.owner.Shard(back.Name) != nil, true)
 }
 
 // Back at once, with its ledger's key gone, a member need not wait for extensions
@@ -317,22 +317,22 @@
 // has given the ledger up.
 func TestRestartedMemberRequestsItsShard(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.run(2 * time.Second)
-	lead, back := sim.leader(), sim.follower()
-	sim.crash(back.name)
-	sim.advance(8 * time.Second)
-	want(t, "taken over", lead.controller.owner.Shard(back.name) != nil, true)
-	key := storage.ShardKey(back.name)
-	sim.state.revision++
-	sim.state.deleteKey(key) // the holder's lease has ended, and it has not heard of it
-	sim.start(back.name)
+	sim.Run(2 * time.Second)
+	lead, back := sim.Leader(), sim.Follower()
+	sim.Crash(back.Name)
+	sim.Advance(8 * time.Second)
+	want(t, "taken over", lead.controller.owner.Shard(back.Name) != nil, true)
+	key := storage.ShardKey(back.Name)
+	sim.State.Revision++
+	sim.State.DeleteKey(key) // the holder's lease has ended, and it has not heard of it
+	sim.Start(back.Name)
 	for range 8 {
-		sim.advance(tickInterval)
-		if back.controller.owner.Shard(back.name) != nil {
-			want(t, "still held by the other", lead.controller.owner.Shard(back.name) != nil, false)
+		sim.Advance(tickInterval)
+		if back.controller.owner.Shard(back.Name) != nil {
+			want(t, "still held by the other", lead.controller.owner.Shard(back.Name) != nil, false)
 		}
 	}
-	want(t, "taken at once", back.controller.owner.Shard(back.name) != nil, true)
+	want(t, "taken at once", back.controller.owner.Shard(back.Name) != nil, true)
 }
 
 // A claim of the leader key that the network held is applied after its sender
@@ -340,23 +340,23 @@
 // not lead before that extension has ended.
 func TestLateClaimWaitsForTheLeaseExtension(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.run(2 * time.Second)
-	lead, other := sim.leader(), sim.follower()
+	sim.Run(2 * time.Second)
+	lead, other := sim.Leader(), sim.Follower()
 	other.requestExtension(lead, storage.LeaderKey)
 	granted := sim.now
-	for _, name := range sim.names { // only the sender sees the claim applied
-		sim.state.stalledWatches[name] = name != other.name
+	for _, name := range sim.Names { // only the sender sees the claim applied
+		sim.State.StalledWatches[name] = name != other.Name
 	}
-	lease := sim.state.keys[storage.ShardKey(other.name)].lease
-	sim.state.announce(storage.LeaderKey, other.controller.identity)
-	sim.state.keys[storage.LeaderKey] = &stateKey{value: sim.codec.Encode(other.controller.identity), version: sim.state.revision, lease: lease}
+	lease := sim.State.Keys[storage.ShardKey(other.Name)].Lease
+	sim.State.Announce(storage.LeaderKey, other.controller.identity)
+	sim.State.Keys[storage.LeaderKey] = &StateKey{Value: sim.Codec.Encode(other.controller.identity), Version: sim.State.Revision, Lease: lease}
 	for sim.now < granted+election.ExtensionDuration {
 		if other.controller.leader != nil {
 			t.Fatalf("leads %v after the extension", sim.now-granted)
 		}
-		sim.advance(tickInterval)
+		sim.Advance(tickInterval)
 	}
-	sim.advance(time.Second)
+	sim.Advance(time.Second)
 	want(t, "leads after the extension", other.controller.leader != nil, true)
 }
 
@@ -365,32 +365,32 @@
 // burst queues behind the writes until users give up.
 func TestStateRatesAreSharedByActiveMembers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.run(2 * time.Second)
-	last := sim.leader()
+	sim.Run(2 * time.Second)
+	last := sim.Leader()
 	want(t, "active", last.controller.activeMembers(), 3)
-	for _, name := range sim.names {
-		if name != last.name {
-			sim.crash(name)
+	for _, name := range sim.Names {
+		if name != last.Name {
+			sim.Crash(name)
 		}
 	}
 	want(t, "active while the others hold keys", last.controller.activeMembers(), 3)
-	sim.advance(10 * time.Second)
+	sim.Advance(10 * time.Second)
 	want(t, "active", last.controller.activeMembers(), 1)
-	before, accepted := sim.state.writes, 0
+	before, accepted := sim.State.Writes, 0
 	const jobs = 1200 // of one change each, and a shared one; the burst is 150, the rate 300 * 0.8
 	for i := range jobs {
-		body := sim.codec.Encode(map[string]any(batchJob(fmt.Sprint("wk-", i+1), 1)))
+		body := sim.Codec.Encode(map[string]any(BatchJob(fmt.Sprint("wk-", i+1), 1)))
 		last.controller.HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body}, func(r Response) {
 			if r.Status == 201 {
 				accepted++
 			}
 		})
 		if i%100 == 99 {
-			sim.advance(tickInterval)
+			sim.Advance(tickInterval)
 		}
 	}
-	sim.advance(time.Second)
-	made := sim.state.writes - before
+	sim.Advance(time.Second)
+	made := sim.State.Writes - before
 	if most := 150 + 240*22/10; made < most*8/10 || made > most+1 {
 		t.Fatalf("%d changes were made in 2.2 s", made)
 	}
@@ -406,39 +406,39 @@
 func TestPartitionedMachinesAreWaitedFor(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 9 { // as many as one member takes without sending some elsewhere
-		sim.addMachine(fmt.Sprintf("vm-%02d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%02d", i), "z1")
 	}
-	sim.run(2 * time.Second)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 36)).Status, 201)
-	sim.run(28 * time.Second) // the list has them all for long
+	sim.Run(2 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 36)).Status, 201)
+	sim.Run(28 * time.Second) // the list has them all for long
 	silent := sim.now
 	for i := range 6 {
-		sim.agents[fmt.Sprintf("vm-%02d", i)].silent = true
-	}
-	gone := sim.cloud.machines[0].name
-	sim.cloud.machines = sim.cloud.machines[1:]
-	sim.run(15 * time.Second)
-	want(t, "returned after the limit of silence", fmt.Sprint(sim.cloud.released), fmt.Sprint([]string{gone}))
-	sim.run(20 * time.Second) // their leases are over by now
-	for name, agent := range sim.agents {
-		if agent.silent {
-			agent.expireLease()
+		sim.Agents[fmt.Sprintf("vm-%02d", i)].Silent = true
+	}
+	gone := sim.Cloud.Machines[0].Name
+	sim.Cloud.Machines = sim.Cloud.Machines[1:]
+	sim.Run(15 * time.Second)
+	want(t, "returned after the limit of silence", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{gone}))
+	sim.Run(20 * time.Second) // their leases are over by now
+	for name, agent := range sim.Agents {
+		if agent.Silent {
+			agent.ExpireLease()
 		}
 		if name == gone {
-			delete(sim.agents, name)
+			delete(sim.Agents, name)
 		}
 	}
-	want(t, "returned when their leases are over", len(sim.cloud.released), 1)
+	want(t, "returned when their leases are over", len(sim.Cloud.Released), 1)
 	// What they held waits for them, but for the room that is gone; urgent work
 	// gets machines of its own.
-	want(t, "rented for what waits", sim.cloud.created, 1)
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-2", 8).with("urgency", "urgent").with("vcpus", 8.0)).Status, 201)
-	sim.run(3 * time.Second)
-	want(t, "rented with urgent work", sim.cloud.created > 5, true)
-	for len(sim.cloud.released) < 6 && sim.now < silent+2*time.Minute {
-		sim.run(time.Second)
-	}
-	want(t, "returned in the end", len(sim.cloud.released) >= 6, true)
+	want(t, "rented for what waits", sim.Cloud.Created, 1)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
+	sim.Run(3 * time.Second)
+	want(t, "rented with urgent work", sim.Cloud.Created > 5, true)
+	for len(sim.Cloud.Released) < 6 && sim.now < silent+2*time.Minute {
+		sim.Run(time.Second)
+	}
+	want(t, "returned in the end", len(sim.Cloud.Released) >= 6, true)
 	want(t, "long after", sim.now-silent > 50*time.Second, true)
 }
 
@@ -446,8 +446,8 @@
 // is done by the next of their aims; only one that can meet none goes last.
 func TestOverdueJobIsOrderedByItsNextObjective(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.run(2 * time.Second)
-	l := sim.nodes["a"].controller.leader
+	sim.Run(2 * time.Second)
+	l := sim.Nodes["a"].controller.leader
 	l.env.settings.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "d", WithinS: 50, Share: 0.99}, {Kind: "wait", Class: "d", WithinS: 12, Share: 0.98},
 		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", Times: 1.5, Share: 0.9},
@@ -474,25 +474,25 @@
 func TestMachineRecordsStayWithinTheValueLimit(t *testing.T) {
 	sim := newSimulation(t, "a")
 	largest := 0
-	sim.state.onTransaction = func(_ string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
+	sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
 		for _, c := range txn.Then {
 			largest = max(largest, len(c.Value))
 			if len(c.Value) > 8<<10 {
-				done(storage.Response{Status: 400, Body: sim.codec.Encode(map[string]any{"error": "value is too large"})})
+				done(storage.Response{Status: 400, Body: sim.Codec.Encode(map[string]any{"error": "value is too large"})})
 				return true
 			}
 		}
 		return false
 	}
 	for i := range 90 {
-		sim.addMachine(fmt.Sprintf("vm-%02d-%s", i, strings.Repeat("n", 105)), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%02d-%s", i, strings.Repeat("n", 105)), "z1")
 	}
-	sim.run(3 * time.Second)
+	sim.Run(3 * time.Second)
 	for range 4 {
-		sim.advance(recordInterval)
+		sim.Advance(recordInterval)
 	}
-	want(t, "submit", sim.nodes["a"].submit(batchJob("wk-1", 360)).Status, 201)
-	sim.run(3 * time.Second)
+	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 360)).Status, 201)
+	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 360)
 	if largest < 4<<10 {
 		t.Fatalf("the largest record takes %d bytes, which tries nothing", largest)
@@ -507,47 +507,47 @@
 	sim := newSimulation(t, "a", "b", "c")
 	const machines, hung = 240, 120
 	for i := range machines {
-		sim.addMachine(fmt.Sprintf("vm-%03d", i), []string{"z1", "z2"}[i%2]).connection = 1
+		sim.AddMachine(fmt.Sprintf("vm-%03d", i), []string{"z1", "z2"}[i%2]).Connection = 1
 	}
-	sim.run(4 * time.Second)
-	owner := sim.follower()
+	sim.Run(4 * time.Second)
+	owner := sim.Follower()
 	for i := range 8 {
-		want(t, "submit", owner.submit(batchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
+		want(t, "submit", owner.Submit(BatchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
 	}
-	sim.run(6 * time.Second)
+	sim.Run(6 * time.Second)
 	want(t, "running", sim.runningTasks(), 480)
-	all := make([]*machineAgent, 0, machines) // those that are returned too
-	for _, agent := range sim.agents {
+	all := make([]*Agent, 0, machines) // those that are returned too
+	for _, agent := range sim.Agents {
 		all = append(all, agent)
 	}
 	starts := func() (n int) {
 		for _, agent := range all {
-			n += agent.starts
+			n += agent.Starts
 		}
 		return n
 	}
 	lost := 0
 	for i := range hung {
-		agent := sim.agents[fmt.Sprintf("vm-%03d", 2*i)] // one room
-		lost += len(agent.running())
-		agent.silent = true
-		agent.expireLease() // it has lost power
+		agent := sim.Agents[fmt.Sprintf("vm-%03d", 2*i)] // one room
+		lost += len(agent.Running())
+		agent.Silent = true
+		agent.ExpireLease() // it has lost power
 	}
-	writes, calls, begun := sim.state.transactions, len(sim.cloud.releaseSizes), starts()
-	sim.run(beyondAnyLease)
+	writes, calls, begun := sim.State.Transactions, len(sim.Cloud.ReleaseSizes), starts()
+	sim.Run(beyondAnyLease)
 	want(t, "running after the loss", sim.runningTasks(), 480)
 	want(t, "starts", starts()-begun, lost)
-	if n := sim.state.transactions - writes; n > 6 { // records of machines that no longer name those returned
+	if n := sim.State.Transactions - writes; n > 6 { // records of machines that no longer name those returned
 		t.Fatalf("%d writes", n)
 	}
-	if n := len(sim.cloud.releaseSizes) - calls; n > 2 {
+	if n := len(sim.Cloud.ReleaseSizes) - calls; n > 2 {
 		t.Fatalf("%d calls return machines", n)
 	}
-	before := sim.state.transactions
-	sim.crash(owner.name)
-	sim.run(8 * time.Second)
+	before := sim.State.Transactions
+	sim.Crash(owner.Name)
+	sim.Run(8 * time.Second)
 	want(t, "running after the takeover", sim.runningTasks(), 480)
-	if n := sim.state.transactions - before; n > 4 {
+	if n := sim.State.Transactions - before; n > 4 {
 		t.Fatalf("a takeover takes %d writes", n)
 	}
 }
@@ -558,23 +558,23 @@
 func TestBootingMachinesDoNotDelayReconciliation(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 3 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
-		sim.addMachine(fmt.Sprintf("vm-4%d", i), "z1").losesResponses = true // its first report, as often as need be
-	}
-	sim.run(10 * time.Second)
-	follower := sim.follower()
-	want(t, "submit", follower.submit(batchJob("wk-1", 30)).Status, 201)
-	sim.run(3 * time.Second)
-	sim.crash(follower.name)
-	lead := sim.leader()
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-4%d", i), "z1").LosesResponses = true // its first report, as often as need be
+	}
+	sim.Run(10 * time.Second)
+	follower := sim.Follower()
+	want(t, "submit", follower.Submit(BatchJob("wk-1", 30)).Status, 201)
+	sim.Run(3 * time.Second)
+	sim.Crash(follower.Name)
+	lead := sim.Leader()
 	settled := func() bool {
-		shard := lead.controller.owner.Shard(follower.name)
+		shard := lead.controller.owner.Shard(follower.Name)
 		return shard != nil && shard.Reconciled()
 	}
 	waited := 0
 	for ; !settled() && waited < 30; waited++ {
-		sim.addMachine(fmt.Sprintf("vm-5%d", waited), "z1").losesResponses = true
-		sim.run(time.Second)
+		sim.AddMachine(fmt.Sprintf("vm-5%d", waited), "z1").LosesResponses = true
+		sim.Run(time.Second)
 	}
 	if waited > 8 {
 		t.Fatalf("the ledger is settled after %d s", waited)
@@ -587,30 +587,30 @@
 func TestVanishedMachinesAreProvenLostSoon(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 6 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
-	sim.run(8 * time.Second)
-	lead := sim.leader()
-	want(t, "submit", lead.submit(batchJob("wk-1", 40)).Status, 201)
-	sim.run(3 * time.Second)
+	sim.Run(8 * time.Second)
+	lead := sim.Leader()
+	want(t, "submit", lead.Submit(BatchJob("wk-1", 40)).Status, 201)
+	sim.Run(3 * time.Second)
 	lost := []string{"vm-1", "vm-3"}
-	old := append([]cloudMachine(nil), sim.cloud.machines...)
+	old := append([]CloudMachine(nil), sim.Cloud.Machines...)
 	for _, name := range lost {
-		delete(sim.agents, name)
-	}
-	sim.crash(lead.name)
-	sim.cloud.staleList = old // for a while the list has them still
-	sim.run(4 * time.Second)
-	sim.cloud.staleList = nil
-	kept := sim.cloud.machines[:0]
-	for _, m := range sim.cloud.machines {
-		if m.name != lost[0] && m.name != lost[1] {
+		delete(sim.Agents, name)
+	}
+	sim.Crash(lead.Name)
+	sim.Cloud.StaleList = old // for a while the list has them still
+	sim.Run(4 * time.Second)
+	sim.Cloud.StaleList = nil
+	kept := sim.Cloud.Machines[:0]
+	for _, m := range sim.Cloud.Machines {
+		if m.Name != lost[0] && m.Name != lost[1] {
 			kept = append(kept, m)
 		}
 	}
-	sim.cloud.machines = kept
-	sim.run(6 * time.Second)
-	next := sim.leader().controller
-	want(t, "settled", next.owner.Shard(lead.name).Reconciled(), true)
-	want(t, "returned", fmt.Sprint(sim.cloud.released), "[vm-1 vm-3]")
+	sim.Cloud.Machines = kept
+	sim.Run(6 * time.Second)
+	next := sim.Leader().controller
+	want(t, "settled", next.owner.Shard(lead.Name).Reconciled(), true)
+	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -10,34 +10,34 @@
 )
 
 // newFleet is a deployment whose machines are all there is.
-func newFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *node) {
+func newFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *Node) {
 	t.Helper()
 	sim := newSimulation(t, "a")
-	sim.cloud.refusesScaleOut = true
+	sim.Cloud.RefusesScaleOut = true
 	for i := range machines {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1").taskDuration = takes
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1").TaskDuration = takes
 	}
-	sim.run(3 * time.Second)
-	return sim, sim.nodes["a"]
+	sim.Run(3 * time.Second)
+	return sim, sim.Nodes["a"]
 }
 
 // timeToStart submits a job and reports how long until a task of it runs, while
 // every second more is submitted besides.
-func (sim *simulation) timeToStart(n *node, request jobRequest, limit time.Duration, besides func(second int)) time.Duration {
-	sim.t.Helper()
+func (sim *simulation) timeToStart(n *Node, request JobRequest, limit time.Duration, besides func(second int)) time.Duration {
+	sim.T.Helper()
 	id := request["nameId"].(string)
-	if r := n.submit(request); r.Status != 201 {
-		sim.t.Fatalf("%s is answered %d", id, r.Status)
+	if r := n.Submit(request); r.Status != 201 {
+		sim.T.Fatalf("%s is answered %d", id, r.Status)
 	}
 	at := sim.now
 	for s := 0; sim.now < at+limit; s++ {
 		besides(s)
-		sim.run(time.Second)
-		if _, st := n.status(id); st.Running != nil && *st.Running > 0 {
+		sim.Run(time.Second)
+		if _, st := n.Status(id); st.Running != nil && *st.Running > 0 {
 			return sim.now - at
 		}
 	}
-	sim.t.Fatalf("%s has not begun after %v", id, limit)
+	sim.T.Fatalf("%s has not begun after %v", id, limit)
 	return 0
 }
 
@@ -48,36 +48,36 @@
 func TestUrgentWorkDoesNotStarveStandardWork(t *testing.T) {
 	sim, n := newFleet(t, 4, 5*time.Second)
 	flood := func(s int) {
-		n.submit(batchJob(fmt.Sprintf("wk-9%d", s), 12).with("urgency", "urgent").with("plate", "u"))
+		n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("urgency", "urgent").With("plate", "u"))
 	}
 	for s := range 20 {
 		flood(1000 + s)
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, batchJob("wk-1", 4), startLimit, flood)
+	sim.timeToStart(n, BatchJob("wk-1", 4), startLimit, flood)
 	for s := range 60 { // it began for good, not to be stopped at once
 		flood(300 + s)
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
-	if _, st := n.status("wk-1"); *st.Done == 0 {
+	if _, st := n.Status("wk-1"); *st.Done == 0 {
 		t.Fatal("no task of the standard job came to its end")
 	}
-	sim.timeToStart(n, batchJob("wk-2", 40).with("vcpus", 8.0), startLimit, func(s int) { flood(500 + s) })
+	sim.timeToStart(n, BatchJob("wk-2", 40).With("vcpus", 8.0), startLimit, func(s int) { flood(500 + s) })
 }
 
 // Room that frees bit by bit must not go to small tasks for ever while a task
 // that needs a whole machine waits, though both are of one priority.
 func TestPackingDoesNotStarveLargeTasks(t *testing.T) {
 	sim, n := newFleet(t, 3, 6*time.Second)
-	for _, agent := range sim.agents {
-		agent.durationSpread = 900 * time.Millisecond
+	for _, agent := range sim.Agents {
+		agent.DurationSpread = 900 * time.Millisecond
 	}
-	small := func(s int) { n.submit(batchJob(fmt.Sprintf("wk-9%d", s), 8).with("pressByS", 20.0)) }
+	small := func(s int) { n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 8).With("pressByS", 20.0)) }
 	for s := range 20 {
 		small(1000 + s)
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, batchJob("wk-1", 3).with("vcpus", 8.0).with("ramGb", 60.0), startLimit, small)
+	sim.timeToStart(n, BatchJob("wk-1", 3).With("vcpus", 8.0).With("ramGb", 60.0), startLimit, small)
 }
 
 // Work whose image no machine has must not wait for ever behind work whose
@@ -85,50 +85,50 @@
 func TestImageAffinityDoesNotStarve(t *testing.T) {
 	sim, n := newFleet(t, 3, 6*time.Second)
 	usual := func(s int) {
-		n.submit(batchJob(fmt.Sprintf("wk-9%d", s), 12).with("plate", "usual").with("imageGb", 40.0))
+		n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("plate", "usual").With("imageGb", 40.0))
 	}
 	for s := range 20 {
 		usual(1000 + s)
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, batchJob("wk-1", 1).with("vcpus", 8.0).with("plate", "rare").with("imageGb", 40.0), startLimit, usual)
+	sim.timeToStart(n, BatchJob("wk-1", 1).With("vcpus", 8.0).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
 
 	// Nor behind the one machine that has its image, while that is busy for long.
-	for _, agent := range sim.agents {
-		for _, task := range agent.tasks {
-			if strings.HasPrefix(task.name, "wk-1/") {
-				agent.taskDuration = time.Hour
+	for _, agent := range sim.Agents {
+		for _, task := range agent.Tasks {
+			if strings.HasPrefix(task.Name, "wk-1/") {
+				agent.TaskDuration = time.Hour
 			}
 		}
 	}
-	sim.run(20 * time.Second)
-	sim.timeToStart(n, batchJob("wk-2", 1).with("plate", "rare").with("imageGb", 40.0), startLimit, usual)
+	sim.Run(20 * time.Second)
+	sim.timeToStart(n, BatchJob("wk-2", 1).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
 }
 
 // A team with a small guarantee gets its turn while another with a large one
 // asks for more than there is; so does its largest array.
 func TestSmallSharesDoNotStarve(t *testing.T) {
 	sim, n := newFleet(t, 3, 5*time.Second)
-	flood := func(s int) { n.submit(batchJob(fmt.Sprintf("wk-9%d", s), 12).with("crew", "red")) }
+	flood := func(s int) { n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("crew", "red")) }
 	for s := range 20 {
 		flood(1000 + s)
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, batchJob("wk-1", 100), startLimit, flood)
+	sim.timeToStart(n, BatchJob("wk-1", 100), startLimit, flood)
 }
 
 // A job whose tasks made room for urgent work as often as it has tasks is left
 // alone from then on, so that it ends.
 func TestPreemptionOfAJobIsBounded(t *testing.T) {
 	sim, n := newFleet(t, 2, 20*time.Second)
-	want(t, "submit", n.submit(batchJob("wk-1", 4).with("vcpus", 4.0)).Status, 201)
-	sim.run(3 * time.Second)
+	want(t, "submit", n.Submit(BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
+	sim.Run(3 * time.Second)
 	for s := range 240 {
 		if s%30 == 0 { // a job between two of them would always be stopped
-			n.submit(batchJob(fmt.Sprintf("wk-9%d", s), 4).with("vcpus", 4.0).with("urgency", "urgent"))
+			n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 4).With("vcpus", 4.0).With("urgency", "urgent"))
 		}
-		sim.run(time.Second)
-		if _, st := n.status("wk-1"); st.Status == protocol.StatusDone {
+		sim.Run(time.Second)
+		if _, st := n.Status("wk-1"); st.Status == protocol.StatusDone {
 			return
 		}
 	}
@@ -139,63 +139,63 @@
 func TestLimitIsReleasedAfterACrash(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 5 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1").taskDuration = 5 * time.Second
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1").TaskDuration = 5 * time.Second
 	}
-	sim.run(3 * time.Second)
-	for i, n := range sim.names {
-		want(t, "submit", sim.nodes[n].submit(batchJob(fmt.Sprint("wk-1", i), 10).with("crew", "red")).Status, 201)
+	sim.Run(3 * time.Second)
+	for i, n := range sim.Names {
+		want(t, "submit", sim.Nodes[n].Submit(BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
 	}
-	sim.run(4 * time.Second)
-	sim.cloud.refusesRelease = true // what is lost is not proven gone by a release
-	for _, n := range sim.names {
-		sim.crash(n)
+	sim.Run(4 * time.Second)
+	sim.Cloud.RefusesRelease = true // what is lost is not proven gone by a release
+	for _, n := range sim.Names {
+		sim.Crash(n)
 	}
-	for _, agent := range sim.agents {
-		agent.silent = true // none comes back
+	for _, agent := range sim.Agents {
+		agent.Silent = true // none comes back
 	}
-	for _, n := range sim.names {
-		sim.start(n)
+	for _, n := range sim.Names {
+		sim.Start(n)
 	}
 	for i := range 2 {
-		sim.addMachine(fmt.Sprintf("vm-7%d", i), "z2").taskDuration = 5 * time.Second
+		sim.AddMachine(fmt.Sprintf("vm-7%d", i), "z2").TaskDuration = 5 * time.Second
 	}
-	sim.run(16 * time.Second)
-	for _, agent := range sim.agents {
-		if agent.silent {
-			agent.expireLease()
+	sim.Run(16 * time.Second)
+	for _, agent := range sim.Agents {
+		if agent.Silent {
+			agent.ExpireLease()
 		}
 	}
-	n := sim.leader()
-	sim.timeToStart(n, batchJob("wk-5", 2).with("crew", "red"), startLimit, func(int) {})
+	n := sim.Leader()
+	sim.timeToStart(n, BatchJob("wk-5", 2).With("crew", "red"), startLimit, func(int) {})
 }
 
 // The work of a report does not grow with machines or jobs.
 func TestCostOfAHeartbeatIsIndependentOfFleetSize(t *testing.T) {
 	perReport := func(machines, jobs int) float64 {
 		sim, n := newFleet(t, machines, 0)
-		want(t, "submit", n.submit(batchJob("wk-0", machines).with("vcpus", 5.0).with("plate", "img-0")).Status, 201)
-		sim.run(3 * time.Second)
+		want(t, "submit", n.Submit(BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
+		sim.Run(3 * time.Second)
 		want(t, "running", sim.runningTasks(), machines)
 		// None of these fits beside what runs, for want of CPUs or of memory.
 		for i := range jobs {
-			request := batchJob(fmt.Sprintf("wk-1%d", i), 3).with("plate", fmt.Sprint("img-", i%12)).with("vcpus", 8.0)
+			request := BatchJob(fmt.Sprintf("wk-1%d", i), 3).With("plate", fmt.Sprint("img-", i%12)).With("vcpus", 8.0)
 			if i%2 == 0 {
-				request.with("vcpus", 1.0).with("ramGb", 64.0)
+				request.With("vcpus", 1.0).With("ramGb", 64.0)
 			}
-			want(t, "submit", n.submit(request).Status, 201)
-			sim.advance(50 * time.Millisecond)
+			want(t, "submit", n.Submit(request).Status, 201)
+			sim.Advance(50 * time.Millisecond)
 			if i%40 == 39 {
-				sim.run(time.Second)
+				sim.Run(time.Second)
 			}
 		}
-		sim.run(2 * time.Second)
-		sim.addMachine("vm-last", "z1").heartbeat() // whatever is due is worked out now
-		delete(sim.agents, "vm-last")
+		sim.Run(2 * time.Second)
+		sim.AddMachine("vm-last", "z1").Heartbeat() // whatever is due is worked out now
+		delete(sim.Agents, "vm-last")
 		d := &n.controller.leader.pendingQueue
 		n.controller.leader.rebuildPendingQueue(sim.now)
 		before, at := d.inspected, d.rebuiltAt
-		for _, name := range sim.agentNames() {
-			sim.agents[name].heartbeat()
+		for _, name := range sim.AgentNames() {
+			sim.Agents[name].Heartbeat()
 		}
 		if d.rebuiltAt != at {
 			t.Fatal("the order was worked out anew meanwhile")
@@ -219,24 +219,24 @@
 	for _, saves := range []bool{true, false} {
 		sim := newSimulation(t, "a", "b", "c")
 		for i := range 4 {
-			sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		}
-		sim.run(2 * time.Second)
-		guest := batchJob("wk-1", 40).with("crew", "guest").with("urgency", "best_effort").with("expectedS", 300.0)
+		sim.Run(2 * time.Second)
+		guest := BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
 		if saves {
-			guest.with("proofEveryS", 30.0).with("proofS", 2.0)
+			guest.With("proofEveryS", 30.0).With("proofS", 2.0)
 		}
-		want(t, "guest", sim.leader().submit(guest).Status, 201)
-		sim.run(10 * time.Second)
+		want(t, "guest", sim.Leader().Submit(guest).Status, 201)
+		sim.Run(10 * time.Second)
 		want(t, "guest's tasks", sim.runningTasks(), 16)
-		sim.cloud.refusesScaleOut = true
-		owner := sim.follower()
-		want(t, "owner's job", owner.submit(batchJob("wk-2", 5).with("crew", "red").with("vcpus", 6.0)).Status, 201)
-		sim.run(8 * time.Second)
+		sim.Cloud.RefusesScaleOut = true
+		owner := sim.Follower()
+		want(t, "owner's job", owner.Submit(BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
+		sim.Run(8 * time.Second)
 		count := func(job string) int {
 			n := 0
-			for _, agent := range sim.agents {
-				for _, name := range agent.running() {
+			for _, agent := range sim.Agents {
+				for _, name := range agent.Running() {
 					if strings.HasPrefix(name, job+"/") {
 						n++
 					}
@@ -251,7 +251,7 @@
 		for range 30 { // it comes back wherever the owner's are over
 			sim.finishTask(fmt.Sprint("wk-2/", 0))
 			sim.finishTask(fmt.Sprint("wk-2/", 1))
-			sim.run(time.Second)
+			sim.Run(time.Second)
 		}
 		if n := count("wk-1"); n < 7 {
 			t.Fatalf("%d of the guest's tasks run again", n)
@@ -260,9 +260,9 @@
 }
 
 // machineOfTask is the machine that a task runs on.
-func (sim *simulation) machineOfTask(task string) *machineAgent {
-	for _, agent := range sim.agents {
-		for _, name := range agent.running() {
+func (sim *simulation) machineOfTask(task string) *Agent {
+	for _, agent := range sim.Agents {
+		for _, name := range agent.Running() {
 			if name == task {
 				return agent
 			}
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -46,9 +46,9 @@
 // checkStatusesComplete looks at every list that a leader passes on: it has whatever the
 // machine last listed of the jobs that the receiver owns, unless another member
 // has joined for them. The version before takes each list for that much.
-func (sim *simulation) checkStatusesComplete(from *Controller, to *node, f *meshpb.Frame) {
+func (sim *simulation) checkStatusesComplete(from *Controller, to *Node, f *meshpb.Frame) {
 	l := from.leader
-	if _, bench := sim.t.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
+	if _, bench := sim.T.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
 	}
 	last := make(map[uint32]*meshpb.MachineStatus)
@@ -70,8 +70,8 @@
 			if j == nil || has[key] {
 				continue
 			}
-			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == from.peers[to.name] {
-				sim.t.Errorf("%s is told what %s lists without %s/%d, which it owns", to.name, m.name, key.job, key.task)
+			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == from.peers[to.Name] {
+				sim.T.Errorf("%s is told what %s lists without %s/%d, which it owns", to.Name, m.name, key.job, key.task)
 			}
 		}
 	}
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -10,7 +10,7 @@
 )
 
 // send sends a request without waiting for its answer.
-func (n *node) send(method, path string) *Response {
+func (n *Node) send(method, path string) *Response {
 	out := &Response{}
 	n.controller.HandleHTTP(&Request{Method: method, Path: path}, func(r Response) { *out = r })
 	return out
@@ -20,47 +20,47 @@
 // nobody submitted, about jobs of an owner that is gone, about jobs long over.
 func TestManyStatusQueriesCostFewReads(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.addMachine("vm-1", "z1")
-	sim.run(3 * time.Second)
-	follower := sim.follower()
+	sim.AddMachine("vm-1", "z1")
+	sim.Run(3 * time.Second)
+	follower := sim.Follower()
 	other := ""
-	for _, n := range sim.names {
-		if sim.nodes[n] != follower && sim.nodes[n] != sim.leader() {
+	for _, n := range sim.Names {
+		if sim.Nodes[n] != follower && sim.Nodes[n] != sim.Leader() {
 			other = n
 		}
 	}
 	const jobs = 60
 	for i := range jobs {
-		want(t, "submit", sim.nodes[other].submit(batchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		want(t, "submit", sim.Nodes[other].Submit(BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	storm := func(what string, first, status int, most int) {
 		t.Helper()
-		before := sim.state.requests
+		before := sim.State.Requests
 		var got []*Response
 		for range 5 {
 			for i := range jobs {
 				got = append(got, follower.send("GET", fmt.Sprint("/submissions/wk-", first+i)))
 			}
-			sim.deliverAll()
+			sim.DeliverAll()
 		}
-		sim.advance(statusTimeout)
+		sim.Advance(statusTimeout)
 		for _, r := range got {
 			want(t, what, r.Status, status)
 		}
-		if n := sim.state.requests - before; n > most {
+		if n := sim.State.Requests - before; n > most {
 			t.Fatalf("%d polls about %s took %d requests", len(got), what, n)
 		}
 	}
 	storm("jobs that nobody submitted", 1000, 404, 20)
 	storm("jobs of another member", 1, 200, 90) // each is read once
 	storm("jobs of another member, again", 1, 200, 20)
-	sim.crash(other)
+	sim.Crash(other)
 	storm("jobs whose owner is gone", 1, 200, 30)
-	sim.run(10 * time.Second)
+	sim.Run(10 * time.Second)
 	for i := range jobs {
-		code, _ := follower.cancel(fmt.Sprint("wk-", i+1))
+		code, _ := follower.Cancel(fmt.Sprint("wk-", i+1))
 		want(t, "abort", code, 200)
-		sim.advance(tickInterval)
+		sim.Advance(tickInterval)
 	}
 	storm("jobs that are over", 1, 200, 20)
 }
@@ -69,10 +69,10 @@
 // been accepted meanwhile, and 404 would have forgotten it.
 func TestSharedReadsBeginAfterTheQuery(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead, follower := sim.leader(), sim.follower()
+	lead, follower := sim.Leader(), sim.Follower()
 	var held func()
-	sim.state.onTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-		if from != follower.name || len(txn.Then) > 0 || held != nil {
+	sim.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+		if from != follower.Name || len(txn.Then) > 0 || held != nil {
 			return false
 		}
 		r := apply() // carried out now, answered later
@@ -83,13 +83,13 @@
 	for i := range 8 { // enough to be asked about together
 		before = append(before, follower.send("GET", fmt.Sprint("/submissions/wk-", i+1)))
 	}
-	sim.deliverAll()
+	sim.DeliverAll()
 	want(t, "a read is under way", held != nil, true)
-	want(t, "submit", lead.submit(batchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", lead.Submit(BatchJob("wk-1", 1)).Status, 201)
 	after := follower.send("GET", "/submissions/wk-1")
-	sim.deliverAll()
+	sim.DeliverAll()
 	held()
-	sim.advance(100 * time.Millisecond)
+	sim.Advance(100 * time.Millisecond)
 	want(t, "asked before it was accepted", before[0].Status, 404)
 	want(t, "asked after it was accepted", after.Status, 200)
 }
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -39,8 +39,8 @@
 		before = names[:1+seed/4%3]
 	}
 	sim := prepareSimulation(t, "", before, names...)
-	sim.tuning.QuotaEscrow = seed%3 == 1 && len(before) == 0
-	sim.startAll()
+	sim.Tuning.QuotaEscrow = seed%3 == 1 && len(before) == 0
+	sim.StartAll()
 	scenario := &takeoverScenario{faultScenario: newFaultScenarioIn(t, sim, seed, 8)}
 	scenario.setTaskDuration(time.Duration(10+scenario.rand.IntN(30)) * time.Second)
 	scenario.play(70, func(s int) {
@@ -61,7 +61,7 @@
 			scenario.randomFault()
 		}
 	})
-	scenario.state.hiddenPrefix, scenario.state.responseDelay = "", nil
+	scenario.State.HiddenPrefix, scenario.State.ResponseDelay = "", nil
 	scenario.resumeAll()
 	scenario.recoverAndCheck()
 }
@@ -88,7 +88,7 @@
 	lead := scenario.activeLeader()
 	switch scenario.rand.IntN(4) {
 	case 0:
-		for _, name := range scenario.names {
+		for _, name := range scenario.Names {
 			scenario.crashForSeconds(name)
 		}
 	case 1:
@@ -97,7 +97,7 @@
 		}
 	default:
 		if lead != nil {
-			scenario.crashForSeconds(lead.name)
+			scenario.crashForSeconds(lead.Name)
 		}
 	}
 }
@@ -106,13 +106,13 @@
 func (scenario *takeoverScenario) randomFault() {
 	switch scenario.rand.IntN(8) {
 	case 0:
-		scenario.crashForSeconds(scenario.names[scenario.rand.IntN(len(scenario.names))])
+		scenario.crashForSeconds(scenario.Names[scenario.rand.IntN(len(scenario.Names))])
 	case 1:
 		if lead := scenario.activeLeader(); lead != nil {
-			scenario.crashForSeconds(lead.name)
+			scenario.crashForSeconds(lead.Name)
 		}
 	case 2:
-		for _, name := range scenario.names {
+		for _, name := range scenario.Names {
 			scenario.crashForSeconds(name)
 		}
 	case 3:
@@ -136,66 +136,66 @@
 
 // crashForSeconds ends a member, which is back some seconds later.
 func (scenario *takeoverScenario) crashForSeconds(name string) {
-	if !scenario.nodes[name].up {
+	if !scenario.Nodes[name].Up {
 		return
 	}
-	scenario.nodes[name].paused = false
-	scenario.crash(name)
+	scenario.Nodes[name].Paused = false
+	scenario.Crash(name)
 	scenario.after(200*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
 // hideListings has one member, or all, refused the listings of some records.
 func (scenario *takeoverScenario) hideListings() {
-	scenario.state.hiddenPrefix = []string{"own/", "own/", "fleet/", "done/"}[scenario.rand.IntN(4)]
-	scenario.state.hiddenFrom = append([]string{""}, scenario.names...)[scenario.rand.IntN(4)]
-	scenario.after(time.Second, 6*time.Second, func() { scenario.state.hiddenPrefix, scenario.state.hiddenFrom = "", "" })
+	scenario.State.HiddenPrefix = []string{"own/", "own/", "fleet/", "done/"}[scenario.rand.IntN(4)]
+	scenario.State.HiddenFrom = append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
+	scenario.after(time.Second, 6*time.Second, func() { scenario.State.HiddenPrefix, scenario.State.HiddenFrom = "", "" })
 }
 
 // delayStateResponses has answers come late, for one member or all.
 func (scenario *takeoverScenario) delayStateResponses() {
 	most := time.Duration(1+scenario.rand.IntN(5)) * time.Second
-	member := append([]string{""}, scenario.names...)[scenario.rand.IntN(4)]
-	scenario.state.responseDelay = func(to string) time.Duration {
+	member := append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
+	scenario.State.ResponseDelay = func(to string) time.Duration {
 		if member != "" && member != to {
 			return 0
 		}
 		return time.Duration(scenario.rand.Int64N(int64(most)))
 	}
-	scenario.after(time.Second, 8*time.Second, func() { scenario.state.responseDelay = nil })
+	scenario.after(time.Second, 8*time.Second, func() { scenario.State.ResponseDelay = nil })
 }
 
 // refuseState has the state service refuse one member, or be away for all.
 func (scenario *takeoverScenario) refuseState() {
-	who := append([]string{""}, scenario.names...)[scenario.rand.IntN(4)]
-	scenario.state.unavailable[who] = true
-	scenario.after(time.Second, 8*time.Second, func() { delete(scenario.state.unavailable, who) })
+	who := append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
+	scenario.State.Unavailable[who] = true
+	scenario.after(time.Second, 8*time.Second, func() { delete(scenario.State.Unavailable, who) })
 }
 
 func (scenario *takeoverScenario) disconnectLink() {
-	a := scenario.rand.IntN(len(scenario.names))
-	scenario.disconnect(scenario.names[a], scenario.names[(a+1)%len(scenario.names)])
+	a := scenario.rand.IntN(len(scenario.Names))
+	scenario.Disconnect(scenario.Names[a], scenario.Names[(a+1)%len(scenario.Names)])
 	scenario.after(500*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
 // pauseMember has a member stand still; the others take it for cut off after a while.
 func (scenario *takeoverScenario) pauseMember() {
-	name := scenario.names[scenario.rand.IntN(len(scenario.names))]
-	n := scenario.nodes[name]
-	if !n.up || n.paused {
+	name := scenario.Names[scenario.rand.IntN(len(scenario.Names))]
+	n := scenario.Nodes[name]
+	if !n.Up || n.Paused {
 		return
 	}
-	n.paused = true
+	n.Paused = true
 	controller := n.controller
 	scenario.after(4*time.Second, 4*time.Second, func() {
-		for _, other := range scenario.names {
-			if l := scenario.nodes[other].links[name]; other != name && scenario.nodes[other].up && n.paused && n.controller == controller && l != nil {
-				scenario.nodes[other].controller.LinkDown(l)
+		for _, other := range scenario.Names {
+			if l := scenario.Nodes[other].Links[name]; other != name && scenario.Nodes[other].Up && n.Paused && n.controller == controller && l != nil {
+				scenario.Nodes[other].controller.LinkDown(l)
 			}
 		}
 	})
 	scenario.after(500*time.Millisecond, 9*time.Second, func() {
-		if n.paused && n.controller == controller {
-			scenario.resume(name)
+		if n.Paused && n.controller == controller {
+			scenario.Resume(name)
 			scenario.reconnectAll(name)
 		}
 	})
@@ -203,9 +203,9 @@
 
 // reconnectAll ends a member's streams and begins new ones.
 func (scenario *takeoverScenario) reconnectAll(name string) {
-	for _, other := range scenario.names {
+	for _, other := range scenario.Names {
 		if other != name {
-			scenario.disconnect(name, other)
+			scenario.Disconnect(name, other)
 		}
 	}
 	scenario.restoreAll()
@@ -213,9 +213,9 @@
 
 // resumeAll has all members that stand still go on.
 func (scenario *takeoverScenario) resumeAll() {
-	for _, name := range scenario.names {
-		if scenario.nodes[name].paused {
-			scenario.resume(name)
+	for _, name := range scenario.Names {
+		if scenario.Nodes[name].Paused {
+			scenario.Resume(name)
 			scenario.reconnectAll(name)
 		}
 	}
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -17,15 +17,15 @@
 
 // lowerStateLimits has the state service hold to lowerLimits from now on.
 func (scenario *faultScenario) lowerStateLimits() {
-	scenario.state.limits = &stateLimits{valueBytes: 1024, ops: 3, writeRPS: 60, writeBudget: 60, budgetAt: scenario.now}
+	scenario.State.Limits = &StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.now}
 }
 
 // upgrade ends a member and starts it with this version.
 func (scenario *faultScenario) upgrade(name string) {
-	scenario.crash(name)
-	scenario.run(2 * time.Second)
-	delete(scenario.previousVersion, name)
-	scenario.start(name)
+	scenario.Crash(name)
+	scenario.Run(2 * time.Second)
+	delete(scenario.PreviousVersion, name)
+	scenario.Start(name)
 }
 
 // submitArrays comes with a job or two a second, some large, and some cancellations.
@@ -58,9 +58,9 @@
 	scenario := newFaultScenarioIn(t, newSimulationWith(t, loweredStateLimits, names, names...), seed, 8)
 	scenario.setTaskDuration(2 * time.Second)
 	oldLed, newLed := false, false
-	order := []string{scenario.follower().name, "", ""}
+	order := []string{scenario.Follower().Name, "", ""}
 	if seed%2 == 0 {
-		order[0] = scenario.leader().name
+		order[0] = scenario.Leader().Name
 	}
 	for _, name := range names {
 		if name != order[0] {
@@ -69,10 +69,10 @@
 	}
 	script := func(s int) {
 		if lead := scenario.activeLeader(); lead != nil {
-			for _, other := range scenario.names {
-				beside := scenario.nodes[other].up && scenario.previousVersion[other] != scenario.previousVersion[lead.name]
-				oldLed = oldLed || (beside && scenario.previousVersion[lead.name])
-				newLed = newLed || (beside && !scenario.previousVersion[lead.name])
+			for _, other := range scenario.Names {
+				beside := scenario.Nodes[other].Up && scenario.PreviousVersion[other] != scenario.PreviousVersion[lead.Name]
+				oldLed = oldLed || (beside && scenario.PreviousVersion[lead.Name])
+				newLed = newLed || (beside && !scenario.PreviousVersion[lead.Name])
 			}
 		}
 		if s < 64 {
@@ -90,21 +90,21 @@
 		case 24:
 			scenario.loseTransactions(0, true)
 		case 26: // the last old one ends, so that a new one leads
-			scenario.crash(order[2])
+			scenario.Crash(order[2])
 		case 32: // it is back beside new neighbours, and for a while alone
-			scenario.start(order[2])
+			scenario.Start(order[2])
 		case 36:
-			scenario.crash(order[0])
-			scenario.crash(order[1])
+			scenario.Crash(order[0])
+			scenario.Crash(order[1])
 		case 42:
-			scenario.start(order[0])
-			scenario.start(order[1])
+			scenario.Start(order[0])
+			scenario.Start(order[1])
 		case 48:
 			scenario.upgrade(order[2])
 		case 56:
 			scenario.lowerStateLimits()
 		case 60:
-			scenario.restart(scenario.randomNode().name)
+			scenario.restart(scenario.randomNode().Name)
 		}
 		if s >= 54 && s < 68 && s%3 == 0 {
 			scenario.submitService(scenario.randomNode(), 1+scenario.rand.IntN(3), "crew", "blue", "apart", s%2 == 0)
@@ -144,14 +144,14 @@
 						return
 					}
 					if takeover {
-						scenario.crash(scenario.leader().name)
-						scenario.advance(2 * time.Second) // others take its ledger up about now
+						scenario.Crash(scenario.Leader().Name)
+						scenario.Advance(2 * time.Second) // others take its ledger up about now
 					}
-					scenario.advance(time.Duration(step) * 100 * time.Millisecond)
+					scenario.Advance(time.Duration(step) * 100 * time.Millisecond)
 					scenario.lowerStateLimits()
 				})
 				scenario.recoverAndCheck()
-				want(t, "limits hold", scenario.state.limits != nil, true)
+				want(t, "limits hold", scenario.State.Limits != nil, true)
 			})
 		}
 	}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -14,17 +14,17 @@
 func TestWarmPoolForServices(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 2 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2])
 	}
-	sim.run(2 * time.Second)
-	n := sim.leader()
-	want(t, "submit", n.submit(serviceJob("wk-1", 4).with("apart", true)).Status, 201)
+	sim.Run(2 * time.Second)
+	n := sim.Leader()
+	want(t, "submit", n.Submit(ServiceJob("wk-1", 4).With("apart", true)).Status, 201)
 	for range 20 {
-		sim.run(time.Second)
-		sim.bootMachines(0)
+		sim.Run(time.Second)
+		sim.BootMachines(0)
 	}
 	zones := make(map[string]int)
-	for _, request := range sim.cloud.scaleOutRequests {
+	for _, request := range sim.Cloud.ScaleOutRequests {
 		if !request.Spot {
 			zones[request.Zone] += request.Count
 		}
@@ -32,19 +32,19 @@
 	if zones["z1"] == 0 || zones["z2"] == 0 {
 		t.Fatalf("ordinary machines rented by zone: %v", zones)
 	}
-	sim.cloud.refusesScaleOut = true
-	want(t, "array", n.submit(batchJob("wk-2", 200)).Status, 201)
+	sim.Cloud.RefusesScaleOut = true
+	want(t, "array", n.Submit(BatchJob("wk-2", 200)).Status, 201)
 	for range 10 {
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
 	array := len(sim.machinesOfJob("wk-2"))
 	if array == 0 {
 		t.Fatal("nothing of the array runs")
 	}
 	began := sim.now
-	want(t, "next", n.submit(serviceJob("wk-3", 2)).Status, 201)
+	want(t, "next", n.Submit(ServiceJob("wk-3", 2)).Status, 201)
 	for len(sim.machinesOfJob("wk-3")) < 2 && sim.now-began < 20*time.Second {
-		sim.run(time.Second)
+		sim.Run(time.Second)
 	}
 	if took := sim.now - began; took > 3*time.Second {
 		t.Fatalf("its replicas began after %s beside an array", took)
@@ -59,17 +59,17 @@
 func TestReplicasSpreadOverSeveralMachines(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 3 {
-		sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
-	sim.addMachine("vm-3", "z2")
-	sim.run(2 * time.Second)
-	n := sim.leader()
-	want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
-	sim.run(4 * time.Second)
-	want(t, "submit", n.submit(serviceJob("wk-2", 4)).Status, 201)
-	sim.run(4 * time.Second)
-	want(t, "in one zone that has one machine with room", n.submit(serviceJob("wk-3", 2).with("hall", "z2")).Status, 201)
-	sim.run(4 * time.Second)
+		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+	}
+	sim.AddMachine("vm-3", "z2")
+	sim.Run(2 * time.Second)
+	n := sim.Leader()
+	want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+	sim.Run(4 * time.Second)
+	want(t, "submit", n.Submit(ServiceJob("wk-2", 4)).Status, 201)
+	sim.Run(4 * time.Second)
+	want(t, "in one zone that has one machine with room", n.Submit(ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "its replicas", len(sim.machinesOfJob("wk-3")), 2)
 	on := sim.machinesOfJob("wk-2")
 	want(t, "replicas", len(on), 4)
@@ -86,19 +86,19 @@
 func TestReplicasSpreadOverTwoMachinesIfStartsAreUrgent(t *testing.T) {
 	for within, started := range map[float64]int{1: 6, 5: 4} {
 		sim := newSimulation(t, "a", "b", "c")
-		for _, name := range sim.names {
-			sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
+		for _, name := range sim.Names {
+			sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
 		}
 		for i := range 3 {
-			sim.addMachine(fmt.Sprintf("vm-%d", i), "z1")
+			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		}
-		sim.run(2 * time.Second)
-		n := sim.leader()
-		want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
-		sim.run(4 * time.Second)
-		want(t, "submit", n.submit(serviceJob("wk-2", 6)).Status, 201)
-		sim.agents["vm-0"].heartbeat()
-		sim.agents["vm-1"].heartbeat()
+		sim.Run(2 * time.Second)
+		n := sim.Leader()
+		want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+		sim.Run(4 * time.Second)
+		want(t, "submit", n.Submit(ServiceJob("wk-2", 6)).Status, 201)
+		sim.Agents["vm-0"].Heartbeat()
+		sim.Agents["vm-1"].Heartbeat()
 		want(t, fmt.Sprint("started by two reports, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
 	}
 }
@@ -108,19 +108,19 @@
 func TestReplicaWaitsForAMachineWithItsImage(t *testing.T) {
 	for since, goesTo := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
 		sim := newSimulation(t, "a", "b", "c")
-		first := sim.addMachine("vm-0", "z1")
-		sim.run(2 * time.Second)
-		n := sim.leader()
-		want(t, "first", n.submit(serviceJob("wk-1", 1)).Status, 201)
-		sim.run(4 * time.Second)
-		second := sim.addMachine("vm-1", "z1")
-		sim.run(4 * time.Second)
+		first := sim.AddMachine("vm-0", "z1")
+		sim.Run(2 * time.Second)
+		n := sim.Leader()
+		want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+		sim.Run(4 * time.Second)
+		second := sim.AddMachine("vm-1", "z1")
+		sim.Run(4 * time.Second)
 		want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
-		first.heartbeat()
-		sim.advance(since - tickInterval)
-		want(t, "second", n.submit(serviceJob("wk-2", 1)).Status, 201)
-		second.heartbeat()
-		first.heartbeat()
+		first.Heartbeat()
+		sim.Advance(since - tickInterval)
+		want(t, "second", n.Submit(ServiceJob("wk-2", 1)).Status, 201)
+		second.Heartbeat()
+		first.Heartbeat()
 		want(t, fmt.Sprint("goes to, last report before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
 	}
 }
@@ -130,13 +130,13 @@
 func TestWarmPoolBeforeTheFirstService(t *testing.T) {
 	for _, aim := range []string{"wait", "deadline"} {
 		sim := newSimulation(t, "a", "b", "c")
-		for _, name := range sim.names {
-			sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
+		for _, name := range sim.Names {
+			sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
 		}
-		sim.crash(sim.leader().name)
-		sim.run(30 * time.Second)
+		sim.Crash(sim.Leader().Name)
+		sim.Run(30 * time.Second)
 		ordinary := 0
-		for _, request := range sim.cloud.scaleOutRequests {
+		for _, request := range sim.Cloud.ScaleOutRequests {
 			if !request.Spot {
 				ordinary += request.Count
 			}
@@ -154,19 +154,19 @@
 		typ   string
 	}{{2.2, false, "m16"}, {2.2, true, "m16"}, {3, false, "m8"}, {3, true, "m8"}} {
 		sim := newSimulation(t, "a", "b", "c")
-		sim.cloud.moreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
-		sim.run(90 * time.Second) // until all know the catalogue
+		sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
+		sim.Run(90 * time.Second) // until all know the catalogue
 		if c.seen {
-			want(t, "submit", sim.leader().submit(serviceJob("wk-1", 4)).Status, 201)
+			want(t, "submit", sim.Leader().Submit(ServiceJob("wk-1", 4)).Status, 201)
 		} else {
-			for _, name := range sim.names {
-				sim.nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
+			for _, name := range sim.Names {
+				sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
 			}
-			sim.crash(sim.leader().name)
+			sim.Crash(sim.Leader().Name)
 		}
-		sim.run(30 * time.Second)
+		sim.Run(30 * time.Second)
 		types := make(map[string]bool)
-		for _, request := range sim.cloud.scaleOutRequests {
+		for _, request := range sim.Cloud.ScaleOutRequests {
 			types[request.Type] = true
 		}
 		want(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
@@ -177,18 +177,18 @@
 // other type.
 func TestServicesUseTheWarmPoolOfAContestedType(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.cloud.refusesScaleOut = true
-	sim.cloud.moreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
-	sim.run(60 * time.Second) // until all know the catalogue
-	sim.addMachine("vm-0", "z1").machineType = "m16"
-	sim.run(2 * time.Second)
-	n := sim.leader()
-	want(t, "first", n.submit(serviceJob("wk-1", 2)).Status, 201)
-	sim.run(4 * time.Second)
-	want(t, "array", n.submit(batchJob("wk-2", 4).with("ramGb", 100.0)).Status, 201)
-	sim.run(2 * time.Second)
-	want(t, "second", n.submit(serviceJob("wk-3", 3)).Status, 201)
-	sim.run(4 * time.Second)
+	sim.Cloud.RefusesScaleOut = true
+	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
+	sim.Run(60 * time.Second) // until all know the catalogue
+	sim.AddMachine("vm-0", "z1").MachineType = "m16"
+	sim.Run(2 * time.Second)
+	n := sim.Leader()
+	want(t, "first", n.Submit(ServiceJob("wk-1", 2)).Status, 201)
+	sim.Run(4 * time.Second)
+	want(t, "array", n.Submit(BatchJob("wk-2", 4).With("ramGb", 100.0)).Status, 201)
+	sim.Run(2 * time.Second)
+	want(t, "second", n.Submit(ServiceJob("wk-3", 3)).Status, 201)
+	sim.Run(4 * time.Second)
 	want(t, "replicas", fmt.Sprint(len(sim.machinesOfJob("wk-1")), len(sim.machinesOfJob("wk-3"))), "2 3")
 }
 
@@ -196,8 +196,8 @@
 // for work that fits on no other: on two recorded days that work missed its deadlines.
 func TestWarmPoolLeavesAScarceTypeToOthers(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.run(60 * time.Second)
-	l := sim.leader().controller.leader
+	sim.Run(60 * time.Second)
+	l := sim.Leader().controller.leader
 	kind, now := machineKind{"m8", "z1", false}, sim.now
 	kept := func() int {
 		l.autoscaler.counts.reportedCPUs = 1600
