--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -96,13 +96,13 @@
 	}
 	for _, name := range scenario.Names {
 		n := scenario.Nodes[name]
-		if !n.Up || n.Paused || !n.controller.election.MayAct(scenario.now) {
+		if !n.Up || n.Paused || !controllerOf(n).election.MayAct(scenario.Now()) {
 			continue
 		}
-		for shard := range n.controller.owner.Shards() {
+		for shard := range controllerOf(n).owner.Shards() {
 			ledger := shard.Name()
-			got := n.controller.admission.Allocation(ledger, "red")
-			if n.controller.admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
+			got := controllerOf(n).admission.Allocation(ledger, "red")
+			if controllerOf(n).admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
 				scenario.T.Fatalf("%s counts on %v for ledger %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
 			}
 		}
@@ -207,7 +207,7 @@
 			return false
 		}
 		for range 2 {
-			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Duration(1+scenario.rand.IntN(8))*time.Second, func() { apply() }})
+			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(1+scenario.rand.IntN(8))*time.Second, func() { apply() }})
 		}
 		done(apply())
 		return true
@@ -234,7 +234,7 @@
 		}
 		frozen = from
 		scenario.Nodes[from].Paused = true
-		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + 9*time.Second, func() { done(apply()) }})
+		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + 9*time.Second, func() { done(apply()) }})
 		return true
 	}
 	return func(s int) {
@@ -248,7 +248,7 @@
 		if n := scenario.Nodes[frozen]; s == 13 && n != nil { // the others take its silence for a cut
 			for _, other := range scenario.Names {
 				if other != frozen {
-					scenario.Nodes[other].controller.LinkDown(scenario.Nodes[other].Links[frozen])
+					controllerOf(scenario.Nodes[other]).LinkDown(scenario.Nodes[other].Links[frozen])
 				}
 			}
 		}
@@ -376,7 +376,7 @@
 	want(t, "running", sim.runningTasks(), 15)
 	body := func(id string) []byte { return sim.Codec.Encode(map[string]any(BatchJob(id, 1).With("crew", "red"))) }
 	for i, name := range []string{"b", "c"} {
-		sim.Nodes[name].controller.HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
+		controllerOf(sim.Nodes[name]).HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
 	}
 	sim.Run(8 * time.Second)
 	want(t, "running at the limit", sim.runningTasks(), 16)
@@ -513,7 +513,7 @@
 	sim := newEscrowSimulation(t)
 	sim.addMachines(2)
 	sim.Run(4 * time.Second)
-	c := sim.Nodes["a"].controller
+	c := controllerOf(sim.Nodes["a"])
 	p := c.peers["b"]
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for what, f := range map[string]*meshpb.QuotaDemands{
@@ -528,23 +528,19 @@
 		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
 		want(t, what+": dropped", c.admission.Dropped(), before+1)
 	}
-	sim.State.Revision++
-	key := storage.QuotaKey("red")
-	value := map[string]any{"s": "no shares"}
-	sim.State.Keys[key] = &StateKey{sim.Codec.Encode(value), sim.State.Revision, 0}
-	sim.State.changes = append(sim.State.changes, stateChange{sim.State.Revision, map[string]any{"write": key, "v": value, "stamp": sim.State.Revision}, key})
+	sim.State.Put(storage.QuotaKey("red"), map[string]any{"s": "no shares"})
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "running", fmt.Sprint(sim.Nodes["a"].controller.owner.Job("wk-1").Running(), sim.Nodes["a"].controller.owner.Job("wk-2").Running()), "0 2")
+	want(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
 }
 
 // A team's name may be longer than a key.
 func TestTeamNameTooLongForAKey(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a")
 	sim.Tuning.QuotaEscrow = true
-	file, err := settings.Parse(fmt.Appendf(nil, settingsFormat, "a", ""))
+	file, err := settings.Parse(fmt.Appendf(nil, SettingsFormat, "a", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -560,7 +556,7 @@
 	sim := newEscrowSimulation(t)
 	sim.addMachines(10)
 	for _, n := range sim.Nodes {
-		n.controller.cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
+		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
 	}
 	for _, name := range sim.Names { // the members say that they don't divide limits
 		sim.State.Announce(storage.ProcessKey(name), storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat})
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -87,7 +87,7 @@
 	case "cut from the third":
 		scenario.Disconnect(lead.Name, third.Name)
 	}
-	for end := scenario.now + refused; scenario.now < end; {
+	for end := scenario.Now() + refused; scenario.Now() < end; {
 		scenario.query(confirming, "ABORT", id)
 		scenario.Advance(100 * time.Millisecond)
 	}
@@ -141,7 +141,7 @@
 	}
 	scenario.Start(owner.Name)
 	scenario.Advance(300 * time.Millisecond)
-	want(t, "the owner's next process is known", owner.controller.election.Registered(), true)
+	want(t, "the owner's next process is known", controllerOf(owner).election.Registered(), true)
 	scenario.outageAfterCancellation(id)
 }
 
--- a/internal/coordination/cloud_test.go
+++ b/internal/coordination/cloud_test.go
@@ -13,7 +13,7 @@
 // Cloud rents machines that never come up by themselves: a test adds
 // their workers.
 type Cloud struct {
-	sim              *simulation
+	deployment       *Deployment
 	Machines         []CloudMachine
 	answers          map[string][]string
 	ScaleOutRequests []protocol.ScaleOutRequest
@@ -32,13 +32,14 @@
 	Created          int
 }
 
+// CloudMachine is a machine that it has rented out.
 type CloudMachine struct {
 	Name, Zone, Status string
 	At                 time.Duration
 }
 
 func (c *Cloud) serve(_, method, path string, body []byte, done func(storage.Response)) {
-	answer := func(status int, v any) { done(storage.Response{Status: status, Body: c.sim.Codec.Encode(v)}) }
+	answer := func(status int, v any) { done(storage.Response{Status: status, Body: c.deployment.Codec.Encode(v)}) }
 	if !c.allowCall() {
 		c.rateLimited++
 		answer(429, map[string]any{"error": "too many requests"})
@@ -50,8 +51,8 @@
 			FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}}, c.MoreTypes...)})
 	case path == "/hosts" && method == "POST":
 		var q protocol.ScaleOutRequest
-		if err := c.sim.Codec.Decode(body, &q); err != nil {
-			c.sim.T.Fatal(err)
+		if err := c.deployment.Codec.Decode(body, &q); err != nil {
+			c.deployment.T.Fatal(err)
 		}
 		c.ScaleOutRequests = append(c.ScaleOutRequests, q)
 		if c.RefusesScaleOut {
@@ -63,7 +64,7 @@
 			c.Created++
 			name := fmt.Sprintf("vm-9%05d", c.Created)
 			names = append(names, name)
-			c.Machines = append(c.Machines, CloudMachine{name, q.Zone, "starting", c.sim.now})
+			c.Machines = append(c.Machines, CloudMachine{name, q.Zone, "starting", c.deployment.now})
 		}
 		c.answers[q.RequestID] = names
 		if c.LosesResponses {
@@ -75,15 +76,15 @@
 		answer(503, map[string]any{"error": "trouble"})
 	case path == "/hosts/release":
 		var q protocol.MachineNames
-		if err := c.sim.Codec.Decode(body, &q); err != nil {
-			c.sim.T.Fatal(err)
+		if err := c.deployment.Codec.Decode(body, &q); err != nil {
+			c.deployment.T.Fatal(err)
 		}
 		c.ReleaseSizes = append(c.ReleaseSizes, len(q.Machines))
 		for _, n := range q.Machines {
 			c.Released = append(c.Released, n)
-			if agent := c.sim.Agents[n]; agent != nil {
+			if agent := c.deployment.Agents[n]; agent != nil {
 				agent.Tasks = nil
-				delete(c.sim.Agents, n)
+				delete(c.deployment.Agents, n)
 			}
 			for i := range c.Machines {
 				if c.Machines[i].Name == n {
@@ -96,11 +97,11 @@
 	default:
 		u, err := url.Parse(path)
 		if err != nil {
-			c.sim.T.Fatal(err)
+			c.deployment.T.Fatal(err)
 		}
 		limit, err := strconv.Atoi(u.Query().Get("limit"))
 		if err != nil {
-			c.sim.T.Fatal(err)
+			c.deployment.T.Fatal(err)
 		}
 		after := u.Query().Get("from")
 		out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
@@ -109,7 +110,7 @@
 			listed = c.StaleList
 		}
 		for _, m := range listed {
-			if c.sim.now-m.At < 6*time.Second {
+			if c.deployment.now-m.At < 6*time.Second {
 				continue // lists lag
 			}
 			if m.Name <= after {
@@ -119,7 +120,7 @@
 				out.More = true
 				break
 			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.Name, Type: "m8", Zone: m.Zone, Status: m.Status, AgeS: (c.sim.now - m.At).Seconds()})
+			out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.Name, Type: "m8", Zone: m.Zone, Status: m.Status, AgeS: (c.deployment.now - m.At).Seconds()})
 		}
 		answer(200, out)
 	}
@@ -130,8 +131,8 @@
 	if c.RPS == 0 {
 		return true
 	}
-	c.callBudget = min(2*c.RPS, c.callBudget+c.RPS*(c.sim.now-c.budgetAt).Seconds())
-	c.budgetAt = c.sim.now
+	c.callBudget = min(2*c.RPS, c.callBudget+c.RPS*(c.deployment.now-c.budgetAt).Seconds())
+	c.budgetAt = c.deployment.now
 	if c.callBudget < 1 {
 		return false
 	}
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -30,7 +30,7 @@
 // activeLeader returns who leads, if anybody does.
 func (scenario *faultScenario) activeLeader() *Node {
 	for _, name := range scenario.Names {
-		if n := scenario.Nodes[name]; n.Up && n.controller.leader != nil && n.controller.election.MayAct(scenario.now) {
+		if n := scenario.Nodes[name]; n.Up && controllerOf(n).leader != nil && controllerOf(n).election.MayAct(scenario.Now()) {
 			return n
 		}
 	}
@@ -51,7 +51,7 @@
 	for _, body := range old {
 		for _, name := range scenario.Names {
 			if n := scenario.Nodes[name]; n.Up && !n.Paused {
-				n.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: 1 << 30}, func(Response) {})
+				controllerOf(n).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: 1 << 30}, func(Response) {})
 			}
 		}
 	}
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -91,7 +91,7 @@
 		sim.Run(time.Second)
 		sim.failJobs("wk-1")
 	}
-	want(t, "breaker is open", sim.Nodes["a"].controller.owner.Job("wk-1").BreakerOpen(), true)
+	want(t, "breaker is open", controllerOf(sim.Nodes["a"]).owner.Job("wk-1").BreakerOpen(), true)
 	sim.Run(30 * time.Second)
 	want(t, "running", sim.runningTasks(), 20)
 }
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -130,8 +130,8 @@
 	told := make(map[string]bool)
 	for i := range 50 { // cancel_s is 40
 		for _, name := range sim.Names {
-			out := sim.Nodes[name].send("POST", "/submissions/wk-1/abort")
-			ask := sim.Nodes[name].send("GET", "/submissions/wk-2")
+			out := sim.Nodes[name].Send("POST", "/submissions/wk-1/abort")
+			ask := sim.Nodes[name].Send("GET", "/submissions/wk-2")
 			sim.Run(time.Second)
 			if out.Status == 200 {
 				t.Fatal("a cancellation was told that nothing holds")
@@ -163,11 +163,11 @@
 		sim.Run(2 * time.Second)
 		lead := sim.Leader()
 		want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
-		if agent.ConnectedTo != lead.controller {
+		if agent.ConnectedTo != lead.Process {
 			agent.HeartbeatTo(lead)
 		}
 		held := &Response{}
-		lead.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
+		controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
 		sim.Advance(400 * time.Millisecond)
 		want(t, "answer", held.Status, 200)
 		agent.Silent = true // it waits for the answer
@@ -258,7 +258,7 @@
 					return false
 				}
 				hits++
-				held = append(held, late{sim.now + time.Duration(2+n%11)*time.Second, apply})
+				held = append(held, late{sim.Now() + time.Duration(2+n%11)*time.Second, apply})
 				done(storage.Response{})
 				return true
 			}
@@ -271,7 +271,7 @@
 				sim.BootMachines(2 * time.Second)
 				kept := held[:0]
 				for _, l := range held {
-					if sim.now < l.at {
+					if sim.Now() < l.at {
 						kept = append(kept, l)
 						continue
 					}
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -69,8 +69,8 @@
 	scenario.OnStart = func(agent *Agent, task *AgentTask) {
 		scenario.startedTasks++
 		id, _, _ := strings.Cut(task.Name, "/")
-		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.now-scenario.knownSince[id] > 100*time.Millisecond {
-			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.now-scenario.knownSince[id])
+		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownSince[id] > 100*time.Millisecond {
+			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.Now()-scenario.knownSince[id])
 		}
 		if zone := scenario.jobs[id]["hall"]; zone != nil && zone != agent.Zone {
 			t.Fatalf("%s starts in %s", task.Name, agent.Zone)
@@ -94,8 +94,8 @@
 			id, _, _ := strings.Cut(task.Name, "/")
 			request := scenario.jobs[id]
 			use[request["crew"].(string)] += request["vcpus"].(float64)
-			if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.now-scenario.knownSince[id] > cancelWithin {
-				scenario.T.Fatalf("%s is on %s %s after its cancellation was confirmed", task.Name, agent.Name, scenario.now-scenario.knownSince[id])
+			if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownSince[id] > cancelWithin {
+				scenario.T.Fatalf("%s is on %s %s after its cancellation was confirmed", task.Name, agent.Name, scenario.Now()-scenario.knownSince[id])
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 	kept := scenario.delayedCalls[:0]
 	var due []func()
 	for _, l := range scenario.delayedCalls {
-		if scenario.now >= l.at {
+		if scenario.Now() >= l.at {
 			due = append(due, l.run)
 			continue
 		}
@@ -119,7 +119,7 @@
 	scenario.repeatedQueries = nil
 	for _, l := range looks {
 		scenario.queryEverywhere(l.id)
-		if scenario.now < l.until {
+		if scenario.Now() < l.until {
 			scenario.repeatedQueries = append(scenario.repeatedQueries, l)
 		}
 	}
@@ -148,9 +148,9 @@
 		req = &Request{Method: "POST", Path: "/submissions/" + id + "/abort"}
 		scenario.cancelRequested[id] = true
 	}
-	controller := n.controller
+	controller := controllerOf(n)
 	controller.HandleHTTP(req, func(r Response) {
-		if n.controller != controller || !n.Up {
+		if controllerOf(n) != controller || !n.Up {
 			return // nobody hears it
 		}
 		scenario.checkResponse(n, what, id, before, r)
@@ -176,7 +176,7 @@
 	if err := scenario.Codec.Decode(r.Body, &s); err != nil {
 		scenario.T.Fatal(err)
 	}
-	scenario.lastAnswers[id] = scenario.now
+	scenario.lastAnswers[id] = scenario.Now()
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	switch {
 	case scenario.jobs[id] == nil:
@@ -197,11 +197,11 @@
 		news = statusAccepted
 	}
 	if scenario.knownStatus[id] == "" || (final && scenario.knownStatus[id] == statusAccepted) {
-		scenario.knownStatus[id], scenario.knownSince[id] = news, scenario.now
-		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.now + 500*time.Millisecond})
-		if scenario.crashOnConfirm && news == protocol.StatusCancelled && n.controller.owner.Job(id) == nil {
+		scenario.knownStatus[id], scenario.knownSince[id] = news, scenario.Now()
+		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.Now() + 500*time.Millisecond})
+		if scenario.crashOnConfirm && news == protocol.StatusCancelled && controllerOf(n).owner.Job(id) == nil {
 			scenario.crashOnConfirm, n.Up = false, false // nothing that it has not sent yet is sent
-			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now, func() { scenario.Crash(n.Name) }})
+			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now(), func() { scenario.Crash(n.Name) }})
 		}
 	}
 }
@@ -308,7 +308,7 @@
 			agent.TaskDuration = 3 * time.Second
 		}
 	}
-	at := scenario.now
+	at := scenario.Now()
 	quiet := func(int) {
 		for _, id := range scenario.unfinishedJobs() {
 			scenario.query(scenario.randomNode(), "GET", id)
@@ -342,7 +342,7 @@
 	scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		lost := scenario.rand.Float64() < share
 		if lost && !atOnce {
-			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + 2*time.Second + time.Duration(scenario.rand.Int64N(int64(10*time.Second))), func() { apply() }})
+			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + 2*time.Second + time.Duration(scenario.rand.Int64N(int64(10*time.Second))), func() { apply() }})
 		}
 		r := storage.Response{}
 		if !lost {
@@ -350,7 +350,7 @@
 		} else if atOnce {
 			apply()
 		}
-		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Duration(scenario.rand.Int64N(int64(300*time.Millisecond))), func() { done(r) }})
+		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(scenario.rand.Int64N(int64(300*time.Millisecond))), func() { done(r) }})
 		return true
 	}
 }
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -131,7 +131,7 @@
 		if s == 4 {
 			scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 				r := apply()
-				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Second, func() { done(r) }})
+				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Second, func() { done(r) }})
 				return true
 			}
 		}
@@ -156,7 +156,7 @@
 		case 4:
 			lead := scenario.Leader()
 			scenario.restart(lead.Name)
-			for i := 0; i < 80 && (scenario.activeLeader() == nil || scenario.activeLeader().controller == lead.controller); i++ {
+			for i := 0; i < 80 && (scenario.activeLeader() == nil || controllerOf(scenario.activeLeader()) == controllerOf(lead)); i++ {
 				scenario.Advance(100 * time.Millisecond)
 			}
 			scenario.replayHeartbeats(old) // before any machine says anything new
@@ -176,7 +176,7 @@
 			id := scenario.submit(scenario.randomNode(), 1, "vcpus", 1.0)
 			scenario.DeliverAll()
 			if i == s%4 {
-				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + time.Duration(s%5)*700*time.Millisecond, func() { scenario.query(scenario.randomNode(), "ABORT", id) }})
+				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(s%5)*700*time.Millisecond, func() { scenario.query(scenario.randomNode(), "ABORT", id) }})
 			}
 		}
 		if s == 20 || s == 30 { // what has ended stays so
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -41,13 +41,13 @@
 }
 
 func (scenario *largeFleetScenario) play(span time.Duration) {
-	for end := scenario.now + span; scenario.now < end; {
+	for end := scenario.Now() + span; scenario.Now() < end; {
 		scenario.Advance(tickInterval)
-		if scenario.now%time.Second == 0 {
+		if scenario.Now()%time.Second == 0 {
 			scenario.BootMachines(0)
 		}
-		again := scenario.retries[scenario.now]
-		delete(scenario.retries, scenario.now)
+		again := scenario.retries[scenario.Now()]
+		delete(scenario.retries, scenario.Now())
 		for _, agent := range again {
 			if scenario.Agents[agent.Name] == agent {
 				scenario.heartbeat(agent)
@@ -69,7 +69,7 @@
 	if r != nil && r.Status == 200 {
 		return
 	}
-	at := scenario.now - scenario.now%tickInterval + time.Second
+	at := scenario.Now() - scenario.Now()%tickInterval + time.Second
 	scenario.retries[at] = append(scenario.retries[at], agent)
 	if r != nil && r.Status == 503 {
 		var e struct {
@@ -85,8 +85,8 @@
 // waitFor plays until something holds.
 func (scenario *largeFleetScenario) waitFor(what string, limit time.Duration, holds func() bool) {
 	scenario.T.Helper()
-	for end := scenario.now + limit; !holds(); {
-		if scenario.now >= end {
+	for end := scenario.Now() + limit; !holds(); {
+		if scenario.Now() >= end {
 			scenario.T.Fatalf("%s: not within %s; %d machines, %d tasks run", what, limit, len(scenario.Agents), scenario.runningTasks())
 		}
 		scenario.play(time.Second)
@@ -108,7 +108,7 @@
 		want(t, "submit", n.Submit(request).Status, 201)
 	}
 	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
-	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(sim.Leader().controller.cloud.AllListed())) >= largeFleetSize })
+	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(controllerOf(sim.Leader()).cloud.AllListed())) >= largeFleetSize })
 	started := scenario.startCount()
 	want(t, "starts", started, largeFleetSize)
 
@@ -242,7 +242,7 @@
 	sim.AdjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
 	sim.StartAll()
 	agent := sim.AddMachine("vm-1", "z1")
-	sim.Cloud.Machines[0].At = sim.now - time.Hour
+	sim.Cloud.Machines[0].At = sim.Now() - time.Hour
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Follower().Submit(BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-func (sim *simulation) redirectTarget(r *Response) string {
+func (sim *simulation) redirectTarget(r *HTTPResponse) string {
 	var to protocol.Redirect
 	if r.Status == 421 {
 		if err := sim.Codec.Decode(r.Body, &to); err != nil {
@@ -44,7 +44,7 @@
 	// held back until its end, it would keep the worker from the next member.
 	body := agent.HeartbeatBody()
 	out := &Response{}
-	follower.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *out = r })
+	controllerOf(follower).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *out = r })
 	want(t, "answers before the stream breaks", out.Status, 0)
 	sim.Disconnect(follower.Name, lead.Name)
 	want(t, "answer when the stream breaks", out.Status, 503)
@@ -59,8 +59,8 @@
 	lead, follower := sim.Leader(), sim.Follower()
 	agent := sim.AddMachine("vm-1", "z1")
 	want(t, "before", agent.HeartbeatTo(follower).Status, 200)
-	lead.controller.election.Abstain(sim.now + time.Minute)
-	lead.controller.endLeadership()
+	controllerOf(lead).election.Abstain(sim.Now() + time.Minute)
+	controllerOf(lead).endLeadership()
 	want(t, "leader that leads no more", agent.HeartbeatTo(follower).Status, 503)
 }
 
@@ -125,10 +125,10 @@
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
 	want(t, "report", agent.Heartbeat().Status, 200)
-	m := sim.Leader().controller.leader.machines.get("vm-1")
+	m := controllerOf(sim.Leader()).leader.machines.get("vm-1")
 	seq := m.sequence
 	out := &Response{}
-	sim.Nodes["a"].controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.now - 4*time.Second},
+	controllerOf(sim.Nodes["a"]).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.Now() - 4*time.Second},
 		func(r Response) { *out = r })
 	want(t, "report that waited for 4 s", out.Status, 503)
 	want(t, "last report taken", m.sequence, seq)
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -42,7 +42,7 @@
 func (sim *simulation) allowOnlyLeader(allBut string) {
 	for _, name := range sim.Names {
 		if name != allBut && sim.Nodes[name].Up {
-			sim.Nodes[name].controller.election.Abstain(sim.now + time.Minute)
+			controllerOf(sim.Nodes[name]).election.Abstain(sim.Now() + time.Minute)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 		sim.heartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
 		sim.heartbeatFor(5, busy, idle)
 		want(t, "leader", sim.Leader().Name, "a")
-		want(t, "settled", sim.Nodes["b"].controller.owner.Shard("b").Reconciled(), true)
+		want(t, "settled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
 		sim.heartbeatFor(15, busy, idle)
 		want(t, "copies on the other machine", idle.Starts, 0)
 		want(t, "still running", len(busy.Running()), 1)
@@ -82,9 +82,9 @@
 // the new leader comes up after a machine has reported there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
-		sim.Nodes["b"].controller.election.Abstain(sim.now + time.Hour) // it owns the task
+		controllerOf(sim.Nodes["b"]).election.Abstain(sim.Now() + time.Hour) // it owns the task
 		if sim.Leader().Name != "c" {
-			sim.Nodes["a"].controller.election.Abstain(sim.now + 4*time.Second)
+			controllerOf(sim.Nodes["a"]).election.Abstain(sim.Now() + 4*time.Second)
 			sim.Crash(sim.Leader().Name)
 			sim.Advance(4 * time.Second)
 			sim.startDown()
@@ -116,13 +116,13 @@
 	lead := sim.Leader()
 	owner := sim.Follower()
 	busy, idle := startOneTask(t, sim, owner)
-	l := lead.controller.leader
-	l.setShardOwner(l.shards.get(owner.Name), lead.controller.selfPeer)
+	l := controllerOf(lead).leader
+	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).selfPeer)
 	busy.Tasks["other#1"] = &AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
-	job := owner.controller.owner.Job("wk-1")
+	job := controllerOf(owner).owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
-	l.setShardOwner(l.shards.get(owner.Name), lead.controller.peers[owner.Name])
+	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
 	sim.heartbeatFor(15, busy, idle)
 	want(t, "copies on the other machine", idle.Starts, 0)
 }
@@ -163,7 +163,7 @@
 	want(t, "running", sim.runningTasks(), 8)
 	sim.Crash(gone)
 	sim.Run(25 * time.Second)
-	want(t, "ledgers of the leader", len(slices.Collect(lead.controller.owner.Shards())), 2)
+	want(t, "ledgers of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
 	started := first.Starts + second.Starts + idle.Starts
 	var next string
 	for _, name := range sim.Names {
@@ -172,7 +172,7 @@
 		}
 	}
 	sim.Disconnect(lead.Name, next) // it joins only once the machines have reported there
-	lead.controller.election.Resign(election.WorkersUnreachable)
+	controllerOf(lead).election.Resign(election.WorkersUnreachable)
 	sim.Advance(2 * time.Second)
 	want(t, "leader", sim.Leader().Name, next)
 	sim.heartbeatFor(3, first, second, idle)
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -205,7 +205,7 @@
 	}
 	check := func(d time.Duration) {
 		t.Helper()
-		for end := sim.now + d; sim.now < end; {
+		for end := sim.Now() + d; sim.Now() < end; {
 			sim.Run(time.Second)
 			if got := float64(sim.runningTasks()) * 2; got > 32 {
 				t.Fatalf("team uses %v CPUs of 32", got)
@@ -274,7 +274,7 @@
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	before := len(sim.Nodes["a"].controller.leader.machines.byName)
+	before := len(controllerOf(sim.Nodes["a"]).leader.machines.byName)
 	good := map[string]any{"roost": "vm-7", "breed": "m8", "hall": "z1", "loaners": false, "perch": 1, "tick": 1, "baton": 0, "pages": []any{}}
 	for key, bad := range map[string]any{"roost": nil, "perch": "x", "tick": -1, "pages": []any{map[string]any{"page": "zzz", "try": 1, "status": "running"}}, "recallInS": math.NaN()} {
 		f := make(map[string]any)
@@ -284,7 +284,7 @@
 		f[key] = bad
 		want(t, key, sim.Nodes["a"].Call("POST", "/checkin", sim.Codec.Encode(f)).Status, 400)
 	}
-	want(t, "machines", len(sim.Nodes["a"].controller.leader.machines.byName), before)
+	want(t, "machines", len(controllerOf(sim.Nodes["a"]).leader.machines.byName), before)
 	want(t, "a good report", agent.Heartbeat().Status, 200)
 }
 
@@ -343,7 +343,7 @@
 	want(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
 	want(t, "abort", code, 200)
-	j := sim.Leader().controller.leader.jobs["wk-1"]
+	j := controllerOf(sim.Leader()).leader.jobs["wk-1"]
 	j.ended = false
 	sim.Run(fullStatusInterval + 3*time.Second)
 	want(t, "running", len(agent.Running()), 0)
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -24,12 +24,12 @@
 	want(t, "submit elsewhere", sim.Follower().Submit(BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	old := lead.controller.leader.fencingToken
+	old := controllerOf(lead).leader.fencingToken
 	sim.Crash(lead.Name)
 	sim.Run(9 * time.Second)
 	next := sim.Leader()
-	if next == lead || next.controller.leader.fencingToken <= old {
-		t.Fatalf("token %d does not follow %d", next.controller.leader.fencingToken, old)
+	if next == lead || controllerOf(next).leader.fencingToken <= old {
+		t.Fatalf("token %d does not follow %d", controllerOf(next).leader.fencingToken, old)
 	}
 	want(t, "running on", sim.runningTasks(), 8)
 	agent1.FinishTasks("done")
@@ -48,13 +48,13 @@
 	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
-	if sim.Leader().controller.owner.Shard(follower.Name) == nil {
+	if controllerOf(sim.Leader()).owner.Shard(follower.Name) == nil {
 		t.Fatal("the leader did not take the ledger")
 	}
 	want(t, "running", sim.runningTasks(), 2)
 	sim.Start(follower.Name)
 	sim.Run(10 * time.Second)
-	if sim.Leader().controller.owner.Shard(follower.Name) != nil || follower.controller.owner.Shard(follower.Name) == nil {
+	if controllerOf(sim.Leader()).owner.Shard(follower.Name) != nil || controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the ledger did not go back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -65,14 +65,14 @@
 func TestQuickRestartReacquiresItsKeys(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
-	old := lead.controller.leader.fencingToken
+	old := controllerOf(lead).leader.fencingToken
 	sim.Crash(lead.Name)
 	sim.Start(lead.Name)
 	sim.Advance(1500 * time.Millisecond)
-	if lead.controller.leader == nil || lead.controller.leader.fencingToken <= old {
+	if controllerOf(lead).leader == nil || controllerOf(lead).leader.fencingToken <= old {
 		t.Fatal("the restarted leader does not lead under a new token")
 	}
-	if shard := lead.controller.owner.Shard(lead.Name); shard == nil || !shard.Recovered() {
+	if shard := controllerOf(lead).owner.Shard(lead.Name); shard == nil || !shard.Recovered() {
 		t.Fatal("the restarted member has no ledger")
 	}
 }
@@ -110,7 +110,7 @@
 		sim.Advance(100 * time.Millisecond)
 		acting := 0
 		for _, name := range sim.Names {
-			if c := sim.Nodes[name].controller; c.leader != nil && c.election.MayAct(sim.now) {
+			if c := controllerOf(sim.Nodes[name]); c.leader != nil && c.election.MayAct(sim.Now()) {
 				acting++
 			}
 		}
@@ -125,7 +125,7 @@
 	// none by itself.
 	agent.FencingToken = 0
 	if r := agent.HeartbeatTo(lead); r.Status == 200 {
-		want(t, "token of the answer", agent.FencingToken, sim.Leader().controller.leader.fencingToken)
+		want(t, "token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
 	}
 	lead.Call("GET", "/ready", nil)
 	sim.Advance(4 * time.Second)
@@ -146,10 +146,10 @@
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(10 * time.Second)
-	want(t, "acts while all extend", lead.controller.election.MayAct(sim.now), true)
+	want(t, "acts while all extend", controllerOf(lead).election.MayAct(sim.Now()), true)
 	sim.Disconnect(lead.Name, sim.Follower().Name)
 	sim.Advance(2500 * time.Millisecond)
-	want(t, "acts without a extension", lead.controller.election.MayAct(sim.now), false)
+	want(t, "acts without a extension", controllerOf(lead).election.MayAct(sim.Now()), false)
 	// Reports are refused meanwhile; that is not the machines' silence.
 	sim.Run(12 * time.Second)
 	sim.Connect(lead.Name, sim.Follower().Name)
@@ -176,10 +176,10 @@
 	sim.State.Unavailable[""] = true
 	for range 50 { // longer than a cancellation has
 		sim.Run(time.Second)
-		if !second.controller.election.MayAct(sim.now) {
+		if !controllerOf(second).election.MayAct(sim.Now()) {
 			t.Fatal("the leader stops in an outage although everybody extends")
 		}
-		want(t, "acts that lost its key", first.controller.election.MayAct(sim.now), false)
+		want(t, "acts that lost its key", controllerOf(first).election.MayAct(sim.Now()), false)
 	}
 	want(t, "running", len(agent.Running()), 2)
 	sim.State.Unavailable[""], sim.State.Unavailable[first.Name] = false, false
@@ -204,14 +204,14 @@
 			if r.IntN(10) >= lateOnes {
 				return false
 			}
-			unanswered = append(unanswered, late{sim.now + time.Duration(2000+r.IntN(10000))*time.Millisecond, apply})
+			unanswered = append(unanswered, late{sim.Now() + time.Duration(2000+r.IntN(10000))*time.Millisecond, apply})
 			done(storage.Response{})
 			return true
 		}
 		for range 250 {
 			kept := unanswered[:0]
 			for _, l := range unanswered {
-				if l.at <= sim.now && !sim.State.Unavailable[""] {
+				if l.at <= sim.Now() && !sim.State.Unavailable[""] {
 					l.apply()
 					continue
 				}
@@ -248,13 +248,13 @@
 			held := make(map[string]int)
 			for _, name := range sim.Names {
 				x := sim.Nodes[name]
-				if !x.Up || !x.controller.election.MayAct(sim.now) {
+				if !x.Up || !controllerOf(x).election.MayAct(sim.Now()) {
 					continue
 				}
-				if x.controller.leader != nil {
+				if controllerOf(x).leader != nil {
 					leaders++
 				}
-				for shard := range x.controller.owner.Shards() {
+				for shard := range controllerOf(x).owner.Shards() {
 					held[shard.Name()]++
 				}
 			}
@@ -276,7 +276,7 @@
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
-	token := sim.Leader().controller.leader.fencingToken
+	token := controllerOf(sim.Leader()).leader.fencingToken
 	agent := sim.Agents["vm-1"]
 	want(t, "more", sim.Nodes["a"].Submit(BatchJob("wk-3", 6)).Status, 201)
 	sim.Run(2 * time.Second)
@@ -295,7 +295,7 @@
 	}
 	sim.State.Unavailable[""] = false
 	sim.Run(4 * time.Second)
-	want(t, "token", sim.Leader().controller.leader.fencingToken, token)
+	want(t, "token", controllerOf(sim.Leader()).leader.fencingToken, token)
 	want(t, "running on", sim.runningTasks(), 4)
 	want(t, "results written and cleared", len(agent.Tasks), 4)
 	want(t, "submit after", sim.Nodes["b"].Submit(BatchJob("wk-2", 2)).Status, 201)
@@ -309,7 +309,7 @@
 	sim.Run(10 * time.Second)
 	lead := sim.Leader()
 	sim.Advance(20 * time.Second)
-	if lead.controller.leader != nil {
+	if controllerOf(lead).leader != nil {
 		t.Fatal("still leading")
 	}
 	next := sim.Leader()
@@ -330,13 +330,13 @@
 	sim.Run(2 * time.Second)
 	sim.Disconnect(follower.Name, lead.Name)
 	sim.Run(15 * time.Second)
-	if len(slices.Collect(follower.controller.owner.Shards())) != 0 || lead.controller.owner.Shard(follower.Name) == nil {
+	if len(slices.Collect(controllerOf(follower).owner.Shards())) != 0 || controllerOf(lead).owner.Shard(follower.Name) == nil {
 		t.Fatal("the ledger did not move to the leader")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 	sim.Connect(follower.Name, lead.Name)
 	sim.Run(8 * time.Second)
-	if follower.controller.owner.Shard(follower.Name) == nil {
+	if controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the ledger did not come back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
@@ -352,9 +352,9 @@
 	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
-	follower.controller.election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
+	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.Run(8 * time.Second)
-	if shard := follower.controller.owner.Shard(follower.Name); shard == nil || !shard.Registered() {
+	if shard := controllerOf(follower).owner.Shard(follower.Name); shard == nil || !shard.Registered() {
 		t.Fatal("the ledger has not joined")
 	}
 	code, status := follower.Cancel("wk-1")
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -37,7 +37,7 @@
 	sim.Crash(claimer)
 	sim.Start(claimer)
 	sim.Advance(time.Second)
-	want(t, "registered", sim.Nodes[claimer].controller.election.Registered(), true)
+	want(t, "registered", controllerOf(sim.Nodes[claimer]).election.Registered(), true)
 	sim.State.DeleteKey(storage.LeaderKey)
 	want(t, "held claim", held().Status, 409)
 	want(t, "leader key", sim.State.Keys[storage.LeaderKey] == nil, true)
@@ -56,10 +56,10 @@
 	sim.Crash(follower.Name)
 	sim.Start(follower.Name)
 	sim.Advance(3 * time.Second)
-	want(t, "view of the restarted member", follower.controller.election.ViewLoaded(), true)
+	want(t, "view of the restarted member", controllerOf(follower).election.ViewLoaded(), true)
 	sim.State.Unavailable[""] = true
 	sim.Run(6 * time.Second)
-	want(t, "acts on a extension of a member that can't give one", lead.controller.election.MayAct(sim.now), false)
+	want(t, "acts on a extension of a member that can't give one", controllerOf(lead).election.MayAct(sim.Now()), false)
 }
 
 // Once all troubles are over, every accepted job is answered for, whichever
@@ -81,8 +81,8 @@
 				return false
 			}
 			// Held by the network: given up after a while, applied sooner or later.
-			late = append(late, event{sim.now + 1500*time.Millisecond, func() { done(storage.Response{}) }},
-				event{sim.now + time.Duration(r.IntN(8000))*time.Millisecond, func() { apply() }})
+			late = append(late, event{sim.Now() + 1500*time.Millisecond, func() { done(storage.Response{}) }},
+				event{sim.Now() + time.Duration(r.IntN(8000))*time.Millisecond, func() { apply() }})
 			return true
 		}
 		var accepted []string
@@ -120,7 +120,7 @@
 			due := late
 			late = nil
 			for _, e := range due {
-				if sim.now >= e.at {
+				if sim.Now() >= e.at {
 					e.do()
 				} else {
 					late = append(late, e)
@@ -183,14 +183,14 @@
 	deaf.LosesResponses = true
 	deaf.Heartbeat() // its answer is lost; the worker closes the connection
 	want(t, "more", lead.Submit(BatchJob("wk-2", 2)).Status, 201)
-	m := lead.controller.leader.machines.get("vm-1")
+	m := controllerOf(lead).leader.machines.get("vm-1")
 	for range 3 {
 		deaf.Heartbeat()
 		want(t, "starts sent to a machine that hears nothing", len(m.sentStarts), 0)
 	}
 	other.Heartbeat()
 	want(t, "running elsewhere", len(other.Running()), 2)
-	want(t, "its use of a limit", lead.controller.leader.usage.teams["red"].cpus, 4)
+	want(t, "its use of a limit", controllerOf(lead).leader.usage.teams["red"].cpus, 4)
 
 	// Its new session proves that its tasks are gone, whatever token it bears.
 	deaf.ExpireLease()
@@ -241,7 +241,7 @@
 			agent.Tasks[name] = &AgentTask{Name: name, Replica: uint64(1 + i), State: "ended", Cause: "halted"}
 		}
 		out := &Response{}
-		lead.controller.HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *out = r })
+		controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *out = r })
 		answers = append(answers, out)
 	}
 	sim.DeliverAll()
@@ -249,7 +249,7 @@
 	code, _ := follower.Cancel("wk-1")
 	want(t, "abort", code, 200)
 	for _, name := range sim.AgentNames() {
-		lead.controller.forwarder.redirectBudget = 0 // none is sent elsewhere
+		controllerOf(lead).forwarder.redirectBudget = 0 // none is sent elsewhere
 		r := sim.Agents[name].Heartbeat()
 		if r.Status != 200 || len(r.Body) > 64<<10 {
 			t.Fatalf("answered %d with %d bytes", r.Status, len(r.Body))
@@ -271,12 +271,12 @@
 		sim := newSimulation(t, "a", "b", "c")
 		sim.Cloud.RefusesScaleOut = true
 		for _, name := range sim.Names {
-			tune := &sim.Nodes[name].controller.tuning // it is not returned for its pauses
+			tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
 			tune.SilenceHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
 		}
 		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 		pause := func(d time.Duration) { // the leader hears of others meanwhile
-			for end := sim.now + d; sim.now < end; {
+			for end := sim.Now() + d; sim.Now() < end; {
 				sim.Advance(time.Second)
 				other.Heartbeat()
 			}
@@ -297,7 +297,7 @@
 			sim.Advance(time.Second)
 		}
 		agent.LosesResponses = true // it hears nothing, and pauses again: it gets nothing twice
-		sent := func() int { return len(n.controller.leader.machines.get("vm-1").sentStarts) }
+		sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
 		agent.ConnectedTo = nil
 		pause(8 * time.Second)
 		want(t, "more", n.Submit(BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
@@ -367,7 +367,7 @@
 		agent.LosesResponses = true
 	}
 	sim.Run(17 * time.Second)
-	if lead.controller.leader != nil {
+	if controllerOf(lead).leader != nil {
 		t.Fatal("the leader believes that it reaches its workers")
 	}
 	for _, agent := range deaf {
@@ -390,7 +390,7 @@
 	agent.Heartbeat()
 	old := append([]byte(nil), agent.LastHeartbeat...) // lists wk-1/0, with the present token
 	sim.Run(time.Second)
-	m := lead.controller.leader.machines.get("vm-1")
+	m := controllerOf(lead).leader.machines.get("vm-1")
 	before := *m
 	sim.Advance(900 * time.Millisecond)
 	want(t, "copy at the same leader", lead.CallOnConnection(agent.Connection, "POST", "/checkin", old).Status, 503)
@@ -424,9 +424,9 @@
 	// A machine that is gone stays gone, here and at the next leader.
 	sim.Run(2 * time.Second)
 	last := agent.HeartbeatBody() // newer than any that has arrived
-	next.controller.leader.markTerminated(next.controller.leader.machines.get("vm-1"))
+	controllerOf(next).leader.markTerminated(controllerOf(next).leader.machines.get("vm-1"))
 	delete(sim.Agents, "vm-1")
-	gone := next.controller.leader.machines.get("vm-1")
+	gone := controllerOf(next).leader.machines.get("vm-1")
 	at := gone.lastHeartbeat
 	sim.Advance(time.Second)
 	want(t, "copy of a machine that is gone", next.Call("POST", "/checkin", last).Status, 503)
@@ -443,8 +443,8 @@
 		third.Call("POST", "/checkin", last)
 		sim.Run(time.Second)
 	}
-	g := third.controller.leader.machines.get("vm-1")
-	if g == nil || third.controller.leader.schedulable(g, sim.now) || g.recordKey != "" || len(g.sentStarts) > 0 {
+	g := controllerOf(third).leader.machines.get("vm-1")
+	if g == nil || controllerOf(third).leader.schedulable(g, sim.Now()) || g.recordKey != "" || len(g.sentStarts) > 0 {
 		t.Fatal("a late copy made a machine of one that is gone")
 	}
 }
@@ -470,7 +470,7 @@
 		sim.Advance(100 * time.Millisecond)
 		acting := 0
 		for _, name := range sim.Names {
-			if c := sim.Nodes[name].controller; c.leader != nil && c.election.MayAct(sim.now) {
+			if c := controllerOf(sim.Nodes[name]); c.leader != nil && c.election.MayAct(sim.Now()) {
 				acting++
 			}
 		}
@@ -532,10 +532,10 @@
 	}
 	sim.wantStatus(n, "wk-1", 200, "done")
 	before := append([]CloudMachine(nil), sim.Cloud.Machines...)
-	known := len(n.controller.leader.machines.byName)
+	known := len(controllerOf(n).leader.machines.byName)
 	sim.Cloud.StaleList = before[:100]
 	sim.Run(5 * time.Second)
-	want(t, "machines known by an older list", len(n.controller.leader.machines.byName), known)
+	want(t, "machines known by an older list", len(controllerOf(n).leader.machines.byName), known)
 	sim.Cloud.StaleList = nil
 	sim.Run(90 * time.Second)
 	want(t, "machines returned", len(sim.Cloud.Released), 480)
@@ -546,7 +546,7 @@
 	}
 	sim.Cloud.StaleList = before
 	sim.Run(10 * time.Second)
-	for m := range n.controller.leader.machines.all {
+	for m := range controllerOf(n).leader.machines.all {
 		if !m.terminated {
 			t.Fatalf("%s is back by an older list", m.name)
 		}
--- a/internal/coordination/machine_agent_test.go
+++ b/internal/coordination/machine_agent_test.go
@@ -12,7 +12,7 @@
 // Agent is a scripted machine. It follows the protocol's rules for tokens
 // and commands; its lease ends only when a test says so.
 type Agent struct {
-	sim              *simulation
+	deployment       *Deployment
 	Name             string
 	Zone             string
 	MachineType      string // its type; empty: m8
@@ -28,12 +28,13 @@
 	LosesResponses   bool          // no answer reaches it
 	TaskDuration     time.Duration // tasks end by themselves after it; 0: never
 	DurationSpread   time.Duration // and up to six times this more
-	ConnectedTo      *Controller   // where its last report was answered
+	ConnectedTo      Process       // where its last report was answered
 	RedirectedTo     string        // the member that it was told to report to
 	Connection       uint64
 	LastAnswered     time.Duration // when the last report that was answered was sent, or the session began
 }
 
+// AgentTask is a replica on a machine.
 type AgentTask struct {
 	Name      string
 	Replica   uint64
@@ -42,23 +43,31 @@
 	StartedAt time.Duration
 }
 
-func (sim *simulation) AddMachine(name, zone string) *Agent {
-	agent := &Agent{sim: sim, Name: name, Zone: zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LastAnswered: sim.now}
-	sim.Agents[name] = agent
-	sim.Cloud.Machines = append(sim.Cloud.Machines, CloudMachine{Name: name, Zone: zone, Status: "running", At: sim.now})
-	return agent
+// AddMachine adds a machine that is up, with its agent.
+func (d *Deployment) AddMachine(name, zone string) *Agent {
+	m := CloudMachine{Name: name, Zone: zone, Status: "running", At: d.now}
+	d.Cloud.Machines = append(d.Cloud.Machines, m)
+	return d.StartAgent(m)
 }
 
-// BootMachines brings up the machines that were rented a while ago; their tasks take
-// the given time.
-func (sim *simulation) BootMachines(takes time.Duration) {
-	for _, m := range sim.Cloud.Machines {
-		if sim.Agents[m.Name] == nil && m.Status == "starting" && sim.now-m.At > 5*time.Second {
-			sim.Agents[m.Name] = &Agent{sim: sim, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), TaskDuration: takes, LastAnswered: sim.now}
+// BootMachines starts the agents of machines that were rented a while ago; their tasks
+// take the given time.
+func (d *Deployment) BootMachines(takes time.Duration) {
+	for _, m := range d.Cloud.Machines {
+		if d.Agents[m.Name] == nil && m.Status == "starting" && d.now-m.At > 5*time.Second {
+			d.StartAgent(m).TaskDuration = takes
 		}
 	}
 }
 
+// StartAgent starts the agent of a machine.
+func (d *Deployment) StartAgent(m CloudMachine) *Agent {
+	agent := &Agent{deployment: d, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LastAnswered: d.now}
+	d.Agents[m.Name] = agent
+	return agent
+}
+
+// HeartbeatBody is its next heartbeat.
 func (agent *Agent) HeartbeatBody() []byte {
 	agent.Sequence++
 	pages := []any{}
@@ -69,11 +78,11 @@
 	sort.Strings(keys)
 	for _, key := range keys {
 		task := agent.Tasks[key]
-		if agent.TaskDuration > 0 && task.State == "running" && !(agent.sim.IsEndless != nil && agent.sim.IsEndless(task.Name)) && agent.sim.now-task.StartedAt >= agent.TaskDuration+agent.DurationSpread*time.Duration(task.Replica%7) {
+		if agent.TaskDuration > 0 && task.State == "running" && !(agent.deployment.IsEndless != nil && agent.deployment.IsEndless(task.Name)) && agent.deployment.now-task.StartedAt >= agent.TaskDuration+agent.DurationSpread*time.Duration(task.Replica%7) {
 			task.State, task.Cause = "ended", "done"
 		}
-		if task.State == "ended" && task.Cause == "done" && agent.sim.OnTaskDone != nil {
-			agent.sim.OnTaskDone(agent, task.Name)
+		if task.State == "ended" && task.Cause == "done" && agent.deployment.OnTaskDone != nil {
+			agent.deployment.OnTaskDone(agent, task.Name)
 		}
 		pages = append(pages, map[string]any{"page": task.Name, "try": task.Replica, "status": task.State, "cause": task.Cause})
 	}
@@ -81,43 +90,44 @@
 	if machine == "" {
 		machine = "m8"
 	}
-	return agent.sim.Codec.Encode(map[string]any{"roost": agent.Name, "address": "10.1.0.1:1", "breed": machine, "hall": agent.Zone, "loaners": false,
+	return agent.deployment.Codec.Encode(map[string]any{"roost": agent.Name, "address": "10.1.0.1:1", "breed": machine, "hall": agent.Zone, "loaners": false,
 		"perch": agent.Epoch, "tick": agent.Sequence, "baton": agent.FencingToken, "recallInS": agent.PreemptionNotice, "pages": pages})
 }
 
 // Heartbeat sends one report to the leader, or where it was told to, and carries
 // out the answer.
-func (agent *Agent) Heartbeat() *Response {
+func (agent *Agent) Heartbeat() *HTTPResponse {
 	if agent.Silent {
 		return nil
 	}
-	if n := agent.sim.Nodes[agent.RedirectedTo]; n != nil && n.Up && !n.Paused {
+	if n := agent.deployment.Nodes[agent.RedirectedTo]; n != nil && n.Up && !n.Paused {
 		return agent.HeartbeatTo(n)
 	}
-	for _, name := range agent.sim.Names {
-		if n := agent.sim.Nodes[name]; n.Up && !n.Paused && n.controller.leader != nil {
+	for _, name := range agent.deployment.Names {
+		if n := agent.deployment.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() {
 			return agent.HeartbeatTo(n)
 		}
 	}
 	return nil
 }
 
-func (agent *Agent) HeartbeatTo(n *Node) *Response {
+// HeartbeatTo sends one heartbeat to a member, and carries out the response.
+func (agent *Agent) HeartbeatTo(n *Node) *HTTPResponse {
 	agent.LastHeartbeat = agent.HeartbeatBody()
-	session, sent := agent.Epoch, agent.sim.now
-	if agent.ConnectedTo != n.controller { // it has closed its last connection
-		agent.sim.lastConnection++
-		agent.Connection, agent.ConnectedTo = agent.sim.lastConnection, n.controller
+	session, sent := agent.Epoch, agent.deployment.now
+	if agent.ConnectedTo != n.Process { // it has closed its last connection
+		agent.deployment.lastConnection++
+		agent.Connection, agent.ConnectedTo = agent.deployment.lastConnection, n.Process
 	}
 	r := n.CallOnConnection(agent.Connection, "POST", "/checkin", agent.LastHeartbeat)
 	if r.Status == 0 { // the answer waits for picks
-		agent.sim.Advance(400 * time.Millisecond)
+		agent.deployment.Advance(400 * time.Millisecond)
 	}
 	agent.RedirectedTo = ""
 	if r.Status == 421 {
 		var to protocol.Redirect
-		if err := agent.sim.Codec.Decode(r.Body, &to); err != nil {
-			agent.sim.T.Fatal(err)
+		if err := agent.deployment.Codec.Decode(r.Body, &to); err != nil {
+			agent.deployment.T.Fatal(err)
 		}
 		agent.RedirectedTo = to.HeartbeatTo
 	}
@@ -133,10 +143,11 @@
 	return r
 }
 
+// Execute carries out a heartbeat response.
 func (agent *Agent) Execute(body []byte) {
 	var a protocol.HeartbeatResponse
-	if err := agent.sim.Codec.Decode(body, &a); err != nil {
-		agent.sim.T.Fatal(err)
+	if err := agent.deployment.Codec.Decode(body, &a); err != nil {
+		agent.deployment.T.Fatal(err)
 	}
 	if a.FencingToken < agent.FencingToken {
 		return
@@ -147,11 +158,11 @@
 		task := agent.Tasks[key]
 		switch {
 		case c.Op == protocol.CommandStart && task == nil && !agent.DropsStarts:
-			agent.sim.checkRunsOnce(c.Task, agent)
+			agent.deployment.checkRunsOnce(c.Task, agent)
 			agent.Starts++
-			agent.Tasks[key] = &AgentTask{Name: c.Task, Replica: c.Replica, State: "running", StartedAt: agent.sim.now}
-			if agent.sim.OnStart != nil {
-				agent.sim.OnStart(agent, agent.Tasks[key])
+			agent.Tasks[key] = &AgentTask{Name: c.Task, Replica: c.Replica, State: "running", StartedAt: agent.deployment.now}
+			if agent.deployment.OnStart != nil {
+				agent.deployment.OnStart(agent, agent.Tasks[key])
 			}
 		case c.Op == protocol.CommandStop && task != nil && task.State != "ended":
 			task.State, task.Cause = "ended", "halted"
@@ -164,20 +175,21 @@
 // checkRunsOnce is the rule ran_twice. It looks at the machines on which the task was
 // started before: nothing else brings a copy of it onto a machine, but for tests
 // that put old ones there, which have ended or are of an earlier number.
-func (sim *simulation) checkRunsOnce(task string, on *Agent) {
-	if _, bench := sim.T.(*testing.B); bench {
+func (d *Deployment) checkRunsOnce(task string, on *Agent) {
+	if _, bench := d.T.(*testing.B); bench {
 		return // it would cost more than what is measured
 	}
-	for _, agent := range sim.startedOn[task] {
+	for _, agent := range d.startedOn[task] {
 		for _, t := range agent.Tasks {
-			if t.Name == task && t.State != "ended" && sim.Agents[agent.Name] == agent {
-				sim.T.Fatalf("%s is started on %s while it runs on %s", task, on.Name, agent.Name)
+			if t.Name == task && t.State != "ended" && d.Agents[agent.Name] == agent {
+				d.T.Fatalf("%s is started on %s while it runs on %s", task, on.Name, agent.Name)
 			}
 		}
 	}
-	sim.startedOn[task] = append(sim.startedOn[task], on)
+	d.startedOn[task] = append(d.startedOn[task], on)
 }
 
+// Running names the tasks that run, in order.
 func (agent *Agent) Running() []string {
 	var out []string
 	for _, task := range agent.Tasks {
@@ -202,5 +214,5 @@
 func (agent *Agent) ExpireLease() {
 	agent.Tasks = make(map[string]*AgentTask)
 	agent.Epoch++
-	agent.LastAnswered = agent.sim.now
+	agent.LastAnswered = agent.deployment.now
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -37,8 +37,8 @@
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 100)).Status, 201)
 	sim.Run(6 * time.Second)
-	red := sim.Nodes["a"].controller.owner.Job("wk-1").Running()
-	blue := sim.Nodes["a"].controller.owner.Job("wk-2").Running()
+	red := controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running()
+	blue := controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()
 	want(t, "running", fmt.Sprint(red, blue), "8 8")
 }
 
@@ -141,7 +141,7 @@
 	sim.Cloud.LosesResponses = false
 	sim.Advance(8 * time.Second)
 	for _, m := range append([]CloudMachine(nil), sim.Cloud.Machines...) {
-		sim.Agents[m.Name] = &Agent{sim: sim, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask)}
+		sim.StartAgent(m)
 	}
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
@@ -190,7 +190,7 @@
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
 	sim.Crash(follower.Name)
-	want(t, "CPUs counted after the owner's end", lead.controller.leader.usage.teams["red"].cpus, 24)
+	want(t, "CPUs counted after the owner's end", controllerOf(lead).leader.usage.teams["red"].cpus, 24)
 	sim.State.HiddenPrefix = "own/" + follower.Name
 	sim.Crash(lead.Name)
 	sim.Advance(4 * time.Second)
@@ -221,10 +221,10 @@
 	n := sim.Nodes["a"]
 	want(t, "submit", n.Submit(BatchJob("wk-1", 20).With("crew", "red")).Status, 201)
 	sim.Run(10 * time.Second)
-	want(t, "red running", n.controller.owner.Job("wk-1").Running(), 8)
+	want(t, "red running", controllerOf(n).owner.Job("wk-1").Running(), 8)
 	want(t, "submit", n.Submit(BatchJob("wk-2", 20)).Status, 201)
 	sim.Run(20 * time.Second)
-	want(t, "running of each", fmt.Sprint(n.controller.owner.Job("wk-1").Running(), n.controller.owner.Job("wk-2").Running()), "4 4")
+	want(t, "running of each", fmt.Sprint(controllerOf(n).owner.Job("wk-1").Running(), controllerOf(n).owner.Job("wk-2").Running()), "4 4")
 	starts := 0
 	for _, agent := range sim.Agents {
 		starts += agent.Starts
--- a/internal/coordination/previous_version_test.go
+++ b/internal/coordination/previous_version_test.go
@@ -96,8 +96,8 @@
 	if l == nil {
 		return 0
 	}
-	l.WriteBudget = min(l.WriteRPS, l.WriteBudget+l.WriteRPS*(s.sim.now-l.BudgetAt).Seconds())
-	l.BudgetAt = s.sim.now
+	l.WriteBudget = min(l.WriteRPS, l.WriteBudget+l.WriteRPS*(s.deployment.Now()-l.BudgetAt).Seconds())
+	l.BudgetAt = s.deployment.Now()
 	if l.WriteBudget < float64(len(t.Then)) {
 		l.rateLimited++
 		return 429
@@ -110,8 +110,8 @@
 	if !large {
 		return 0
 	}
-	if !s.sim.PreviousVersion[from] {
-		s.sim.T.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
+	if !s.deployment.PreviousVersion[from] {
+		s.deployment.T.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
 	}
 	return 400
 }
@@ -119,12 +119,12 @@
 // jsonSize is what the value of a change counts as.
 func (s *State) jsonSize(c protocol.Change) int {
 	var v map[string]any // a codec takes maps only
-	if err := s.sim.Codec.Decode(s.sim.Codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
-		s.sim.T.Fatal(err)
+	if err := s.deployment.Codec.Decode(s.deployment.Codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
+		s.deployment.T.Fatal(err)
 	}
 	b, err := json.Marshal(textKeys(v["v"]))
 	if err != nil {
-		s.sim.T.Fatal(err)
+		s.deployment.T.Fatal(err)
 	}
 	return len(b)
 }
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -110,10 +110,10 @@
 func TestLostShardRegistrationIsRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	lead, follower := sim.Leader(), sim.Follower()
-	g := lead.controller.leader.shards.get(follower.Name)
+	g := controllerOf(lead).leader.shards.get(follower.Name)
 	g.owner, g.link, g.version = nil, nil, 0
-	shard := follower.controller.owner.Shard(follower.Name)
-	follower.controller.owner.BeginRegistration(shard) // and nothing is sent
+	shard := controllerOf(follower).owner.Shard(follower.Name)
+	controllerOf(follower).owner.BeginRegistration(shard) // and nothing is sent
 	sim.Advance(3 * time.Second)
 	if g.owner == nil || !shard.RegistrationConfirmed() {
 		t.Fatal("the ledger is not joined")
@@ -218,7 +218,7 @@
 	alive := sim.AddMachine("vm-x", "z2") // else the leader would think itself cut off
 	alive.DropsStarts = true
 	pass := func(d time.Duration) {
-		for end := sim.now + d; sim.now < end; {
+		for end := sim.Now() + d; sim.Now() < end; {
 			sim.Advance(time.Second)
 			alive.Heartbeat()
 		}
@@ -229,15 +229,15 @@
 	sim.Connect("a", "b")
 	pass(12 * time.Second)
 	lost := 0
-	for i := range follower.controller.owner.Job("wk-1").Spec().Tasks {
-		if p := follower.controller.owner.Job("wk-1").TaskState(i); p != shard.TaskPlaced {
+	for i := range controllerOf(follower).owner.Job("wk-1").Spec().Tasks {
+		if p := controllerOf(follower).owner.Job("wk-1").TaskState(i); p != shard.TaskPlaced {
 			lost++
 		}
 	}
 	want(t, "tasks judged lost", lost, 0)
 	alive.Silent = true
 	sim.Advance(9 * time.Second)
-	want(t, "located once a lease has passed on the new stream", follower.controller.owner.Job("wk-1").Active(), 0)
+	want(t, "located once a lease has passed on the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
 }
 
 func TestSilentMachineIsReturnedAndReplicatedAtOnce(t *testing.T) {
@@ -314,9 +314,9 @@
 	follower := sim.Follower()
 	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
-	j := follower.controller.owner.Job("wk-1")
-	follower.controller.owner.MarkChanged(j)
-	follower.controller.election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
+	j := controllerOf(follower).owner.Job("wk-1")
+	controllerOf(follower).owner.MarkChanged(j)
+	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.DeliverAll()
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(beyondAnyLease)
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -103,7 +103,7 @@
 	if starts < 5 || starts > 40 {
 		t.Fatalf("%d starts in 90 s of a service that ends at once", starts)
 	}
-	for m := range n.controller.leader.machines.all {
+	for m := range controllerOf(n).leader.machines.all {
 		want(t, "set aside", m.quarantined, false)
 	}
 	for _, agent := range sim.Agents {
@@ -313,8 +313,8 @@
 		if proto.Unmarshal(raw, &f) != nil {
 			continue // the transport ends such a stream
 		}
-		lead.controller.LinkFrame(lead.Links[other.Name], &f)
-		other.controller.LinkFrame(other.Links[lead.Name], &f)
+		controllerOf(lead).LinkFrame(lead.Links[other.Name], &f)
+		controllerOf(other).LinkFrame(other.Links[lead.Name], &f)
 		sim.DeliverAll()
 	}
 	want(t, "submit", other.Submit(BatchJob("wk-1", 2)).Status, 201)
--- a/internal/coordination/simulation_test.go
+++ b/internal/coordination/simulation_test.go
@@ -7,54 +7,115 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
 
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// simulation is a deployment on a fake clock: controllers, scripted workers, and
-// stand-ins for the state service and the cloud.
-type simulation struct {
+// HTTPRequest is a request of a user or an agent.
+type HTTPRequest struct {
+	Method, Path string
+	Body         []byte
+	Conn         uint64        // the connection that it came on; 0: not known
+	ReceivedAt   time.Duration // when it came; 0: just now
+}
+
+// HTTPResponse is its response. It may be sent up to ValidUntil, or at any time if
+// that is 0.
+type HTTPResponse struct {
+	Status      int
+	Body        []byte
+	RetryAfterS int
+	ValidUntil  time.Duration
+}
+
+// Process is a running controller as the deployment drives it. Its methods are called
+// one at a time.
+type Process interface {
+	HandleHTTP(req *HTTPRequest, reply func(HTTPResponse))
+	LinkUp(l *Stream, member string)
+	LinkDown(l *Stream)
+	LinkFrame(l *Stream, f *meshpb.Frame)
+	Tick()
+	EndBatch()
+	RunLater(fn func()) // in its next batch
+	Leads() bool
+	MayAct() bool // its state lease entitles it to act now
+}
+
+// ProcessConfig is what a process of a member starts with.
+type ProcessConfig struct {
+	Member          string
+	PreviousVersion bool // it stands for a process of the version before
+	Settings        *settings.File
+	Tuning          settings.Tuning
+	Clock           storage.Clock
+	Wall            func() time.Time
+	Rand            *rand.Rand
+	State           storage.Caller
+	Cloud           storage.Caller
+	Audit           func(audit.Record)
+	ID              uint64 // of the process, higher for each
+}
+
+// Options are what differs between deployments before their first process starts.
+type Options struct {
+	Members         []string
+	PreviousVersion []string // members that run the version before
+	NextLimits      string   // settings.state.next, which only this version knows
+	TickInterval    time.Duration
+	NewProcess      func(ProcessConfig) (Process, error)
+	OnFrame         func(from, to *Node, f *meshpb.Frame) *meshpb.Frame // what becomes of a frame as it is sent
+}
+
+// Deployment is a site on a fake clock: controllers, scripted machines, and stand-ins
+// for the state service and the cloud.
+type Deployment struct {
 	T               testing.TB
 	Codec           *protocol.Codec
-	now             time.Duration
 	Nodes           map[string]*Node
 	Names           []string
 	State           *State
 	Cloud           *Cloud
 	Agents          map[string]*Agent
-	PreviousVersion map[string]bool      // members that run the version before, see production
-	NextLimits      string               // settings.state.next, which only this version knows
-	AdjustSettings  func(*settings.File) // the settings of each process, as it starts; nil: as in testSettings
-	AuditStreams    []*audit.Stream      // what each process has recorded of admissions
-	Tuning          settings.Tuning      // the operators' settings
-	startedOn       map[string][]*Agent  // by task: where copies of it were ever started
-	lastProcess     uint64
-	lastConnection  uint64
-	ExpireLeases    bool                         // workers' leases end by themselves
-	WorkerLease     time.Duration                // lease_s of the settings
-	OnTick          func()                       // after every tick
-	OnStart         func(k *Agent, t *AgentTask) // a start is carried out
-	IsEndless       func(name string) bool       // whose tasks don't end by themselves
-	OnTaskDone      func(k *Agent, name string)  // a task that has ended well is reported
+	PreviousVersion map[string]bool                     // members that run the version before
+	AdjustSettings  func(*settings.File)                // the settings of each process, as it starts; nil: as in SettingsFormat
+	AuditStreams    []*audit.Stream                     // what each process has recorded of admissions
+	Tuning          settings.Tuning                     // the operators' settings
+	ExpireLeases    bool                                // agents' leases end by themselves
+	WorkerLease     time.Duration                       // lease_s of the settings
+	OnTick          func()                              // after every tick
+	OnStart         func(agent *Agent, task *AgentTask) // a start is carried out
+	IsEndless       func(name string) bool              // whose tasks don't end by themselves
+	OnTaskDone      func(agent *Agent, name string)     // a task that has ended well is reported
+
+	options        Options
+	now            time.Duration
+	startedOn      map[string][]*Agent // by task: where replicas of it were ever started
+	lastProcess    uint64
+	lastConnection uint64
 }
 
+// Node is a member of the deployment, with its present process.
 type Node struct {
-	sim        *simulation
-	Name       string
-	controller *Controller
-	Up         bool
-	Paused     bool // it stands still: nothing of it runs, what comes for it waits
-	Links      map[string]*Stream
+	Name    string
+	Process Process
+	Up      bool
+	Paused  bool // nothing of it runs, what comes for it waits
+	Links   map[string]*Stream
+
+	deployment *Deployment
 }
 
-func (sim *simulation) Now() time.Duration { return sim.now }
+// Now implements storage.Clock.
+func (d *Deployment) Now() time.Duration { return d.now }
 
-const settingsFormat = `
+// SettingsFormat is the settings file of a member; it takes the member and the others.
+const SettingsFormat = `
 member = "%s"
 site = "z1"
 api_addr = "10.0.0.1:1"
@@ -94,214 +155,204 @@
 sockets = 500
 `
 
-func newSimulation(t testing.TB, names ...string) *simulation {
-	t.Helper()
-	return newSimulationWith(t, "", nil, names...)
-}
-
-// newSimulationWith has limits that the state service will have later, and members that
-// run the version before.
-func newSimulationWith(t testing.TB, next string, before []string, names ...string) *simulation {
-	t.Helper()
-	sim := prepareSimulation(t, next, before, names...)
-	sim.StartAll()
-	return sim
-}
+// defaultLease is lease_s of SettingsFormat.
+const defaultLease = 16 * time.Second
 
-// prepareSimulation makes a world none of whose processes has started.
-func prepareSimulation(t testing.TB, next string, before []string, names ...string) *simulation {
+// NewDeployment makes one none of whose processes has started.
+func NewDeployment(t testing.TB, options Options) *Deployment {
 	t.Helper()
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim := &simulation{T: t, Codec: codec, now: time.Hour, Nodes: make(map[string]*Node), Names: names, Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool),
-		startedOn: make(map[string][]*Agent), Tuning: settings.DefaultTuning(), WorkerLease: defaultLease}
-	sim.NextLimits = next
-	for _, name := range before {
-		sim.PreviousVersion[name] = true
+	d := &Deployment{T: t, Codec: codec, options: options, now: time.Hour, Nodes: make(map[string]*Node), Names: options.Members,
+		Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool), startedOn: make(map[string][]*Agent),
+		Tuning: settings.DefaultTuning(), WorkerLease: defaultLease}
+	for _, name := range options.PreviousVersion {
+		d.PreviousVersion[name] = true
 	}
-	sim.State = newFakeState(sim)
-	sim.Cloud = &Cloud{sim: sim, answers: make(map[string][]string)}
-	for _, name := range names {
-		sim.Nodes[name] = &Node{sim: sim, Name: name, Links: make(map[string]*Stream)}
+	d.State = newState(d)
+	d.Cloud = &Cloud{deployment: d, answers: make(map[string][]string)}
+	for _, name := range options.Members {
+		d.Nodes[name] = &Node{deployment: d, Name: name, Links: make(map[string]*Stream)}
 	}
-	return sim
+	return d
 }
 
 // StartAll starts a process of every member, and waits until one leads.
-func (sim *simulation) StartAll() {
-	for _, name := range sim.Names {
-		sim.Start(name)
+func (d *Deployment) StartAll() {
+	for _, name := range d.Names {
+		d.Start(name)
+	}
+	d.Advance(8 * time.Second)
+}
+
+// Start starts a process of a member, and connects it to the others that are up.
+func (d *Deployment) Start(name string) *Node {
+	n := d.Nodes[name]
+	d.lastProcess++
+	config := ProcessConfig{Member: name, PreviousVersion: d.PreviousVersion[name], Settings: d.settingsOf(name), Tuning: d.Tuning,
+		Clock: d, Wall: func() time.Time { return time.Unix(1e9, 0).Add(d.now) }, Rand: rand.New(rand.NewPCG(1, d.lastProcess)),
+		State: &caller{node: n, serve: d.State.serve}, Cloud: &caller{node: n, serve: d.Cloud.serve},
+		Audit: d.newAuditStream(name), ID: d.lastProcess}
+	if config.PreviousVersion {
+		config.Tuning.QuotaEscrow = false
 	}
-	sim.Advance(8 * time.Second)
+	process, err := d.options.NewProcess(config)
+	if err != nil {
+		d.T.Fatal(err)
+	}
+	n.Process, n.Up = process, true
+	for _, other := range d.Names {
+		if other != name && d.Nodes[other].Up {
+			d.Connect(name, other)
+		}
+	}
+	return n
 }
 
-// Start starts a process of a member.
-func (sim *simulation) Start(name string) *Node {
-	n := sim.Nodes[name]
+// settingsOf are the settings that a process of a member starts with.
+func (d *Deployment) settingsOf(name string) *settings.File {
 	known := ""
-	for _, other := range sim.Names {
+	for _, other := range d.Names {
 		if other != name {
 			known += fmt.Sprintf("[[known]]\nmember = %q\nsite = \"z1\"\naddress = \"10.0.0.2:2\"\n", other)
 		}
 	}
-	text := fmt.Appendf(nil, settingsFormat, name, known)
-	if !sim.PreviousVersion[name] {
-		text = append(text, sim.NextLimits...)
+	text := fmt.Appendf(nil, SettingsFormat, name, known)
+	if !d.PreviousVersion[name] {
+		text = append(text, d.options.NextLimits...)
 	}
 	file, err := settings.Parse(text)
 	if err != nil {
-		sim.T.Fatal(err)
+		d.T.Fatal(err)
 	}
-	if sim.AdjustSettings != nil {
-		sim.AdjustSettings(file)
+	if d.AdjustSettings != nil {
+		d.AdjustSettings(file)
 	}
-	tune := sim.Tuning
-	if sim.PreviousVersion[name] {
-		tune.QuotaEscrow = false
-	}
-	sim.lastProcess++
-	stream := &audit.Stream{Name: fmt.Sprint(name, "-", sim.lastProcess), HasLastSegment: true}
-	sim.AuditStreams = append(sim.AuditStreams, stream)
-	controller, err := New(file, tune, Env{
-		Clock: sim, Wall: func() time.Time { return time.Unix(1e9, 0).Add(sim.now) },
-		Rand:  rand.New(rand.NewPCG(1, sim.lastProcess)),
-		State: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.State.serve}, Cloud: &fakeCaller{sim: sim, node: n, process: sim.lastProcess, serve: sim.Cloud.serve},
-		Log: zerolog.Nop(), Audit: func(r audit.Record) {
-			r.Seq = uint64(len(stream.Records) + 1)
-			stream.Records = append(stream.Records, r)
-		},
-	}, sim.lastProcess)
-	if err != nil {
-		sim.T.Fatal(err)
-	}
-	if sim.PreviousVersion[name] {
-		controller.identity.RecordFormat = 0 // its own key says what that version's does
-		controller.election = newElection(controller)
-	}
-	n.controller, n.Up = controller, true
-	for _, other := range sim.Names {
-		if other != name && sim.Nodes[other].Up {
-			sim.Connect(name, other)
-		}
+	return file
+}
+
+// newAuditStream keeps what the next process of a member records.
+func (d *Deployment) newAuditStream(name string) func(audit.Record) {
+	stream := &audit.Stream{Name: fmt.Sprint(name, "-", d.lastProcess), HasLastSegment: true}
+	d.AuditStreams = append(d.AuditStreams, stream)
+	return func(r audit.Record) {
+		r.Seq = uint64(len(stream.Records) + 1)
+		stream.Records = append(stream.Records, r)
 	}
-	return n
 }
 
-func (sim *simulation) Connect(a, b string) {
-	na, nb := sim.Nodes[a], sim.Nodes[b]
-	la, lb := &Stream{sim: sim, to: nb, toController: nb.controller}, &Stream{sim: sim, to: na, toController: na.controller}
+// Connect begins a stream between two members.
+func (d *Deployment) Connect(a, b string) {
+	na, nb := d.Nodes[a], d.Nodes[b]
+	la, lb := &Stream{deployment: d, to: nb, toProcess: nb.Process}, &Stream{deployment: d, to: na, toProcess: na.Process}
 	la.peer, lb.peer = lb, la
 	na.Links[b], nb.Links[a] = la, lb
-	na.controller.LinkUp(la, b)
-	nb.controller.LinkUp(lb, a)
+	na.Process.LinkUp(la, b)
+	nb.Process.LinkUp(lb, a)
 }
 
 // Disconnect ends the stream between two members, in both directions.
-func (sim *simulation) Disconnect(a, b string) {
-	na, nb := sim.Nodes[a], sim.Nodes[b]
+func (d *Deployment) Disconnect(a, b string) {
+	na, nb := d.Nodes[a], d.Nodes[b]
 	if l := na.Links[b]; l != nil {
 		l.Close()
 		l.peer.Close()
 		delete(na.Links, b)
 		delete(nb.Links, a)
 	}
-	sim.DeliverAll()
+	d.DeliverAll()
 }
 
 // Crash ends a process without a word.
-func (sim *simulation) Crash(name string) {
-	n := sim.Nodes[name]
+func (d *Deployment) Crash(name string) {
+	n := d.Nodes[name]
 	n.Up = false
-	for _, other := range sim.Names {
+	for _, other := range d.Names {
 		if other != name {
-			sim.Disconnect(name, other)
+			d.Disconnect(name, other)
 		}
 	}
 }
 
-// Pause stops a process while its clock runs on. After four seconds the
-// others take its silence for a cut; what they sent before waits for it.
-func (sim *simulation) Pause(name string, d time.Duration) {
-	n := sim.Nodes[name]
+// Pause stops a process while its clock runs on. After four seconds the others take
+// its silence for a broken stream; what they sent before waits for it.
+func (d *Deployment) Pause(name string, span time.Duration) {
+	n := d.Nodes[name]
 	n.Paused = true
-	sim.Run(4 * time.Second)
-	for _, other := range sim.Names {
-		if other != name && sim.Nodes[other].Up {
-			sim.Nodes[other].controller.LinkDown(sim.Nodes[other].Links[name])
+	d.Run(4 * time.Second)
+	for _, other := range d.Names {
+		if other != name && d.Nodes[other].Up {
+			d.Nodes[other].Process.LinkDown(d.Nodes[other].Links[name])
 		}
 	}
-	sim.Run(d - 4*time.Second)
+	d.Run(span - 4*time.Second)
 }
 
 // Resume lets a process that stood still go on, with all that has waited for it.
-func (sim *simulation) Resume(name string) {
-	sim.Nodes[name].Paused = false
-	sim.DeliverAll()
+func (d *Deployment) Resume(name string) {
+	d.Nodes[name].Paused = false
+	d.DeliverAll()
 }
 
 // Reconnect ends the streams of a process that stood still and begins new ones.
-func (sim *simulation) Reconnect(name string) {
-	n := sim.Nodes[name]
-	for _, other := range sim.Names {
+func (d *Deployment) Reconnect(name string) {
+	n := d.Nodes[name]
+	for _, other := range d.Names {
 		if other != name {
-			n.controller.LinkDown(n.Links[other])
-			sim.Connect(name, other)
+			n.Process.LinkDown(n.Links[other])
+			d.Connect(name, other)
 		}
 	}
-	sim.DeliverAll()
+	d.DeliverAll()
 }
 
+// Stream is one direction of the stream between two members.
 type Stream struct {
-	sim          *simulation
-	to           *Node
-	toController *Controller
-	peer         *Stream
-	Queue        []*meshpb.Frame
-	Closed       bool
+	deployment *Deployment
+	to         *Node
+	toProcess  Process
+	peer       *Stream
+	Queue      []*meshpb.Frame
+	Closed     bool
 }
 
+// Send queues a frame until DeliverAll.
 func (l *Stream) Send(f *meshpb.Frame) {
 	if n := proto.Size(f); n > 1<<20 {
-		l.sim.T.Fatalf("a frame of %d bytes", n)
+		l.deployment.T.Fatalf("a frame of %d bytes", n)
 	}
 	if !l.Closed {
-		if l.sim.PreviousVersion[l.peer.to.Name] {
-			f = withoutUnknownTasks(l.peer.to.controller, l.to.Name, f)
-		} else {
-			l.sim.checkStatusesComplete(l.peer.to.controller, l.to, f)
-		}
-		if l.sim.PreviousVersion[l.to.Name] || l.sim.PreviousVersion[l.peer.to.Name] {
-			f = previousSchema.filter(l.sim.T, f)
-		}
-		l.Queue = append(l.Queue, f)
+		l.Queue = append(l.Queue, l.deployment.options.OnFrame(l.peer.to, l.to, f))
 	}
 }
 
+// Flush does nothing: all that is queued is delivered at once.
 func (l *Stream) Flush() {}
 
+// Close ends this direction: its sender learns of it.
 func (l *Stream) Close() {
 	if l.Closed {
 		return
 	}
 	l.Closed = true
-	if l.peer.toController != nil && l.sim.Nodes[l.peer.to.Name].controller == l.peer.toController {
-		l.peer.toController.LinkDown(l)
+	if l.peer.toProcess != nil && l.deployment.Nodes[l.peer.to.Name].Process == l.peer.toProcess {
+		l.peer.toProcess.LinkDown(l)
 	}
 }
 
 // DeliverAll delivers everything that is on its way.
-func (sim *simulation) DeliverAll() {
+func (d *Deployment) DeliverAll() {
 	for again := true; again; {
 		again = false
-		for _, name := range sim.Names {
-			n := sim.Nodes[name]
+		for _, name := range d.Names {
+			n := d.Nodes[name]
 			if !n.Up || n.Paused {
 				continue
 			}
-			n.controller.EndBatch()
-			for _, other := range sim.Names {
+			n.Process.EndBatch()
+			for _, other := range d.Names {
 				l := n.Links[other]
 				if l == nil || len(l.Queue) == 0 || l.to.Paused {
 					continue
@@ -309,136 +360,149 @@
 				f := l.Queue[0]
 				l.Queue = l.Queue[1:]
 				again = true
-				if l.to.Up && l.to.controller == l.toController {
-					l.toController.LinkFrame(l.peer, f)
-					l.toController.EndBatch()
+				if l.to.Up && l.to.Process == l.toProcess {
+					l.toProcess.LinkFrame(l.peer, f)
+					l.toProcess.EndBatch()
 				}
 			}
 		}
 	}
 }
 
-func (sim *simulation) Advance(d time.Duration) {
-	for end := sim.now + d; sim.now < end; {
-		sim.now += tickInterval
-		sim.State.tick()
-		for _, name := range sim.Names {
-			if n := sim.Nodes[name]; n.Up && !n.Paused {
-				n.controller.Tick()
+// Advance lets time pass, tick by tick.
+func (d *Deployment) Advance(span time.Duration) {
+	for end := d.now + span; d.now < end; {
+		d.now += d.options.TickInterval
+		d.State.tick()
+		for _, name := range d.Names {
+			if n := d.Nodes[name]; n.Up && !n.Paused {
+				n.Process.Tick()
 			}
 		}
-		sim.DeliverAll()
-		if sim.ExpireLeases {
-			for _, agent := range sim.Agents {
-				if sim.now-agent.LastAnswered > sim.WorkerLease {
+		d.DeliverAll()
+		if d.ExpireLeases {
+			for _, agent := range d.Agents {
+				if d.now-agent.LastAnswered > d.WorkerLease {
 					agent.ExpireLease()
 				}
 			}
 		}
-		if sim.OnTick != nil {
-			sim.OnTick()
+		if d.OnTick != nil {
+			d.OnTick()
 		}
 	}
 }
 
-// defaultLease is lease_s of testSettings.
-const defaultLease = 16 * time.Second
-
 // Run advances while all workers report every second or so.
-func (sim *simulation) Run(d time.Duration) {
-	for end := sim.now + d; sim.now < end; {
-		sim.Advance(time.Second)
-		for _, name := range sim.AgentNames() {
-			sim.Agents[name].Heartbeat()
+func (d *Deployment) Run(span time.Duration) {
+	for end := d.now + span; d.now < end; {
+		d.Advance(time.Second)
+		for _, name := range d.AgentNames() {
+			d.Agents[name].Heartbeat()
 		}
 	}
 }
 
-func (sim *simulation) AgentNames() []string {
+// AgentNames are the names of all machines that have an agent, in order.
+func (d *Deployment) AgentNames() []string {
 	var names []string
-	for name := range sim.Agents {
+	for name := range d.Agents {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-func (sim *simulation) Leader() *Node {
-	for _, name := range sim.Names {
-		if n := sim.Nodes[name]; n.Up && !n.Paused && n.controller.leader != nil && n.controller.election.MayAct(sim.now) {
+// Leader returns the member that leads and may act.
+func (d *Deployment) Leader() *Node {
+	for _, name := range d.Names {
+		if n := d.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() && n.Process.MayAct() {
 			return n
 		}
 	}
-	sim.T.Fatal("nobody leads")
+	d.T.Fatal("nobody leads")
 	return nil
 }
 
 // Follower returns a running member that does not lead.
-func (sim *simulation) Follower() *Node {
-	for _, name := range sim.Names {
-		if n := sim.Nodes[name]; n.Up && n.controller.leader == nil {
+func (d *Deployment) Follower() *Node {
+	for _, name := range d.Names {
+		if n := d.Nodes[name]; n.Up && !n.Process.Leads() {
 			return n
 		}
 	}
-	sim.T.Fatal("no follower")
+	d.T.Fatal("no follower")
 	return nil
 }
 
 // Call sends an HTTP request and returns the answer, or a Status of 0 while
 // there is none.
-func (n *Node) Call(method, path string, body []byte) *Response {
+func (n *Node) Call(method, path string, body []byte) *HTTPResponse {
 	return n.CallOnConnection(0, method, path, body)
 }
 
 // CallOnConnection sends it on a connection of the given number.
-func (n *Node) CallOnConnection(conn uint64, method, path string, body []byte) *Response {
-	out := &Response{}
-	n.controller.HandleHTTP(&Request{Method: method, Path: path, Body: body, Conn: conn}, func(r Response) {
+func (n *Node) CallOnConnection(conn uint64, method, path string, body []byte) *HTTPResponse {
+	out := &HTTPResponse{}
+	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path, Body: body, Conn: conn}, func(r HTTPResponse) {
 		if out.Status != 0 {
-			n.sim.T.Fatal("answered twice")
+			n.deployment.T.Fatal("answered twice")
 		}
 		*out = r
 	})
-	n.sim.DeliverAll()
+	n.deployment.DeliverAll()
+	return out
+}
+
+// Send sends a request without waiting for its response.
+func (n *Node) Send(method, path string) *HTTPResponse {
+	out := &HTTPResponse{}
+	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path}, func(r HTTPResponse) { *out = r })
 	return out
 }
 
+// JobRequest is a submission, as its user sends it.
 type JobRequest map[string]any
 
+// BatchJob is the submission of an array of the team blue.
 func BatchJob(id string, tasks int) JobRequest {
 	return JobRequest{"nameId": id, "desk": "d", "crew": "blue", "form": "batch", "urgency": "standard", "pages": tasks,
 		"vcpus": 2.0, "cards": 0.0, "ramGb": 4.0, "plate": "img", "imageGb": 1.0, "breeds": nil, "hall": nil,
 		"together": false, "apart": false, "loaners": true, "expectedS": 30.0, "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil}
 }
 
+// With sets one of its fields.
 func (request JobRequest) With(key string, v any) JobRequest {
 	request[key] = v
 	return request
 }
 
-func (n *Node) Submit(request JobRequest) *Response {
-	r := n.Call("POST", "/submissions", n.sim.Codec.Encode(map[string]any(request)))
-	n.sim.Advance(tickInterval) // until the leader has put it in order
+// Submit hands a job in.
+func (n *Node) Submit(request JobRequest) *HTTPResponse {
+	r := n.Call("POST", "/submissions", n.deployment.Codec.Encode(map[string]any(request)))
+	n.deployment.Advance(n.deployment.options.TickInterval) // until the leader has put it in order
 	return r
 }
 
+// Status asks about a job, and returns the status code with what was answered.
 func (n *Node) Status(id string) (int, protocol.JobStatus) {
 	r := n.Call("GET", "/submissions/"+id, nil)
 	var s protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.sim.Codec.Decode(r.Body, &s); err != nil {
-			n.sim.T.Fatal(err)
+		if err := n.deployment.Codec.Decode(r.Body, &s); err != nil {
+			n.deployment.T.Fatal(err)
 		}
 	}
 	return r.Status, s
 }
 
+// Cancel cancels a job, and returns the status code with the job's status.
 func (n *Node) Cancel(id string) (int, string) {
 	r := n.Call("POST", "/submissions/"+id+"/abort", nil)
 	var s protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.sim.Codec.Decode(r.Body, &s); err != nil {
-			n.sim.T.Fatal(err)
+		if err := n.deployment.Codec.Decode(r.Body, &s); err != nil {
+			n.deployment.T.Fatal(err)
 		}
 	}
 	return r.Status, s.Status
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -175,14 +175,14 @@
 	}
 	sim.Resume(old.Name)
 	for range 3 {
-		old.controller.Tick()
-		old.controller.EndBatch()
+		controllerOf(old).Tick()
+		controllerOf(old).EndBatch()
 	}
 	want(t, "calls to the cloud", len(sim.Cloud.ScaleOutRequests)+len(sim.Cloud.ReleaseSizes), calls)
 	sim.Reconnect(old.Name)
 	sim.State.OnTransaction = nil
 	sim.Run(6 * time.Second)
-	want(t, "its own ledger taken up again", old.controller.owner.Shard(old.Name) != nil, true)
+	want(t, "its own ledger taken up again", controllerOf(old).owner.Shard(old.Name) != nil, true)
 	sim.wantStatus(old, "wk-2", 200, "done")
 }
 
@@ -253,7 +253,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	lead, relay := sim.Leader(), sim.Follower()
-	began := sim.now
+	began := sim.Now()
 	r := agent.HeartbeatTo(relay)
 	want(t, "report", r.Status, 200)
 	if r.ValidUntil < began || r.ValidUntil > began+responseLifetime {
@@ -261,21 +261,21 @@
 	}
 	r = agent.HeartbeatTo(lead)
 	want(t, "report", r.Status, 200)
-	if r.ValidUntil <= sim.now || r.ValidUntil > sim.now+lead.controller.tuning.StateLease {
-		t.Fatalf("a leader's answer holds for %v", r.ValidUntil-sim.now)
+	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(lead).tuning.StateLease {
+		t.Fatalf("a leader's answer holds for %v", r.ValidUntil-sim.Now())
 	}
 	want(t, "submit", relay.Submit(BatchJob("wk-1", 1)).Status, 201)
 	r = relay.Call("GET", "/submissions/wk-1", nil)
 	want(t, "poll", r.Status, 200)
-	if r.ValidUntil <= sim.now || r.ValidUntil > sim.now+relay.controller.tuning.StateLease {
-		t.Fatalf("an owner's answer holds for %v", r.ValidUntil-sim.now)
+	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(relay).tuning.StateLease {
+		t.Fatalf("an owner's answer holds for %v", r.ValidUntil-sim.Now())
 	}
 }
 
 // requestExtension passes a request of another member for one key on to a node.
 func (n *Node) requestExtension(from *Node, key string) {
 	request := &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: key}}}
-	n.controller.dispatch(n.controller.peers[from.Name],
+	controllerOf(n).dispatch(controllerOf(n).peers[from.Name],
 		&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
 }
 
@@ -289,27 +289,27 @@
 	sim.Crash(back.Name)
 	sim.Advance(8 * time.Second)
 	key := storage.ShardKey(back.Name)
-	want(t, "taken over", lead.controller.owner.Shard(back.Name) != nil, true)
+	want(t, "taken over", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 	sim.Start(back.Name)
 	lead.Paused = true // it is slow to hear that the ledger is asked for
-	for !back.controller.election.Registered() || !back.controller.election.ViewLoaded() {
+	for !controllerOf(back).election.Registered() || !controllerOf(back).election.ViewLoaded() {
 		sim.Advance(tickInterval)
 	}
 	back.requestExtension(lead, key)
-	granted := sim.now
+	granted := sim.Now()
 	sim.State.Revision++
 	sim.State.DeleteKey(key) // the holder's lease has ended
 	sim.State.NotifyWatches()
-	for sim.now < granted+election.ExtensionDuration {
+	for sim.Now() < granted+election.ExtensionDuration {
 		sim.DeliverAll()
-		if back.controller.owner.Shard(back.Name) != nil {
-			t.Fatalf("taken %v after the extension", sim.now-granted)
+		if controllerOf(back).owner.Shard(back.Name) != nil {
+			t.Fatalf("taken %v after the extension", sim.Now()-granted)
 		}
 		sim.Advance(tickInterval)
 	}
 	sim.Advance(time.Second)
-	want(t, "taken after the extension", back.controller.owner.Shard(back.Name) != nil, true)
-	want(t, "by the extension alone", lead.controller.owner.Shard(back.Name) != nil, true)
+	want(t, "taken after the extension", controllerOf(back).owner.Shard(back.Name) != nil, true)
+	want(t, "by the extension alone", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 }
 
 // Back at once, with its ledger's key gone, a member need not wait for extensions
@@ -321,18 +321,18 @@
 	lead, back := sim.Leader(), sim.Follower()
 	sim.Crash(back.Name)
 	sim.Advance(8 * time.Second)
-	want(t, "taken over", lead.controller.owner.Shard(back.Name) != nil, true)
+	want(t, "taken over", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 	key := storage.ShardKey(back.Name)
 	sim.State.Revision++
 	sim.State.DeleteKey(key) // the holder's lease has ended, and it has not heard of it
 	sim.Start(back.Name)
 	for range 8 {
 		sim.Advance(tickInterval)
-		if back.controller.owner.Shard(back.Name) != nil {
-			want(t, "still held by the other", lead.controller.owner.Shard(back.Name) != nil, false)
+		if controllerOf(back).owner.Shard(back.Name) != nil {
+			want(t, "still held by the other", controllerOf(lead).owner.Shard(back.Name) != nil, false)
 		}
 	}
-	want(t, "taken at once", back.controller.owner.Shard(back.Name) != nil, true)
+	want(t, "taken at once", controllerOf(back).owner.Shard(back.Name) != nil, true)
 }
 
 // A claim of the leader key that the network held is applied after its sender
@@ -343,21 +343,21 @@
 	sim.Run(2 * time.Second)
 	lead, other := sim.Leader(), sim.Follower()
 	other.requestExtension(lead, storage.LeaderKey)
-	granted := sim.now
+	granted := sim.Now()
 	for _, name := range sim.Names { // only the sender sees the claim applied
 		sim.State.StalledWatches[name] = name != other.Name
 	}
 	lease := sim.State.Keys[storage.ShardKey(other.Name)].Lease
-	sim.State.Announce(storage.LeaderKey, other.controller.identity)
-	sim.State.Keys[storage.LeaderKey] = &StateKey{Value: sim.Codec.Encode(other.controller.identity), Version: sim.State.Revision, Lease: lease}
-	for sim.now < granted+election.ExtensionDuration {
-		if other.controller.leader != nil {
-			t.Fatalf("leads %v after the extension", sim.now-granted)
+	sim.State.Announce(storage.LeaderKey, controllerOf(other).identity)
+	sim.State.Keys[storage.LeaderKey] = &StateKey{Value: sim.Codec.Encode(controllerOf(other).identity), Version: sim.State.Revision, Lease: lease}
+	for sim.Now() < granted+election.ExtensionDuration {
+		if controllerOf(other).leader != nil {
+			t.Fatalf("leads %v after the extension", sim.Now()-granted)
 		}
 		sim.Advance(tickInterval)
 	}
 	sim.Advance(time.Second)
-	want(t, "leads after the extension", other.controller.leader != nil, true)
+	want(t, "leads after the extension", controllerOf(other).leader != nil, true)
 }
 
 // One member alone takes everybody's users and jobs. It must have the whole of
@@ -367,20 +367,20 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Run(2 * time.Second)
 	last := sim.Leader()
-	want(t, "active", last.controller.activeMembers(), 3)
+	want(t, "active", controllerOf(last).activeMembers(), 3)
 	for _, name := range sim.Names {
 		if name != last.Name {
 			sim.Crash(name)
 		}
 	}
-	want(t, "active while the others hold keys", last.controller.activeMembers(), 3)
+	want(t, "active while the others hold keys", controllerOf(last).activeMembers(), 3)
 	sim.Advance(10 * time.Second)
-	want(t, "active", last.controller.activeMembers(), 1)
+	want(t, "active", controllerOf(last).activeMembers(), 1)
 	before, accepted := sim.State.Writes, 0
 	const jobs = 1200 // of one change each, and a shared one; the burst is 150, the rate 300 * 0.8
 	for i := range jobs {
 		body := sim.Codec.Encode(map[string]any(BatchJob(fmt.Sprint("wk-", i+1), 1)))
-		last.controller.HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body}, func(r Response) {
+		controllerOf(last).HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body}, func(r Response) {
 			if r.Status == 201 {
 				accepted++
 			}
@@ -411,7 +411,7 @@
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(28 * time.Second) // the list has them all for long
-	silent := sim.now
+	silent := sim.Now()
 	for i := range 6 {
 		sim.Agents[fmt.Sprintf("vm-%02d", i)].Silent = true
 	}
@@ -435,11 +435,11 @@
 	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "rented with urgent work", sim.Cloud.Created > 5, true)
-	for len(sim.Cloud.Released) < 6 && sim.now < silent+2*time.Minute {
+	for len(sim.Cloud.Released) < 6 && sim.Now() < silent+2*time.Minute {
 		sim.Run(time.Second)
 	}
 	want(t, "returned in the end", len(sim.Cloud.Released) >= 6, true)
-	want(t, "long after", sim.now-silent > 50*time.Second, true)
+	want(t, "long after", sim.Now()-silent > 50*time.Second, true)
 }
 
 // A job that has missed its deadline is still worth something to the users if it
@@ -447,7 +447,7 @@
 func TestOverdueJobIsOrderedByItsNextObjective(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Run(2 * time.Second)
-	l := sim.Nodes["a"].controller.leader
+	l := controllerOf(sim.Nodes["a"]).leader
 	l.env.settings.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "d", WithinS: 50, Share: 0.99}, {Kind: "wait", Class: "d", WithinS: 12, Share: 0.98},
 		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", Times: 1.5, Share: 0.9},
@@ -568,7 +568,7 @@
 	sim.Crash(follower.Name)
 	lead := sim.Leader()
 	settled := func() bool {
-		shard := lead.controller.owner.Shard(follower.Name)
+		shard := controllerOf(lead).owner.Shard(follower.Name)
 		return shard != nil && shard.Reconciled()
 	}
 	waited := 0
@@ -610,7 +610,7 @@
 	}
 	sim.Cloud.Machines = kept
 	sim.Run(6 * time.Second)
-	next := sim.Leader().controller
+	next := controllerOf(sim.Leader())
 	want(t, "settled", next.owner.Shard(lead.Name).Reconciled(), true)
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -29,12 +29,12 @@
 	if r := n.Submit(request); r.Status != 201 {
 		sim.T.Fatalf("%s is answered %d", id, r.Status)
 	}
-	at := sim.now
-	for s := 0; sim.now < at+limit; s++ {
+	at := sim.Now()
+	for s := 0; sim.Now() < at+limit; s++ {
 		besides(s)
 		sim.Run(time.Second)
 		if _, st := n.Status(id); st.Running != nil && *st.Running > 0 {
-			return sim.now - at
+			return sim.Now() - at
 		}
 	}
 	sim.T.Fatalf("%s has not begun after %v", id, limit)
@@ -191,8 +191,8 @@
 		sim.Run(2 * time.Second)
 		sim.AddMachine("vm-last", "z1").Heartbeat() // whatever is due is worked out now
 		delete(sim.Agents, "vm-last")
-		d := &n.controller.leader.pendingQueue
-		n.controller.leader.rebuildPendingQueue(sim.now)
+		d := &controllerOf(n).leader.pendingQueue
+		controllerOf(n).leader.rebuildPendingQueue(sim.Now())
 		before, at := d.inspected, d.rebuiltAt
 		for _, name := range sim.AgentNames() {
 			sim.Agents[name].Heartbeat()
--- a/internal/coordination/state_test.go
+++ b/internal/coordination/state_test.go
@@ -11,22 +11,25 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// fakeCaller serves calls at once, unless the node is cut off.
-type fakeCaller struct {
-	sim     *simulation
-	node    *Node
-	process uint64
-	serve   func(from string, method, path string, body []byte, done func(storage.Response))
+// caller serves the calls of one member's processes at once, unless the member is cut
+// off.
+type caller struct {
+	node  *Node
+	serve func(from string, method, path string, body []byte, done func(storage.Response))
 }
 
-func (f *fakeCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
-	controller := f.node.controller
+// Call implements storage.Caller. A process gets no answers to the calls of an earlier
+// one.
+func (c *caller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
+	process := c.node.Process
 	answer := func(r storage.Response) {
-		if f.node.Up && f.node.controller != nil && (controller == nil || f.node.controller == controller) {
-			f.node.controller.runLater(func() { done(r) })
+		if c.node.Up && c.node.Process != nil && (process == nil || c.node.Process == process) {
+			c.node.Process.RunLater(func() { done(r) })
 		}
 	}
-	f.serve(f.node.Name, method, path, body, func(r storage.Response) { f.sim.State.deliver(f.node.Name, path, timeout, r, answer) })
+	c.serve(c.node.Name, method, path, body, func(r storage.Response) {
+		c.node.deployment.State.deliver(c.node.Name, path, timeout, r, answer)
+	})
 }
 
 // deliver hands an answer over, at once or as late as the service is slow. A caller
@@ -44,7 +47,7 @@
 		answer(r)
 		return
 	}
-	s.lateResponses = append(s.lateResponses, delayedCall{s.sim.now + after, func() { answer(r) }})
+	s.lateResponses = append(s.lateResponses, delayedCall{s.deployment.now + after, func() { answer(r) }})
 }
 
 // deliverLate hands over the late answers that have come due.
@@ -52,7 +55,7 @@
 	waiting := s.lateResponses
 	s.lateResponses = nil
 	for _, a := range waiting {
-		if s.sim.now >= a.at {
+		if s.deployment.now >= a.at {
 			a.run()
 		} else {
 			s.lateResponses = append(s.lateResponses, a)
@@ -62,7 +65,7 @@
 
 // State is the state service.
 type State struct {
-	sim            *simulation
+	deployment     *Deployment
 	Revision       uint64
 	Keys           map[string]*StateKey
 	leases         map[uint64]*stateLease
@@ -75,7 +78,7 @@
 	StalledWatches map[string]bool               // members whose watches tell nothing
 	ResponseDelay  func(to string) time.Duration // how late an answer to a member is; nil: not at all
 	lateResponses  []delayedCall                 // late ones
-	// onTxn may take a transaction over: it returns true to swallow it, and
+	// OnTransaction may take a transaction over: it returns true to swallow it, and
 	// may apply it later.
 	OnTransaction func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool
 	Limits        *StateLimits // beyond them it refuses; nil: none
@@ -84,6 +87,7 @@
 	Requests      int // requests, but for watches and renewals
 }
 
+// StateKey is what is stored of a key.
 type StateKey struct {
 	Value   []byte
 	Version uint64
@@ -108,12 +112,12 @@
 	done   func(storage.Response)
 }
 
-func newFakeState(sim *simulation) *State {
-	return &State{sim: sim, Keys: make(map[string]*StateKey), leases: make(map[uint64]*stateLease), Unavailable: make(map[string]bool), StalledWatches: make(map[string]bool)}
+func newState(d *Deployment) *State {
+	return &State{deployment: d, Keys: make(map[string]*StateKey), leases: make(map[uint64]*stateLease), Unavailable: make(map[string]bool), StalledWatches: make(map[string]bool)}
 }
 
 func (s *State) respond(done func(storage.Response), status int, v any) {
-	done(storage.Response{Status: status, Body: s.sim.Codec.Encode(v)})
+	done(storage.Response{Status: status, Body: s.deployment.Codec.Encode(v)})
 }
 
 func (s *State) serve(from, method, path string, body []byte, done func(storage.Response)) {
@@ -123,7 +127,7 @@
 	}
 	u, err := url.Parse(path)
 	if err != nil {
-		s.sim.T.Fatal(err)
+		s.deployment.T.Fatal(err)
 	}
 	if u.Path != "/watch" && !strings.HasPrefix(path, "/leases") {
 		s.Requests++
@@ -131,8 +135,8 @@
 	switch {
 	case path == "/multi":
 		var t protocol.Transaction
-		if err := s.sim.Codec.Decode(body, &t); err != nil {
-			s.sim.T.Fatal(err)
+		if err := s.deployment.Codec.Decode(body, &t); err != nil {
+			s.deployment.T.Fatal(err)
 		}
 		apply := func() storage.Response {
 			var out storage.Response
@@ -151,33 +155,33 @@
 		done(apply())
 	case path == "/leases":
 		var q protocol.LeaseRequest
-		if err := s.sim.Codec.Decode(body, &q); err != nil {
-			s.sim.T.Fatal(err)
+		if err := s.deployment.Codec.Decode(body, &q); err != nil {
+			s.deployment.T.Fatal(err)
 		}
 		s.lastLease++
 		ttl := time.Duration(q.TTLMs) * time.Millisecond
-		s.leases[s.lastLease] = &stateLease{ttl: ttl, end: s.sim.now + ttl}
+		s.leases[s.lastLease] = &stateLease{ttl: ttl, end: s.deployment.now + ttl}
 		s.respond(done, 200, protocol.LeaseResponse{Lease: s.lastLease})
 	case strings.HasSuffix(path, "/touch"):
 		id, err := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		if err != nil {
-			s.sim.T.Fatal(err)
+			s.deployment.T.Fatal(err)
 		}
 		lease := s.leases[id]
 		if lease == nil {
 			s.respond(done, 404, map[string]any{})
 			return
 		}
-		lease.end = s.sim.now + lease.ttl
+		lease.end = s.deployment.now + lease.ttl
 		s.respond(done, 200, map[string]any{})
 	case u.Path == "/kv":
 		s.list(from, u.Query(), done)
 	case u.Path == "/watch":
 		since, err := strconv.ParseUint(u.Query().Get("from"), 10, 64)
 		if err != nil {
-			s.sim.T.Fatal(err)
+			s.deployment.T.Fatal(err)
 		}
-		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.sim.now + 8*time.Second, done})
+		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + 8*time.Second, done})
 		s.NotifyWatches()
 	case method == "GET":
 		key := strings.TrimPrefix(path, "/kv/")
@@ -188,7 +192,7 @@
 		}
 		s.respond(done, 200, protocol.KeyValue{Key: key, Value: entry.Value, Version: entry.Version, Lease: entry.Lease})
 	default:
-		s.sim.T.Fatalf("state service was asked for %s %s", method, path)
+		s.deployment.T.Fatalf("state service was asked for %s %s", method, path)
 	}
 }
 
@@ -250,6 +254,14 @@
 	s.NotifyWatches()
 }
 
+// Put writes a key, whoever holds it.
+func (s *State) Put(key string, value any) {
+	s.Revision++
+	s.Keys[key] = &StateKey{s.deployment.Codec.Encode(value), s.Revision, 0}
+	s.changes = append(s.changes, stateChange{s.Revision, map[string]any{"write": key, "v": value, "stamp": s.Revision}, key})
+}
+
+// DeleteKey removes a key, as of the present revision.
 func (s *State) DeleteKey(key string) {
 	if s.Keys[key] != nil {
 		delete(s.Keys, key)
@@ -264,6 +276,7 @@
 	s.NotifyWatches()
 }
 
+// NotifyWatches answers the watches for which something has changed or whose time is over.
 func (s *State) NotifyWatches() {
 	kept := s.watches[:0]
 	var ready []func()
@@ -278,7 +291,7 @@
 				events = append(events, c.event)
 			}
 		}
-		if len(events) == 0 && s.sim.now < w.until {
+		if len(events) == 0 && s.deployment.now < w.until {
 			kept = append(kept, w)
 			continue
 		}
@@ -294,12 +307,12 @@
 	s.deliverLate()
 	if s.Unavailable[""] {
 		for _, lease := range s.leases { // an outage gives all leases their full time again
-			lease.end = s.sim.now + lease.ttl
+			lease.end = s.deployment.now + lease.ttl
 		}
 		return
 	}
 	for id, lease := range s.leases {
-		if s.sim.now >= lease.end {
+		if s.deployment.now >= lease.end {
 			delete(s.leases, id)
 			s.Revision++
 			for key, entry := range s.Keys {
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -66,7 +66,7 @@
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
-			j := to.controller.owner.Job(key.job)
+			j := controllerOf(to).owner.Job(key.job)
 			if j == nil || has[key] {
 				continue
 			}
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -9,13 +9,6 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// send sends a request without waiting for its answer.
-func (n *Node) send(method, path string) *Response {
-	out := &Response{}
-	n.controller.HandleHTTP(&Request{Method: method, Path: path}, func(r Response) { *out = r })
-	return out
-}
-
 // In a storm of polls, what many users ask costs few reads: about jobs that
 // nobody submitted, about jobs of an owner that is gone, about jobs long over.
 func TestManyStatusQueriesCostFewReads(t *testing.T) {
@@ -36,10 +29,10 @@
 	storm := func(what string, first, status int, most int) {
 		t.Helper()
 		before := sim.State.Requests
-		var got []*Response
+		var got []*HTTPResponse
 		for range 5 {
 			for i := range jobs {
-				got = append(got, follower.send("GET", fmt.Sprint("/submissions/wk-", first+i)))
+				got = append(got, follower.Send("GET", fmt.Sprint("/submissions/wk-", first+i)))
 			}
 			sim.DeliverAll()
 		}
@@ -79,14 +72,14 @@
 		held = func() { done(r) }
 		return true
 	}
-	var before []*Response
+	var before []*HTTPResponse
 	for i := range 8 { // enough to be asked about together
-		before = append(before, follower.send("GET", fmt.Sprint("/submissions/wk-", i+1)))
+		before = append(before, follower.Send("GET", fmt.Sprint("/submissions/wk-", i+1)))
 	}
 	sim.DeliverAll()
 	want(t, "a read is under way", held != nil, true)
 	want(t, "submit", lead.Submit(BatchJob("wk-1", 1)).Status, 201)
-	after := follower.send("GET", "/submissions/wk-1")
+	after := follower.Send("GET", "/submissions/wk-1")
 	sim.DeliverAll()
 	held()
 	sim.Advance(100 * time.Millisecond)
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -71,7 +71,7 @@
 
 // after has something happen between the two times from now on.
 func (scenario *takeoverScenario) after(least, most time.Duration, fn func()) {
-	scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.now + least + time.Duration(scenario.rand.Int64N(int64(most-least)+1)), fn})
+	scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + least + time.Duration(scenario.rand.Int64N(int64(most-least)+1)), fn})
 }
 
 // slowTakeover ends the leader, all members or just a leadership, while the reads of
@@ -93,7 +93,7 @@
 		}
 	case 1:
 		if lead != nil {
-			lead.controller.election.Resign(election.WorkersUnreachable)
+			controllerOf(lead).election.Resign(election.WorkersUnreachable)
 		}
 	default:
 		if lead != nil {
@@ -126,7 +126,7 @@
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
 			if lead := scenario.activeLeader(); lead != nil { // it keeps its ledgers
-				lead.controller.election.Resign(election.WorkersUnreachable)
+				controllerOf(lead).election.Resign(election.WorkersUnreachable)
 			}
 			return
 		}
@@ -185,16 +185,16 @@
 		return
 	}
 	n.Paused = true
-	controller := n.controller
+	controller := controllerOf(n)
 	scenario.after(4*time.Second, 4*time.Second, func() {
 		for _, other := range scenario.Names {
-			if l := scenario.Nodes[other].Links[name]; other != name && scenario.Nodes[other].Up && n.Paused && n.controller == controller && l != nil {
-				scenario.Nodes[other].controller.LinkDown(l)
+			if l := scenario.Nodes[other].Links[name]; other != name && scenario.Nodes[other].Up && n.Paused && controllerOf(n) == controller && l != nil {
+				controllerOf(scenario.Nodes[other]).LinkDown(l)
 			}
 		}
 	})
 	scenario.after(500*time.Millisecond, 9*time.Second, func() {
-		if n.Paused && n.controller == controller {
+		if n.Paused && controllerOf(n) == controller {
 			scenario.Resume(name)
 			scenario.reconnectAll(name)
 		}
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -17,7 +17,7 @@
 
 // lowerStateLimits has the state service hold to lowerLimits from now on.
 func (scenario *faultScenario) lowerStateLimits() {
-	scenario.State.Limits = &StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.now}
+	scenario.State.Limits = &StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.Now()}
 }
 
 // upgrade ends a member and starts it with this version.
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -41,12 +41,12 @@
 	if array == 0 {
 		t.Fatal("nothing of the array runs")
 	}
-	began := sim.now
+	began := sim.Now()
 	want(t, "next", n.Submit(ServiceJob("wk-3", 2)).Status, 201)
-	for len(sim.machinesOfJob("wk-3")) < 2 && sim.now-began < 20*time.Second {
+	for len(sim.machinesOfJob("wk-3")) < 2 && sim.Now()-began < 20*time.Second {
 		sim.Run(time.Second)
 	}
-	if took := sim.now - began; took > 3*time.Second {
+	if took := sim.Now() - began; took > 3*time.Second {
 		t.Fatalf("its replicas began after %s beside an array", took)
 	}
 	if now := len(sim.machinesOfJob("wk-2")); now < array {
@@ -87,7 +87,7 @@
 	for within, started := range map[float64]int{1: 6, 5: 4} {
 		sim := newSimulation(t, "a", "b", "c")
 		for _, name := range sim.Names {
-			sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
+			controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
 		}
 		for i := range 3 {
 			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
@@ -131,7 +131,7 @@
 	for _, aim := range []string{"wait", "deadline"} {
 		sim := newSimulation(t, "a", "b", "c")
 		for _, name := range sim.Names {
-			sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
+			controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
 		}
 		sim.Crash(sim.Leader().Name)
 		sim.Run(30 * time.Second)
@@ -160,7 +160,7 @@
 			want(t, "submit", sim.Leader().Submit(ServiceJob("wk-1", 4)).Status, 201)
 		} else {
 			for _, name := range sim.Names {
-				sim.Nodes[name].controller.cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
+				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
 			}
 			sim.Crash(sim.Leader().Name)
 		}
@@ -197,8 +197,8 @@
 func TestWarmPoolLeavesAScarceTypeToOthers(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Run(60 * time.Second)
-	l := sim.Leader().controller.leader
-	kind, now := machineKind{"m8", "z1", false}, sim.now
+	l := controllerOf(sim.Leader()).leader
+	kind, now := machineKind{"m8", "z1", false}, sim.Now()
 	kept := func() int {
 		l.autoscaler.counts.reportedCPUs = 1600
 		return l.warmPool.affordableMachines(l.env.cloud.Catalog()["m8"], kind, now)
