--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -12,6 +12,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // redLimit is the limit of the team red in testSettings.
@@ -35,7 +37,7 @@
 
 func withAllocationChecks(scenario *faultScenario) *faultScenario {
 	started := scenario.OnStart
-	scenario.OnStart = func(agent *Agent, task *AgentTask) {
+	scenario.OnStart = func(agent *simtest.Agent, task *simtest.AgentTask) {
 		started(agent, task)
 		id, _, _ := strings.Cut(task.Name, "/")
 		if scenario.jobs[id]["crew"] == "red" {
@@ -132,7 +134,7 @@
 func (sim *simulation) submitRedEverywhere(tasks int) {
 	sim.T.Helper()
 	for i, name := range sim.Names {
-		if got := sim.Nodes[name].Submit(BatchJob(fmt.Sprintf("wk-%d", i), tasks).With("crew", "red")).Status; got != 201 {
+		if got := sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), tasks).With("crew", "red")).Status; got != 201 {
 			sim.T.Fatalf("submission at %s is answered %d", name, got)
 		}
 	}
@@ -307,7 +309,7 @@
 }
 
 func cancelOnSilentMachines(scenario *faultScenario) func(int) {
-	var hung []*Agent
+	var hung []*simtest.Agent
 	return func(s int) {
 		scenario.submitRedJobs(s)
 		switch s % 14 {
@@ -371,10 +373,12 @@
 	sim := newEscrowSimulation(t)
 	sim.addMachines(6)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 15)
-	body := func(id string) []byte { return sim.Codec.Encode(map[string]any(BatchJob(id, 1).With("crew", "red"))) }
+	body := func(id string) []byte {
+		return sim.Codec.Encode(map[string]any(simtest.BatchJob(id, 1).With("crew", "red")))
+	}
 	for i, name := range []string{"b", "c"} {
 		controllerOf(sim.Nodes[name]).HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
 	}
@@ -394,14 +398,14 @@
 	sim := newEscrowSimulation(t)
 	sim.addMachines(4)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
 	for _, agent := range sim.Agents {
 		agent.FinishTasks("done")
 	}
 	sim.Run(3 * time.Second)
-	want(t, "submit", sim.Nodes["b"].Submit(BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running of a guarantee of 8 CPUs", sim.runningTasks(), 4)
 }
@@ -443,7 +447,7 @@
 	sim.Start("c")
 	sim.Run(beyondAnyLease)
 	starts := 0
-	sim.OnStart = func(*Agent, *AgentTask) { starts++ }
+	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
 	want(t, "running on", sim.runningTasks(), 16)
 	for round := range 10 {
 		sim.finishTask(sim.anyRunningTask())
@@ -530,8 +534,8 @@
 	}
 	sim.State.Put(storage.QuotaKey("red"), map[string]any{"s": "no shares"})
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(6 * time.Second)
 	want(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
 }
@@ -540,7 +544,7 @@
 func TestTeamNameTooLongForAKey(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a")
 	sim.Tuning.QuotaEscrow = true
-	file, err := settings.Parse(fmt.Appendf(nil, SettingsFormat, "a", ""))
+	file, err := settings.Parse(fmt.Appendf(nil, simtest.SettingsFormat, "a", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // BenchmarkBusyFleet plays a second of three controllers with a fleet whose
@@ -31,7 +33,7 @@
 			submit := func() {
 				jobs++
 				n := sim.Nodes[sim.Names[jobs%3]]
-				request := BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.crew).With("plate", fmt.Sprint("img-", jobs%16))
+				request := simtest.BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.crew).With("plate", fmt.Sprint("img-", jobs%16))
 				if r := n.Submit(request); r.Status != 201 && r.Status != 0 {
 					b.Fatalf("submission was answered %d", r.Status)
 				}
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // The meeting before all others: the state service refuses the leader alone,
@@ -16,7 +18,7 @@
 // cease to answer. day.check looks for what is left of it after cancel_s.
 
 // startLongJob starts a long job of an owner that doesn't lead, and returns both.
-func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *Node, id string) {
+func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *simtest.Node, id string) {
 	t.Helper()
 	scenario = newFaultScenario(t, seed, 4)
 	lead, owner = scenario.Leader(), scenario.Follower()
@@ -28,7 +30,7 @@
 }
 
 // otherNode is the member that is neither.
-func (scenario *faultScenario) otherNode(a, b *Node) *Node {
+func (scenario *faultScenario) otherNode(a, b *simtest.Node) *simtest.Node {
 	for _, name := range scenario.Names {
 		if n := scenario.Nodes[name]; n != a && n != b {
 			return n
@@ -72,7 +74,7 @@
 	lead := scenario.Leader()
 	confirming := scenario.Follower()
 	third := scenario.otherNode(lead, confirming)
-	owner := map[string]*Node{"leader": lead, "confirming": confirming, "third": third}[owns]
+	owner := map[string]*simtest.Node{"leader": lead, "confirming": confirming, "third": third}[owns]
 	submit := scenario.submit
 	if service {
 		submit = scenario.submitService
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // The meetings of the operators' page that need no script of their own beyond
@@ -11,8 +13,8 @@
 // is known and done once the troubles are over.
 
 // busyMachines returns up to n machines that run tasks.
-func (scenario *faultScenario) busyMachines(n int) []*Agent {
-	var out []*Agent
+func (scenario *faultScenario) busyMachines(n int) []*simtest.Agent {
+	var out []*simtest.Agent
 	for _, name := range scenario.AgentNames() {
 		if agent := scenario.Agents[name]; len(out) < n && len(agent.Running()) > 0 {
 			out = append(out, agent)
@@ -28,7 +30,7 @@
 }
 
 // activeLeader returns who leads, if anybody does.
-func (scenario *faultScenario) activeLeader() *Node {
+func (scenario *faultScenario) activeLeader() *simtest.Node {
 	for _, name := range scenario.Names {
 		if n := scenario.Nodes[name]; n.Up && controllerOf(n).leader != nil && controllerOf(n).election.MayAct(scenario.Now()) {
 			return n
@@ -38,8 +40,8 @@
 }
 
 // recordHeartbeats keeps what machines report, to be sent again later.
-func (scenario *faultScenario) recordHeartbeats() map[*Agent][]byte {
-	out := make(map[*Agent][]byte)
+func (scenario *faultScenario) recordHeartbeats() map[*simtest.Agent][]byte {
+	out := make(map[*simtest.Agent][]byte)
 	for _, agent := range scenario.Agents {
 		out[agent] = append([]byte(nil), agent.LastHeartbeat...)
 	}
@@ -47,7 +49,7 @@
 }
 
 // replayHeartbeats sends old reports to every node; their answers reach nobody.
-func (scenario *faultScenario) replayHeartbeats(old map[*Agent][]byte) {
+func (scenario *faultScenario) replayHeartbeats(old map[*simtest.Agent][]byte) {
 	for _, body := range old {
 		for _, name := range scenario.Names {
 			if n := scenario.Nodes[name]; n.Up && !n.Paused {
@@ -98,7 +100,7 @@
 }
 
 // failMachine ends a machine and all on it.
-func (scenario *faultScenario) failMachine(agent *Agent) {
+func (scenario *faultScenario) failMachine(agent *simtest.Agent) {
 	delete(scenario.Agents, agent.Name)
 	for i := range scenario.Cloud.Machines {
 		if scenario.Cloud.Machines[i].Name == agent.Name {
@@ -123,7 +125,7 @@
 	scenario.setTaskDuration(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
 	r := scenario.rand
 	pause := func() int { return 1 + r.IntN(25) }
-	var lead *Node
+	var lead *simtest.Node
 	troubles := []func() (begin, end func()){
 		func() (func(), func()) {
 			return func() { scenario.State.Unavailable[""] = true }, func() { scenario.State.Unavailable[""] = false }
@@ -178,7 +180,7 @@
 			}, func() {}
 		},
 		func() (func(), func()) {
-			var agents []*Agent
+			var agents []*simtest.Agent
 			return func() {
 					agents = scenario.busyMachines(1 + r.IntN(5))
 					for i, agent := range agents {
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // failJobs ends the running tasks of some jobs with an error, wherever they run, and
@@ -36,12 +38,12 @@
 			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		}
 		sim.Run(2 * time.Second)
-		want(t, "good job", sim.Follower().Submit(BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
+		want(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
 		sim.Run(3 * time.Second)
 		bad := []string{"wk-1", "wk-2", "wk-3"}
 		for i, id := range bad {
 			urgency := []string{"urgent", "standard", "standard"}[i]
-			want(t, "bad job", sim.Leader().Submit(BatchJob(id, 30).With("urgency", urgency)).Status, 201)
+			want(t, "bad job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
 		}
 		fails := 0
 		seconds := func(n int) {
@@ -72,7 +74,7 @@
 			want(t, "abort", code, 200)
 		}
 		sim.Run(5 * time.Second)
-		want(t, "good job after", sim.Leader().Submit(BatchJob("wk-8", machines)).Status, 201)
+		want(t, "good job after", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
 		sim.Run(6 * time.Second)
 		want(t, "running", sim.runningTasks(), 2*machines)
 	}
@@ -86,7 +88,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 20)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 20)).Status, 201)
 	for range 4 {
 		sim.Run(time.Second)
 		sim.failJobs("wk-1")
@@ -103,7 +105,7 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	for i := range 3 {
-		want(t, "submit", sim.Nodes["a"].Submit(BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	for range 20 {
 		sim.Run(time.Second)
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // Meetings of two troubles, as the operators' hunt page names them. That no task
@@ -46,7 +48,7 @@
 		if at == "follower" {
 			n = sim.Follower()
 		}
-		want(t, "submit", n.Submit(BatchJob("wk-1", 3)).Status, 201)
+		want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
 		sim.Run(3 * time.Second)
 		sim.finishTask("wk-1/0")
 		sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
@@ -82,10 +84,10 @@
 			}
 			sim.Run(2 * time.Second)
 			lead := sim.Leader()
-			want(t, "submit", lead.Submit(BatchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
+			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
 			sim.Run(4 * time.Second)
 			want(t, "running", sim.runningTasks(), 20)
-			var lost []*Agent
+			var lost []*simtest.Agent
 			for _, name := range sim.AgentNames() {
 				if agent := sim.Agents[name]; len(lost) < 3 && len(agent.Running()) > 0 {
 					agent.Silent, agent.LosesResponses = !deaf, deaf
@@ -121,8 +123,8 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	first := sim.Leader()
-	want(t, "submit", first.Submit(BatchJob("wk-1", 2)).Status, 201)
-	want(t, "submit", sim.Follower().Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "submit", first.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	sim.State.Unavailable[first.Name] = true
 	sim.Run(8 * time.Second)
@@ -162,7 +164,7 @@
 		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 		sim.Run(2 * time.Second)
 		lead := sim.Leader()
-		want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
+		want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
 		if agent.ConnectedTo != lead.Process {
 			agent.HeartbeatTo(lead)
 		}
@@ -196,7 +198,7 @@
 		sim.AddMachine("vm-2", "z1")
 		sim.Run(2 * time.Second)
 		for i, n := range sim.Names {
-			want(t, "submit", sim.Nodes[n].Submit(BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+			want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 		}
 		sim.Run(4 * time.Second)
 		for _, n := range sim.Names {
@@ -284,7 +286,7 @@
 				second()
 				id := fmt.Sprint("wk-", i+1)
 				r := sim.Nodes[sim.Names[i%3]]
-				if r.Up && r.Submit(BatchJob(id, 1+i%9)).Status == 201 {
+				if r.Up && r.Submit(simtest.BatchJob(id, 1+i%9)).Status == 201 {
 					accepted[id] = true
 				}
 				if i%7 == 6 && r.Up && accepted[fmt.Sprint("wk-", i)] {
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -9,6 +9,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // faultScenario plays users who check every answer, and machines whose leases end by
@@ -18,7 +20,7 @@
 type faultScenario struct {
 	*simulation
 	rand            *rand.Rand
-	jobs            map[string]JobRequest
+	jobs            map[string]simtest.JobRequest
 	knownStatus     map[string]string // the newest that any node has told of a job
 	knownSince      map[string]time.Duration
 	cancelRequested map[string]bool // its user has asked to cancel it
@@ -55,18 +57,18 @@
 // newFaultScenarioIn plays a day of a deployment that is there already.
 func newFaultScenarioIn(t *testing.T, sim *simulation, seed uint64, machines int) *faultScenario {
 	t.Helper()
-	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]JobRequest),
+	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]simtest.JobRequest),
 		knownStatus: make(map[string]string), knownSince: make(map[string]time.Duration), cancelRequested: make(map[string]bool),
 		completedTasks: make(map[string]bool), lastAnswers: make(map[string]time.Duration)}
 	scenario.ExpireLeases = true
 	scenario.loseTransactions(0, true)
 	scenario.OnTick = scenario.checkInvariants
-	scenario.OnTaskDone = func(_ *Agent, name string) { scenario.completedTasks[name] = true }
+	scenario.OnTaskDone = func(_ *simtest.Agent, name string) { scenario.completedTasks[name] = true }
 	scenario.IsEndless = func(name string) bool {
 		id, _, _ := strings.Cut(name, "/")
 		return scenario.isService(id)
 	}
-	scenario.OnStart = func(agent *Agent, task *AgentTask) {
+	scenario.OnStart = func(agent *simtest.Agent, task *simtest.AgentTask) {
 		scenario.startedTasks++
 		id, _, _ := strings.Cut(task.Name, "/")
 		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownSince[id] > 100*time.Millisecond {
@@ -135,7 +137,7 @@
 
 // query puts a question to a node: GET, POST (a submission) or ABORT. Whatever
 // it answers may not be older than what any node had told when it was put.
-func (scenario *faultScenario) query(n *Node, what, id string) {
+func (scenario *faultScenario) query(n *simtest.Node, what, id string) {
 	if !n.Up || n.Paused {
 		return
 	}
@@ -157,7 +159,7 @@
 	})
 }
 
-func (scenario *faultScenario) checkResponse(n *Node, what, id, before string, r Response) {
+func (scenario *faultScenario) checkResponse(n *simtest.Node, what, id, before string, r Response) {
 	fail := func(rule string) {
 		scenario.T.Helper()
 		scenario.T.Fatalf("%s: %s %s at %s is answered %d after %q", rule, what, id, n.Name, r.Status, before)
@@ -207,10 +209,10 @@
 }
 
 // submit hands a new job in at a node and returns its id.
-func (scenario *faultScenario) submit(n *Node, pages int, with ...any) string {
+func (scenario *faultScenario) submit(n *simtest.Node, pages int, with ...any) string {
 	scenario.submitted++
 	id := fmt.Sprint("wk-", scenario.submitted)
-	request := BatchJob(id, pages)
+	request := simtest.BatchJob(id, pages)
 	for i := 0; i+1 < len(with); i += 2 {
 		request = request.With(with[i].(string), with[i+1])
 	}
@@ -220,7 +222,7 @@
 }
 
 // submitService hands a new service in at a node.
-func (scenario *faultScenario) submitService(n *Node, replicas int, with ...any) string {
+func (scenario *faultScenario) submitService(n *simtest.Node, replicas int, with ...any) string {
 	return scenario.submit(n, replicas, append([]any{"form", "service", "urgency", "production", "expectedS", 0.0}, with...)...)
 }
 
@@ -228,7 +230,7 @@
 	return scenario.jobs[id]["form"] == "service"
 }
 
-func (scenario *faultScenario) randomNode() *Node {
+func (scenario *faultScenario) randomNode() *simtest.Node {
 	return scenario.Nodes[scenario.Names[scenario.rand.IntN(len(scenario.Names))]]
 }
 
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -6,6 +6,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // The scripts of TestMeetings: each prepares a day and returns what happens in its
@@ -70,7 +72,7 @@
 	for range 3 {
 		scenario.submit(scenario.randomNode(), 8, "crew", "red")
 	}
-	var hung []*Agent
+	var hung []*simtest.Agent
 	return func(s int) {
 		switch s {
 		case 6:
@@ -144,7 +146,7 @@
 // old reports reach every controller as a new leader begins.
 func replayOldHeartbeats(scenario *faultScenario) func(int) {
 	scenario.setTaskDuration(5 * time.Second)
-	var old map[*Agent][]byte
+	var old map[*simtest.Agent][]byte
 	return func(s int) {
 		scenario.submitRandomJob()
 		scenario.submitRandomJob()
@@ -249,7 +251,7 @@
 // a leader keeps its workers and users alone.
 func isolateLeader(scenario *faultScenario) func(int) {
 	scenario.setTaskDuration(20 * time.Second)
-	var lead *Node
+	var lead *simtest.Node
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 const (
@@ -36,7 +38,7 @@
 type largeFleetScenario struct {
 	*simulation
 	nextAgent int
-	retries   map[time.Duration][]*Agent
+	retries   map[time.Duration][]*simtest.Agent
 	refused   map[string]int
 }
 
@@ -64,7 +66,7 @@
 	}
 }
 
-func (scenario *largeFleetScenario) heartbeat(agent *Agent) {
+func (scenario *largeFleetScenario) heartbeat(agent *simtest.Agent) {
 	r := agent.Heartbeat()
 	if r != nil && r.Status == 200 {
 		return
@@ -99,12 +101,12 @@
 // whole, as its pages came faster than the cloud answers.
 func TestFleetOfSixThousandMachines(t *testing.T) {
 	sim := newLargeSimulation(t)
-	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*Agent), refused: make(map[string]int)}
+	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*simtest.Agent), refused: make(map[string]int)}
 	const tasksPerJob = 200
 	jobs := largeFleetSize / tasksPerJob
 	for i := range jobs {
 		n := sim.Nodes[sim.Names[i%3]]
-		request := BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
+		request := simtest.BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
 		want(t, "submit", n.Submit(request).Status, 201)
 	}
 	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
@@ -186,7 +188,7 @@
 	reportAll()
 	sim.Advance(5 * time.Second)
 	for i := range machines / 50 {
-		sim.Nodes[sim.Names[i%3]].Submit(BatchJob(fmt.Sprint("wk-", i), 100))
+		sim.Nodes[sim.Names[i%3]].Submit(simtest.BatchJob(fmt.Sprint("wk-", i), 100))
 	}
 	for range 3 {
 		reportAll()
@@ -244,7 +246,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Cloud.Machines[0].At = sim.Now() - time.Hour
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Follower().Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
 	sim.Crash(sim.Leader().Name)
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -6,9 +6,11 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-func (sim *simulation) redirectTarget(r *HTTPResponse) string {
+func (sim *simulation) redirectTarget(r *simtest.HTTPResponse) string {
 	var to protocol.Redirect
 	if r.Status == 421 {
 		if err := sim.Codec.Decode(r.Body, &to); err != nil {
@@ -27,7 +29,7 @@
 		want(t, "report to a follower", agent.HeartbeatTo(follower).Status, 200)
 		sim.Advance(time.Second)
 	}
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.HeartbeatTo(follower)
 	want(t, "running", len(agent.Running()), 2)
 	sim.wantStatus(lead, "wk-1", 200, "pending")
@@ -67,7 +69,7 @@
 // Workers that all come to one member are shared out, a few at a time.
 func TestWorkersAreBalancedAcrossMembers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*Agent]*Node)
+	at := make(map[*simtest.Agent]*simtest.Node)
 	for i := range 90 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		at[agent] = sim.Leader()
@@ -140,12 +142,12 @@
 // all their tasks (incidents/inc-f551.md).
 func TestFewRedirectsToMemberWithoutHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*Agent]*Node)
+	at := make(map[*simtest.Agent]*simtest.Node)
 	for i := range 90 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		at[agent] = sim.Leader()
 	}
-	want(t, "submit", sim.Leader().Submit(BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // none of them is idle
+	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // none of them is idle
 	cut := sim.Follower()
 	sent := 0
 	second := func() {
@@ -175,7 +177,7 @@
 	}
 	// Once they reach it again it soon has its share.
 	here := cut
-	cut = &Node{}
+	cut = &simtest.Node{}
 	for range 90 {
 		second()
 	}
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/shard"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // The incident docs/incidents/incomplete-lists.md: a machine's list, as the leader
@@ -15,11 +17,11 @@
 
 // startOneTask runs one task, of a job of the given member, and returns the
 // machine that has it and one that has nothing.
-func startOneTask(t *testing.T, sim *simulation, owner *Node) (busy, idle *Agent) {
+func startOneTask(t *testing.T, sim *simulation, owner *simtest.Node) (busy, idle *simtest.Agent) {
 	t.Helper()
 	busy, idle = sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(idle.Running()) == 1 {
 		busy, idle = idle, busy
@@ -29,7 +31,7 @@
 }
 
 // heartbeatFor has the machines report once a second.
-func (sim *simulation) heartbeatFor(seconds int, machines ...*Agent) {
+func (sim *simulation) heartbeatFor(seconds int, machines ...*simtest.Agent) {
 	for range seconds {
 		for _, agent := range machines {
 			agent.Heartbeat()
@@ -118,7 +120,7 @@
 	busy, idle := startOneTask(t, sim, owner)
 	l := controllerOf(lead).leader
 	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).selfPeer)
-	busy.Tasks["other#1"] = &AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
+	busy.Tasks["other#1"] = &simtest.AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
 	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
 	job := controllerOf(owner).owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
@@ -157,8 +159,8 @@
 	}
 	first, second, idle := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 4)).Status, 201)
-	want(t, "submit", sim.Nodes[gone].Submit(BatchJob("wk-2", 4)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit", sim.Nodes[gone].Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
 	sim.Crash(gone)
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -9,6 +9,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 const beyondAnyLease = 30 * time.Second // any lease with all its margins
@@ -20,7 +22,7 @@
 	}
 }
 
-func (sim *simulation) wantStatus(n *Node, id string, code int, status string) {
+func (sim *simulation) wantStatus(n *simtest.Node, id string, code int, status string) {
 	sim.T.Helper()
 	got, s := n.Status(id)
 	if got != code || s.Status != status {
@@ -42,10 +44,10 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	at := sim.Follower()
-	want(t, "submit", at.Submit(BatchJob("wk-1", 6)).Status, 201)
-	want(t, "retry", at.Submit(BatchJob("wk-1", 6)).Status, 200)
+	want(t, "submit", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
+	want(t, "retry", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	for _, name := range sim.Names {
-		want(t, "retry at "+name, sim.Nodes[name].Submit(BatchJob("wk-1", 6)).Status, 200)
+		want(t, "retry at "+name, sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	sim.Run(3 * time.Second)
 	want(t, "running on eight CPUs", len(agent.Running()), 4)
@@ -68,7 +70,7 @@
 	sim.Advance(5 * time.Second)
 	for _, name := range sim.Names {
 		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
-		want(t, "late retry", sim.Nodes[name].Submit(BatchJob("wk-1", 6)).Status, 200)
+		want(t, "late retry", sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	code, _ := sim.Nodes["a"].Status("wk-999")
 	want(t, "a job nobody submitted", code, 404)
@@ -91,8 +93,8 @@
 			done(storage.Response{})
 			return true
 		}
-		want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2)).Status, 201)
-		want(t, "elsewhere", sim.Nodes["b"].Submit(BatchJob("wk-1", 2)).Status, 200)
+		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+		want(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
 		agent := sim.AddMachine("vm-1", "z1")
 		sim.Run(4 * time.Second)
 		want(t, "running", len(agent.Running()), 2)
@@ -109,7 +111,7 @@
 		}
 		return false
 	}
-	r1, r2 := sim.Nodes["a"].Submit(BatchJob("wk-1", 1)), sim.Nodes["b"].Submit(BatchJob("wk-1", 1))
+	r1, r2 := sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)), sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 1))
 	for _, fn := range held {
 		fn()
 	}
@@ -122,7 +124,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 8)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 4)
 	code, status := sim.Leader().Cancel("wk-1")
@@ -144,7 +146,7 @@
 // its owner must not answer from memory then (went_back).
 func TestNoStaleStatusWhileTheEndIsWritten(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	var answer func()
 	sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		if answer == nil && len(txn.Then) > 0 && txn.Then[0].Put == storage.JobKey("wk-1") {
@@ -168,7 +170,7 @@
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 8)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
 		if len(txn.Then) > 0 && strings.HasPrefix(txn.Then[0].Put, "done/") {
@@ -201,7 +203,7 @@
 	}
 	sim.Run(15 * time.Second)
 	for i, name := range sim.Names {
-		want(t, "submit", sim.Nodes[name].Submit(BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
+		want(t, "submit", sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
 	}
 	check := func(d time.Duration) {
 		t.Helper()
@@ -237,27 +239,27 @@
 	n := sim.Nodes["a"]
 	for _, c := range []struct {
 		why    string
-		f      JobRequest
+		f      simtest.JobRequest
 		status int
 	}{
-		{"id", BatchJob("job-1", 1), 400},
-		{"no id", BatchJob("wk-1", 1).With("nameId", nil), 400},
-		{"form", BatchJob("wk-1", 1).With("form", "gang"), 400},
-		{"urgency", BatchJob("wk-1", 1).With("urgency", "soon"), 400},
-		{"no tasks", BatchJob("wk-1", 0), 400},
-		{"too many tasks", BatchJob("wk-1", 100001), 400},
-		{"negative", BatchJob("wk-1", 1).With("vcpus", -1.0), 400},
-		{"NaN", BatchJob("wk-1", 1).With("ramGb", math.NaN()), 400},
-		{"infinite", BatchJob("wk-1", 1).With("expectedS", math.Inf(1)), 400},
-		{"ill-typed", BatchJob("wk-1", 1).With("vcpus", "two"), 400},
-		{"missing", BatchJob("wk-1", 1).With("together", nil), 400},
-		{"team", BatchJob("wk-1", 1).With("crew", "green"), 422},
-		{"too large", BatchJob("wk-1", 1).With("vcpus", 64.0), 422},
-		{"no type", BatchJob("wk-1", 1).With("breeds", []string{"x"}), 422},
-		{"zone", BatchJob("wk-1", 1).With("hall", "z9"), 422},
-		{"whole numbers for amounts", BatchJob("wk-2", 1).With("vcpus", 2), 201},
-		{"a known job comes first", BatchJob("wk-2", 1).With("crew", "green"), 200},
-		{"empty page", BatchJob("wk-1", 1).With("unknown", "field"), 201},
+		{"id", simtest.BatchJob("job-1", 1), 400},
+		{"no id", simtest.BatchJob("wk-1", 1).With("nameId", nil), 400},
+		{"form", simtest.BatchJob("wk-1", 1).With("form", "gang"), 400},
+		{"urgency", simtest.BatchJob("wk-1", 1).With("urgency", "soon"), 400},
+		{"no tasks", simtest.BatchJob("wk-1", 0), 400},
+		{"too many tasks", simtest.BatchJob("wk-1", 100001), 400},
+		{"negative", simtest.BatchJob("wk-1", 1).With("vcpus", -1.0), 400},
+		{"NaN", simtest.BatchJob("wk-1", 1).With("ramGb", math.NaN()), 400},
+		{"infinite", simtest.BatchJob("wk-1", 1).With("expectedS", math.Inf(1)), 400},
+		{"ill-typed", simtest.BatchJob("wk-1", 1).With("vcpus", "two"), 400},
+		{"missing", simtest.BatchJob("wk-1", 1).With("together", nil), 400},
+		{"team", simtest.BatchJob("wk-1", 1).With("crew", "green"), 422},
+		{"too large", simtest.BatchJob("wk-1", 1).With("vcpus", 64.0), 422},
+		{"no type", simtest.BatchJob("wk-1", 1).With("breeds", []string{"x"}), 422},
+		{"zone", simtest.BatchJob("wk-1", 1).With("hall", "z9"), 422},
+		{"whole numbers for amounts", simtest.BatchJob("wk-2", 1).With("vcpus", 2), 201},
+		{"a known job comes first", simtest.BatchJob("wk-2", 1).With("crew", "green"), 200},
+		{"empty page", simtest.BatchJob("wk-1", 1).With("unknown", "field"), 201},
 	} {
 		want(t, c.why, n.Submit(c.f).Status, c.status)
 	}
@@ -295,7 +297,7 @@
 	n := sim.Nodes["a"]
 	accepted := 0
 	for i := range 10 {
-		r := n.Submit(BatchJob(fmt.Sprintf("wk-%d", i), 100_000))
+		r := n.Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 100_000))
 		if r.Status == 201 {
 			accepted++
 			continue
@@ -303,10 +305,10 @@
 		want(t, "refusal", fmt.Sprintf("%d %v", r.Status, r.RetryAfterS > 1), "503 true")
 	}
 	want(t, "accepted", accepted, 3)
-	want(t, "a known job", n.Submit(BatchJob("wk-0", 100_000)).Status, 200)
+	want(t, "a known job", n.Submit(simtest.BatchJob("wk-0", 100_000)).Status, 200)
 	code, _ := n.Cancel("wk-0")
 	want(t, "abort", code, 200)
-	want(t, "once there is room again", n.Submit(BatchJob("wk-11", 100_000)).Status, 201)
+	want(t, "once there is room again", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
 }
 
 // A machine that falls silent with a cancelled task on it is returned before
@@ -318,7 +320,7 @@
 	}
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 36)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 36)
 	for i := range 9 {
@@ -338,7 +340,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -11,6 +11,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // A start that a worker was given by a leader that is no more must be proven
@@ -20,8 +22,8 @@
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit at the leader", lead.Submit(BatchJob("wk-1", 4)).Status, 201)
-	want(t, "submit elsewhere", sim.Follower().Submit(BatchJob("wk-2", 4)).Status, 201)
+	want(t, "submit at the leader", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit elsewhere", sim.Follower().Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
 	old := controllerOf(lead).leader.fencingToken
@@ -45,7 +47,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) == nil {
@@ -89,7 +91,7 @@
 		}
 		return false
 	}
-	r := follower.Submit(BatchJob("wk-1", 2))
+	r := follower.Submit(simtest.BatchJob("wk-1", 2))
 	want(t, "answered while its fate is open", r.Status, 0)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
@@ -142,7 +144,7 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(10 * time.Second)
@@ -168,7 +170,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	first := sim.Leader()
-	want(t, "submit", sim.Follower().Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.State.Unavailable[first.Name] = true
 	sim.Run(10 * time.Second)
 	second := sim.Leader()
@@ -274,11 +276,11 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	token := controllerOf(sim.Leader()).leader.fencingToken
 	agent := sim.Agents["vm-1"]
-	want(t, "more", sim.Nodes["a"].Submit(BatchJob("wk-3", 6)).Status, 201)
+	want(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 6)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(12 * time.Second)
@@ -286,7 +288,7 @@
 	sim.Run(12 * time.Second)
 	want(t, "running after new starts in the outage", len(agent.Running()), 4)
 	want(t, "results kept for the write", len(agent.Tasks), 8)
-	r := sim.Nodes["b"].Submit(BatchJob("wk-2", 2))
+	r := sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2))
 	want(t, "submit in the outage", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
 	code, _ := sim.Nodes["b"].Status("wk-77")
 	want(t, "unknown job in the outage", code, 503)
@@ -298,7 +300,7 @@
 	want(t, "token", controllerOf(sim.Leader()).leader.fencingToken, token)
 	want(t, "running on", sim.runningTasks(), 4)
 	want(t, "results written and cleared", len(agent.Tasks), 4)
-	want(t, "submit after", sim.Nodes["b"].Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 }
 
 // The answers that name a leader which no worker reaches would lead every
@@ -326,7 +328,7 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.Disconnect(follower.Name, lead.Name)
 	sim.Run(15 * time.Second)
@@ -349,7 +351,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
@@ -361,7 +363,7 @@
 	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.Run(4 * time.Second)
 	want(t, "running", len(agent.Running()), 0)
-	want(t, "submit", follower.Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
 }
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -9,6 +9,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // What the users added to the protocol when their deployments grew: jobs stay
@@ -112,7 +114,7 @@
 				}
 			case 5, 6, 7:
 				if id := fmt.Sprintf("wk-%d", step); sim.Nodes[name].Up {
-					if q := sim.Nodes[name].Submit(BatchJob(id, 3)); q.Status == 201 {
+					if q := sim.Nodes[name].Submit(simtest.BatchJob(id, 3)); q.Status == 201 {
 						accepted = append(accepted, id)
 					}
 				}
@@ -175,14 +177,14 @@
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
 	deaf.Heartbeat()
 	want(t, "running", len(deaf.Running()), 2)
 	deaf.Heartbeat()
 
 	deaf.LosesResponses = true
 	deaf.Heartbeat() // its answer is lost; the worker closes the connection
-	want(t, "more", lead.Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "more", lead.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	m := controllerOf(lead).leader.machines.get("vm-1")
 	for range 3 {
 		deaf.Heartbeat()
@@ -213,7 +215,7 @@
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
 	lead, follower := sim.Leader(), sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	deaf.Heartbeat()
 	want(t, "running", len(deaf.Running()), 2)
 	deaf.Heartbeat()
@@ -231,14 +233,14 @@
 func TestLargeHeartbeatsStayWithinSizeLimits(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 3000)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 3000)).Status, 201)
 	var answers []*Response
 	for i := range 40 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		agent.Heartbeat()
 		for n := range 1500 {
 			name := fmt.Sprintf("wk-1/%d", n)
-			agent.Tasks[name] = &AgentTask{Name: name, Replica: uint64(1 + i), State: "ended", Cause: "halted"}
+			agent.Tasks[name] = &simtest.AgentTask{Name: name, Replica: uint64(1 + i), State: "ended", Cause: "halted"}
 		}
 		out := &Response{}
 		controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *out = r })
@@ -285,7 +287,7 @@
 		n := sim.Leader()
 		agent.HeartbeatTo(n)
 		pause(c.pause)
-		want(t, "submit", n.Submit(BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
+		want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
 		agent.ConnectedTo = nil // its connection is gone
 		agent.HeartbeatTo(n)
 		want(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
@@ -300,7 +302,7 @@
 		sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
 		agent.ConnectedTo = nil
 		pause(8 * time.Second)
-		want(t, "more", n.Submit(BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
+		want(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
 		agent.HeartbeatTo(n)
 		first := sent()
 		for range 2 { // the first shows that its starts are lost
@@ -320,7 +322,7 @@
 	agent.Heartbeat()
 	agent.Heartbeat()
 	agent.LosesResponses = false
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.Heartbeat()
 	want(t, "starts in answer to the first report on a new connection", len(agent.Running()), 0)
 	agent.Heartbeat()
@@ -337,7 +339,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-2%d", i), "z1")
 	}
 	sim.Run(10 * time.Second)
-	want(t, "submit", sim.Leader().Submit(BatchJob("wk-1", 44)).Status, 201)
+	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 44)).Status, 201)
 	sim.Run(2 * time.Second)
 	want(t, "running", len(agent.Running()), 4)
 	agent.LosesResponses = true
@@ -352,13 +354,13 @@
 // machines do not keep a leader believing that it reaches its workers.
 func TestCancellationWhenNoMachineGetsResponses(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	var deaf []*Agent
+	var deaf []*simtest.Agent
 	for i := range 10 {
 		deaf = append(deaf, sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1"))
 	}
 	sim.Run(10 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	want(t, "running", sim.runningTasks(), 2)
 	code, _ := lead.Cancel("wk-1")
@@ -384,7 +386,7 @@
 	agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	agent.Heartbeat()
 	want(t, "running", len(agent.Running()), 1)
 	agent.Heartbeat()
@@ -438,7 +440,7 @@
 	sim.Advance(8 * time.Second)
 	third := sim.Leader()
 	third.Call("POST", "/checkin", last)
-	want(t, "more", third.Submit(BatchJob("wk-2", 8)).Status, 201)
+	want(t, "more", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	for range 4 {
 		third.Call("POST", "/checkin", last)
 		sim.Run(time.Second)
@@ -456,7 +458,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	sim.wantStatus(lead, "wk-1", 200, "running")
 	sim.State.Unavailable[lead.Name] = true
@@ -482,7 +484,7 @@
 	if r := agent.HeartbeatTo(lead); r.Status != 503 {
 		t.Fatalf("a worker is answered %d", r.Status)
 	}
-	want(t, "submission", lead.Submit(BatchJob("wk-2", 1)).Status, 503)
+	want(t, "submission", lead.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
 	next := sim.Leader()
 	for range 10 {
 		sim.Advance(time.Second)
@@ -503,7 +505,7 @@
 	want(t, "leader after the return", sim.Leader().Name, next.Name)
 	want(t, "ready after the return", lead.Call("GET", "/ready", nil).Status, 200)
 	sim.wantStatus(lead, "wk-1", 200, "withdrawn")
-	want(t, "submission after the return", lead.Submit(BatchJob("wk-3", 2)).Status, 201)
+	want(t, "submission after the return", lead.Submit(simtest.BatchJob("wk-3", 2)).Status, 201)
 	sim.Run(5 * time.Second)
 	want(t, "running", strings.Join(agent.Running(), " "), "wk-3/0 wk-3/1")
 }
@@ -515,7 +517,7 @@
 	sim := newSimulation(t, "a")
 	sim.Cloud.MaxPerRequest = 40
 	n := sim.Nodes["a"]
-	want(t, "submit", n.Submit(BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
+	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
 	for s := 0; len(sim.Cloud.Machines) < 480 && s < 200; s++ {
 		sim.Advance(time.Second)
 	}
@@ -531,7 +533,7 @@
 		sim.Run(time.Second)
 	}
 	sim.wantStatus(n, "wk-1", 200, "done")
-	before := append([]CloudMachine(nil), sim.Cloud.Machines...)
+	before := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
 	known := len(controllerOf(n).leader.machines.byName)
 	sim.Cloud.StaleList = before[:100]
 	sim.Run(5 * time.Second)
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -7,19 +7,21 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 func TestUrgentWorkPreemptsStandardWork(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "urgent", sim.Nodes["b"].Submit(BatchJob("wk-2", 2).With("urgency", "urgent")).Status, 201)
+	want(t, "urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2).With("urgency", "urgent")).Status, 201)
 	sim.Run(4 * time.Second)
 	both := strings.Join(agent.Running(), " ")
 	want(t, "running of each", fmt.Sprint(strings.Count(both, "wk-1/"), strings.Count(both, "wk-2/")), "2 2")
-	want(t, "more urgent", sim.Nodes["b"].Submit(BatchJob("wk-3", 4).With("urgency", "urgent").With("crew", "red")).Status, 201)
+	want(t, "more urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-3", 4).With("urgency", "urgent").With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
 	for _, task := range agent.Running() {
 		if strings.HasPrefix(task, "wk-1") {
@@ -34,8 +36,8 @@
 	for i := range 4 {
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 100)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 100)).Status, 201)
 	sim.Run(6 * time.Second)
 	red := controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running()
 	blue := controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()
@@ -58,17 +60,17 @@
 		}
 		return out
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 6).With("together", true)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 6).With("together", true)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "zones of a job that stays together", len(zones("wk-1")), 1)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 5).With("apart", true)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 5).With("apart", true)).Status, 201)
 	sim.Run(5 * time.Second)
 	for z, n := range zones("wk-2") {
 		if n > 3 {
 			t.Fatalf("%d of 5 tasks are in %s", n, z)
 		}
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-3", 1).With("hall", "z2").With("urgency", "production")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 1).With("hall", "z2").With("urgency", "production")).Status, 201)
 	sim.Run(5 * time.Second)
 	want(t, "in its zone", zones("wk-3")["z2"], 1)
 }
@@ -77,7 +79,7 @@
 	sim := newSimulation(t, "a")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent1.Running()) == 0 {
 		agent1, agent2 = agent2, agent1
@@ -94,7 +96,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "bad job", sim.Nodes["a"].Submit(BatchJob("wk-1", 4)).Status, 201)
+	want(t, "bad job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	for range 40 {
 		for _, agent := range sim.Agents {
 			agent.FinishTasks("error")
@@ -113,7 +115,7 @@
 	want(t, "abort", code, 200)
 	sim.Run(3 * time.Second)
 	for i := range 8 {
-		want(t, "submit", sim.Nodes["a"].Submit(BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
+		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
 	}
 	sick := sim.Agents["vm-2"]
 	for range 10 {
@@ -126,7 +128,7 @@
 func TestScaleOutForDemandAndScaleInWhenIdle(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Cloud.LosesResponses = true
-	want(t, "submit", sim.Nodes["b"].Submit(BatchJob("wk-1", 16)).Status, 201)
+	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 16)).Status, 201)
 	sim.Advance(8 * time.Second)
 	names := make(map[string]int)
 	for _, request := range sim.Cloud.ScaleOutRequests {
@@ -140,7 +142,7 @@
 	want(t, "machines asked for while requests go unanswered", total, 4)
 	sim.Cloud.LosesResponses = false
 	sim.Advance(8 * time.Second)
-	for _, m := range append([]CloudMachine(nil), sim.Cloud.Machines...) {
+	for _, m := range append([]simtest.CloudMachine(nil), sim.Cloud.Machines...) {
 		sim.StartAgent(m)
 	}
 	sim.Run(4 * time.Second)
@@ -156,7 +158,7 @@
 // A boot that never ends is charged until the machine is returned.
 func TestFailedBootsAreReturnedAndReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Advance(3 * time.Minute)
 	want(t, "returned", sim.Cloud.Released[0], "vm-900001")
 	if sim.Cloud.Created < 2 {
@@ -171,10 +173,10 @@
 	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "s2", CPUs: 2, MemoryGB: 8, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 30, Zones: []string{"z1"}}}
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(15 * time.Second) // the leader reads prices anew
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
 	sim.Run(5 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
-	want(t, "urgent", sim.Nodes["a"].Submit(BatchJob("wk-2", 4).With("urgency", "urgent")).Status, 201)
+	want(t, "urgent", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 4).With("urgency", "urgent")).Status, 201)
 	sim.Run(6 * time.Second)
 	want(t, "standard work runs on", strings.Join(agent.Running(), " "), "wk-1/0 wk-1/1")
 	want(t, "starts", agent.Starts, 2)
@@ -186,7 +188,7 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 12).With("crew", "red")).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 12).With("crew", "red")).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
 	sim.Crash(follower.Name)
@@ -198,7 +200,7 @@
 	status := 503 // as long as the last request to the state service was refused
 	for range 20 {
 		if status == 503 {
-			status = next.Submit(BatchJob("wk-2", 4).With("crew", "red")).Status
+			status = next.Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status
 		}
 	}
 	want(t, "submit", status, 201)
@@ -219,10 +221,10 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(15 * time.Second)
 	n := sim.Nodes["a"]
-	want(t, "submit", n.Submit(BatchJob("wk-1", 20).With("crew", "red")).Status, 201)
+	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 20).With("crew", "red")).Status, 201)
 	sim.Run(10 * time.Second)
 	want(t, "red running", controllerOf(n).owner.Job("wk-1").Running(), 8)
-	want(t, "submit", n.Submit(BatchJob("wk-2", 20)).Status, 201)
+	want(t, "submit", n.Submit(simtest.BatchJob("wk-2", 20)).Status, 201)
 	sim.Run(20 * time.Second)
 	want(t, "running of each", fmt.Sprint(controllerOf(n).owner.Job("wk-1").Running(), controllerOf(n).owner.Job("wk-2").Running()), "4 4")
 	starts := 0
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/shard"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // A failed copy that a machine still lists is older than the copy that runs
@@ -16,7 +18,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent2.Running()) == 1 {
 		agent1, agent2 = agent2, agent1
@@ -27,7 +29,7 @@
 		sim.Run(time.Second)
 	}
 	for _, task := range agent2.Tasks {
-		agent1.Tasks["old"] = &AgentTask{Name: failed, Replica: task.Replica - 1, State: "ended", Cause: "error"}
+		agent1.Tasks["old"] = &simtest.AgentTask{Name: failed, Replica: task.Replica - 1, State: "ended", Cause: "error"}
 	}
 	for _, name := range sim.Names {
 		sim.Crash(name)
@@ -49,7 +51,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 8)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
 	for _, name := range sim.Names {
@@ -62,7 +64,7 @@
 	}
 	sim.Advance(3 * time.Second)
 	agent2.Silent = true
-	want(t, "new job", sim.Nodes["a"].Submit(BatchJob("wk-2", 1)).Status, 201)
+	want(t, "new job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
 	for range 8 {
 		agent1.Heartbeat()
 		sim.Advance(time.Second)
@@ -84,7 +86,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 8)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
 	for _, name := range sim.Names {
@@ -128,7 +130,7 @@
 	sim.Run(2 * time.Second)
 	late := agent.HeartbeatBody()
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 1)
 	other := sim.AddMachine("vm-2", "z1")
@@ -165,7 +167,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	agent.DropsStarts = true
-	want(t, "submit", sim.Follower().Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	agent.DropsStarts = false
 	sim.Run(3 * time.Second)
@@ -178,7 +180,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 36).With("crew", "blue")).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36).With("crew", "blue")).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 36)
 	agent := sim.AddMachine("vm-x", "z2")
@@ -209,7 +211,7 @@
 	}
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 36)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 36)
 	for i := range 9 {
@@ -244,7 +246,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["b"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent2.Running()) == 1 {
 		agent1, agent2 = agent2, agent1
@@ -264,7 +266,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 4)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Run(3 * time.Second)
 	code, status := sim.Nodes["a"].Cancel("wk-1")
 	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
@@ -286,14 +288,14 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.AddMachine("vm-2", "z2")
 	sim.Run(3 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 8)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
 	sim.Agents["vm-2"].PreemptionNotice = 30.0
 	sim.Agents["vm-2"].FinishTasks("done")
 	sim.Run(6 * time.Second)
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
-	want(t, "more", sim.Nodes["a"].Submit(BatchJob("wk-2", 8)).Status, 201)
+	want(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	for _, name := range sim.Names {
 		sim.Crash(name)
 	}
@@ -312,7 +314,7 @@
 func TestChangedJobsOfALostShardContinue(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	j := controllerOf(follower).owner.Job("wk-1")
 	controllerOf(follower).owner.MarkChanged(j)
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -3,16 +3,18 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // A service is cancelled at a node that does not lead while machines with its
 // replicas can't be reached, and the leader ends; they go on when they may. day
 // checks that nothing of it is left after cancel_s, and that nothing starts.
 func TestCancelledServiceOnUnreachableMachines(t *testing.T) {
-	for name, trouble := range map[string]func(agent *Agent, on bool){
-		"hung": func(agent *Agent, on bool) { agent.Silent = on },
-		"deaf": func(agent *Agent, on bool) { agent.LosesResponses = on },
-		"loses its starts": func(agent *Agent, on bool) {
+	for name, trouble := range map[string]func(agent *simtest.Agent, on bool){
+		"hung": func(agent *simtest.Agent, on bool) { agent.Silent = on },
+		"deaf": func(agent *simtest.Agent, on bool) { agent.LosesResponses = on },
+		"loses its starts": func(agent *simtest.Agent, on bool) {
 			agent.LosesResponses, agent.DropsStarts = on, on
 		},
 	} {
@@ -52,24 +54,26 @@
 // owner or the leader ends, both do, or its machine is about to be taken away.
 func TestReplicaEndsDuringOtherFaults(t *testing.T) {
 	for _, why := range []string{"done", "error"} {
-		for name, event := range map[string]func(scenario *faultScenario, owner *Node, id string, on *Agent){
-			"cancelled": func(scenario *faultScenario, owner *Node, id string, _ *Agent) {
+		for name, event := range map[string]func(scenario *faultScenario, owner *simtest.Node, id string, on *simtest.Agent){
+			"cancelled": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
 				scenario.query(owner, "ABORT", id)
 			},
-			"cancelled nearby": func(scenario *faultScenario, owner *Node, id string, _ *Agent) {
+			"cancelled nearby": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
 				scenario.query(scenario.otherNode(owner, scenario.Leader()), "ABORT", id)
 			},
-			"the owner ends": func(scenario *faultScenario, owner *Node, _ string, _ *Agent) { scenario.restart(owner.Name) },
-			"the leader ends": func(scenario *faultScenario, _ *Node, _ string, _ *Agent) {
+			"the owner ends": func(scenario *faultScenario, owner *simtest.Node, _ string, _ *simtest.Agent) {
+				scenario.restart(owner.Name)
+			},
+			"the leader ends": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
 				scenario.restart(scenario.Leader().Name)
 			},
-			"all end": func(scenario *faultScenario, _ *Node, _ string, _ *Agent) {
+			"all end": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
 				scenario.restart("a")
 				scenario.restart("b")
 				scenario.restart("c")
 			},
-			"its machine goes":  func(_ *faultScenario, _ *Node, _ string, on *Agent) { on.PreemptionNotice = 8.0 },
-			"an answer is lost": func(_ *faultScenario, _ *Node, _ string, on *Agent) { on.LosesResponses = true },
+			"its machine goes":  func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.PreemptionNotice = 8.0 },
+			"an answer is lost": func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.LosesResponses = true },
 		} {
 			for _, sooner := range []bool{false, true} {
 				t.Run(fmt.Sprint(why, ", ", name, ", reported before ", sooner), func(t *testing.T) {
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -12,11 +12,9 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-)
 
-func ServiceJob(id string, tasks int) JobRequest {
-	return BatchJob(id, tasks).With("form", "service").With("urgency", "production").With("expectedS", 0.0).With("loaners", false)
-}
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
+)
 
 // machinesOfJob tells where a job's tasks run.
 func (sim *simulation) machinesOfJob(id string) map[string]string {
@@ -40,7 +38,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Follower().Submit(ServiceJob("wk-1", 3)).Status, 201)
+	want(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "replicas", len(sim.machinesOfJob("wk-1")), 3)
 	for _, why := range []string{"done", "error", "halted"} {
@@ -80,7 +78,7 @@
 	want(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
 	sim.Run(3 * time.Second)
 	want(t, "replicas that are left", len(sim.machinesOfJob("wk-1")), 0)
-	want(t, "repeat", sim.Nodes["a"].Submit(ServiceJob("wk-1", 3)).Status, 200)
+	want(t, "repeat", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
 	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 }
 
@@ -94,8 +92,8 @@
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
 	starts := 0
-	sim.OnStart = func(*Agent, *AgentTask) { starts++ }
-	want(t, "submit", n.Submit(ServiceJob("wk-1", 2)).Status, 201)
+	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
+	want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	for range 90 {
 		sim.Run(time.Second)
 		sim.BootMachines(time.Second)
@@ -124,7 +122,7 @@
 	}
 	sim.Run(2 * time.Second)
 	for i, name := range sim.Names {
-		want(t, "submit", sim.Nodes[name].Submit(ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+		want(t, "submit", sim.Nodes[name].Submit(simtest.ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 	}
 	sim.Run(4 * time.Second)
 	want(t, "replicas", sim.runningTasks(), 6)
@@ -156,20 +154,20 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	n := sim.Nodes["a"]
-	want(t, "at the limit", n.Submit(ServiceJob("wk-1", 16).With("crew", "red")).Status, 201)
-	want(t, "beyond it", n.Submit(ServiceJob("wk-2", 17).With("crew", "red")).Status, 422)
-	want(t, "an array", n.Submit(BatchJob("wk-3", 17).With("crew", "red")).Status, 201)
-	want(t, "no limit", n.Submit(ServiceJob("wk-4", 17)).Status, 201)
-	want(t, "no urgency", n.Submit(ServiceJob("wk-5", 1).With("urgency", nil)).Status, 400)
-	want(t, "a gang", n.Submit(ServiceJob("wk-6", 1).With("form", "gang")).Status, 400)
-	want(t, "no form", n.Submit(ServiceJob("wk-6", 1).With("form", nil)).Status, 400)
-	want(t, "a run time", n.Submit(ServiceJob("wk-6", 1).With("expectedS", 30.0)).Status, 400)
-	want(t, "no run time", n.Submit(ServiceJob("wk-6", 1).With("expectedS", nil)).Status, 400)
-	want(t, "out of range", n.Submit(ServiceJob("wk-6", 1).With("vcpus", -1.0)).Status, 400)
-	want(t, "fits no machine", n.Submit(ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
-	want(t, "no allowed type", n.Submit(ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
-	want(t, "unknown team", n.Submit(ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
-	want(t, "a retry, whatever it says", n.Submit(ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
+	want(t, "at the limit", n.Submit(simtest.ServiceJob("wk-1", 16).With("crew", "red")).Status, 201)
+	want(t, "beyond it", n.Submit(simtest.ServiceJob("wk-2", 17).With("crew", "red")).Status, 422)
+	want(t, "an array", n.Submit(simtest.BatchJob("wk-3", 17).With("crew", "red")).Status, 201)
+	want(t, "no limit", n.Submit(simtest.ServiceJob("wk-4", 17)).Status, 201)
+	want(t, "no urgency", n.Submit(simtest.ServiceJob("wk-5", 1).With("urgency", nil)).Status, 400)
+	want(t, "a gang", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", "gang")).Status, 400)
+	want(t, "no form", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", nil)).Status, 400)
+	want(t, "a run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", 30.0)).Status, 400)
+	want(t, "no run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", nil)).Status, 400)
+	want(t, "out of range", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", -1.0)).Status, 400)
+	want(t, "fits no machine", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
+	want(t, "no allowed type", n.Submit(simtest.ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
+	want(t, "unknown team", n.Submit(simtest.ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
+	want(t, "a retry, whatever it says", n.Submit(simtest.ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
 }
 
 // While some member runs the version before, which would take a service for an
@@ -182,23 +180,23 @@
 	sim.PreviousVersion["c"] = true
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	r := sim.Nodes["a"].Submit(ServiceJob("wk-1", 2))
+	r := sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2))
 	want(t, "service", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
-	want(t, "array", sim.Nodes["a"].Submit(BatchJob("wk-2", 2)).Status, 201)
+	want(t, "array", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Crash("c")
 	sim.Run(30 * time.Second)
-	want(t, "it may come back as it was", sim.Nodes["a"].Submit(ServiceJob("wk-1", 2)).Status, 503)
+	want(t, "it may come back as it was", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 503)
 	sim.Run(50 * time.Second)
-	want(t, "down for long", sim.Nodes["a"].Submit(ServiceJob("wk-1", 2)).Status, 201)
+	want(t, "down for long", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "back as it was", sim.Nodes["b"].Submit(ServiceJob("wk-3", 2)).Status, 503)
-	want(t, "known all the same", sim.Nodes["b"].Submit(ServiceJob("wk-1", 2)).Status, 200)
+	want(t, "back as it was", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 503)
+	want(t, "known all the same", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 200)
 	sim.Crash("c")
 	delete(sim.PreviousVersion, "c")
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "all have the new one", sim.Nodes["b"].Submit(ServiceJob("wk-3", 2)).Status, 201)
+	want(t, "all have the new one", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
 }
 
 // A replica gets room from anything of lower priority, urgent work too, when all
@@ -210,13 +208,13 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "urgent", n.Submit(BatchJob("wk-1", 8).With("urgency", "urgent")).Status, 201)
+	want(t, "urgent", n.Submit(simtest.BatchJob("wk-1", 8).With("urgency", "urgent")).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	want(t, "service", n.Submit(ServiceJob("wk-2", 3)).Status, 201)
+	want(t, "service", n.Submit(simtest.ServiceJob("wk-2", 3)).Status, 201)
 	sim.Run(6 * time.Second)
 	want(t, "replicas", len(sim.machinesOfJob("wk-2")), 3)
-	want(t, "second service", n.Submit(ServiceJob("wk-3", 8)).Status, 201)
+	want(t, "second service", n.Submit(simtest.ServiceJob("wk-3", 8)).Status, 201)
 	sim.Run(10 * time.Second)
 	want(t, "replicas of the first", len(sim.machinesOfJob("wk-2")), 3)
 	want(t, "replicas in all", sim.runningTasks(), 8)
@@ -231,7 +229,7 @@
 		first := sim.AddMachine("vm-0", "z1")
 		sim.Run(2 * time.Second)
 		n := sim.Leader()
-		want(t, "submit", n.Submit(ServiceJob("wk-1", 3)).Status, 201)
+		want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 		sim.Run(4 * time.Second)
 		want(t, "replicas", len(first.Running()), 3)
 		if room {
@@ -317,7 +315,7 @@
 		controllerOf(other).LinkFrame(other.Links[lead.Name], &f)
 		sim.DeliverAll()
 	}
-	want(t, "submit", other.Submit(BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit", other.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 2)
 }
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -12,6 +12,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // What the far larger fleets brought to light. A machine whose lease is over
@@ -25,7 +27,7 @@
 	dead := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner := sim.Follower()
-	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(dead.Running()), 1)
 	sim.Cloud.RefusesRelease = true
@@ -60,7 +62,7 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner := sim.Follower()
-	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 1)
 	agent2 := sim.AddMachine("vm-2", "z1")
@@ -93,14 +95,14 @@
 	old.Silent = true
 	sim.Run(2 * time.Second)
 	old.Silent = false
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	live.Heartbeat()
 	sim.Advance(time.Second)
 	live.Heartbeat()
 	want(t, "running", len(live.Running()), 1)
 	for _, task := range live.Tasks {
 		// An earlier copy, as a late report of its machine might list it.
-		old.Tasks["old"] = &AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
+		old.Tasks["old"] = &simtest.AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
 	}
 	for _, name := range sim.Names {
 		sim.Crash(name)
@@ -116,7 +118,7 @@
 	}
 	sim.Run(3 * time.Second)
 	want(t, "copies that count", len(live.Running()), 1)
-	old.Tasks = make(map[string]*AgentTask)
+	old.Tasks = make(map[string]*simtest.AgentTask)
 	sim.Run(3 * time.Second)
 	want(t, "second copies", len(old.Running()), 0)
 	live.FinishTasks("done")
@@ -133,8 +135,8 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	old, owner := sim.Leader(), sim.Follower()
-	want(t, "submit", owner.Submit(BatchJob("wk-1", 2)).Status, 201)
-	want(t, "submit to the leader", old.Submit(BatchJob("wk-2", 1)).Status, 201)
+	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	want(t, "submit to the leader", old.Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", len(agent.Running()), 3)
 	early := agent.HeartbeatBody()
@@ -194,7 +196,7 @@
 	agent1 := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", owner.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	owner.Paused = true
 	agent1.HeartbeatTo(lead) // the offer waits at the owner
 	want(t, "running", len(agent1.Running()), 0)
@@ -264,7 +266,7 @@
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(lead).tuning.StateLease {
 		t.Fatalf("a leader's answer holds for %v", r.ValidUntil-sim.Now())
 	}
-	want(t, "submit", relay.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", relay.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	r = relay.Call("GET", "/submissions/wk-1", nil)
 	want(t, "poll", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(relay).tuning.StateLease {
@@ -273,7 +275,7 @@
 }
 
 // requestExtension passes a request of another member for one key on to a node.
-func (n *Node) requestExtension(from *Node, key string) {
+func requestExtension(n, from *simtest.Node, key string) {
 	request := &meshpb.LeaseExtensionRequest{Round: 1, Keys: []*meshpb.HeldKey{{Key: key}}}
 	controllerOf(n).dispatch(controllerOf(n).peers[from.Name],
 		&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
@@ -295,7 +297,7 @@
 	for !controllerOf(back).election.Registered() || !controllerOf(back).election.ViewLoaded() {
 		sim.Advance(tickInterval)
 	}
-	back.requestExtension(lead, key)
+	requestExtension(back, lead, key)
 	granted := sim.Now()
 	sim.State.Revision++
 	sim.State.DeleteKey(key) // the holder's lease has ended
@@ -342,14 +344,14 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Run(2 * time.Second)
 	lead, other := sim.Leader(), sim.Follower()
-	other.requestExtension(lead, storage.LeaderKey)
+	requestExtension(other, lead, storage.LeaderKey)
 	granted := sim.Now()
 	for _, name := range sim.Names { // only the sender sees the claim applied
 		sim.State.StalledWatches[name] = name != other.Name
 	}
 	lease := sim.State.Keys[storage.ShardKey(other.Name)].Lease
 	sim.State.Announce(storage.LeaderKey, controllerOf(other).identity)
-	sim.State.Keys[storage.LeaderKey] = &StateKey{Value: sim.Codec.Encode(controllerOf(other).identity), Version: sim.State.Revision, Lease: lease}
+	sim.State.Keys[storage.LeaderKey] = &simtest.StateKey{Value: sim.Codec.Encode(controllerOf(other).identity), Version: sim.State.Revision, Lease: lease}
 	for sim.Now() < granted+election.ExtensionDuration {
 		if controllerOf(other).leader != nil {
 			t.Fatalf("leads %v after the extension", sim.Now()-granted)
@@ -379,7 +381,7 @@
 	before, accepted := sim.State.Writes, 0
 	const jobs = 1200 // of one change each, and a shared one; the burst is 150, the rate 300 * 0.8
 	for i := range jobs {
-		body := sim.Codec.Encode(map[string]any(BatchJob(fmt.Sprint("wk-", i+1), 1)))
+		body := sim.Codec.Encode(map[string]any(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)))
 		controllerOf(last).HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body}, func(r Response) {
 			if r.Status == 201 {
 				accepted++
@@ -409,7 +411,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%02d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 36)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(28 * time.Second) // the list has them all for long
 	silent := sim.Now()
 	for i := range 6 {
@@ -432,7 +434,7 @@
 	// What they held waits for them, but for the room that is gone; urgent work
 	// gets machines of its own.
 	want(t, "rented for what waits", sim.Cloud.Created, 1)
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "rented with urgent work", sim.Cloud.Created > 5, true)
 	for len(sim.Cloud.Released) < 6 && sim.Now() < silent+2*time.Minute {
@@ -491,7 +493,7 @@
 	for range 4 {
 		sim.Advance(recordInterval)
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(BatchJob("wk-1", 360)).Status, 201)
+	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 360)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 360)
 	if largest < 4<<10 {
@@ -512,11 +514,11 @@
 	sim.Run(4 * time.Second)
 	owner := sim.Follower()
 	for i := range 8 {
-		want(t, "submit", owner.Submit(BatchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
+		want(t, "submit", owner.Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
 	}
 	sim.Run(6 * time.Second)
 	want(t, "running", sim.runningTasks(), 480)
-	all := make([]*Agent, 0, machines) // those that are returned too
+	all := make([]*simtest.Agent, 0, machines) // those that are returned too
 	for _, agent := range sim.Agents {
 		all = append(all, agent)
 	}
@@ -563,7 +565,7 @@
 	}
 	sim.Run(10 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(BatchJob("wk-1", 30)).Status, 201)
+	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 30)).Status, 201)
 	sim.Run(3 * time.Second)
 	sim.Crash(follower.Name)
 	lead := sim.Leader()
@@ -591,10 +593,10 @@
 	}
 	sim.Run(8 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 40)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 40)).Status, 201)
 	sim.Run(3 * time.Second)
 	lost := []string{"vm-1", "vm-3"}
-	old := append([]CloudMachine(nil), sim.Cloud.Machines...)
+	old := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
 	for _, name := range lost {
 		delete(sim.Agents, name)
 	}
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -7,10 +7,12 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // newFleet is a deployment whose machines are all there is.
-func newFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *Node) {
+func newFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *simtest.Node) {
 	t.Helper()
 	sim := newSimulation(t, "a")
 	sim.Cloud.RefusesScaleOut = true
@@ -23,7 +25,7 @@
 
 // timeToStart submits a job and reports how long until a task of it runs, while
 // every second more is submitted besides.
-func (sim *simulation) timeToStart(n *Node, request JobRequest, limit time.Duration, besides func(second int)) time.Duration {
+func (sim *simulation) timeToStart(n *simtest.Node, request simtest.JobRequest, limit time.Duration, besides func(second int)) time.Duration {
 	sim.T.Helper()
 	id := request["nameId"].(string)
 	if r := n.Submit(request); r.Status != 201 {
@@ -48,13 +50,13 @@
 func TestUrgentWorkDoesNotStarveStandardWork(t *testing.T) {
 	sim, n := newFleet(t, 4, 5*time.Second)
 	flood := func(s int) {
-		n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("urgency", "urgent").With("plate", "u"))
+		n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("urgency", "urgent").With("plate", "u"))
 	}
 	for s := range 20 {
 		flood(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, BatchJob("wk-1", 4), startLimit, flood)
+	sim.timeToStart(n, simtest.BatchJob("wk-1", 4), startLimit, flood)
 	for s := range 60 { // it began for good, not to be stopped at once
 		flood(300 + s)
 		sim.Run(time.Second)
@@ -62,7 +64,7 @@
 	if _, st := n.Status("wk-1"); *st.Done == 0 {
 		t.Fatal("no task of the standard job came to its end")
 	}
-	sim.timeToStart(n, BatchJob("wk-2", 40).With("vcpus", 8.0), startLimit, func(s int) { flood(500 + s) })
+	sim.timeToStart(n, simtest.BatchJob("wk-2", 40).With("vcpus", 8.0), startLimit, func(s int) { flood(500 + s) })
 }
 
 // Room that frees bit by bit must not go to small tasks for ever while a task
@@ -72,12 +74,12 @@
 	for _, agent := range sim.Agents {
 		agent.DurationSpread = 900 * time.Millisecond
 	}
-	small := func(s int) { n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 8).With("pressByS", 20.0)) }
+	small := func(s int) { n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 8).With("pressByS", 20.0)) }
 	for s := range 20 {
 		small(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, BatchJob("wk-1", 3).With("vcpus", 8.0).With("ramGb", 60.0), startLimit, small)
+	sim.timeToStart(n, simtest.BatchJob("wk-1", 3).With("vcpus", 8.0).With("ramGb", 60.0), startLimit, small)
 }
 
 // Work whose image no machine has must not wait for ever behind work whose
@@ -85,13 +87,13 @@
 func TestImageAffinityDoesNotStarve(t *testing.T) {
 	sim, n := newFleet(t, 3, 6*time.Second)
 	usual := func(s int) {
-		n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("plate", "usual").With("imageGb", 40.0))
+		n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("plate", "usual").With("imageGb", 40.0))
 	}
 	for s := range 20 {
 		usual(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, BatchJob("wk-1", 1).With("vcpus", 8.0).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
+	sim.timeToStart(n, simtest.BatchJob("wk-1", 1).With("vcpus", 8.0).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
 
 	// Nor behind the one machine that has its image, while that is busy for long.
 	for _, agent := range sim.Agents {
@@ -102,30 +104,30 @@
 		}
 	}
 	sim.Run(20 * time.Second)
-	sim.timeToStart(n, BatchJob("wk-2", 1).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
+	sim.timeToStart(n, simtest.BatchJob("wk-2", 1).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
 }
 
 // A team with a small guarantee gets its turn while another with a large one
 // asks for more than there is; so does its largest array.
 func TestSmallSharesDoNotStarve(t *testing.T) {
 	sim, n := newFleet(t, 3, 5*time.Second)
-	flood := func(s int) { n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("crew", "red")) }
+	flood := func(s int) { n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("crew", "red")) }
 	for s := range 20 {
 		flood(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, BatchJob("wk-1", 100), startLimit, flood)
+	sim.timeToStart(n, simtest.BatchJob("wk-1", 100), startLimit, flood)
 }
 
 // A job whose tasks made room for urgent work as often as it has tasks is left
 // alone from then on, so that it ends.
 func TestPreemptionOfAJobIsBounded(t *testing.T) {
 	sim, n := newFleet(t, 2, 20*time.Second)
-	want(t, "submit", n.Submit(BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
+	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	for s := range 240 {
 		if s%30 == 0 { // a job between two of them would always be stopped
-			n.Submit(BatchJob(fmt.Sprintf("wk-9%d", s), 4).With("vcpus", 4.0).With("urgency", "urgent"))
+			n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 4).With("vcpus", 4.0).With("urgency", "urgent"))
 		}
 		sim.Run(time.Second)
 		if _, st := n.Status("wk-1"); st.Status == protocol.StatusDone {
@@ -143,7 +145,7 @@
 	}
 	sim.Run(3 * time.Second)
 	for i, n := range sim.Names {
-		want(t, "submit", sim.Nodes[n].Submit(BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
+		want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
 	}
 	sim.Run(4 * time.Second)
 	sim.Cloud.RefusesRelease = true // what is lost is not proven gone by a release
@@ -166,19 +168,19 @@
 		}
 	}
 	n := sim.Leader()
-	sim.timeToStart(n, BatchJob("wk-5", 2).With("crew", "red"), startLimit, func(int) {})
+	sim.timeToStart(n, simtest.BatchJob("wk-5", 2).With("crew", "red"), startLimit, func(int) {})
 }
 
 // The work of a report does not grow with machines or jobs.
 func TestCostOfAHeartbeatIsIndependentOfFleetSize(t *testing.T) {
 	perReport := func(machines, jobs int) float64 {
 		sim, n := newFleet(t, machines, 0)
-		want(t, "submit", n.Submit(BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
+		want(t, "submit", n.Submit(simtest.BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
 		sim.Run(3 * time.Second)
 		want(t, "running", sim.runningTasks(), machines)
 		// None of these fits beside what runs, for want of CPUs or of memory.
 		for i := range jobs {
-			request := BatchJob(fmt.Sprintf("wk-1%d", i), 3).With("plate", fmt.Sprint("img-", i%12)).With("vcpus", 8.0)
+			request := simtest.BatchJob(fmt.Sprintf("wk-1%d", i), 3).With("plate", fmt.Sprint("img-", i%12)).With("vcpus", 8.0)
 			if i%2 == 0 {
 				request.With("vcpus", 1.0).With("ramGb", 64.0)
 			}
@@ -222,7 +224,7 @@
 			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		}
 		sim.Run(2 * time.Second)
-		guest := BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
+		guest := simtest.BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
 		if saves {
 			guest.With("proofEveryS", 30.0).With("proofS", 2.0)
 		}
@@ -231,7 +233,7 @@
 		want(t, "guest's tasks", sim.runningTasks(), 16)
 		sim.Cloud.RefusesScaleOut = true
 		owner := sim.Follower()
-		want(t, "owner's job", owner.Submit(BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
+		want(t, "owner's job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
 		sim.Run(8 * time.Second)
 		count := func(job string) int {
 			n := 0
@@ -260,7 +262,7 @@
 }
 
 // machineOfTask is the machine that a task runs on.
-func (sim *simulation) machineOfTask(task string) *Agent {
+func (sim *simulation) machineOfTask(task string) *simtest.Agent {
 	for _, agent := range sim.Agents {
 		for _, name := range agent.Running() {
 			if name == task {
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -6,6 +6,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // withoutUnknownTasks is what the version before makes of the lists in a frame: it
@@ -46,7 +48,7 @@
 // checkStatusesComplete looks at every list that a leader passes on: it has whatever the
 // machine last listed of the jobs that the receiver owns, unless another member
 // has joined for them. The version before takes each list for that much.
-func (sim *simulation) checkStatusesComplete(from *Controller, to *Node, f *meshpb.Frame) {
+func (sim *simulation) checkStatusesComplete(from *Controller, to *simtest.Node, f *meshpb.Frame) {
 	l := from.leader
 	if _, bench := sim.T.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // In a storm of polls, what many users ask costs few reads: about jobs that
@@ -24,12 +26,12 @@
 	}
 	const jobs = 60
 	for i := range jobs {
-		want(t, "submit", sim.Nodes[other].Submit(BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		want(t, "submit", sim.Nodes[other].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	storm := func(what string, first, status int, most int) {
 		t.Helper()
 		before := sim.State.Requests
-		var got []*HTTPResponse
+		var got []*simtest.HTTPResponse
 		for range 5 {
 			for i := range jobs {
 				got = append(got, follower.Send("GET", fmt.Sprint("/submissions/wk-", first+i)))
@@ -72,13 +74,13 @@
 		held = func() { done(r) }
 		return true
 	}
-	var before []*HTTPResponse
+	var before []*simtest.HTTPResponse
 	for i := range 8 { // enough to be asked about together
 		before = append(before, follower.Send("GET", fmt.Sprint("/submissions/wk-", i+1)))
 	}
 	sim.DeliverAll()
 	want(t, "a read is under way", held != nil, true)
-	want(t, "submit", lead.Submit(BatchJob("wk-1", 1)).Status, 201)
+	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	after := follower.Send("GET", "/submissions/wk-1")
 	sim.DeliverAll()
 	held()
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // loweredStateLimits are the limits that the state service has from some moment on, as the
@@ -17,7 +19,7 @@
 
 // lowerStateLimits has the state service hold to lowerLimits from now on.
 func (scenario *faultScenario) lowerStateLimits() {
-	scenario.State.Limits = &StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.Now()}
+	scenario.State.Limits = &simtest.StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.Now()}
 }
 
 // upgrade ends a member and starts it with this version.
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -7,6 +7,8 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // Room is kept for services to come: ordinary machines, which arrays don't get, in
@@ -18,7 +20,7 @@
 	}
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "submit", n.Submit(ServiceJob("wk-1", 4).With("apart", true)).Status, 201)
+	want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 4).With("apart", true)).Status, 201)
 	for range 20 {
 		sim.Run(time.Second)
 		sim.BootMachines(0)
@@ -33,7 +35,7 @@
 		t.Fatalf("ordinary machines rented by zone: %v", zones)
 	}
 	sim.Cloud.RefusesScaleOut = true
-	want(t, "array", n.Submit(BatchJob("wk-2", 200)).Status, 201)
+	want(t, "array", n.Submit(simtest.BatchJob("wk-2", 200)).Status, 201)
 	for range 10 {
 		sim.Run(time.Second)
 	}
@@ -42,7 +44,7 @@
 		t.Fatal("nothing of the array runs")
 	}
 	began := sim.Now()
-	want(t, "next", n.Submit(ServiceJob("wk-3", 2)).Status, 201)
+	want(t, "next", n.Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
 	for len(sim.machinesOfJob("wk-3")) < 2 && sim.Now()-began < 20*time.Second {
 		sim.Run(time.Second)
 	}
@@ -64,11 +66,11 @@
 	sim.AddMachine("vm-3", "z2")
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+	want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "submit", n.Submit(ServiceJob("wk-2", 4)).Status, 201)
+	want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 4)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "in one zone that has one machine with room", n.Submit(ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
+	want(t, "in one zone that has one machine with room", n.Submit(simtest.ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "its replicas", len(sim.machinesOfJob("wk-3")), 2)
 	on := sim.machinesOfJob("wk-2")
@@ -94,9 +96,9 @@
 		}
 		sim.Run(2 * time.Second)
 		n := sim.Leader()
-		want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+		want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 		sim.Run(4 * time.Second)
-		want(t, "submit", n.Submit(ServiceJob("wk-2", 6)).Status, 201)
+		want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
 		sim.Agents["vm-0"].Heartbeat()
 		sim.Agents["vm-1"].Heartbeat()
 		want(t, fmt.Sprint("started by two reports, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
@@ -111,14 +113,14 @@
 		first := sim.AddMachine("vm-0", "z1")
 		sim.Run(2 * time.Second)
 		n := sim.Leader()
-		want(t, "first", n.Submit(ServiceJob("wk-1", 1)).Status, 201)
+		want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 		sim.Run(4 * time.Second)
 		second := sim.AddMachine("vm-1", "z1")
 		sim.Run(4 * time.Second)
 		want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
 		first.Heartbeat()
 		sim.Advance(since - tickInterval)
-		want(t, "second", n.Submit(ServiceJob("wk-2", 1)).Status, 201)
+		want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
 		second.Heartbeat()
 		first.Heartbeat()
 		want(t, fmt.Sprint("goes to, last report before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
@@ -157,7 +159,7 @@
 		sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
 		sim.Run(90 * time.Second) // until all know the catalogue
 		if c.seen {
-			want(t, "submit", sim.Leader().Submit(ServiceJob("wk-1", 4)).Status, 201)
+			want(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
 		} else {
 			for _, name := range sim.Names {
 				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
@@ -183,11 +185,11 @@
 	sim.AddMachine("vm-0", "z1").MachineType = "m16"
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "first", n.Submit(ServiceJob("wk-1", 2)).Status, 201)
+	want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "array", n.Submit(BatchJob("wk-2", 4).With("ramGb", 100.0)).Status, 201)
+	want(t, "array", n.Submit(simtest.BatchJob("wk-2", 4).With("ramGb", 100.0)).Status, 201)
 	sim.Run(2 * time.Second)
-	want(t, "second", n.Submit(ServiceJob("wk-3", 3)).Status, 201)
+	want(t, "second", n.Submit(simtest.ServiceJob("wk-3", 3)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "replicas", fmt.Sprint(len(sim.machinesOfJob("wk-1")), len(sim.machinesOfJob("wk-3"))), "2 3")
 }
--- a/internal/coordination/machine_agent_test.go
+++ b/internal/simtest/agent.go
@@ -1,4 +1,4 @@
-package coordination
+package simtest
 
 import (
 	"sort"
--- /dev/null
+++ b/internal/simtest/jobs.go
@@ -0,0 +1,21 @@
+package simtest
+
+// JobRequest is a submission, as its user sends it.
+type JobRequest map[string]any
+
+// BatchJob is the submission of an array of the team blue.
+func BatchJob(id string, tasks int) JobRequest {
+	return JobRequest{"nameId": id, "desk": "d", "crew": "blue", "form": "batch", "urgency": "standard", "pages": tasks,
+		"vcpus": 2.0, "cards": 0.0, "ramGb": 4.0, "plate": "img", "imageGb": 1.0, "breeds": nil, "hall": nil,
+		"together": false, "apart": false, "loaners": true, "expectedS": 30.0, "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil}
+}
+
+// With sets one of its fields.
+func (request JobRequest) With(key string, v any) JobRequest {
+	request[key] = v
+	return request
+}
+
+func ServiceJob(id string, tasks int) JobRequest {
+	return BatchJob(id, tasks).With("form", "service").With("urgency", "production").With("expectedS", 0.0).With("loaners", false)
+}
--- a/internal/coordination/state_test.go
+++ b/internal/simtest/state.go
@@ -1,4 +1,4 @@
-package coordination
+package simtest
 
 import (
 	"net/url"
@@ -47,7 +47,7 @@
 		answer(r)
 		return
 	}
-	s.lateResponses = append(s.lateResponses, delayedCall{s.deployment.now + after, func() { answer(r) }})
+	s.lateResponses = append(s.lateResponses, lateResponse{s.deployment.now + after, func() { answer(r) }})
 }
 
 // deliverLate hands over the late answers that have come due.
@@ -56,7 +56,7 @@
 	s.lateResponses = nil
 	for _, a := range waiting {
 		if s.deployment.now >= a.at {
-			a.run()
+			a.deliver()
 		} else {
 			s.lateResponses = append(s.lateResponses, a)
 		}
@@ -77,7 +77,7 @@
 	HiddenFrom     string                        // the member that gets it; "" is all of them
 	StalledWatches map[string]bool               // members whose watches tell nothing
 	ResponseDelay  func(to string) time.Duration // how late an answer to a member is; nil: not at all
-	lateResponses  []delayedCall                 // late ones
+	lateResponses  []lateResponse                // late ones
 	// OnTransaction may take a transaction over: it returns true to swallow it, and
 	// may apply it later.
 	OnTransaction func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool
@@ -112,6 +112,12 @@
 	done   func(storage.Response)
 }
 
+// lateResponse is delivered once its time has come.
+type lateResponse struct {
+	at      time.Duration
+	deliver func()
+}
+
 func newState(d *Deployment) *State {
 	return &State{deployment: d, Keys: make(map[string]*StateKey), leases: make(map[uint64]*stateLease), Unavailable: make(map[string]bool), StalledWatches: make(map[string]bool)}
 }
