--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -532,7 +532,7 @@
 		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
 		want(t, what+": dropped", c.admission.Dropped(), before+1)
 	}
-	sim.State.Put(storage.QuotaKey("red"), map[string]any{"s": "no shares"})
+	sim.State.Put(storage.QuotaKey("red"), sim.Codec.Encode(map[string]any{"s": "no shares"}))
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
@@ -563,7 +563,7 @@
 		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
 	}
 	for _, name := range sim.Names { // the members say that they don't divide limits
-		sim.State.Announce(storage.ProcessKey(name), storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat})
+		sim.State.Announce(storage.ProcessKey(name), sim.Codec.Encode(storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat}))
 	}
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(12)
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -11,6 +11,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/standin/kv"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
@@ -350,8 +351,8 @@
 		sim.State.StalledWatches[name] = name != other.Name
 	}
 	lease := sim.State.Keys[storage.ShardKey(other.Name)].Lease
-	sim.State.Announce(storage.LeaderKey, controllerOf(other).identity)
-	sim.State.Keys[storage.LeaderKey] = &simtest.StateKey{Value: sim.Codec.Encode(controllerOf(other).identity), Version: sim.State.Revision, Lease: lease}
+	sim.State.Announce(storage.LeaderKey, sim.Codec.Encode(controllerOf(other).identity))
+	sim.State.Keys[storage.LeaderKey] = &kv.Entry{Value: sim.Codec.Encode(controllerOf(other).identity), Version: sim.State.Revision, Lease: lease}
 	for sim.Now() < granted+election.ExtensionDuration {
 		if controllerOf(other).leader != nil {
 			t.Fatalf("leads %v after the extension", sim.Now()-granted)
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -2,12 +2,12 @@
 
 import (
 	"net/url"
-	"sort"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/standin/kv"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
@@ -63,21 +63,14 @@
 	}
 }
 
-// State is the state service.
+// State is the state service, with the faults that a test asks for.
 type State struct {
-	deployment     *Deployment
-	Revision       uint64
-	Keys           map[string]*StateKey
-	leases         map[uint64]*stateLease
-	lastLease      uint64
-	changes        []stateChange
-	watches        []*stateWatch
+	*kv.Store
 	Unavailable    map[string]bool               // members that get 503; "" is all of them
 	HiddenPrefix   string                        // a prefix whose listings get 503
 	HiddenFrom     string                        // the member that gets it; "" is all of them
 	StalledWatches map[string]bool               // members whose watches tell nothing
 	ResponseDelay  func(to string) time.Duration // how late an answer to a member is; nil: not at all
-	lateResponses  []lateResponse                // late ones
 	// OnTransaction may take a transaction over: it returns true to swallow it, and
 	// may apply it later.
 	OnTransaction func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool
@@ -85,23 +78,10 @@
 	Transactions  int
 	Writes        int // changes that were asked for
 	Requests      int // requests, but for watches and renewals
-}
-
-// StateKey is what is stored of a key.
-type StateKey struct {
-	Value   []byte
-	Version uint64
-	Lease   uint64
-}
-
-type stateLease struct {
-	ttl, end time.Duration
-}
 
-type stateChange struct {
-	revision uint64
-	event    map[string]any
-	key      string
+	deployment    *Deployment
+	watches       []*stateWatch
+	lateResponses []lateResponse
 }
 
 type stateWatch struct {
@@ -119,7 +99,7 @@
 }
 
 func newState(d *Deployment) *State {
-	return &State{deployment: d, Keys: make(map[string]*StateKey), leases: make(map[uint64]*stateLease), Unavailable: make(map[string]bool), StalledWatches: make(map[string]bool)}
+	return &State{Store: kv.New(), deployment: d, Unavailable: make(map[string]bool), StalledWatches: make(map[string]bool)}
 }
 
 func (s *State) respond(done func(storage.Response), status int, v any) {
@@ -145,9 +125,11 @@
 			s.deployment.T.Fatal(err)
 		}
 		apply := func() storage.Response {
-			var out storage.Response
-			s.transact(&t, func(r storage.Response) { out = r })
-			return out
+			status, response := s.Transact(&t)
+			if status == 200 {
+				s.NotifyWatches()
+			}
+			return storage.Response{Status: status, Body: s.deployment.Codec.Encode(response)}
 		}
 		s.Transactions++
 		s.Writes += len(t.Then)
@@ -164,21 +146,17 @@
 		if err := s.deployment.Codec.Decode(body, &q); err != nil {
 			s.deployment.T.Fatal(err)
 		}
-		s.lastLease++
-		ttl := time.Duration(q.TTLMs) * time.Millisecond
-		s.leases[s.lastLease] = &stateLease{ttl: ttl, end: s.deployment.now + ttl}
-		s.respond(done, 200, protocol.LeaseResponse{Lease: s.lastLease})
+		id := s.OpenLease(time.Duration(q.TTLMs)*time.Millisecond, s.deployment.now)
+		s.respond(done, 200, protocol.LeaseResponse{Lease: id})
 	case strings.HasSuffix(path, "/touch"):
 		id, err := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		if err != nil {
 			s.deployment.T.Fatal(err)
 		}
-		lease := s.leases[id]
-		if lease == nil {
+		if !s.RenewLease(id, s.deployment.now) {
 			s.respond(done, 404, map[string]any{})
 			return
 		}
-		lease.end = s.deployment.now + lease.ttl
 		s.respond(done, 200, map[string]any{})
 	case u.Path == "/kv":
 		s.list(from, u.Query(), done)
@@ -190,95 +168,31 @@
 		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + 8*time.Second, done})
 		s.NotifyWatches()
 	case method == "GET":
-		key := strings.TrimPrefix(path, "/kv/")
-		entry := s.Keys[key]
+		entry := s.KeyValue(strings.TrimPrefix(path, "/kv/"))
 		if entry == nil {
 			s.respond(done, 404, map[string]any{"edition": s.Revision})
 			return
 		}
-		s.respond(done, 200, protocol.KeyValue{Key: key, Value: entry.Value, Version: entry.Version, Lease: entry.Lease})
+		s.respond(done, 200, entry)
 	default:
 		s.deployment.T.Fatalf("state service was asked for %s %s", method, path)
 	}
 }
 
+// pageLimit makes small pages, so that paging is put to use.
+const pageLimit = 3
+
 func (s *State) list(from string, q url.Values, done func(storage.Response)) {
 	if s.HiddenPrefix != "" && (s.HiddenFrom == "" || s.HiddenFrom == from) && strings.HasPrefix(q.Get("under"), s.HiddenPrefix) {
 		s.respond(done, 503, map[string]any{"error": "trouble"})
 		return
 	}
-	var names []string
-	for name := range s.Keys {
-		if strings.HasPrefix(name, q.Get("under")) && name > q.Get("from") {
-			names = append(names, name)
-		}
-	}
-	sort.Strings(names)
-	out := protocol.KeyValuePage{Items: []protocol.KeyValue{}, Revision: s.Revision}
-	for _, name := range names {
-		if len(out.Items) == 3 { // small pages, so that paging is put to use
-			out.More = true
-			break
-		}
-		entry := s.Keys[name]
-		out.Items = append(out.Items, protocol.KeyValue{Key: name, Value: entry.Value, Version: entry.Version, Lease: entry.Lease})
-	}
-	s.respond(done, 200, out)
-}
-
-func (s *State) transact(t *protocol.Transaction, done func(storage.Response)) {
-	for _, c := range t.Then {
-		if c.Put != "" && c.Lease != 0 && s.leases[c.Lease] == nil {
-			s.respond(done, 400, map[string]any{"error": "no such lease"})
-			return
-		}
-	}
-	var failed []string
-	for _, c := range t.If {
-		stamp := uint64(0)
-		if entry := s.Keys[c.Key]; entry != nil {
-			stamp = entry.Version
-		}
-		if stamp != c.Version {
-			failed = append(failed, c.Key)
-		}
-	}
-	if len(failed) > 0 {
-		s.respond(done, 409, protocol.TransactionResponse{Failed: failed, Revision: s.Revision})
-		return
-	}
-	s.Revision++
-	for _, c := range t.Then {
-		if c.Put != "" {
-			s.Keys[c.Put] = &StateKey{append([]byte(nil), c.Value...), s.Revision, c.Lease}
-			s.changes = append(s.changes, stateChange{s.Revision, map[string]any{"write": c.Put, "v": c.Value, "stamp": s.Revision}, c.Put})
-		} else {
-			s.DeleteKey(c.Delete)
-		}
-	}
-	s.respond(done, 200, protocol.TransactionResponse{Revision: s.Revision})
-	s.NotifyWatches()
-}
-
-// Put writes a key, whoever holds it.
-func (s *State) Put(key string, value any) {
-	s.Revision++
-	s.Keys[key] = &StateKey{s.deployment.Codec.Encode(value), s.Revision, 0}
-	s.changes = append(s.changes, stateChange{s.Revision, map[string]any{"write": key, "v": value, "stamp": s.Revision}, key})
-}
-
-// DeleteKey removes a key, as of the present revision.
-func (s *State) DeleteKey(key string) {
-	if s.Keys[key] != nil {
-		delete(s.Keys, key)
-		s.changes = append(s.changes, stateChange{s.Revision, map[string]any{"drop": key, "stamp": s.Revision}, key})
-	}
+	s.respond(done, 200, s.Page(q.Get("under"), q.Get("from"), pageLimit))
 }
 
 // Announce tells the watches of a value that a key does not have.
-func (s *State) Announce(key string, value any) {
-	s.Revision++
-	s.changes = append(s.changes, stateChange{s.Revision, map[string]any{"write": key, "v": value, "stamp": s.Revision}, key})
+func (s *State) Announce(key string, value []byte) {
+	s.Store.Announce(key, value)
 	s.NotifyWatches()
 }
 
@@ -291,17 +205,12 @@
 			kept = append(kept, w)
 			continue
 		}
-		events := []any{}
-		for _, c := range s.changes {
-			if c.revision > w.from && strings.HasPrefix(c.key, w.prefix) {
-				events = append(events, c.event)
-			}
-		}
+		events := s.EventsSince(w.prefix, w.from)
 		if len(events) == 0 && s.deployment.now < w.until {
 			kept = append(kept, w)
 			continue
 		}
-		ready = append(ready, func() { s.respond(w.done, 200, map[string]any{"edition": s.Revision, "events": events}) })
+		ready = append(ready, func() { s.respond(w.done, 200, kv.WatchResponse{Revision: s.Revision, Events: events}) })
 	}
 	s.watches = kept
 	for _, fn := range ready {
@@ -312,21 +221,9 @@
 func (s *State) tick() {
 	s.deliverLate()
 	if s.Unavailable[""] {
-		for _, lease := range s.leases { // an outage gives all leases their full time again
-			lease.end = s.deployment.now + lease.ttl
-		}
+		s.RenewAll(s.deployment.now)
 		return
 	}
-	for id, lease := range s.leases {
-		if s.deployment.now >= lease.end {
-			delete(s.leases, id)
-			s.Revision++
-			for key, entry := range s.Keys {
-				if entry.Lease == id {
-					s.DeleteKey(key)
-				}
-			}
-		}
-	}
+	s.ExpireLeases(s.deployment.now)
 	s.NotifyWatches()
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -6,13 +6,13 @@
 import (
 	"io"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/standin/kv"
 )
 
 const (
@@ -24,38 +24,17 @@
 type State struct {
 	codec *protocol.Codec
 	stop  chan struct{}
+	began time.Time
 
-	mu           sync.Mutex
-	revision     uint64
-	keys         map[string]*stateKey
-	leases       map[uint64]*stateLease
-	events       []stateEvent
-	changed      chan struct{} // closed at the next change
-	changeCounts map[string]int
-	requests     int
-}
-
-type stateKey struct {
-	value   []byte
-	version uint64
-	lease   uint64
-}
-
-type stateLease struct {
-	ttl     time.Duration
-	renewed time.Time
-}
-
-type stateEvent struct {
-	key     string
-	value   []byte // nil: it was dropped
-	version uint64
+	mu       sync.Mutex
+	store    *kv.Store
+	changed  chan struct{} // closed at the next change
+	requests int
 }
 
 // NewState makes an empty state service.
 func NewState(codec *protocol.Codec) *State {
-	s := &State{codec: codec, stop: make(chan struct{}), keys: make(map[string]*stateKey), leases: make(map[uint64]*stateLease),
-		changed: make(chan struct{}), changeCounts: make(map[string]int)}
+	s := &State{codec: codec, stop: make(chan struct{}), began: time.Now(), store: kv.New(), changed: make(chan struct{})}
 	go s.sweep()
 	return s
 }
@@ -68,12 +47,7 @@
 func (s *State) Changes(prefix string) (changes, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, n := range s.changeCounts {
-		if strings.HasPrefix(key, prefix) {
-			changes += n
-		}
-	}
-	return changes, s.requests
+	return s.store.ChangeCount(prefix), s.requests
 }
 
 // sweep ends leases that were not renewed.
@@ -84,34 +58,18 @@
 		select {
 		case <-s.stop:
 			return
-		case now := <-ticker.C:
+		case <-ticker.C:
 			s.mu.Lock()
-			for id, lease := range s.leases {
-				if now.Sub(lease.renewed) > lease.ttl {
-					s.expireLease(id)
-				}
+			if s.store.ExpireLeases(s.now()) {
+				s.notifyWatches()
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-func (s *State) expireLease(id uint64) {
-	delete(s.leases, id)
-	s.revision++
-	for key, entry := range s.keys {
-		if entry.lease == id {
-			s.deleteKey(key)
-		}
-	}
-	s.notifyWatches()
-}
-
-func (s *State) deleteKey(key string) {
-	delete(s.keys, key)
-	s.changeCounts[key]++
-	s.events = append(s.events, stateEvent{key: key, version: s.revision})
-}
+// now is the leases' clock.
+func (s *State) now() time.Duration { return time.Since(s.began) }
 
 func (s *State) notifyWatches() {
 	close(s.changed)
@@ -163,33 +121,29 @@
 func (s *State) openLease(w http.ResponseWriter, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision++
-	s.leases[s.revision] = &stateLease{ttl: ttl, renewed: time.Now()}
-	reply(w, s.codec, 200, protocol.LeaseResponse{Lease: s.revision})
+	reply(w, s.codec, 200, protocol.LeaseResponse{Lease: s.store.OpenLease(ttl, s.now())})
 }
 
 func (s *State) renewLease(w http.ResponseWriter, path string) {
 	id, err := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lease := s.leases[id]
-	if err != nil || lease == nil {
+	if err != nil || !s.store.RenewLease(id, s.now()) {
 		reply(w, s.codec, 404, protocol.ErrorBody{Error: "no such lease"})
 		return
 	}
-	lease.renewed = time.Now()
 	reply(w, s.codec, 200, protocol.ErrorBody{})
 }
 
 func (s *State) get(w http.ResponseWriter, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entry := s.keys[key]
+	entry := s.store.KeyValue(key)
 	if entry == nil {
-		reply(w, s.codec, 404, protocol.TransactionResponse{Revision: s.revision})
+		reply(w, s.codec, 404, protocol.TransactionResponse{Revision: s.store.Revision})
 		return
 	}
-	reply(w, s.codec, 200, protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version, Lease: entry.lease})
+	reply(w, s.codec, 200, entry)
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -200,65 +154,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var names []string
-	for key := range s.keys {
-		if strings.HasPrefix(key, q.Get("under")) && key > q.Get("from") {
-			names = append(names, key)
-		}
-	}
-	slices.Sort(names)
-	out := protocol.KeyValuePage{Items: []protocol.KeyValue{}, Revision: s.revision, More: len(names) > limit}
-	for _, key := range names[:min(limit, len(names))] {
-		entry := s.keys[key]
-		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: entry.value, Version: entry.version, Lease: entry.lease})
-	}
-	reply(w, s.codec, 200, out)
+	reply(w, s.codec, 200, s.store.Page(q.Get("under"), q.Get("from"), limit))
 }
 
-func (s *State) transact(w http.ResponseWriter, txn *protocol.Transaction) {
+func (s *State) transact(w http.ResponseWriter, t *protocol.Transaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range txn.Then {
-		if c.Put != "" && c.Lease != 0 && s.leases[c.Lease] == nil {
-			reply(w, s.codec, 400, protocol.ErrorBody{Error: "no such lease"})
-			return
-		}
-	}
-	var failed []string
-	for _, c := range txn.If {
-		stamp := uint64(0)
-		if entry := s.keys[c.Key]; entry != nil {
-			stamp = entry.version
-		}
-		if stamp != c.Version {
-			failed = append(failed, c.Key)
-		}
-	}
-	if len(failed) > 0 {
-		reply(w, s.codec, 409, protocol.TransactionResponse{Failed: failed, Revision: s.revision})
-		return
-	}
-	if len(txn.Then) > 0 {
-		s.revision++
-		for _, c := range txn.Then {
-			s.applyChange(&c)
-		}
+	status, response := s.store.Transact(t)
+	if status == 200 && len(t.Then) > 0 {
 		s.notifyWatches()
 	}
-	reply(w, s.codec, 200, protocol.TransactionResponse{Revision: s.revision})
-}
-
-func (s *State) applyChange(c *protocol.Change) {
-	if c.Put == "" {
-		if s.keys[c.Delete] != nil {
-			s.deleteKey(c.Delete)
-		}
-		return
-	}
-	value := slices.Clone([]byte(c.Value))
-	s.keys[c.Put] = &stateKey{value: value, version: s.revision, lease: c.Lease}
-	s.changeCounts[c.Put]++
-	s.events = append(s.events, stateEvent{key: c.Put, value: value, version: s.revision})
+	reply(w, s.codec, status, response)
 }
 
 // watch answers once something under a prefix has changed after a revision.
@@ -274,7 +180,7 @@
 	defer timeout.Stop()
 	for over := false; ; {
 		s.mu.Lock()
-		out := protocol.WatchResponse{Revision: s.revision, Events: s.eventsSince(q.Get("under"), from)}
+		out := kv.WatchResponse{Revision: s.store.Revision, Events: s.store.EventsSince(q.Get("under"), from)}
 		changed := s.changed
 		s.mu.Unlock()
 		if len(out.Events) > 0 || over {
@@ -292,26 +198,3 @@
 		}
 	}
 }
-
-func (s *State) eventsSince(prefix string, from uint64) []protocol.Event {
-	out := []protocol.Event{}
-	first, _ := slices.BinarySearchFunc(s.events, from+1, func(e stateEvent, stamp uint64) int {
-		if e.version < stamp {
-			return -1
-		}
-		return 1
-	})
-	for _, e := range s.events[first:] {
-		switch {
-		case !strings.HasPrefix(e.key, prefix):
-		case e.value != nil:
-			out = append(out, protocol.Event{Put: e.key, Value: e.value, Version: e.version})
-		default:
-			out = append(out, protocol.Event{Delete: e.key, Version: e.version, Value: []byte{nullCBOR}})
-		}
-	}
-	return out
-}
-
-// nullCBOR is null: an empty value would not encode.
-const nullCBOR = 0xf6
