--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -83,7 +83,10 @@
 	if err != nil {
 		return "", fmt.Errorf("standin: %w", err)
 	}
-	return ln.Addr().String(), ln.Close()
+	if err := ln.Close(); err != nil {
+		return "", fmt.Errorf("standin: %w", err)
+	}
+	return ln.Addr().String(), nil
 }
 
 // Settings is the settings file of a member.
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"time"
 
@@ -55,12 +53,8 @@
 	if err != nil {
 		return nil
 	}
-	resp, err := d.client.Do(req)
-	if err != nil {
-		return nil
-	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
-	if errors.Join(err, resp.Body.Close()) != nil || resp.StatusCode != http.StatusOK {
+	status, b, err := do(d.client, req)
+	if err != nil || status != http.StatusOK {
 		return nil
 	}
 	if b == nil {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -176,13 +177,20 @@
 	if err != nil {
 		return 0, nil
 	}
-	resp, err := client.Do(req)
+	status, b, err := do(client, req)
 	if err != nil {
 		return 0, nil
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
-	if errors.Join(err, resp.Body.Close()) != nil {
-		return 0, nil
+	return status, b
+}
+
+// do sends a request and reads the whole response.
+func do(client *http.Client, req *http.Request) (status int, body []byte, err error) {
+	resp, err := client.Do(req)
+	if err != nil {
+		return 0, nil, fmt.Errorf("standin: %w", err)
 	}
-	return resp.StatusCode, b
+	defer func() { err = errors.Join(err, resp.Body.Close()) }()
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	return resp.StatusCode, body, err
 }
