--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 	"time"
@@ -38,94 +39,112 @@
 	At                 time.Duration
 }
 
+// listLag is how long after a change the cloud's list shows it.
+const listLag = 6 * time.Second
+
+// catalogue is the type that every deployment has.
+var catalogue = protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
+	FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}
+
 func (c *Cloud) serve(_, method, path string, body []byte, done func(storage.Response)) {
-	answer := func(status int, v any) { done(storage.Response{Status: status, Body: c.deployment.Codec.Encode(v)}) }
-	if !c.allowCall() {
-		c.rateLimited++
-		answer(429, map[string]any{"error": "too many requests"})
-		return
+	answer := func(status int, v any) {
+		done(storage.Response{Status: status, Body: c.deployment.Codec.Encode(v)})
 	}
 	switch {
+	case !c.allowCall():
+		c.rateLimited++
+		answer(http.StatusTooManyRequests, protocol.ErrorBody{Error: "too many requests"})
 	case path == "/catalog":
-		answer(200, protocol.Catalog{Types: append([]protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
-			FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}}, c.MoreTypes...)})
+		answer(http.StatusOK, protocol.Catalog{Types: append([]protocol.MachineType{catalogue}, c.MoreTypes...)})
 	case path == "/hosts" && method == "POST":
-		var q protocol.ScaleOutRequest
-		if err := c.deployment.Codec.Decode(body, &q); err != nil {
-			c.deployment.T.Fatal(err)
-		}
-		c.ScaleOutRequests = append(c.ScaleOutRequests, q)
-		if c.RefusesScaleOut {
-			answer(503, map[string]any{"error": "no capacity"})
-			return
-		}
-		names, ok := c.answers[q.RequestID]
-		for i := 0; !ok && i < q.Count && (c.MaxPerRequest == 0 || i < c.MaxPerRequest); i++ {
-			c.Created++
-			name := fmt.Sprintf("vm-9%05d", c.Created)
-			names = append(names, name)
-			c.Machines = append(c.Machines, CloudMachine{name, q.Zone, "starting", c.deployment.now})
-		}
-		c.answers[q.RequestID] = names
-		if c.LosesResponses {
-			done(storage.Response{})
-			return
-		}
-		answer(200, protocol.MachineNames{Machines: names})
+		c.scaleOut(body, answer, done)
 	case path == "/hosts/release" && c.RefusesRelease:
-		answer(503, map[string]any{"error": "trouble"})
+		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
 	case path == "/hosts/release":
-		var q protocol.MachineNames
-		if err := c.deployment.Codec.Decode(body, &q); err != nil {
-			c.deployment.T.Fatal(err)
-		}
-		c.ReleaseSizes = append(c.ReleaseSizes, len(q.Machines))
-		for _, n := range q.Machines {
-			c.Released = append(c.Released, n)
-			if agent := c.deployment.Agents[n]; agent != nil {
-				agent.Tasks = nil
-				delete(c.deployment.Agents, n)
-			}
-			for i := range c.Machines {
-				if c.Machines[i].Name == n {
-					c.Machines = append(c.Machines[:i], c.Machines[i+1:]...)
-					break
-				}
-			}
-		}
-		answer(200, map[string]any{})
+		c.release(body)
+		answer(http.StatusOK, map[string]any{})
 	default:
-		u, err := url.Parse(path)
-		if err != nil {
-			c.deployment.T.Fatal(err)
-		}
-		limit, err := strconv.Atoi(u.Query().Get("limit"))
-		if err != nil {
-			c.deployment.T.Fatal(err)
-		}
-		after := u.Query().Get("from")
-		out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		listed := c.Machines
-		if c.StaleList != nil {
-			listed = c.StaleList
+		answer(http.StatusOK, c.list(path))
+	}
+}
+
+// scaleOut rents the machines of a request, the same ones if it is repeated.
+func (c *Cloud) scaleOut(body []byte, answer func(int, any), done func(storage.Response)) {
+	var request protocol.ScaleOutRequest
+	if err := c.deployment.Codec.Decode(body, &request); err != nil {
+		c.deployment.T.Fatal(err)
+	}
+	c.ScaleOutRequests = append(c.ScaleOutRequests, request)
+	if c.RefusesScaleOut {
+		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "no capacity"})
+		return
+	}
+	names, ok := c.answers[request.RequestID]
+	for i := 0; !ok && i < request.Count && (c.MaxPerRequest == 0 || i < c.MaxPerRequest); i++ {
+		c.Created++
+		name := fmt.Sprintf("vm-9%05d", c.Created)
+		names = append(names, name)
+		c.Machines = append(c.Machines, CloudMachine{Name: name, Zone: request.Zone, Status: "starting", At: c.deployment.now})
+	}
+	c.answers[request.RequestID] = names
+	if c.LosesResponses {
+		done(storage.Response{})
+		return
+	}
+	answer(http.StatusOK, protocol.MachineNames{Machines: names})
+}
+
+// release returns machines, with all that runs on them.
+func (c *Cloud) release(body []byte) {
+	var request protocol.MachineNames
+	if err := c.deployment.Codec.Decode(body, &request); err != nil {
+		c.deployment.T.Fatal(err)
+	}
+	c.ReleaseSizes = append(c.ReleaseSizes, len(request.Machines))
+	for _, name := range request.Machines {
+		c.Released = append(c.Released, name)
+		if agent := c.deployment.Agents[name]; agent != nil {
+			agent.Tasks = nil
+			delete(c.deployment.Agents, name)
 		}
-		for _, m := range listed {
-			if c.deployment.now-m.At < 6*time.Second {
-				continue // lists lag
-			}
-			if m.Name <= after {
-				continue
-			}
-			if len(out.Machines) == limit {
-				out.More = true
+		for i := range c.Machines {
+			if c.Machines[i].Name == name {
+				c.Machines = append(c.Machines[:i], c.Machines[i+1:]...)
 				break
 			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.Name, Type: "m8", Zone: m.Zone, Status: m.Status, AgeS: (c.deployment.now - m.At).Seconds()})
 		}
-		answer(200, out)
 	}
 }
 
+// list is one page of the cloud's list.
+func (c *Cloud) list(path string) protocol.MachineList {
+	u, err := url.Parse(path)
+	if err != nil {
+		c.deployment.T.Fatal(err)
+	}
+	limit, err := strconv.Atoi(u.Query().Get("limit"))
+	if err != nil {
+		c.deployment.T.Fatal(err)
+	}
+	after := u.Query().Get("from")
+	page := protocol.MachineList{Machines: []protocol.ListedMachine{}}
+	listed := c.Machines
+	if c.StaleList != nil {
+		listed = c.StaleList
+	}
+	for _, m := range listed {
+		if c.deployment.now-m.At < listLag || m.Name <= after {
+			continue
+		}
+		if len(page.Machines) == limit {
+			page.More = true
+			break
+		}
+		page.Machines = append(page.Machines, protocol.ListedMachine{ID: m.Name, Type: catalogue.Name, Zone: m.Zone, Status: m.Status, AgeS: (c.deployment.now - m.At).Seconds()})
+	}
+	return page
+}
+
 // allowCall is the cloud's limit of calls, with bursts of two seconds' worth.
 func (c *Cloud) allowCall() bool {
 	if c.RPS == 0 {
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -16,6 +16,7 @@
 	return request
 }
 
+// ServiceJob is the submission of a service of the team blue.
 func ServiceJob(id string, tasks int) JobRequest {
 	return BatchJob(id, tasks).With("form", "service").With("urgency", "production").With("expectedS", 0.0).With("loaners", false)
 }
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -108,7 +109,7 @@
 
 func (s *State) serve(from, method, path string, body []byte, done func(storage.Response)) {
 	if (s.Unavailable[from] || s.Unavailable[""]) && !strings.HasPrefix(path, "/watch") {
-		s.respond(done, 503, map[string]any{"error": "trouble"})
+		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
 		return
 	}
 	u, err := url.Parse(path)
@@ -120,74 +121,85 @@
 	}
 	switch {
 	case path == "/multi":
-		var t protocol.Transaction
-		if err := s.deployment.Codec.Decode(body, &t); err != nil {
-			s.deployment.T.Fatal(err)
-		}
-		apply := func() storage.Response {
-			status, response := s.Transact(&t)
-			if status == 200 {
-				s.NotifyWatches()
-			}
-			return storage.Response{Status: status, Body: s.deployment.Codec.Encode(response)}
-		}
-		s.Transactions++
-		s.Writes += len(t.Then)
-		if refused := s.checkLimits(from, &t); refused != 0 {
-			s.respond(done, refused, map[string]any{"error": "limits"})
-			return
-		}
-		if s.OnTransaction != nil && s.OnTransaction(from, &t, apply, done) {
-			return
-		}
-		done(apply())
+		s.transact(from, body, done)
 	case path == "/leases":
-		var q protocol.LeaseRequest
-		if err := s.deployment.Codec.Decode(body, &q); err != nil {
-			s.deployment.T.Fatal(err)
-		}
-		id := s.OpenLease(time.Duration(q.TTLMs)*time.Millisecond, s.deployment.now)
-		s.respond(done, 200, protocol.LeaseResponse{Lease: id})
+		var request protocol.LeaseRequest
+		s.decode(body, &request)
+		id := s.OpenLease(time.Duration(request.TTLMs)*time.Millisecond, s.deployment.now)
+		s.respond(done, http.StatusOK, protocol.LeaseResponse{Lease: id})
 	case strings.HasSuffix(path, "/touch"):
-		id, err := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
-		if err != nil {
-			s.deployment.T.Fatal(err)
+		status := http.StatusNotFound
+		if s.RenewLease(s.parse(strings.Split(path, "/")[2]), s.deployment.now) {
+			status = http.StatusOK
 		}
-		if !s.RenewLease(id, s.deployment.now) {
-			s.respond(done, 404, map[string]any{})
-			return
-		}
-		s.respond(done, 200, map[string]any{})
+		s.respond(done, status, map[string]any{})
 	case u.Path == "/kv":
 		s.list(from, u.Query(), done)
 	case u.Path == "/watch":
-		since, err := strconv.ParseUint(u.Query().Get("from"), 10, 64)
-		if err != nil {
-			s.deployment.T.Fatal(err)
-		}
-		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + 8*time.Second, done})
+		since := s.parse(u.Query().Get("from"))
+		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + watchSpan, done})
 		s.NotifyWatches()
 	case method == "GET":
 		entry := s.KeyValue(strings.TrimPrefix(path, "/kv/"))
 		if entry == nil {
-			s.respond(done, 404, map[string]any{"edition": s.Revision})
+			s.respond(done, http.StatusNotFound, protocol.TransactionResponse{Revision: s.Revision})
 			return
 		}
-		s.respond(done, 200, entry)
+		s.respond(done, http.StatusOK, entry)
 	default:
 		s.deployment.T.Fatalf("state service was asked for %s %s", method, path)
 	}
 }
 
-// pageLimit makes small pages, so that paging is put to use.
-const pageLimit = 3
+func (s *State) decode(body []byte, v any) {
+	if err := s.deployment.Codec.Decode(body, v); err != nil {
+		s.deployment.T.Fatal(err)
+	}
+}
+
+func (s *State) parse(number string) uint64 {
+	n, err := strconv.ParseUint(number, 10, 64)
+	if err != nil {
+		s.deployment.T.Fatal(err)
+	}
+	return n
+}
+
+// transact carries a transaction out, unless it is beyond the limits or the test takes
+// it over.
+func (s *State) transact(from string, body []byte, done func(storage.Response)) {
+	var t protocol.Transaction
+	s.decode(body, &t)
+	apply := func() storage.Response {
+		status, response := s.Transact(&t)
+		if status == http.StatusOK {
+			s.NotifyWatches()
+		}
+		return storage.Response{Status: status, Body: s.deployment.Codec.Encode(response)}
+	}
+	s.Transactions++
+	s.Writes += len(t.Then)
+	if refused := s.checkLimits(from, &t); refused != 0 {
+		s.respond(done, refused, protocol.ErrorBody{Error: "limits"})
+		return
+	}
+	if s.OnTransaction != nil && s.OnTransaction(from, &t, apply, done) {
+		return
+	}
+	done(apply())
+}
+
+const (
+	pageLimit = 3               // small pages, so that paging is put to use
+	watchSpan = 8 * time.Second // a watch is answered then at the latest
+)
 
 func (s *State) list(from string, q url.Values, done func(storage.Response)) {
 	if s.HiddenPrefix != "" && (s.HiddenFrom == "" || s.HiddenFrom == from) && strings.HasPrefix(q.Get("under"), s.HiddenPrefix) {
-		s.respond(done, 503, map[string]any{"error": "trouble"})
+		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
 		return
 	}
-	s.respond(done, 200, s.Page(q.Get("under"), q.Get("from"), pageLimit))
+	s.respond(done, http.StatusOK, s.Page(q.Get("under"), q.Get("from"), pageLimit))
 }
 
 // Announce tells the watches of a value that a key does not have.
@@ -210,7 +222,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		ready = append(ready, func() { s.respond(w.done, 200, kv.WatchResponse{Revision: s.Revision, Events: events}) })
+		ready = append(ready, func() { s.respond(w.done, http.StatusOK, kv.WatchResponse{Revision: s.Revision, Events: events}) })
 	}
 	s.watches = kept
 	for _, fn := range ready {
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
@@ -27,7 +28,7 @@
 	l.BudgetAt = s.deployment.Now()
 	if l.WriteBudget < float64(len(t.Then)) {
 		l.rateLimited++
-		return 429
+		return http.StatusTooManyRequests
 	}
 	l.WriteBudget -= float64(len(t.Then))
 	large := len(t.Then) > l.Operations
@@ -40,7 +41,7 @@
 	if !s.deployment.PreviousVersion[from] {
 		s.deployment.T.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
 	}
-	return 400
+	return http.StatusBadRequest
 }
 
 // jsonSize is what the value of a change counts as.
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -5,6 +5,7 @@
 package kv
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -90,11 +91,11 @@
 func (s *Store) Transact(t *protocol.Transaction) (int, protocol.TransactionResponse) {
 	for _, change := range t.Then {
 		if change.Put != "" && change.Lease != 0 && s.leases[change.Lease] == nil {
-			return 400, protocol.TransactionResponse{Error: "no such lease"}
+			return http.StatusBadRequest, protocol.TransactionResponse{Error: "no such lease"}
 		}
 	}
 	if failed := s.failed(t.If); len(failed) > 0 {
-		return 409, protocol.TransactionResponse{Failed: failed, Revision: s.Revision}
+		return http.StatusConflict, protocol.TransactionResponse{Failed: failed, Revision: s.Revision}
 	}
 	if len(t.Then) > 0 {
 		s.Revision++
@@ -106,7 +107,7 @@
 			s.DeleteKey(change.Delete)
 		}
 	}
-	return 200, protocol.TransactionResponse{Revision: s.Revision}
+	return http.StatusOK, protocol.TransactionResponse{Revision: s.Revision}
 }
 
 // failed names the keys that have not the version of their condition.
