--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -11,15 +11,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// redLimit is the limit of the team red in testSettings.
+// redLimit is the limit of the team red in simtest.SettingsFormat.
 const redLimit = 32
 
-// newEscrowSimulation is a deployment that divides limits among its ledgers.
+// newEscrowSimulation is a deployment that divides limits among its shards.
 func newEscrowSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
@@ -28,7 +27,7 @@
 	return sim
 }
 
-// newEscrowScenario is a day of one. At every tick the records and what the machines hold
+// newEscrowScenario is a scenario of one. At every tick the records and what the machines hold
 // are looked at, besides all rules.
 func newEscrowScenario(t *testing.T, seed uint64, machines int) *faultScenario {
 	t.Helper()
@@ -62,7 +61,7 @@
 	return r
 }
 
-// shardOf is the ledger that a job's record names.
+// shardOf is the shard that a job's record names.
 func (sim *simulation) shardOf(job string) string {
 	var r storage.JobRecord
 	if entry := sim.State.Keys[storage.JobKey(job)]; entry != nil {
@@ -74,7 +73,7 @@
 }
 
 // checkAllocations looks at what has to be true at every moment: allocations sum to
-// the limit at the most, no ledger's tasks on machines use more than its allocation,
+// the limit at the most, no shard's tasks on machines use more than its allocation,
 // and no holder counts on more than the record says.
 func (scenario *faultScenario) checkAllocations() {
 	r := scenario.quotaRecord("red")
@@ -93,7 +92,7 @@
 	}
 	for ledger, u := range use {
 		if got := r.Shares[ledger].Allocation; !u.Within(got) {
-			scenario.T.Fatalf("tasks of ledger %s use %v out of an allocation of %v", ledger, u, got)
+			scenario.T.Fatalf("tasks of shard %s use %v out of an allocation of %v", ledger, u, got)
 		}
 	}
 	for _, name := range scenario.Names {
@@ -105,7 +104,7 @@
 			ledger := shard.Name()
 			got := controllerOf(n).admission.Allocation(ledger, "red")
 			if controllerOf(n).admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
-				scenario.T.Fatalf("%s counts on %v for ledger %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
+				scenario.T.Fatalf("%s counts on %v for shard %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
 			}
 		}
 	}
@@ -123,7 +122,7 @@
 	}
 }
 
-// addMachines has machines of one zone report from now on.
+// addMachines has machines of one zone send heartbeats from now on.
 func (sim *simulation) addMachines(n int) {
 	for i := range n {
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
@@ -156,16 +155,16 @@
 			scenario.loseTransactions(0.3, false)
 			return scenario.submitRedJobs
 		},
-		"transfers are repeated":                         repeatTransfers,
-		"views are seconds old":                          makeViewsStale,
-		"a holder freezes in a transfer":                 pauseHolderInTransfer,
-		"an owner and the leader are lost together":      crashOwnerAndLeader,
-		"an outage while allocations are short":          outageWhileAllocationsAreShort,
-		"one controller is refused alone":                refuseOneController,
-		"everything is restarted at once":                restartAllControllers,
-		"jobs are cancelled on machines that hang":       cancelOnSilentMachines,
-		"machines end, and tasks are replicated":         failBusyMachines,
-		"a ledger goes to another member and comes back": moveShardAndBack,
+		"transfers are repeated":                        repeatTransfers,
+		"views are seconds old":                         makeViewsStale,
+		"a holder freezes in a transfer":                pauseHolderInTransfer,
+		"an owner and the leader are lost together":     crashOwnerAndLeader,
+		"an outage while allocations are short":         outageWhileAllocationsAreShort,
+		"one controller is refused alone":               refuseOneController,
+		"everything is restarted at once":               restartAllControllers,
+		"jobs are cancelled on machines that hang":      cancelOnSilentMachines,
+		"machines end, and tasks are replicated":        failBusyMachines,
+		"a shard goes to another member and comes back": moveShardAndBack,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -183,7 +182,7 @@
 	}
 }
 
-// checkAudit replays what all processes have recorded. In troubles guarantees may
+// checkAudit replays what all processes have recorded. In faults guarantees may
 // have to wait; limits hold all the same, and nothing is missing.
 func (scenario *faultScenario) checkAudit() {
 	scenario.T.Helper()
@@ -355,7 +354,7 @@
 	}
 }
 
-// Two or three troubles at a time, whichever they are.
+// Two or three faults at a time, whichever they are.
 func TestLimitsUnderConcurrentFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -521,11 +520,11 @@
 	p := c.peers["b"]
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for what, f := range map[string]*meshpb.QuotaDemands{
-		"another's ledger": {Seq: 1000, Demands: []*meshpb.QuotaDemand{{Shard: "c", Team: "red", Target: amount, SmallestPending: amount}}},
-		"no ledger":        {Seq: 1001, Demands: []*meshpb.QuotaDemand{{Shard: "x", Team: "red", Target: amount, SmallestPending: amount}}},
-		"no team":          {Seq: 1002, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "x", Target: amount, SmallestPending: amount}}},
-		"negative":         {Seq: 1003, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "red", Target: &meshpb.QuotaAmount{Cpus: -1}}}},
-		"old":              {Seq: 0},
+		"another's shard": {Seq: 1000, Demands: []*meshpb.QuotaDemand{{Shard: "c", Team: "red", Target: amount, SmallestPending: amount}}},
+		"no shard":        {Seq: 1001, Demands: []*meshpb.QuotaDemand{{Shard: "x", Team: "red", Target: amount, SmallestPending: amount}}},
+		"no team":         {Seq: 1002, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "x", Target: amount, SmallestPending: amount}}},
+		"negative":        {Seq: 1003, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "red", Target: &meshpb.QuotaAmount{Cpus: -1}}}},
+		"old":             {Seq: 0},
 	} {
 		p.quotaSequence = 0
 		before := c.admission.Dropped()
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -9,9 +9,9 @@
 )
 
 // BenchmarkBusyFleet plays a second of three controllers with a fleet whose
-// machines report every second and a long queue; profile it with -cpuprofile.
-// Divided by the machines it is the cost of a report, with all that goes with
-// it: passing on, offers, picks, finished tasks.
+// machines send heartbeats every second and a long queue; profile it with -cpuprofile.
+// Divided by the machines it is the cost of a heartbeat, with all that goes with
+// it: forwarding, offers, bindings, finished tasks.
 func BenchmarkBusyFleet(b *testing.B) {
 	for _, size := range []struct {
 		name                  string
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -6,16 +6,15 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 // The meeting before all others: the state service refuses the leader alone,
 // another member confirms a cancellation, then the state service is down for
-// everybody, for longer than a cancellation has, while workers report to whoever
-// answers them. Whoever answers a report must then know of the cancellation, or
-// cease to answer. day.check looks for what is left of it after cancel_s.
+// everybody, for longer than a cancellation has, while workers send heartbeats to whoever
+// answers them. Whoever answers a heartbeat must then know of the cancellation, or
+// cease to answer. checkInvariants looks for what is left of it after cancel_s.
 
 // startLongJob starts a long job of an owner that doesn't lead, and returns both.
 func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *simtest.Node, id string) {
@@ -124,7 +123,7 @@
 }
 
 // The owner confirms a cancellation and ends before the leader has heard of it;
-// it is back before the outage, but not with its ledger. Its process extends as
+// it is back before the outage, but not with its shard. Its process extends as
 // others do, and nobody is left who knows.
 func TestCancellationSurvivesOwnerCrash(t *testing.T) {
 	scenario, lead, owner, id := startLongJob(t, 2)
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -9,8 +9,8 @@
 )
 
 // The meetings of the operators' page that need no script of their own beyond
-// troubles at set times: day checks every rule all the while, and that everything
-// is known and done once the troubles are over.
+// faults at set times: faultScenario checks every rule all the while, and that everything
+// is known and done once the faults are over.
 
 // busyMachines returns up to n machines that run tasks.
 func (scenario *faultScenario) busyMachines(n int) []*simtest.Agent {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// recordHeartbeats keeps what machines report, to be sent again later.
+// recordHeartbeats keeps the machines' heartbeats, to be sent again later.
 func (scenario *faultScenario) recordHeartbeats() map[*simtest.Agent][]byte {
 	out := make(map[*simtest.Agent][]byte)
 	for _, agent := range scenario.Agents {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// replayHeartbeats sends old reports to every node; their answers reach nobody.
+// replayHeartbeats sends old heartbeats to every node; their answers reach nobody.
 func (scenario *faultScenario) replayHeartbeats(old map[*simtest.Agent][]byte) {
 	for _, body := range old {
 		for _, name := range scenario.Names {
@@ -66,9 +66,9 @@
 		"only the answers are lost, others read what was written":                         loseTransactionResponses,
 		"transactions are carried out late":                                               delayTransactions,
 		"teams at their limits, cancelled jobs on machines that hang, the leader changes": cancelAtTeamLimits,
-		"jobs are cancelled while a ledger changes hands":                                 cancelDuringHandover,
+		"jobs are cancelled while a shard changes hands":                                  cancelDuringHandover,
 		"machines up at once get work while writes lag, and the leader ends":              startOnNewMachinesWhileWritesLag,
-		"old reports reach every controller as a new leader begins":                       replayOldHeartbeats,
+		"old heartbeats reach every controller as a new leader begins":                    replayOldHeartbeats,
 		"one-task jobs come four a second, a quarter cancelled":                           submitOneTaskJobs,
 		"leaders change ten times, also in an outage":                                     changeLeaders,
 		"all controllers are away for longer than a lease":                                stopAllControllers,
@@ -109,7 +109,7 @@
 	}
 }
 
-// Two or three troubles at a time, whichever they are, for as long as they last
+// Two or three faults at a time, whichever they are, for as long as they last
 // and at whatever time they begin.
 func TestConcurrentFaults(t *testing.T) {
 	for seed := range uint64(16) {
@@ -126,7 +126,7 @@
 	r := scenario.rand
 	pause := func() int { return 1 + r.IntN(25) }
 	var lead *simtest.Node
-	troubles := []func() (begin, end func()){
+	faults := []func() (begin, end func()){
 		func() (func(), func()) {
 			return func() { scenario.State.Unavailable[""] = true }, func() { scenario.State.Unavailable[""] = false }
 		},
@@ -214,7 +214,7 @@
 	for range 3 {
 		from := 4 + r.IntN(20)
 		for range 2 + r.IntN(2) {
-			begin, end := troubles[r.IntN(len(troubles))]()
+			begin, end := faults[r.IntN(len(faults))]()
 			s := from + r.IntN(4)
 			at[s] = append(at[s], begin)
 			s += pause()
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -29,7 +29,7 @@
 
 // Jobs submitted with a mistake fail on every machine until their users cancel
 // them. Several at once, on many machines or on few, and right after a change of
-// leader, they set no machine aside for good, have none rented, stop nobody's
+// leader, they quarantine no machine for good, have none rented, stop nobody's
 // tasks, and each tries a task now and then.
 func TestAlwaysFailingJobsHarmNothingElse(t *testing.T) {
 	for _, machines := range []int{2, 5} {
@@ -98,7 +98,7 @@
 	want(t, "running", sim.runningTasks(), 20)
 }
 
-// The only machine that there is fails everything: it is set aside and another is
+// The only machine that there is fails everything: it is quarantined and another is
 // rented, instead of taking every job for a mistaken one.
 func TestOnlyFailingMachineIsReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -7,14 +7,13 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Meetings of two troubles, as the operators' hunt page names them. That no task
+// Two faults at a time, as the operators' hunt page names them. That no task
 // starts on one machine while it is on another is checked at every start, see
-// checkAlone.
+// checkRunsOnce.
 
 // finishTask ends one running task wherever it runs.
 func (sim *simulation) finishTask(name string) {
@@ -84,7 +83,7 @@
 			}
 			sim.Run(2 * time.Second)
 			lead := sim.Leader()
-			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose ledger changes hands too
+			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
 			sim.Run(4 * time.Second)
 			want(t, "running", sim.runningTasks(), 20)
 			var lost []*simtest.Agent
@@ -164,7 +163,7 @@
 		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 		sim.Run(2 * time.Second)
 		lead := sim.Leader()
-		want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose ledger changes hands too
+		want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose shard changes hands too
 		if agent.ConnectedTo != lead.Process {
 			agent.HeartbeatTo(lead)
 		}
@@ -189,7 +188,7 @@
 	}
 }
 
-// All end, and one is back within a second: it goes on alone, with all ledgers,
+// All end, and one is back within a second: it goes on alone, with all shards,
 // once nobody can hold a extension of its predecessor's.
 func TestOneMemberRecoversAfterAllCrash(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
@@ -230,7 +229,7 @@
 func TestLateTransactionOfEachKind(t *testing.T) {
 	kinds := map[string]func(c protocol.Change) bool{
 		"leader":    func(c protocol.Change) bool { return c.Put == storage.LeaderKey },
-		"ledger":    func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "m/ledger/") },
+		"shard":     func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "m/ledger/") },
 		"member":    func(c protocol.Change) bool { return strings.HasPrefix(c.Put, "m/member/") },
 		"machines":  func(c protocol.Change) bool { return strings.HasPrefix(c.Put+c.Delete, "fleet/") },
 		"finished":  func(c protocol.Change) bool { return strings.HasPrefix(c.Put+c.Delete, "done/") },
@@ -319,7 +318,7 @@
 			for range 40 {
 				second()
 			}
-			if hits == 0 && kind != "leader" && kind != "member" && kind != "ledger" {
+			if hits == 0 && kind != "leader" && kind != "member" && kind != "shard" {
 				t.Fatalf("%s %d: nothing was held", kind, variant)
 			}
 			if len(accepted) < 15 {
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -8,14 +8,13 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 // faultScenario plays users who check every answer, and machines whose leases end by
-// themselves, so that a test only has to bring a meeting of troubles about.
-// Every rule of the protocol is looked at ten times a second; checkAlone and
+// themselves, so that a test only has to bring faults about together.
+// Every rule of the protocol is looked at ten times a second; checkRunsOnce and
 // zones are the worker's.
 type faultScenario struct {
 	*simulation
@@ -45,7 +44,7 @@
 	run func()
 }
 
-const cancelWithin = 40 * time.Second // cancel_s of testSettings
+const cancelWithin = 40 * time.Second // cancel_s of simtest.SettingsFormat
 
 const statusAccepted = "accepted"
 
@@ -54,7 +53,7 @@
 	return newFaultScenarioIn(t, newSimulation(t, "a", "b", "c"), seed, machines)
 }
 
-// newFaultScenarioIn plays a day of a deployment that is there already.
+// newFaultScenarioIn plays a scenario in a deployment that is there already.
 func newFaultScenarioIn(t *testing.T, sim *simulation, seed uint64, machines int) *faultScenario {
 	t.Helper()
 	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]simtest.JobRequest),
@@ -294,7 +293,7 @@
 	}
 }
 
-// recoverAndCheck ends all troubles. From then on every job has to be known within 75 s, and
+// recoverAndCheck ends all faults. From then on every job has to be known within 75 s, and
 // whatever was not cancelled has to be done: nothing waits 90 s while there is
 // room.
 func (scenario *faultScenario) recoverAndCheck() {
@@ -330,11 +329,11 @@
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.isService(id) && !scenario.cancelRequested[id] {
 			if n := len(scenario.machinesOfJob(id)); n != scenario.jobs[id]["pages"].(int) {
-				scenario.T.Errorf("of %s (%v replicas) %d run 120 s after the last trouble", id, scenario.jobs[id]["pages"], n)
+				scenario.T.Errorf("of %s (%v replicas) %d run 120 s after the last fault", id, scenario.jobs[id]["pages"], n)
 			}
 			continue
 		}
-		scenario.T.Errorf("%s (%v tasks) is not over 120 s after the last trouble, cancelled: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
+		scenario.T.Errorf("%s (%v tasks) is not over 120 s after the last fault, cancelled: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
 	}
 }
 
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -5,12 +5,11 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// The scripts of TestMeetings: each prepares a day and returns what happens in its
+// The scripts of TestFaultScenarios: each prepares a scenario and returns what happens in its
 // seconds.
 
 // submitRandomJob comes at about one job a second.
@@ -98,7 +97,7 @@
 	}
 }
 
-// jobs are cancelled while a ledger changes hands.
+// jobs are cancelled while a shard changes hands.
 func cancelDuringHandover(scenario *faultScenario) func(int) {
 	for range 6 {
 		scenario.submit(scenario.randomNode(), 2)
@@ -143,7 +142,7 @@
 	}
 }
 
-// old reports reach every controller as a new leader begins.
+// old heartbeats reach every controller as a new leader begins.
 func replayOldHeartbeats(scenario *faultScenario) func(int) {
 	scenario.setTaskDuration(5 * time.Second)
 	var old map[*simtest.Agent][]byte
@@ -162,7 +161,7 @@
 				scenario.Advance(100 * time.Millisecond)
 			}
 			scenario.replayHeartbeats(old) // before any machine says anything new
-		case 7: // of an earlier session
+		case 7: // of an earlier epoch
 			for _, agent := range scenario.busyMachines(1) {
 				agent.ExpireLease()
 			}
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/settings"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -19,7 +18,7 @@
 )
 
 // newLargeSimulation has settings like those of a large deployment: the cloud answers three
-// calls a second, and machines report every eight seconds.
+// calls a second, and machines send heartbeats every eight seconds.
 func newLargeSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
@@ -33,8 +32,9 @@
 	return sim
 }
 
-// largeFleetScenario has the workers report in turn, each once in largeReport, and again a
-// second after a report that was refused.
+// largeFleetScenario has the workers send heartbeats in turn, each once in
+// largeFleetInterval, and again a
+// second after a heartbeat that was refused.
 type largeFleetScenario struct {
 	*simulation
 	nextAgent int
@@ -96,7 +96,7 @@
 }
 
 // Nothing stands in the way of a fleet of 6,000 machines: they are rented, all
-// report, the leader is lost, all controllers end and come back, and in the end
+// send heartbeats, the leader is lost, all controllers end and come back, and in the end
 // every machine is returned. Before, a list of more than six pages was never read
 // whole, as its pages came faster than the cloud answers.
 func TestFleetOfSixThousandMachines(t *testing.T) {
@@ -131,7 +131,7 @@
 	scenario.play(40 * time.Second)
 	want(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
 	want(t, "starts in all", scenario.startCount(), started)
-	want(t, "reports refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
+	want(t, "heartbeats refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
 
 	for _, agent := range sim.Agents {
 		agent.FinishTasks("done")
@@ -197,7 +197,7 @@
 	return sim
 }
 
-// BenchmarkRegisterShard is the cost of a member's ledger joining the leader on a new stream:
+// BenchmarkRegisterShard is the cost of a member's shard registering with the leader on a new stream:
 // it grows with what the machines list, and with nothing else.
 func BenchmarkRegisterShard(b *testing.B) {
 	for _, machines := range []int{600, 6000} {
@@ -214,7 +214,7 @@
 	}
 }
 
-// BenchmarkHeartbeat is the cost of one report that says nothing new, with all that
+// BenchmarkHeartbeat is the cost of one heartbeat that says nothing new, with all that
 // it causes at three controllers: it must not grow with the fleet.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{600, 6000} {
@@ -237,7 +237,7 @@
 	}
 }
 
-// A machine that is up, but reports to a new leader only after its long interval,
+// A machine that is up, but sends a new leader heartbeats only after its long interval,
 // is not taken for a failed boot and returned with its tasks.
 func TestLongHeartbeatIntervalIsNoFailedBoot(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -6,7 +6,6 @@
 	"github.com/rs/zerolog"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
--- a/internal/coordination/heartbeat_forwarding.go
+++ b/internal/coordination/heartbeat_forwarding.go
@@ -9,23 +9,23 @@
 
 const (
 	forwardTimeout       = 3500 * time.Millisecond // workers give up after 4 s
-	maxForwarded         = maxMachines             // each machine has one report in flight
-	leaderCostFactor     = 2.0                     // what a report costs the leader, in reports of a relay
+	maxForwarded         = maxMachines             // each machine has one heartbeat in flight
+	leaderCostFactor     = 2.0                     // what a heartbeat costs the leader, in heartbeats of a member that forwards
 	imbalanceFactor      = 1.5                     // times another's load, from which on workers are sent there
-	minimumLoad          = 20.0                    // reports a second that nobody minds
+	minimumLoad          = 20.0                    // heartbeats a second that nobody minds
 	redirectShare        = 0.1                     // of the difference, each second
-	firstRedirectDelay   = time.Second             // until another worker is sent to a member that takes no reports
+	firstRedirectDelay   = time.Second             // until another worker is sent to a member that takes no heartbeats
 	longestRedirectDelay = 30 * time.Second        // it doubles up to this
 )
 
-// heartbeatForwarder takes reports on the leader's behalf and shares them out among the
-// members; see "Who takes reports" in docs/design.md.
+// heartbeatForwarder takes heartbeats on the leader's behalf and shares them out among the
+// members; see "Who takes heartbeats" in docs/design.md.
 type heartbeatForwarder struct {
 	controller *Controller
 	pending    map[uint64]forwardedHeartbeat
 	lastID     uint64
 
-	received         int // reports since the last heartbeat
+	received         int // since the last heartbeat to the peers
 	receiveRate      float64
 	countedAt        time.Duration
 	redirectBudget   float64 // workers that may be sent elsewhere by now
@@ -34,13 +34,13 @@
 	redirectBackoffs map[*peer]*redirectBackoff
 }
 
-// redirectBackoff is when a worker may next be sent to a member that takes no reports:
+// redirectBackoff is when a worker may next be sent to a member that takes no heartbeats:
 // workers may be cut off from it while other members are not.
 type redirectBackoff struct {
 	delay, nextAttempt time.Duration
 }
 
-// forwardedHeartbeat is a report whose answer is awaited from the leader.
+// forwardedHeartbeat is a heartbeat whose answer is awaited from the leader.
 type forwardedHeartbeat struct {
 	reply  func(Response)
 	to     *peer
@@ -55,7 +55,7 @@
 	forwarder.countedAt = c.now()
 }
 
-// forward sends a report on to the member that leads.
+// forward sends a heartbeat on to the member that leads.
 func (forwarder *heartbeatForwarder) forward(to *peer, req *Request, reply func(Response)) {
 	if len(forwarder.pending) >= maxForwarded {
 		reply(forwarder.controller.errorResponse(503, "too many reports", 1))
@@ -66,7 +66,7 @@
 	to.forwardedHeartbeats = append(to.forwardedHeartbeats, &meshpb.ForwardedHeartbeat{Id: forwarder.lastID, ConnectionId: req.Conn, Body: req.Body})
 }
 
-// onForwardedHeartbeats decides, as the leader, on reports that a member passes on.
+// onForwardedHeartbeats decides, as the leader, on heartbeats that a member forwards.
 func (c *Controller) onForwardedHeartbeats(p *peer, f *meshpb.ForwardedHeartbeats) {
 	link := p.link
 	for _, k := range f.Heartbeats {
@@ -109,7 +109,7 @@
 	forwarder.failPending(func(forwarded forwardedHeartbeat) bool { return now-forwarded.sentAt > forwardTimeout }, "the leader does not answer")
 }
 
-// failPending answers the reports that will get no answer from the leader any more.
+// failPending answers the heartbeats that will get no answer from the leader any more.
 func (forwarder *heartbeatForwarder) failPending(which func(forwardedHeartbeat) bool, why string) {
 	for id, forwarded := range forwarder.pending {
 		if which(forwarded) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// load is what taking reports costs this member at present.
+// load is what taking heartbeats costs this member at present.
 func (forwarder *heartbeatForwarder) load() float64 {
 	if forwarder.controller.leader != nil {
 		return forwarder.receiveRate * leaderCostFactor
@@ -127,7 +127,7 @@
 	return forwarder.receiveRate
 }
 
-// balance counts the reports taken, with every heartbeat, and finds out whether
+// balance counts the heartbeats taken, with each sent to the peers, and finds out whether
 // another member has far fewer.
 func (forwarder *heartbeatForwarder) balance(now time.Duration) {
 	span := (now - forwarder.countedAt).Seconds()
@@ -137,7 +137,7 @@
 	const smooth = 0.3
 	forwarder.receiveRate += smooth * (float64(forwarder.received)/span - forwarder.receiveRate)
 	if forwarder.received == 0 {
-		forwarder.receiveRate = 0 // nobody should count on reports that come no more
+		forwarder.receiveRate = 0 // nobody should count on heartbeats that come no more
 	}
 	forwarder.received, forwarder.countedAt = 0, now
 	forwarder.lessLoaded, forwarder.redirectBudget = nil, 0
@@ -162,7 +162,7 @@
 	forwarder.redirectBudget = 1
 }
 
-// mayRedirect tells whether workers may be sent to a member. One that takes no reports
+// mayRedirect tells whether workers may be sent to a member. One that takes no heartbeats
 // may have just come back, or workers can't reach it although this member can:
 // whoever is sent there loses its lease's better part, so only one at a time
 // finds out, ever more seldom.
@@ -179,8 +179,8 @@
 	return now >= t.nextAttempt
 }
 
-// redirectTarget names the member that a worker should rather report to, if any.
-// A member that can't pass reports on to the leader gets none.
+// redirectTarget names the member that a worker should rather send heartbeats to, if any.
+// A member that can't forward heartbeats to the leader gets none.
 func (forwarder *heartbeatForwarder) redirectTarget() string {
 	if forwarder.redirectBudget < 1 || forwarder.lessLoaded == nil || forwarder.lessLoaded.link == nil {
 		return ""
@@ -189,7 +189,7 @@
 	return forwarder.lessLoaded.member
 }
 
-// handleHeartbeat handles a worker's report that came in here.
+// handleHeartbeat handles a worker's heartbeat that came in here.
 func (c *Controller) handleHeartbeat(req *Request, reply func(Response)) {
 	forwarder := &c.forwarder
 	forwarder.received++
@@ -226,7 +226,7 @@
 	return Response{Status: 421, Body: c.codec.Encode(protocol.Redirect{HeartbeatTo: member})}
 }
 
-// handleAsLeader handles a report as the leader, wherever it came in.
+// handleAsLeader handles a heartbeat as the leader, wherever it came in.
 func (c *Controller) handleAsLeader(body []byte, conn uint64, reply func(Response)) {
 	var w protocol.WireHeartbeat
 	if err := c.codec.Decode(body, &w); err != nil {
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -20,13 +19,13 @@
 	return fmt.Sprintf("%d %s", r.Status, to.HeartbeatTo)
 }
 
-// A member that does not lead passes reports on, and the answers back.
+// A member that does not lead forwards heartbeats, and the answers back.
 func TestFollowersForwardHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
 	agent := sim.AddMachine("vm-1", "z1")
 	for range 3 {
-		want(t, "report to a follower", agent.HeartbeatTo(follower).Status, 200)
+		want(t, "heartbeat to a follower", agent.HeartbeatTo(follower).Status, 200)
 		sim.Advance(time.Second)
 	}
 	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
@@ -42,7 +41,7 @@
 	}
 	sim.wantStatus(lead, "wk-1", 200, "done")
 
-	// The answer that a report waits for when the stream breaks comes at once:
+	// The answer that a heartbeat waits for when the stream breaks comes at once:
 	// held back until its end, it would keep the worker from the next member.
 	body := agent.HeartbeatBody()
 	out := &Response{}
@@ -53,7 +52,7 @@
 	want(t, "without a stream to the leader", sim.redirectTarget(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
 }
 
-// A member that gets a passed-on report and does not lead passes it no
+// A member that gets a forwarded heartbeat and does not lead forwards it no
 // further: two members that each take the other for the leader would send it
 // back and forth for ever.
 func TestHeartbeatIsForwardedOnce(t *testing.T) {
@@ -107,13 +106,13 @@
 	}
 }
 
-// Reports that all come at once let everything else pass, and one that waited
+// Heartbeats that all come at once let everything else pass, and one that waited
 // until its worker gave up is answered without any more work.
 func TestHeartbeatBurstDoesNotDelayOtherRequests(t *testing.T) {
 	q := NewEventLoop()
 	var got []string
 	for range 3 {
-		want(t, "a report is taken", q.TryPost(ClassHeartbeat, func() { got = append(got, "report") }), true)
+		want(t, "a heartbeat is taken", q.TryPost(ClassHeartbeat, func() { got = append(got, "report") }), true)
 	}
 	q.Post(func() { got = append(got, "health check") })
 	q.drain()
@@ -121,22 +120,22 @@
 	for range heartbeatQueueLength {
 		q.TryPost(ClassHeartbeat, func() {})
 	}
-	want(t, "a report beyond the queue's length", q.TryPost(ClassHeartbeat, func() {}), false)
+	want(t, "a heartbeat beyond the queue's length", q.TryPost(ClassHeartbeat, func() {}), false)
 	want(t, "a user's request beside it", q.TryPost(ClassOther, func() {}), true)
 
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
-	want(t, "report", agent.Heartbeat().Status, 200)
+	want(t, "heartbeat", agent.Heartbeat().Status, 200)
 	m := controllerOf(sim.Leader()).leader.machines.get("vm-1")
 	seq := m.sequence
 	out := &Response{}
 	controllerOf(sim.Nodes["a"]).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.Now() - 4*time.Second},
 		func(r Response) { *out = r })
-	want(t, "report that waited for 4 s", out.Status, 503)
-	want(t, "last report taken", m.sequence, seq)
+	want(t, "heartbeat that waited for 4 s", out.Status, 503)
+	want(t, "last heartbeat taken", m.sequence, seq)
 }
 
-// A member that workers can't reach, while other members can, takes no reports:
+// A member that workers can't reach, while other members can, takes no heartbeats:
 // hardly any workers are sent there. Each that is loses seconds; sent there again
 // and again, most machines were silent for so long that they were returned with
 // all their tasks (incidents/inc-f551.md).
@@ -173,7 +172,7 @@
 		second()
 	}
 	if sent == 0 || sent > 12 {
-		t.Fatalf("%d workers were sent in a minute to a member that takes no reports", sent)
+		t.Fatalf("%d workers were sent in a minute to a member that takes no heartbeats", sent)
 	}
 	// Once they reach it again it soon has its share.
 	here := cut
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -7,7 +7,6 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/shard"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -30,7 +29,7 @@
 	return busy, idle
 }
 
-// heartbeatFor has the machines report once a second.
+// heartbeatFor has the machines send heartbeats once a second.
 func (sim *simulation) heartbeatFor(seconds int, machines ...*simtest.Agent) {
 	for range seconds {
 		for _, agent := range machines {
@@ -50,8 +49,8 @@
 }
 
 // forLeaderVersions are the versions of the member a, which is to lead; the owners have
-// this one. What a leader of the version before passes on lacks the same tasks as
-// ever, see withoutUnknownTasks, and it calls ledgers settled as it did.
+// this one. What a leader of the version before forwards lacks the same tasks as
+// ever, see withoutUnknownTasks, and it calls shards reconciled as it did.
 func forLeaderVersions(t *testing.T, test func(t *testing.T, sim *simulation)) {
 	t.Helper()
 	t.Run("this version", func(t *testing.T) { test(t, newSimulation(t, "a", "b", "c")) })
@@ -59,8 +58,8 @@
 }
 
 // Both breaks of the incident's records: all controllers end, the leader's read of
-// the unfinished jobs fails, a machine reports to it, and then the owner that has
-// taken the ledger up joins.
+// the unfinished jobs fails, a machine sends it a heartbeat, and then the owner that has
+// acquired the shard registers.
 func TestRecoveredTaskOfAJobUnknownToTheLeader(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
@@ -69,19 +68,19 @@
 		sim.Advance(4 * time.Second)
 		sim.heartbeatFor(3, busy, idle)
 		sim.State.HiddenPrefix = ""
-		sim.Advance(2 * time.Second) // the owner joins, and no machine reports meanwhile
+		sim.Advance(2 * time.Second) // the owner registers, and no machine sends a heartbeat meanwhile
 		sim.heartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
 		sim.heartbeatFor(5, busy, idle)
 		want(t, "leader", sim.Leader().Name, "a")
-		want(t, "settled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
+		want(t, "reconciled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
 		sim.heartbeatFor(15, busy, idle)
-		want(t, "copies on the other machine", idle.Starts, 0)
+		want(t, "replicas on the other machine", idle.Starts, 0)
 		want(t, "still running", len(busy.Running()), 1)
 	})
 }
 
 // The same of an owner that lives on through the change of leader: its stream to
-// the new leader comes up after a machine has reported there.
+// the new leader comes up after a machine has sent a heartbeat there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
 	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		controllerOf(sim.Nodes["b"]).election.Abstain(sim.Now() + time.Hour) // it owns the task
@@ -105,14 +104,14 @@
 		sim.Advance(2 * time.Second)
 		sim.heartbeatFor(3, idle)
 		sim.heartbeatFor(20, busy, idle)
-		want(t, "copies on the other machine", idle.Starts, 0)
+		want(t, "replicas on the other machine", idle.Starts, 0)
 		want(t, "still running", len(busy.Running()), 1)
 	})
 }
 
-// While the leader takes another member for a ledger's holder, as it may for a
-// moment after the ledger has changed hands, its lists to the present holder lack
-// the ledger's tasks, and say so.
+// While the leader takes another member for a shard's holder, as it may for a
+// moment after the shard has changed hands, its lists to the present holder lack
+// the shard's tasks, and say so.
 func TestStatusIsCompleteOnlyForRegisteredShards(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
@@ -121,16 +120,16 @@
 	l := controllerOf(lead).leader
 	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).selfPeer)
 	busy.Tasks["other#1"] = &simtest.AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
-	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is passed on whole
+	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is forwarded whole
 	job := controllerOf(owner).owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
 	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
 	sim.heartbeatFor(15, busy, idle)
-	want(t, "copies on the other machine", idle.Starts, 0)
+	want(t, "replicas on the other machine", idle.Starts, 0)
 }
 
-// An owner that joins a leader of the version before still learns from its lists
-// that a task is gone: from those of machines that have reported since.
+// An owner that registers with a leader of the version before still learns from its lists
+// that a task is gone: from those of machines that have sent heartbeats since.
 func TestTaskThatEndedUnderALeaderOfThePreviousVersion(t *testing.T) {
 	sim := newSimulationWith(t, "", []string{"a", "b", "c"}, "a", "b", "c")
 	owner := sim.Follower()
@@ -140,14 +139,14 @@
 	sim.Run(8 * time.Second)
 	owner = sim.Nodes[owner.Name]
 	busy, idle := startOneTask(t, sim, owner)
-	clear(busy.Tasks) // as if the machine had lost it, within its session
+	clear(busy.Tasks) // as if the machine had lost it, within its epoch
 	sim.Run(20 * time.Second)
 	want(t, "starts", busy.Starts+idle.Starts, 2)
 	want(t, "running", sim.runningTasks(), 1)
 }
 
-// A member with two ledgers joins the next leader for one after the other: what it
-// is told once the first has joined says nothing of the second.
+// A member with two shards registers with the next leader for one after the other: what it
+// is told once the first has registered says nothing of the second.
 func TestTasksOfTheSecondShardToRegister(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
@@ -165,7 +164,7 @@
 	want(t, "running", sim.runningTasks(), 8)
 	sim.Crash(gone)
 	sim.Run(25 * time.Second)
-	want(t, "ledgers of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
+	want(t, "shards of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
 	started := first.Starts + second.Starts + idle.Starts
 	var next string
 	for _, name := range sim.Names {
@@ -173,7 +172,7 @@
 			next = name
 		}
 	}
-	sim.Disconnect(lead.Name, next) // it joins only once the machines have reported there
+	sim.Disconnect(lead.Name, next) // it registers only once the machines have sent heartbeats there
 	controllerOf(lead).election.Resign(election.WorkersUnreachable)
 	sim.Advance(2 * time.Second)
 	want(t, "leader", sim.Leader().Name, next)
@@ -185,21 +184,21 @@
 	want(t, "running", sim.runningTasks(), 8)
 }
 
-// A machine that has had this leader's token, but has not reported with it yet, may
+// A machine that has had this leader's fencing token, but has sent no heartbeat with it yet, may
 // hold anything while the records of machines are unread: however long that takes,
-// its lease counts from its own last report, not from the join.
+// its lease counts from its own last heartbeat, not from the registration.
 func TestUnreadRecordsProveNoLossOfAnAnsweredMachine(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	busy, idle := startOneTask(t, sim, sim.Nodes["a"])
 	sim.restartAllWithHidden("fleet/")
 	sim.Advance(3 * time.Second)
 	sim.heartbeatFor(9, idle)
-	busy.Heartbeat() // its first here, with the token of before; its lease begins anew
+	busy.Heartbeat() // its first here, with the fencing token of before; its lease begins anew
 	sim.heartbeatFor(13, idle)
-	want(t, "copies within the lease", idle.Starts, 0)
+	want(t, "replicas within the lease", idle.Starts, 0)
 	sim.State.HiddenPrefix = ""
 	sim.heartbeatFor(10, busy, idle)
-	want(t, "copies on the other machine", idle.Starts, 0)
+	want(t, "replicas on the other machine", idle.Starts, 0)
 	want(t, "still running", len(busy.Running()), 1)
 }
 
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -8,9 +8,8 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 const beyondAnyLease = 30 * time.Second // any lease with all its margins
@@ -76,7 +75,7 @@
 	want(t, "a job nobody submitted", code, 404)
 }
 
-// A transaction without an answer is settled under a new stamp before
+// A transaction without an answer is resolved under a new version before
 // anything is concluded from it, whether it was applied or not.
 func TestCreationWithUnknownOutcomeIsResolved(t *testing.T) {
 	for _, applied := range []bool{true, false} {
@@ -195,7 +194,7 @@
 	want(t, "starts", agent.Starts, 8)
 }
 
-// Until an owner has joined, all of its ledger counts against the limit.
+// Until an owner has registered, all of its shard counts against the limit.
 func TestLimitHoldsAcrossFailures(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 8 {
@@ -265,7 +264,7 @@
 	}
 	for _, body := range [][]byte{nil, {0x01}, []byte("{}"), {0xa1}, {0xbf, 0xff}, {0x5f}} {
 		want(t, fmt.Sprintf("body %x", body), n.Call("POST", "/submissions", body).Status, 400)
-		want(t, fmt.Sprintf("report %x", body), n.Call("POST", "/checkin", body).Status, 400)
+		want(t, fmt.Sprintf("heartbeat %x", body), n.Call("POST", "/checkin", body).Status, 400)
 	}
 	want(t, "unknown path", n.Call("GET", "/nothing", nil).Status, 404)
 	want(t, "wrong method", n.Call("PUT", "/submissions", nil).Status, 405)
@@ -287,7 +286,7 @@
 		want(t, key, sim.Nodes["a"].Call("POST", "/checkin", sim.Codec.Encode(f)).Status, 400)
 	}
 	want(t, "machines", len(controllerOf(sim.Nodes["a"]).leader.machines.byName), before)
-	want(t, "a good report", agent.Heartbeat().Status, 200)
+	want(t, "a good heartbeat", agent.Heartbeat().Status, 200)
 }
 
 // Work that is accepted has to be held in memory; what would not fit is
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -10,13 +10,12 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 // A start that a worker was given by a leader that is no more must be proven
-// absent to the new one before another copy goes out.
+// absent to the new one before another replica goes out.
 func TestStartOfACrashedLeaderIsProvenAbsent(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -31,7 +30,7 @@
 	sim.Run(9 * time.Second)
 	next := sim.Leader()
 	if next == lead || controllerOf(next).leader.fencingToken <= old {
-		t.Fatalf("token %d does not follow %d", controllerOf(next).leader.fencingToken, old)
+		t.Fatalf("fencing token %d does not follow %d", controllerOf(next).leader.fencingToken, old)
 	}
 	want(t, "running on", sim.runningTasks(), 8)
 	agent1.FinishTasks("done")
@@ -42,7 +41,7 @@
 	want(t, "starts", agent1.Starts+agent2.Starts, 8)
 }
 
-// A restarted member gets its ledger back, also when the leader has it.
+// A restarted member gets its shard back, also when the leader has it.
 func TestShardReturnsToItsMember(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -51,19 +50,19 @@
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) == nil {
-		t.Fatal("the leader did not take the ledger")
+		t.Fatal("the leader did not take the shard")
 	}
 	want(t, "running", sim.runningTasks(), 2)
 	sim.Start(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) != nil || controllerOf(follower).owner.Shard(follower.Name) == nil {
-		t.Fatal("the ledger did not go back")
+		t.Fatal("the shard did not go back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 }
 
-// A restart faster than the lease: the ledger and the leader key are taken
-// over at once, and the new token is higher.
+// A restart faster than the lease: the shard and the leader key are taken
+// over at once, and the new fencing token is higher.
 func TestQuickRestartReacquiresItsKeys(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
@@ -72,10 +71,10 @@
 	sim.Start(lead.Name)
 	sim.Advance(1500 * time.Millisecond)
 	if controllerOf(lead).leader == nil || controllerOf(lead).leader.fencingToken <= old {
-		t.Fatal("the restarted leader does not lead under a new token")
+		t.Fatal("the restarted leader does not lead under a new fencing token")
 	}
 	if shard := controllerOf(lead).owner.Shard(lead.Name); shard == nil || !shard.Recovered() {
-		t.Fatal("the restarted member has no ledger")
+		t.Fatal("the restarted member has no shard")
 	}
 }
 
@@ -123,11 +122,11 @@
 	if sim.Leader() == lead {
 		t.Fatal("the refused member still leads")
 	}
-	// It has heard from the next leader and passes reports on to it; it answers
+	// It has heard from the next leader and forwards heartbeats to it; it answers
 	// none by itself.
 	agent.FencingToken = 0
 	if r := agent.HeartbeatTo(lead); r.Status == 200 {
-		want(t, "token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
+		want(t, "fencing token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
 	}
 	lead.Call("GET", "/ready", nil)
 	sim.Advance(4 * time.Second)
@@ -152,7 +151,7 @@
 	sim.Disconnect(lead.Name, sim.Follower().Name)
 	sim.Advance(2500 * time.Millisecond)
 	want(t, "acts without a extension", controllerOf(lead).election.MayAct(sim.Now()), false)
-	// Reports are refused meanwhile; that is not the machines' silence.
+	// Heartbeats are refused meanwhile; that is not the machines' silence.
 	sim.Run(12 * time.Second)
 	sim.Connect(lead.Name, sim.Follower().Name)
 	sim.State.Unavailable[""] = false
@@ -262,7 +261,7 @@
 			}
 			for l, k := range held {
 				if k > 1 {
-					t.Fatalf("seed %d: %d members act on ledger %s", seed, k, l)
+					t.Fatalf("seed %d: %d members act on shard %s", seed, k, l)
 				}
 			}
 			if leaders > 1 {
@@ -297,7 +296,7 @@
 	}
 	sim.State.Unavailable[""] = false
 	sim.Run(4 * time.Second)
-	want(t, "token", controllerOf(sim.Leader()).leader.fencingToken, token)
+	want(t, "fencing token", controllerOf(sim.Leader()).leader.fencingToken, token)
 	want(t, "running on", sim.runningTasks(), 4)
 	want(t, "results written and cleared", len(agent.Tasks), 4)
 	want(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
@@ -321,7 +320,7 @@
 	}
 }
 
-// An owner that the leader cannot reach gives its ledger up: users who cancel
+// An owner that the leader cannot reach gives its shard up: users who cancel
 // there would be told so while the tasks run on.
 func TestOwnerPartitionedFromTheLeaderYields(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -333,18 +332,18 @@
 	sim.Disconnect(follower.Name, lead.Name)
 	sim.Run(15 * time.Second)
 	if len(slices.Collect(controllerOf(follower).owner.Shards())) != 0 || controllerOf(lead).owner.Shard(follower.Name) == nil {
-		t.Fatal("the ledger did not move to the leader")
+		t.Fatal("the shard did not move to the leader")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 	sim.Connect(follower.Name, lead.Name)
 	sim.Run(8 * time.Second)
 	if controllerOf(follower).owner.Shard(follower.Name) == nil {
-		t.Fatal("the ledger did not come back")
+		t.Fatal("the shard did not come back")
 	}
 	want(t, "running on", sim.runningTasks(), 2)
 }
 
-// A ledger that is taken up again under the same leader joins again: else its
+// A shard that is acquired again under the same leader registers again: else its
 // jobs would wait for ever, and their ends would not reach the leader.
 func TestReacquiredShardRegistersAgain(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -357,7 +356,7 @@
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.Run(8 * time.Second)
 	if shard := controllerOf(follower).owner.Shard(follower.Name); shard == nil || !shard.Registered() {
-		t.Fatal("the ledger has not joined")
+		t.Fatal("the shard has not registered")
 	}
 	code, status := follower.Cancel("wk-1")
 	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -8,13 +8,12 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 // What the users added to the protocol when their deployments grew: jobs stay
-// known, every class is served, answers are lost, copies come late, a
+// known, every class is served, answers are lost, copies of heartbeats come late, a
 // controller is alone with its workers, processes are back at once.
 
 // An earlier process's claim, held by the network, must not be applied once the
@@ -64,7 +63,7 @@
 	want(t, "acts on a extension of a member that can't give one", controllerOf(lead).election.MayAct(sim.Now()), false)
 }
 
-// Once all troubles are over, every accepted job is answered for, whichever
+// Once all faults are over, every accepted job is answered for, whichever
 // member is asked and whoever owned it, and its tasks run to their end.
 func TestAcceptedJobsStayKnown(t *testing.T) {
 	for seed := range uint64(25) {
@@ -170,7 +169,7 @@
 	}
 }
 
-// A machine whose reports arrive but which no answer reaches gets no starts,
+// A machine whose heartbeats arrive but which no answer reaches gets no starts,
 // holds nothing up, and is returned if that lasts.
 func TestMachineWithoutResponsesIsReturned(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -188,13 +187,13 @@
 	m := controllerOf(lead).leader.machines.get("vm-1")
 	for range 3 {
 		deaf.Heartbeat()
-		want(t, "starts sent to a machine that hears nothing", len(m.sentStarts), 0)
+		want(t, "starts sent to a machine that gets no responses", len(m.sentStarts), 0)
 	}
 	other.Heartbeat()
 	want(t, "running elsewhere", len(other.Running()), 2)
 	want(t, "its use of a limit", controllerOf(lead).leader.usage.teams["red"].cpus, 4)
 
-	// Its new session proves that its tasks are gone, whatever token it bears.
+	// Its new epoch proves that its tasks are gone, whatever fencing token it bears.
 	deaf.ExpireLease()
 	deaf.Heartbeat()
 	sim.Advance(tickInterval)
@@ -208,8 +207,8 @@
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
 }
 
-// The same at a new leader, whose token the machine never sees: its new session
-// is proof all the same, as sessions end only with all their tasks.
+// The same at a new leader, whose fencing token the machine never sees: its new epoch
+// is proof all the same, as epochs end only with all their tasks.
 func TestNewEpochWithoutFencingTokenIsProofOfLoss(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
@@ -228,7 +227,7 @@
 	want(t, "running elsewhere", len(other.Running()), 2)
 }
 
-// Reports with very many tasks, all at once, keep the mesh's frames and the
+// Heartbeats with very many tasks, all at once, keep the mesh's frames and the
 // answers within their sizes: a frame that is too large would end the stream.
 func TestLargeHeartbeatsStayWithinSizeLimits(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -263,7 +262,7 @@
 }
 
 // A machine that was out of reach for longer than a worker waits for an answer gets
-// starts with its first report, on whatever connection; one that reports as a worker
+// starts with its first heartbeat, on whatever connection; one that sends heartbeats as a worker
 // does that gets no answers still gets none.
 func TestReconnectedMachineGetsStartsAtOnce(t *testing.T) {
 	for _, c := range []struct {
@@ -292,7 +291,7 @@
 		agent.HeartbeatTo(n)
 		want(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
 		agent.HeartbeatTo(n)
-		want(t, "started by the next report", sim.runningTasks(), 2)
+		want(t, "started by the next heartbeat", sim.runningTasks(), 2)
 		agent.FinishTasks("done")
 		for range 3 { // until its results are written and cleared
 			agent.HeartbeatTo(n)
@@ -309,11 +308,11 @@
 			pause(8 * time.Second)
 			agent.HeartbeatTo(n)
 		}
-		want(t, fmt.Sprint("sent to one that hears nothing, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
+		want(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
 	}
 }
 
-// A machine that hears again is served again.
+// A machine that gets responses again is served again.
 func TestMachineWithRestoredResponsesIsServed(t *testing.T) {
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -324,12 +323,12 @@
 	agent.LosesResponses = false
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.Heartbeat()
-	want(t, "starts in answer to the first report on a new connection", len(agent.Running()), 0)
+	want(t, "starts in answer to the first heartbeat on a new connection", len(agent.Running()), 0)
 	agent.Heartbeat()
 	want(t, "starts once an answer has arrived", len(agent.Running()), 2)
 }
 
-// A machine that reports on another connection each time, as it does while it
+// A machine that sends heartbeats on another connection each time, as it does while it
 // tries one controller after another, keeps its tasks until its lease is over:
 // returned at once, it lost them although it was well a moment later.
 func TestMachineThatTriesOtherControllersKeepsItsTasks(t *testing.T) {
@@ -350,7 +349,7 @@
 	want(t, "running", len(agent.Running()), 4)
 }
 
-// What is cancelled on a machine that hears nothing ends in time, and such
+// What is cancelled on a machine that gets no responses ends in time, and such
 // machines do not keep a leader believing that it reaches its workers.
 func TestCancellationWhenNoMachineGetsResponses(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -379,7 +378,7 @@
 	want(t, "left of the cancelled job", sim.runningTasks(), 0)
 }
 
-// A late copy of a report renews nothing, proves nothing, changes no task and
+// A late copy of a heartbeat renews nothing, proves nothing, changes no task and
 // brings back no machine: at the same leader, at a new one, after a release.
 func TestLateHeartbeatCopiesChangeNothing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -390,7 +389,7 @@
 	agent.Heartbeat()
 	want(t, "running", len(agent.Running()), 1)
 	agent.Heartbeat()
-	old := append([]byte(nil), agent.LastHeartbeat...) // lists wk-1/0, with the present token
+	old := append([]byte(nil), agent.LastHeartbeat...) // lists wk-1/0, with the present fencing token
 	sim.Run(time.Second)
 	m := controllerOf(lead).leader.machines.get("vm-1")
 	before := *m
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -182,7 +181,7 @@
 	want(t, "starts", agent.Starts, 2)
 }
 
-// A ledger that nobody answers for may have all its tasks running.
+// A shard that nobody answers for may have all its tasks running.
 func TestUnregisteredShardsCountInFull(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -206,7 +205,7 @@
 	want(t, "submit", status, 201)
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.Run(3 * time.Second)
-	want(t, "running while a ledger is unread", sim.runningTasks(), 0)
+	want(t, "running while a shard is unread", sim.runningTasks(), 0)
 	sim.State.HiddenPrefix = ""
 	sim.Run(12 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -8,12 +8,11 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/shard"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// A failed copy that a machine still lists is older than the copy that runs
-// elsewhere: its end must not bring a third copy about (ran_twice).
+// A failed replica that a machine still lists is older than the replica that runs
+// elsewhere: its end must not bring a third replica about (ran_twice).
 func TestEndedOldReplicaProvesNothingAfterRecovery(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
@@ -39,11 +38,11 @@
 		sim.Start(name)
 	}
 	sim.Advance(3 * time.Second)
-	for range 6 { // only the machine with the old copy reports
+	for range 6 { // only the machine with the old replica sends heartbeats
 		agent1.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "copies on the machine that reports", len(agent1.Running()), 0)
+	want(t, "replicas on the machine that sends heartbeats", len(agent1.Running()), 0)
 }
 
 // A new owner cannot know what its predecessor started where.
@@ -81,7 +80,7 @@
 }
 
 // Until the new leader has read which machines may hold tasks, it cannot know
-// of one that neither reports nor is listed yet.
+// of one that neither sends heartbeats nor is listed yet.
 func TestRecoveredTasksWaitForTheMachineRecords(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -105,10 +104,10 @@
 		agent1.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "copies", len(agent1.Running()), 0)
+	want(t, "replicas", len(agent1.Running()), 0)
 }
 
-// A join that the leader did not take is sent again with its next beat.
+// A registration that the leader did not take is sent again with its next peer heartbeat.
 func TestLostShardRegistrationIsRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	lead, follower := sim.Leader(), sim.Follower()
@@ -118,11 +117,11 @@
 	controllerOf(follower).owner.BeginRegistration(shard) // and nothing is sent
 	sim.Advance(3 * time.Second)
 	if g.owner == nil || !shard.RegistrationConfirmed() {
-		t.Fatal("the ledger is not joined")
+		t.Fatal("the shard is not registered")
 	}
 }
 
-// A report that was sent before the start and arrives after it does not list
+// A heartbeat that was sent before the start and arrives after it does not list
 // the task; that proves nothing.
 func TestLateHeartbeatProvesNothing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -135,14 +134,14 @@
 	want(t, "running", len(agent.Running()), 1)
 	other := sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "late report", sim.Leader().Call("POST", "/checkin", late).Status, 503)
+	want(t, "late heartbeat", sim.Leader().Call("POST", "/checkin", late).Status, 503)
 	for range 5 {
 		other.Heartbeat()
 		sim.Advance(time.Second)
 	}
 	want(t, "second copy", len(other.Running()), 0)
 
-	// The same from a worker that has not seen the new leader's token yet.
+	// The same from a worker that has not seen the new leader's fencing token yet.
 	agent.Heartbeat()
 	agent.Sequence += 50
 	old := agent.FencingToken
@@ -152,7 +151,7 @@
 	stale := agent.HeartbeatBody()
 	agent.Tasks, agent.FencingToken = tasks, old
 	agent.Sequence -= 50
-	want(t, "stale report", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
+	want(t, "stale heartbeat", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
 	for range 5 {
 		other.Heartbeat()
 		sim.Advance(time.Second)
@@ -161,7 +160,7 @@
 }
 
 // An answer that never arrives leaves its starts in transit until the
-// worker's next report shows that they did not come.
+// worker's next heartbeat shows that they did not come.
 func TestStartInALostResponseIsReplicated(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -192,7 +191,7 @@
 		agent.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "copies before the leases are over", len(agent.Running()), 0)
+	want(t, "replicas before the leases are over", len(agent.Running()), 0)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].ExpireLease()
 	}
@@ -200,10 +199,10 @@
 		agent.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "copies after", len(agent.Running()), 4)
+	want(t, "replicas after", len(agent.Running()), 4)
 }
 
-// A stream that broke may have missed reports: its clock starts anew.
+// A stream that broke may have missed heartbeats: its clock starts anew.
 func TestNewStreamRestartsTheLeaseTimer(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	for i := range 9 {
@@ -239,7 +238,7 @@
 	want(t, "tasks judged lost", lost, 0)
 	alive.Silent = true
 	sim.Advance(9 * time.Second)
-	want(t, "located once a lease has passed on the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
+	want(t, "assigned once a lease has forwarded the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
 }
 
 func TestSilentMachineIsReturnedAndReplicatedAtOnce(t *testing.T) {
@@ -308,9 +307,9 @@
 	want(t, "running soon after", sim.runningTasks(), 4)
 }
 
-// A ledger may be dropped in the very batch in which something of its jobs has
+// A shard may be dropped in the very batch in which something of its jobs has
 // changed. The leader was told that they are over then, and never offered them
-// anything again, whoever held the ledger next.
+// anything again, whoever held the shard next.
 func TestChangedJobsOfALostShardContinue(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	follower := sim.Follower()
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -8,10 +8,10 @@
 )
 
 // A service is cancelled at a node that does not lead while machines with its
-// replicas can't be reached, and the leader ends; they go on when they may. day
+// replicas can't be reached, and the leader ends; they go on when they may. faultScenario
 // checks that nothing of it is left after cancel_s, and that nothing starts.
 func TestCancelledServiceOnUnreachableMachines(t *testing.T) {
-	for name, trouble := range map[string]func(agent *simtest.Agent, on bool){
+	for name, fault := range map[string]func(agent *simtest.Agent, on bool){
 		"hung": func(agent *simtest.Agent, on bool) { agent.Silent = on },
 		"deaf": func(agent *simtest.Agent, on bool) { agent.LosesResponses = on },
 		"loses its starts": func(agent *simtest.Agent, on bool) {
@@ -29,7 +29,7 @@
 					want(t, "replicas", len(scenario.machinesOfJob(id)), 6)
 					agents := scenario.busyMachines(4)
 					for _, agent := range agents {
-						trouble(agent, true)
+						fault(agent, true)
 					}
 					scenario.query(scenario.Follower(), "ABORT", id)
 					scenario.play(lasts, func(s int) {
@@ -38,7 +38,7 @@
 						}
 					})
 					for _, agent := range agents {
-						trouble(agent, false)
+						fault(agent, false)
 					}
 					scenario.play(25, func(int) {})
 					want(t, "left of it", len(scenario.machinesOfJob(id)), 0)
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -12,7 +12,6 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -50,7 +49,7 @@
 				task.State, task.Cause = "ended", why
 			}
 		}
-		if why == "done" { // for a while only the machine that keeps the result reports
+		if why == "done" { // for a while only the machine that keeps the result sends heartbeats
 			for _, agent := range sim.Agents {
 				agent.Silent = agent.Name != was
 			}
@@ -102,7 +101,7 @@
 		t.Fatalf("%d starts in 90 s of a service that ends at once", starts)
 	}
 	for m := range controllerOf(n).leader.machines.all {
-		want(t, "set aside", m.quarantined, false)
+		want(t, "quarantined", m.quarantined, false)
 	}
 	for _, agent := range sim.Agents {
 		agent.TaskDuration = 0
@@ -272,7 +271,7 @@
 		t.Fatal(err)
 	}
 	j := f.GetRegisterShard().GetJobs()[0]
-	want(t, "read of a join", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
+	want(t, "read of a registration", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(&f)
 	if err != nil {
 		t.Fatal(err)
@@ -301,10 +300,10 @@
 	lead, other := sim.Leader(), sim.Follower()
 	for _, raw := range [][]byte{
 		{0xba, 0x06, 0x02, 0x08, 0x01},             // body 103
-		{0x1a, 0x00},                               // an empty join
+		{0x1a, 0x00},                               // an empty registration
 		{0x2a, 0x04, 0x12, 0x02, 0xd8, 0x07},       // a demand with a job of an unknown field, cut short
 		{0x3a, 0x06, 0x10, 0xff, 0xff, 0xff, 0x0f}, // an offer of a machine that nobody has
-		{0x52, 0x04, 0x0a, 0x02, 0x08, 0x63},       // an order for another
+		{0x52, 0x04, 0x0a, 0x02, 0x08, 0x63},       // a command for another
 		{0x8a, 0x01, 0x02, 0x08, 0x07},             // a question for extensions without keys
 	} {
 		var f meshpb.Frame
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -11,16 +11,15 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/simtest"
 	"github.com/cobaltvale/cobaltvale/internal/standin/kv"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
-
-	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // What the far larger fleets brought to light. A machine whose lease is over
 // stays known with the list that it last sent, for as long as the cloud does
-// not return it. A ledger that changes hands meanwhile must not be told of that
-// list: its new holder would take the dead copy for the one that counts, have
+// not return it. A shard that changes hands meanwhile must not be told of that
+// list: its new holder would take the dead replica for the one that counts, have
 // the live one stopped, and replicate the task while it still runs
 // (ran_twice, 17 times on one day with 2,767 machines).
 func TestStatusOfLostMachineIsNotForwarded(t *testing.T) {
@@ -46,18 +45,18 @@
 	sim.Start(owner.Name)
 	sim.Run(5 * time.Second)
 	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "running")
-	want(t, "copies left alone", len(live.Running()), 1)
+	want(t, "replicas left alone", len(live.Running()), 1)
 	sim.Cloud.RefusesRelease = false
 	sim.Run(10 * time.Second) // the dead machine is returned
-	want(t, "second copies", len(other.Running()), 0)
+	want(t, "second replicas", len(other.Running()), 0)
 	live.FinishTasks("done")
 	sim.Run(3 * time.Second)
 	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "done")
 }
 
-// A report of a later session proves what the machine held gone, although it
-// does not carry the leader's token. What it held before must not be told to a
-// ledger's next holder either.
+// A heartbeat of a later epoch proves what the machine held gone, although it
+// does not carry the leader's fencing token. What it held before must not be told to a
+// shard's next holder either.
 func TestStatusOfEarlierEpochIsNotForwarded(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -80,14 +79,14 @@
 	sim.Advance(500 * time.Millisecond)
 	sim.Start(owner.Name)
 	sim.Run(5 * time.Second)
-	want(t, "copies left alone", len(agent2.Running()), 1)
+	want(t, "replicas left alone", len(agent2.Running()), 1)
 	agent3 := sim.AddMachine("vm-3", "z1")
 	agent2.Silent = true // before it could be told to stop
 	sim.Run(4 * time.Second)
-	want(t, "second copies", len(agent3.Running()), 0)
+	want(t, "second replicas", len(agent3.Running()), 0)
 }
 
-// Of several copies that are listed of a recovered task, the one with the
+// Of several replicas that are listed of a recovered task, the one with the
 // highest number counts, in whatever order the machines are heard of: earlier
 // holders gave it out only once the others were proven gone.
 func TestHighestReplicaNumberCounts(t *testing.T) {
@@ -102,7 +101,7 @@
 	live.Heartbeat()
 	want(t, "running", len(live.Running()), 1)
 	for _, task := range live.Tasks {
-		// An earlier copy, as a late report of its machine might list it.
+		// An earlier replica, as a late heartbeat of its machine might list it.
 		old.Tasks["old"] = &simtest.AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
 	}
 	for _, name := range sim.Names {
@@ -118,18 +117,18 @@
 		sim.Advance(time.Second)
 	}
 	sim.Run(3 * time.Second)
-	want(t, "copies that count", len(live.Running()), 1)
+	want(t, "replicas that count", len(live.Running()), 1)
 	old.Tasks = make(map[string]*simtest.AgentTask)
 	sim.Run(3 * time.Second)
-	want(t, "second copies", len(old.Running()), 0)
+	want(t, "second replicas", len(old.Running()), 0)
 	live.FinishTasks("done")
 	sim.Run(3 * time.Second)
 	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
-// A leader that stood still while its clock ran on wakes up with reports and
+// A leader that was paused while its clock ran on wakes up with heartbeats and
 // requests from before in its sockets. Its authority has ended: it answers no
-// report, tells nobody an older state, and neither writes nor calls the cloud
+// heartbeat, tells nobody an older state, and neither writes nor calls the cloud
 // as a leader. The others have replaced it as fast as after a crash.
 func TestPausedLeaderDoesNotAct(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -168,7 +167,7 @@
 	for _, body := range [][]byte{early, late} {
 		got := old.Call("POST", "/checkin", body)
 		if got.Status == 200 || got.Status == 0 {
-			t.Fatalf("a report was answered %d", got.Status)
+			t.Fatalf("a heartbeat was answered %d", got.Status)
 		}
 	}
 	for _, id := range []string{"wk-1", "wk-2"} {
@@ -185,13 +184,13 @@
 	sim.Reconnect(old.Name)
 	sim.State.OnTransaction = nil
 	sim.Run(6 * time.Second)
-	want(t, "its own ledger taken up again", controllerOf(old).owner.Shard(old.Name) != nil, true)
+	want(t, "its own shard acquired again", controllerOf(old).owner.Shard(old.Name) != nil, true)
 	sim.wantStatus(old, "wk-2", 200, "done")
 }
 
-// An owner that stood still finds offers, made before, among its frames. It
+// An owner that was paused finds offers, made before, among its frames. It
 // must give nothing away for them, and its polls come after those that the
-// ledger's new holder has answered.
+// shard's new holder has answered.
 func TestPausedOwnerDoesNotAct(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1 := sim.AddMachine("vm-1", "z1")
@@ -221,7 +220,7 @@
 }
 
 // In an outage a leader goes on only while every member keeps promising. One
-// that stands still extends nothing, and what it says late, on waking, counts
+// that is paused extends nothing, and what it says late, on waking, counts
 // from when it was asked.
 func TestPausedMemberGrantsNoLeaseExtension(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -230,10 +229,10 @@
 	lead, other := sim.Leader(), sim.Follower()
 	sim.State.Unavailable[""] = true
 	sim.Run(6 * time.Second)
-	want(t, "a report in the outage", agent.HeartbeatTo(lead).Status, 200)
+	want(t, "a heartbeat in the outage", agent.HeartbeatTo(lead).Status, 200)
 	other.Paused = true
 	sim.Advance(3 * time.Second)
-	want(t, "a report without all extensions", agent.HeartbeatTo(lead).Status, 503)
+	want(t, "a heartbeat without all extensions", agent.HeartbeatTo(lead).Status, 503)
 	asked := lead.Links[other.Name]
 	for i, f := range asked.Queue { // only the first question has come through
 		if f.GetLeaseExtensionRequest() != nil {
@@ -244,12 +243,12 @@
 	want(t, "questions", len(asked.Queue), 1)
 	other.Paused = false
 	sim.DeliverAll()
-	want(t, "a report after late extensions", agent.HeartbeatTo(lead).Status, 503)
+	want(t, "a heartbeat after late extensions", agent.HeartbeatTo(lead).Status, 503)
 	sim.Advance(time.Second)
-	want(t, "a report with fresh extensions", agent.HeartbeatTo(lead).Status, 200)
+	want(t, "a heartbeat with fresh extensions", agent.HeartbeatTo(lead).Status, 200)
 }
 
-// A relay that stood still with a leader's answer in hand says up to when it
+// A follower that was paused with a leader's answer in hand says up to when it
 // may be sent, and so do a leader and an owner; see also TestNothingLateIsSent.
 func TestResponsesCarryTheirExpiry(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -258,12 +257,12 @@
 	lead, relay := sim.Leader(), sim.Follower()
 	began := sim.Now()
 	r := agent.HeartbeatTo(relay)
-	want(t, "report", r.Status, 200)
+	want(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil < began || r.ValidUntil > began+responseLifetime {
-		t.Fatalf("a relay's answer holds for %v", r.ValidUntil-began)
+		t.Fatalf("a follower's answer holds for %v", r.ValidUntil-began)
 	}
 	r = agent.HeartbeatTo(lead)
-	want(t, "report", r.Status, 200)
+	want(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(lead).tuning.StateLease {
 		t.Fatalf("a leader's answer holds for %v", r.ValidUntil-sim.Now())
 	}
@@ -282,7 +281,7 @@
 		&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
 }
 
-// A member that has granted not to claim its own ledger, which another holds,
+// A member that has granted not to claim its own shard, which another holds,
 // must keep to that when the key vanishes: the holder may act until the extension
 // ends.
 func TestLeaseExtensionBindsForTheOwnShard(t *testing.T) {
@@ -294,7 +293,7 @@
 	key := storage.ShardKey(back.Name)
 	want(t, "taken over", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 	sim.Start(back.Name)
-	lead.Paused = true // it is slow to hear that the ledger is asked for
+	lead.Paused = true // it is slow to hear that the shard is asked for
 	for !controllerOf(back).election.Registered() || !controllerOf(back).election.ViewLoaded() {
 		sim.Advance(tickInterval)
 	}
@@ -315,9 +314,9 @@
 	want(t, "by the extension alone", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 }
 
-// Back at once, with its ledger's key gone, a member need not wait for extensions
+// Back at once, with its shard's key gone, a member need not wait for extensions
 // that an earlier process may have given: it asks the others, and who answers
-// has given the ledger up.
+// has given the shard up.
 func TestRestartedMemberRequestsItsShard(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Run(2 * time.Second)
@@ -503,7 +502,7 @@
 }
 
 // What the loss of hundreds of machines at once costs, in counts: a few writes, few
-// calls to the cloud, no more orders than there are copies to stop, and as many
+// calls to the cloud, no more commands than there are replicas to stop, and as many
 // starts as there were tasks; and what a takeover of their jobs costs: reads by
 // the page, a handful of writes.
 func TestCostOfLosingHundredsOfMachines(t *testing.T) {
@@ -556,13 +555,13 @@
 }
 
 // Machines come up all the time, and each has been heard of before it has had the
-// leader's token. They hold nothing, so a ledger that changes hands does not wait
+// leader's fencing token. They hold nothing, so a shard that changes hands does not wait
 // for them: waited for, there was always one, and recovered tasks did not start.
 func TestBootingMachinesDoNotDelayReconciliation(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 3 {
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		sim.AddMachine(fmt.Sprintf("vm-4%d", i), "z1").LosesResponses = true // its first report, as often as need be
+		sim.AddMachine(fmt.Sprintf("vm-4%d", i), "z1").LosesResponses = true // its first heartbeat, as often as need be
 	}
 	sim.Run(10 * time.Second)
 	follower := sim.Follower()
@@ -580,13 +579,13 @@
 		sim.Run(time.Second)
 	}
 	if waited > 8 {
-		t.Fatalf("the ledger is settled after %d s", waited)
+		t.Fatalf("the shard is reconciled after %d s", waited)
 	}
 }
 
 // Machines that were returned or taken before the last leader ended are named in
 // its records still. They are returned once more, as proof, as soon as all others
-// have had time to report, also if the list showed them for a while.
+// have had time to send a heartbeat, also if the list showed them for a while.
 func TestVanishedMachinesAreProvenLostSoon(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 6 {
@@ -614,6 +613,6 @@
 	sim.Cloud.Machines = kept
 	sim.Run(6 * time.Second)
 	next := controllerOf(sim.Leader())
-	want(t, "settled", next.owner.Shard(lead.Name).Reconciled(), true)
+	want(t, "reconciled", next.owner.Shard(lead.Name).Reconciled(), true)
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -23,7 +22,7 @@
 	return sim, sim.Nodes["a"]
 }
 
-// timeToStart submits a job and reports how long until a task of it runs, while
+// timeToStart submits a job and returns how long until a task of it runs, while
 // every second more is submitted besides.
 func (sim *simulation) timeToStart(n *simtest.Node, request simtest.JobRequest, limit time.Duration, besides func(second int)) time.Duration {
 	sim.T.Helper()
@@ -171,7 +170,7 @@
 	sim.timeToStart(n, simtest.BatchJob("wk-5", 2).With("crew", "red"), startLimit, func(int) {})
 }
 
-// The work of a report does not grow with machines or jobs.
+// The work of a heartbeat does not grow with machines or jobs.
 func TestCostOfAHeartbeatIsIndependentOfFleetSize(t *testing.T) {
 	perReport := func(machines, jobs int) float64 {
 		sim, n := newFleet(t, machines, 0)
@@ -208,7 +207,7 @@
 	const limit = (1 + maxFetchCandidates) * queueLookAhead
 	for _, size := range []struct{ machines, jobs int }{{20, 40}, {200, 600}} {
 		if got := perReport(size.machines, size.jobs); got == 0 || got > limit {
-			t.Fatalf("with %d machines and %d jobs a report looks at %.1f jobs and queues, want 1 to %d", size.machines, size.jobs, got, limit)
+			t.Fatalf("with %d machines and %d jobs a heartbeat looks at %.1f jobs and queues, want 1 to %d", size.machines, size.jobs, got, limit)
 		}
 	}
 }
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -6,13 +6,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
 // withoutUnknownTasks is what the version before makes of the lists in a frame: it
 // leaves out the tasks of jobs that the leader did not know when the machine
-// reported, and those of ledgers that the receiver has not joined for.
+// reported, and those of shards that the receiver has not registered for.
 func withoutUnknownTasks(from *Controller, to string, f *meshpb.Frame) *meshpb.Frame {
 	l := from.leader
 	if l == nil || f.GetMachineStatuses() == nil {
@@ -45,9 +44,9 @@
 	return nil
 }
 
-// checkStatusesComplete looks at every list that a leader passes on: it has whatever the
+// checkStatusesComplete looks at every list that a leader forwards: it has whatever the
 // machine last listed of the jobs that the receiver owns, unless another member
-// has joined for them. The version before takes each list for that much.
+// has registered for them. The version before takes each list for that much.
 func (sim *simulation) checkStatusesComplete(from *Controller, to *simtest.Node, f *meshpb.Frame) {
 	l := from.leader
 	if _, bench := sim.T.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -6,9 +6,8 @@
 	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/storage"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
 // In a storm of polls, what many users ask costs few reads: about jobs that
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -10,13 +10,13 @@
 	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
-// takeoverSeeds is how many days TestTakeoverDays plays; TAKEOVER_DAYS asks for
+// takeoverSeeds is how many scenarios TestTakeoverScenarios plays; TAKEOVER_DAYS asks for
 // more, for a long run by hand.
 const takeoverSeeds = 48
 
 // Leaders and owners change while the state service is slow, refuses some reads or
-// one member, streams between members come up late, and members stand still. The
-// rules are looked at ten times a second, and every list that is passed on. Each
+// one member, streams between members come up late, and members are paused. The
+// rules are looked at ten times a second, and every list that is forwarded. Each
 // seed draws its own meetings; every fourth has members of the version before.
 func TestTakeoverScenarios(t *testing.T) {
 	seeds := takeoverSeeds
@@ -66,7 +66,7 @@
 	scenario.recoverAndCheck()
 }
 
-// takeoverScenario draws the troubles of one such day.
+// takeoverScenario draws the faults of one such scenario.
 type takeoverScenario struct{ *faultScenario }
 
 // after has something happen between the two times from now on.
@@ -125,7 +125,7 @@
 		scenario.disconnectLink()
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
-			if lead := scenario.activeLeader(); lead != nil { // it keeps its ledgers
+			if lead := scenario.activeLeader(); lead != nil { // it keeps its shards
 				controllerOf(lead).election.Resign(election.WorkersUnreachable)
 			}
 			return
@@ -177,7 +177,7 @@
 	scenario.after(500*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
-// pauseMember has a member stand still; the others take it for cut off after a while.
+// pauseMember pauses a member; the others take it for disconnected after a while.
 func (scenario *takeoverScenario) pauseMember() {
 	name := scenario.Names[scenario.rand.IntN(len(scenario.Names))]
 	n := scenario.Nodes[name]
@@ -211,7 +211,7 @@
 	scenario.restoreAll()
 }
 
-// resumeAll has all members that stand still go on.
+// resumeAll has all members that are paused go on.
 func (scenario *takeoverScenario) resumeAll() {
 	for _, name := range scenario.Names {
 		if scenario.Nodes[name].Paused {
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// The limits fall while jobs begin, finish and end, and while a ledger is taken up:
+// The limits fall while jobs begin, finish and end, and while a shard is acquired:
 // nothing that this version writes is beyond them, nothing that it has begun to
 // write gets stuck, and the rate's refusals cost nobody a job.
 func TestStateLimitsLoweredDuringOperation(t *testing.T) {
@@ -147,7 +147,7 @@
 					}
 					if takeover {
 						scenario.Crash(scenario.Leader().Name)
-						scenario.Advance(2 * time.Second) // others take its ledger up about now
+						scenario.Advance(2 * time.Second) // others acquire its shard about now
 					}
 					scenario.Advance(time.Duration(step) * 100 * time.Millisecond)
 					scenario.lowerStateLimits()
--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -31,8 +31,8 @@
 	controller  *Controller
 	finalStates map[string]finalState
 	finalOrder  []string // of finals, the oldest first
-	// records remembers what was read of jobs that go on: to which ledger each
-	// belongs, which never changes, and the stamp by which a change would show.
+	// records remembers what was read of jobs that go on: to which shard each
+	// belongs, which never changes, and the version by which a change would show.
 	knownRecords  map[string]storage.KnownRecord
 	jobQueries    map[uint64]*jobQuery
 	lastQueryID   uint64
@@ -323,7 +323,7 @@
 	})
 }
 
-// queryOwner asks the member that holds a ledger; done gets nil if it does not
+// queryOwner asks the member that holds a shard; done gets nil if it does not
 // answer.
 func (api *userAPI) queryOwner(id, ledger string, abort bool, done func(*meshpb.JobQueryResult)) {
 	var p *peer
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -7,7 +7,6 @@
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
-
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
@@ -83,8 +82,8 @@
 	}
 }
 
-// Where starts are wanted sooner than machines report, two machines are enough: the
-// last replica waits for as many reports as there are machines.
+// Where starts are wanted sooner than machines send heartbeats, two machines are enough: the
+// last replica waits for as many heartbeats as there are machines.
 func TestReplicasSpreadOverTwoMachinesIfStartsAreUrgent(t *testing.T) {
 	for within, started := range map[float64]int{1: 6, 5: 4} {
 		sim := newSimulation(t, "a", "b", "c")
@@ -101,11 +100,11 @@
 		want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
 		sim.Agents["vm-0"].Heartbeat()
 		sim.Agents["vm-1"].Heartbeat()
-		want(t, fmt.Sprint("started by two reports, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
+		want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
 	}
 }
 
-// A replica is left to a machine that has its image if that one's next report is due
+// A replica is left to a machine that has its image if that one's next heartbeat is due
 // sooner than the image could be fetched, and not otherwise.
 func TestReplicaWaitsForAMachineWithItsImage(t *testing.T) {
 	for since, goesTo := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
@@ -123,7 +122,7 @@
 		want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
 		second.Heartbeat()
 		first.Heartbeat()
-		want(t, fmt.Sprint("goes to, last report before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
+		want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
 	}
 }
 
--- a/internal/simtest/agent.go
+++ b/internal/simtest/agent.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Agent is a scripted machine. It follows the protocol's rules for tokens
+// Agent is a scripted machine. It follows the protocol's rules for fencing tokens
 // and commands; its lease ends only when a test says so.
 type Agent struct {
 	deployment       *Deployment
@@ -28,10 +28,10 @@
 	LosesResponses   bool          // no answer reaches it
 	TaskDuration     time.Duration // tasks end by themselves after it; 0: never
 	DurationSpread   time.Duration // and up to six times this more
-	ConnectedTo      Process       // where its last report was answered
-	RedirectedTo     string        // the member that it was told to report to
+	ConnectedTo      Process       // where its last heartbeat was answered
+	RedirectedTo     string        // the member that it was told to send heartbeats to
 	Connection       uint64
-	LastAnswered     time.Duration // when the last report that was answered was sent, or the session began
+	LastAnswered     time.Duration // when the last heartbeat that was answered was sent, or the epoch began
 }
 
 // AgentTask is a replica on a machine.
@@ -94,7 +94,7 @@
 		"perch": agent.Epoch, "tick": agent.Sequence, "baton": agent.FencingToken, "recallInS": agent.PreemptionNotice, "pages": pages})
 }
 
-// Heartbeat sends one report to the leader, or where it was told to, and carries
+// Heartbeat sends one heartbeat to the leader, or where it was told to, and carries
 // out the answer.
 func (agent *Agent) Heartbeat() *HTTPResponse {
 	if agent.Silent {
@@ -120,7 +120,7 @@
 		agent.Connection, agent.ConnectedTo = agent.deployment.lastConnection, n.Process
 	}
 	r := n.CallOnConnection(agent.Connection, "POST", "/checkin", agent.LastHeartbeat)
-	if r.Status == 0 { // the answer waits for picks
+	if r.Status == 0 { // the answer waits for bindings
 		agent.deployment.Advance(400 * time.Millisecond)
 	}
 	agent.RedirectedTo = ""
@@ -210,7 +210,7 @@
 	}
 }
 
-// ExpireLease ends the worker's session, as its lease's end does.
+// ExpireLease ends the worker's epoch, as its lease's end does.
 func (agent *Agent) ExpireLease() {
 	agent.Tasks = make(map[string]*AgentTask)
 	agent.Epoch++
--- a/internal/simtest/deployment.go
+++ b/internal/simtest/deployment.go
@@ -149,7 +149,7 @@
 	d.Run(span - 4*time.Second)
 }
 
-// Resume lets a process that stood still go on, with all that has waited for it.
+// Resume lets a process that was paused go on, with all that has waited for it.
 func (d *Deployment) Resume(name string) {
 	d.Nodes[name].Paused = false
 	d.DeliverAll()
@@ -179,7 +179,7 @@
 	}
 }
 
-// Run advances while all workers report every second or so.
+// Run advances while all workers send heartbeats every second or so.
 func (d *Deployment) Run(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.Advance(time.Second)
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -28,7 +28,7 @@
 	d.DeliverAll()
 }
 
-// Reconnect ends the streams of a process that stood still and begins new ones.
+// Reconnect ends the streams of a process that was paused and begins new ones.
 func (d *Deployment) Reconnect(name string) {
 	n := d.Nodes[name]
 	for _, other := range d.Names {
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -108,7 +108,7 @@
 	return b.String()
 }
 
-// StartWorkers has all machines report.
+// StartWorkers has all machines send heartbeats.
 func (d *Deployment) StartWorkers() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	minimumInterval  = 500 * time.Millisecond // reports of changes
+	minimumInterval  = 500 * time.Millisecond // heartbeats of changes
 	retryHeartbeat   = time.Second
 	heartbeatTimeout = 4 * time.Second
 	taskTick         = 20 * time.Millisecond
 )
 
-// worker is one machine. It follows the protocol's rules for tokens and commands;
+// worker is one machine. It follows the protocol's rules for fencing tokens and commands;
 // its lease does not end by itself.
 type worker struct {
 	codec        *protocol.Codec
@@ -31,7 +31,7 @@
 	name         string
 	nodes        map[string]string // addresses by member
 	order        []string
-	memberIndex  int // of the member that it reports to
+	memberIndex  int // of the member that it sends heartbeats to
 	interval     time.Duration
 	sequence     uint64
 	fencingToken uint64
@@ -49,7 +49,7 @@
 	ends    time.Time
 }
 
-// run reports until ctx ends.
+// run sends heartbeats until ctx ends.
 func (w *worker) run(ctx context.Context) {
 	ticker := time.NewTicker(taskTick)
 	defer ticker.Stop()
@@ -104,7 +104,7 @@
 		"perch": 1, "tick": w.sequence, "baton": w.fencingToken, "recallInS": nil, "pages": pages})
 }
 
-// heartbeat sends one report, and returns when the next is due sooner than usual.
+// heartbeat sends one heartbeat, and returns when the next is due sooner than usual.
 func (w *worker) heartbeat(ctx context.Context) time.Duration {
 	member := w.order[w.memberIndex%len(w.order)]
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -131,7 +131,7 @@
 	return retryHeartbeat
 }
 
-// execute carries out an answer, unless its token is old.
+// execute carries out an answer, unless its fencing token is old.
 func (w *worker) execute(body []byte) bool {
 	var a protocol.HeartbeatResponse
 	if w.codec.Decode(body, &a) != nil || a.FencingToken < w.fencingToken {
