--- a/internal/coordination/user_api.go
+++ b/internal/coordination/user_api.go
@@ -314,8 +314,8 @@
 }
 
 func (api *userAPI) cancelOwned(j *shard.Job, reply func(Response)) {
-	api.controller.owner.Cancel(j, func(status string) {
-		if status == "" {
+	api.controller.owner.Cancel(j, func(status string, err error) {
+		if err != nil {
 			reply(api.controller.errorResponse(503, "the job's owner changes", 1))
 			return
 		}
@@ -369,8 +369,8 @@
 		answer(&meshpb.JobQueryResult{HttpStatus: 200, JobStatus: j.WireStatus(), Done: uint32(j.Finished()), Running: uint32(j.Running())})
 		return
 	}
-	api.controller.owner.Cancel(j, func(status string) {
-		if status == "" {
+	api.controller.owner.Cancel(j, func(status string, err error) {
+		if err != nil {
 			answer(&meshpb.JobQueryResult{HttpStatus: 503})
 			return
 		}
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -29,7 +29,7 @@
 	breaker      circuitBreaker
 	changed      bool // since the leader was told last
 	specUnsent   bool // its description has not been sent to the present leader
-	onEnd        []func(status string)
+	onEnd        []func(status string, err error)
 	// publishedPending is how many tasks the leader was told of last that may be started.
 	publishedPending int
 }
@@ -165,10 +165,10 @@
 // Ending tells whether a job's end is being written, or is.
 func (job *Job) Ending() bool { return job.finalStatus != "" }
 
-// notifyEnd tells those who wait for a job's end.
-func (job *Job) notifyEnd(status string) {
+// notifyEnd tells those who wait for a job's end, or the error why it can't be told.
+func (job *Job) notifyEnd(status string, err error) {
 	for _, fn := range job.onEnd {
-		fn(status)
+		fn(status, err)
 	}
 	job.onEnd = nil
 }
--- a/internal/shard/job_lifecycle.go
+++ b/internal/shard/job_lifecycle.go
@@ -1,6 +1,7 @@
 package shard
 
 import (
+	"errors"
 	"strconv"
 	"time"
 
@@ -16,8 +17,9 @@
 
 func estimatedBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
 
-// statusUnknown is what is told of a job's end that can't be said here.
-const statusUnknown = ""
+// ErrShardLost is told to those who wait for a job's end when its shard is held no more:
+// how the job ends is the next holder's to say.
+var ErrShardLost = errors.New("the job's shard is held no more")
 
 // MemoryFull tells whether one more job would take more than new jobs may; shards that
 // are taken over need room too.
@@ -67,11 +69,11 @@
 	})
 }
 
-// Cancel ends a job as its user asks; done gets its final status, or none
-// if that cannot be said here. The leader stops its tasks from now on: the end
+// Cancel ends a job as its user asks; done gets its final status once that is durable,
+// or ErrShardLost if it cannot be said here. The leader stops its tasks from now on: the end
 // may be written without this owner learning of it for as long as an outage
 // lasts, while others read it and tell the user (ran_cancelled).
-func (o *Owner) Cancel(job *Job, done func(status string)) {
+func (o *Owner) Cancel(job *Job, done func(status string, err error)) {
 	job.onEnd = append(job.onEnd, done)
 	o.endJob(job, protocol.StatusCancelled)
 }
@@ -90,7 +92,7 @@
 		o.MarkChanged(job)
 		o.removeJob(job)
 		o.config.FinalStatuses.Remember(job.id, status, job.spec.Tasks)
-		job.notifyEnd(status)
+		job.notifyEnd(status, nil)
 	})
 }
 
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -1,6 +1,7 @@
 package shard
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -287,12 +288,12 @@
 func TestRemovedShardAnswersThoseWhoWait(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	told := []string{}
-	f.Cancel(job, func(status string) { told = append(told, status) })
+	var told []error
+	f.Cancel(job, func(_ string, err error) { told = append(told, err) })
 	f.RemoveShard("a")
 	f.records.FlushJobs()
-	if len(told) != 1 || told[0] != statusUnknown {
-		t.Errorf("told %q", told)
+	if len(told) != 1 || !errors.Is(told[0], ErrShardLost) {
+		t.Errorf("told %v", told)
 	}
 	if f.Job("wk-1") != nil || f.Shard("a") != nil || f.memoryBytes != 0 {
 		t.Errorf("%d bytes of a removed shard are left", f.memoryBytes)
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -106,7 +106,7 @@
 		job.ended = true
 		delete(o.jobs, job.id)
 		o.memoryBytes -= estimatedBytes(job.spec)
-		job.notifyEnd(statusUnknown)
+		job.notifyEnd("", ErrShardLost)
 	}
 	for _, pending := range shard.creations {
 		for _, fn := range pending.waiters {
