--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -34,8 +34,8 @@
 	response := &pendingResponse{machine: m, reply: reply, receivedAt: now, connection: connection, epoch: heartbeat.Epoch, sequence: heartbeat.Seq}
 	response.commands = m.cleanupCommands(&l.shards)
 	if reachable {
-		l.preempt(m, response, now)
-		l.makeOffers(m, response, now)
+		l.scheduler.preempt(m, response, now)
+		l.scheduler.makeOffers(m, response, now)
 	}
 	if len(response.openOffers) == 0 {
 		l.sendResponse(response)
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -119,7 +119,7 @@
 // be on machines.
 func (l *leader) setCounts(job *trackedJob, summary *meshpb.JobSummary) {
 	if int(summary.Pending) > job.pending {
-		l.pendingQueue.markDirty()
+		l.scheduler.queue.markDirty()
 	}
 	job.pending, job.placed, job.cancelling = int(summary.Pending), int(summary.Assigned), summary.Cancelling
 	job.started = job.started || job.placed > 0
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -21,19 +21,14 @@
 	usage            usageAccounting
 	reconciler       reconciler
 	publisher        statusPublisher
-	offers           offerBook
 	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
 	deliveries       deliveryTracker
 	quarantine       quarantine
 	actingSince      time.Duration // since when this member may act without a break
 	nextSlowTick     time.Duration
 	records          machineRecorder
-	pendingQueue     pendingQueue
-	reservations     reservations
-	preemptor        preemptor
-	drainer          drainer
+	scheduler        scheduler
 	kinds            kindSelector
-	placement        placement
 	autoscaler       autoscaler
 	cloudRequests    cloudRequests
 	forecast         forecast.Starts
--- a/internal/coordination/scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -1,20 +1,13 @@
 package coordination
 
-import (
-	"time"
-
-	"github.com/cobaltvale/cobaltvale/internal/priority"
-	"github.com/cobaltvale/cobaltvale/internal/protocol"
-	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
-)
+import "time"
 
 // initScheduling connects the components that decide what runs where and how many
 // machines there are. Each reads the leader's tables through what it is given
 // here, and nothing else.
 func (l *leader) initScheduling() {
 	l.initAutoscaling()
-	l.initPlacement()
-	l.initPreemption()
+	l.initScheduler()
 }
 
 // initAutoscaling connects what sizes the fleet.
@@ -59,10 +52,22 @@
 	l.warmPool.init()
 }
 
-// initPlacement connects what offers machines to jobs.
-func (l *leader) initPlacement() {
-	env := &l.env
-	l.placement = placement{
+// initScheduler connects what stops tasks on machines and offers machines to jobs.
+func (l *leader) initScheduler() {
+	env, s := &l.env, &l.scheduler
+	*s = scheduler{
+		settings:          env.settings,
+		tuning:            env.tuning,
+		wallMs:            l.wallMs,
+		schedulable:       l.schedulable,
+		runTime:           l.runTime,
+		unfinishedJobs:    l.unfinishedJobs,
+		updateImageDemand: l.updateImageDemand,
+		warmPool:          &l.warmPool,
+		offers:            offerBook{updateUsage: l.usage.update, byID: make(map[uint64]*offer)},
+		drainer:           drainer{warmPool: &l.warmPool, runTime: l.runTime},
+	}
+	s.placement = placement{
 		catalog:         env.cloud,
 		kinds:           &l.kinds,
 		warmPool:        &l.warmPool,
@@ -70,26 +75,21 @@
 		withinTeamLimit: l.withinTeamLimit,
 		runTime:         l.runTime,
 	}
-	l.pendingQueue = pendingQueue{
+	s.queue = pendingQueue{
 		catalog:    env.cloud,
 		kinds:      &l.kinds,
-		orderKeyOf: l.orderKeyOf,
+		orderKeyOf: s.orderKeyOf,
 		runTime:    l.runTime,
 	}
-	l.reservations = reservations{
+	s.reservations = reservations{
 		machines:    &l.machines,
-		placement:   &l.placement,
+		placement:   &s.placement,
 		schedulable: l.schedulable,
 		runTime:     l.runTime,
 	}
-	l.offers = offerBook{updateUsage: l.usage.update, byID: make(map[uint64]*offer)}
-}
-
-// initPreemption connects what stops tasks to make room.
-func (l *leader) initPreemption() {
-	l.preemptor = preemptor{
-		queue:           &l.pendingQueue,
-		placement:       &l.placement,
+	s.preemptor = preemptor{
+		queue:           &s.queue,
+		placement:       &s.placement,
 		kinds:           &l.kinds,
 		machines:        &l.machines,
 		images:          &l.images,
@@ -99,7 +99,6 @@
 		withinTeamLimit: l.withinTeamLimit,
 		obtainable:      l.autoscaler.obtainable,
 	}
-	l.drainer = drainer{warmPool: &l.warmPool, runTime: l.runTime}
 }
 
 // autoscale sizes the fleet once a second: it releases machines and requests new
@@ -109,13 +108,13 @@
 		return
 	}
 	l.updateExclusiveNeeds(now)
-	l.pendingQueue.markDirty()
-	l.rebuildPendingQueue(now)
+	l.scheduler.queue.markDirty()
+	l.scheduler.rebuildQueue(now)
 	in := &autoscalerInput{
 		now:           now,
 		wallMs:        l.wallMs(),
 		actingSince:   l.actingSince,
-		pending:       l.pendingQueue.jobs,
+		pending:       l.scheduler.queue.jobs,
 		requests:      l.cloudRequests.scaleOuts,
 		forecast:      l.forecast.MachinesWanted(now, arrivalsObserved(l.electedAt, now)),
 		machinesKnown: l.records.machinesKnown(),
@@ -157,56 +156,3 @@
 		}
 	}
 }
-
-// orderKeyOf returns a job's position in the order of service at a Unix time in
-// milliseconds.
-func (l *leader) orderKeyOf(job *trackedJob, wallMs int64) priority.Key {
-	return priority.KeyOf(priority.Job{
-		Class:       job.spec.Class,
-		Priority:    job.priority,
-		Started:     job.started,
-		SubmittedMs: job.spec.SubmittedMs,
-		DeadlineMs:  job.spec.DeadlineMs,
-		RunTime:     l.runTime(job.spec),
-	}, wallMs, l.env.settings.Objectives)
-}
-
-// rebuildPendingQueue rebuilds the order of service, if it is due, with the demand
-// for images that it goes by and the reservations that follow from it.
-func (l *leader) rebuildPendingQueue(now time.Duration) {
-	if !l.pendingQueue.rebuildDue(now) {
-		return
-	}
-	l.updateImageDemand(now)
-	l.pendingQueue.rebuild(l.unfinishedJobs, l.wallMs(), now)
-	l.reservations.renew(l.pendingQueue.overdue, now)
-}
-
-// preempt stops tasks on a machine that sends a heartbeat, in its response: those
-// that make room for others, or all that have to leave if the machine is to go.
-func (l *leader) preempt(m *machine, response *pendingResponse, now time.Duration) {
-	if !l.schedulable(m, now) {
-		l.stopTasks(m, response, l.drainer.victims(m, now))
-		return
-	}
-	if l.preemptor.shortageDue(now) {
-		l.rebuildPendingQueue(now)
-		l.preemptor.findShortage(now)
-	}
-	l.stopTasks(m, response, l.preemptor.victims(m, now))
-}
-
-// stopTasks commands a machine to have tasks write a checkpoint, if they can, and
-// stop.
-func (l *leader) stopTasks(m *machine, response *pendingResponse, victims []*replicaOnMachine) {
-	for _, replica := range victims {
-		key, graceS := replica.key, 0.0
-		if replica.job.spec.CheckpointIntervalS > 0 {
-			graceS = replica.job.spec.CheckpointDurationS + checkpointMarginS
-		}
-		m.setCommand(&meshpb.MachineCommand{MachineIndex: m.index, Job: key.job, Task: key.task, Replica: key.replica, GraceS: graceS})
-		stop := replica.command(protocol.CommandStop)
-		stop.GraceS = &graceS
-		response.commands = append(response.commands, stop)
-	}
-}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"time"
-
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
@@ -129,80 +127,15 @@
 	}
 }
 
-// makeOffers offers a machine's free resources to the owners of pending tasks.
-func (l *leader) makeOffers(m *machine, response *pendingResponse, now time.Duration) {
-	if !l.schedulable(m, now) {
-		return
-	}
-	l.warmPool.claimMachine(m, now)
-	l.rebuildPendingQueue(now)
-	queue := l.pendingQueue.byKind[m.machineKind]
-	if queue == nil || !queue.mayFit(m.free) {
-		return
-	}
-	m.offeringFor = response
-	l.fillOffers(m, queue, response, now)
-	m.offeringFor = nil
-	l.offers.send(response)
-}
-
-// fillOffers offers a machine's free resources to one task after another, each time
-// to the one that is served first by what the teams use by then.
-func (l *leader) fillOffers(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
-	free := m.free
-	queues := queue.candidates(m)
-	heads := make([]*trackedJob, len(queues))
-	for i, q := range queues {
-		heads[i] = l.pendingQueue.head(q, &l.placement, m, free, now)
-	}
-	for range l.env.tuning.StartsPerResponse {
-		job := firstServed(heads)
-		if job == nil {
-			return
-		}
-		free.subtract(job.spec)
-		if m.spot {
-			job.image.spotFree.subtract(job.spec)
-		}
-		l.offerTask(response, job)
-		for i, q := range queues {
-			if heads[i] != nil && !l.placement.canOffer(heads[i], m, free, now) {
-				heads[i] = l.pendingQueue.head(q, &l.placement, m, free, now)
-			}
-		}
-	}
-}
-
-// firstServed returns the job that is served first, or nil if all are nil.
-func firstServed(jobs []*trackedJob) *trackedJob {
-	var first *trackedJob
-	for _, job := range jobs {
-		if job != nil && (first == nil || job.servedBefore(first)) {
-			first = job
-		}
-	}
-	return first
-}
-
-// offerTask adds one task of a job to the offers. A job that was overdue is served
-// in its turn once a task of it is on offer.
-func (l *leader) offerTask(response *pendingResponse, job *trackedJob) {
-	l.offers.add(response, job)
-	if job.orderKey.Overdue {
-		job.overdueStarts++
-		job.orderKey = l.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, l.wallMs())
-	}
-}
-
 // onBindings takes an owner's bindings. Those for an offer that was closed are
 // returned: its response has gone out without them.
 func (l *leader) onBindings(p *peer, f *meshpb.Bindings) {
-	o := l.offers.find(f.OfferId, p)
+	o := l.scheduler.offers.find(f.OfferId, p)
 	if o == nil {
 		sendReturnedBindings(p, f.Bindings)
 		return
 	}
-	l.offers.close(o)
+	l.scheduler.offers.close(o)
 	for _, summary := range f.Jobs {
 		if job := l.jobs[summary.Job]; job.ownedBy(p) && !job.ended {
 			l.setCounts(job, summary)
@@ -234,7 +167,7 @@
 			continue
 		}
 		response.dropBindings(shard)
-		l.offers.closeLink(response, shard.link)
+		l.scheduler.offers.closeLink(response, shard.link)
 		if len(response.openOffers) == 0 {
 			l.sendResponse(response)
 		}
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -33,7 +33,7 @@
 	if m.pending == response {
 		m.pending = nil
 	}
-	l.offers.closeAll(response)
+	l.scheduler.offers.closeAll(response)
 	response.finished = true
 	now := l.now()
 	if l.ended || !l.env.authority.MayAct(now) || m.terminated {
@@ -83,7 +83,7 @@
 
 // abandonResponse ends a response that its machine no longer waits for.
 func (l *leader) abandonResponse(response *pendingResponse) {
-	l.offers.closeAll(response)
+	l.scheduler.offers.closeAll(response)
 	response.finished = true
 	response.machine.pending = nil
 	l.returnBindings(response)
--- /dev/null
+++ b/internal/coordination/scheduler.go
@@ -0,0 +1,153 @@
+package coordination
+
+import (
+	"iter"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/priority"
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+// scheduler decides what a machine that sends a heartbeat does next: which of its
+// tasks are stopped, and which owners are offered its free resources.
+//
+// It owns the order of service, the reservations, the open offers and the choice
+// of tasks to stop. It starts nothing: owners bind tasks to what they are offered,
+// and the leader sends the starts.
+type scheduler struct {
+	settings          *settings.Settings
+	tuning            *settings.Tuning
+	wallMs            func() int64 // Unix time
+	schedulable       func(*machine, time.Duration) bool
+	runTime           func(*meshpb.JobSummary) time.Duration
+	unfinishedJobs    iter.Seq[*trackedJob]
+	updateImageDemand func(now time.Duration)
+	warmPool          *warmPool
+
+	placement    placement
+	queue        pendingQueue
+	reservations reservations
+	offers       offerBook
+	preemptor    preemptor
+	drainer      drainer
+}
+
+// rebuildQueue rebuilds the order of service, if it is due, with the demand for
+// images that it goes by and the reservations that follow from it.
+func (s *scheduler) rebuildQueue(now time.Duration) {
+	if !s.queue.rebuildDue(now) {
+		return
+	}
+	s.updateImageDemand(now)
+	s.queue.rebuild(s.unfinishedJobs, s.wallMs(), now)
+	s.reservations.renew(s.queue.overdue, now)
+}
+
+// orderKeyOf returns a job's position in the order of service at a Unix time in
+// milliseconds.
+func (s *scheduler) orderKeyOf(job *trackedJob, wallMs int64) priority.Key {
+	return priority.KeyOf(priority.Job{
+		Class:       job.spec.Class,
+		Priority:    job.priority,
+		Started:     job.started,
+		SubmittedMs: job.spec.SubmittedMs,
+		DeadlineMs:  job.spec.DeadlineMs,
+		RunTime:     s.runTime(job.spec),
+	}, wallMs, s.settings.Objectives)
+}
+
+// preempt stops tasks on a machine, in a response to it: those that make room for
+// others, or all that have to leave if the machine is to go.
+func (s *scheduler) preempt(m *machine, response *pendingResponse, now time.Duration) {
+	if !s.schedulable(m, now) {
+		response.stop(m, s.drainer.victims(m, now))
+		return
+	}
+	if s.preemptor.shortageDue(now) {
+		s.rebuildQueue(now)
+		s.preemptor.findShortage(now)
+	}
+	response.stop(m, s.preemptor.victims(m, now))
+}
+
+// stop commands a machine to have tasks write a checkpoint, if they can, and stop.
+// The commands are repeated until the machine's list shows their end.
+func (r *pendingResponse) stop(m *machine, victims []*replicaOnMachine) {
+	for _, replica := range victims {
+		key, graceS := replica.key, 0.0
+		if replica.job.spec.CheckpointIntervalS > 0 {
+			graceS = replica.job.spec.CheckpointDurationS + checkpointMarginS
+		}
+		m.setCommand(&meshpb.MachineCommand{MachineIndex: m.index, Job: key.job, Task: key.task, Replica: key.replica, GraceS: graceS})
+		stop := replica.command(protocol.CommandStop)
+		stop.GraceS = &graceS
+		r.commands = append(r.commands, stop)
+	}
+}
+
+// makeOffers offers a machine's free resources to the owners of pending tasks.
+func (s *scheduler) makeOffers(m *machine, response *pendingResponse, now time.Duration) {
+	if !s.schedulable(m, now) {
+		return
+	}
+	s.warmPool.claimMachine(m, now)
+	s.rebuildQueue(now)
+	queue := s.queue.byKind[m.machineKind]
+	if queue == nil || !queue.mayFit(m.free) {
+		return
+	}
+	m.offeringFor = response
+	s.fillOffers(m, queue, response, now)
+	m.offeringFor = nil
+	s.offers.send(response)
+}
+
+// fillOffers offers a machine's free resources to one task after another, each time
+// to the one that is served first by what the teams use by then.
+func (s *scheduler) fillOffers(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
+	free := m.free
+	queues := queue.candidates(m)
+	heads := make([]*trackedJob, len(queues))
+	for i, q := range queues {
+		heads[i] = s.queue.head(q, &s.placement, m, free, now)
+	}
+	for range s.tuning.StartsPerResponse {
+		job := firstServed(heads)
+		if job == nil {
+			return
+		}
+		free.subtract(job.spec)
+		if m.spot {
+			job.image.spotFree.subtract(job.spec)
+		}
+		s.offerTask(response, job)
+		for i, q := range queues {
+			if heads[i] != nil && !s.placement.canOffer(heads[i], m, free, now) {
+				heads[i] = s.queue.head(q, &s.placement, m, free, now)
+			}
+		}
+	}
+}
+
+// firstServed returns the job that is served first, or nil if all are nil.
+func firstServed(jobs []*trackedJob) *trackedJob {
+	var first *trackedJob
+	for _, job := range jobs {
+		if job != nil && (first == nil || job.servedBefore(first)) {
+			first = job
+		}
+	}
+	return first
+}
+
+// offerTask adds one task of a job to the offers. A job that was overdue is served
+// in its turn once a task of it is on offer.
+func (s *scheduler) offerTask(response *pendingResponse, job *trackedJob) {
+	s.offers.add(response, job)
+	if job.orderKey.Overdue {
+		job.overdueStarts++
+		job.orderKey = s.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, s.wallMs())
+	}
+}
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -49,7 +49,7 @@
 		l.applySummary(shard, summary)
 	}
 	shard.arrivingJobs = nil
-	l.pendingQueue.markDirty()
+	l.scheduler.queue.markDirty()
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
 		Shard: shard.name, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
 	told := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.now())
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -464,7 +464,7 @@
 		start float64
 		late  bool
 	}{{50, 70, false}, {72, 70, false}, {73, 120, false}, {122, 120, false}, {123, 170, false}, {173, 70, true}} {
-		r := l.orderKeyOf(job, sent+test.after*1000)
+		r := l.scheduler.orderKeyOf(job, sent+test.after*1000)
 		if r.LatestStart-float64(sent)/1000 != test.start || r.MissesDeadline != test.late {
 			t.Fatalf("after %d s: latest start %v, late %v", test.after, r.LatestStart-float64(sent)/1000, r.MissesDeadline)
 		}
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -192,8 +192,8 @@
 		sim.Run(2 * time.Second)
 		sim.AddMachine("vm-last", "z1").Heartbeat() // whatever is due is worked out now
 		delete(sim.Agents, "vm-last")
-		d := &controllerOf(n).leader.pendingQueue
-		controllerOf(n).leader.rebuildPendingQueue(sim.Now())
+		d := &controllerOf(n).leader.scheduler.queue
+		controllerOf(n).leader.scheduler.rebuildQueue(sim.Now())
 		before, at := d.inspected, d.rebuiltAt
 		for _, name := range sim.AgentNames() {
 			sim.Agents[name].Heartbeat()
