--- a/internal/coordination/cloud_requests.go
+++ b/internal/coordination/cloud_requests.go
@@ -112,7 +112,7 @@
 		r.onCreated(request, response.Body, now)
 	case 400:
 		r.kinds.refuse(request.kind, now+malformedBackoff)
-		r.log.Error().Str("type", request.kind.typeName).Str("zone", request.kind.zone).Msg("cloud calls a scale-out request malformed")
+		r.log.Error().Str("machine_type", request.kind.typeName).Str("zone", request.kind.zone).Msg("scale-out request rejected")
 	case 503:
 		r.onUnavailable(request, response.Body, now)
 	case 429:
