--- a/internal/cloud/inventory.go
+++ b/internal/cloud/inventory.go
@@ -1,14 +1,16 @@
 // Package cloud holds what the cloud says: its catalogue of machine types with
-// their prices, and its list of machines.
+// their prices, and its list of machines; and it carries out a leader's decisions
+// to request and release machines.
 //
-// The package owns the catalogue, the list and this process's share of the
-// cloud's rate of calls. It promises that a list is replaced only by one that
-// was read whole, and that no call is made beyond the share. It never changes
-// the fleet and draws no conclusions about machines: lists lag and may go back
-// in time, so what they mean is for the observer to decide.
+// The package owns the catalogue, the list, the requests in flight and this
+// process's share of the cloud's rate of calls. It promises that a list is
+// replaced only by one that was read whole, and that no call is made beyond the
+// share. It never decides which machines there should be, and draws no conclusions
+// about them: lists lag and may go back in time, so what they mean is for the
+// observer to decide.
 //
-// Like all state of a controller an Inventory belongs to one goroutine, on which
-// the answers to its calls arrive too.
+// Like all state of a controller, inventory and scaler belong to one goroutine, on
+// which the answers to their calls arrive too.
 package cloud
 
 import (
--- /dev/null
+++ b/internal/cloud/scaler_test.go
@@ -0,0 +1,170 @@
+package cloud
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// scaleLog is an observer that writes down what it is told.
+type scaleLog struct{ events []string }
+
+func (l *scaleLog) note(format string, args ...any) {
+	l.events = append(l.events, fmt.Sprintf(format, args...))
+}
+
+func (l *scaleLog) MachinesCreated(kind Kind, names []string, _ time.Duration) {
+	l.note("created %s %s", kind.Type, strings.Join(names, " "))
+}
+
+func (l *scaleLog) KindRefused(kind Kind, why Refusal, _ time.Duration) {
+	l.note("refused %s: %s", kind.Type, why)
+}
+func (l *scaleLog) ReleaseSent(names []string)      { l.note("sent %d", len(names)) }
+func (l *scaleLog) ReleaseConfirmed(names []string) { l.note("confirmed %d", len(names)) }
+func (l *scaleLog) ReleaseFailed(names []string)    { l.note("failed %d", len(names)) }
+
+// newScalerFixture returns a scaler, and what its observer was told.
+func newScalerFixture(t *testing.T) (*fixture, *Scaler, *scaleLog) {
+	f, events := newFixture(t, 1000), &scaleLog{}
+	return f, f.inventory.NewScaler(7, events), events
+}
+
+func wantEvents(t *testing.T, events *scaleLog, want ...string) {
+	t.Helper()
+	if !slices.Equal(events.events, want) {
+		t.Fatalf("the observer was told %q, want %q", events.events, want)
+	}
+}
+
+func (s *Scaler) requested() int {
+	sum := 0
+	for _, n := range s.Requested() {
+		sum += n
+	}
+	return sum
+}
+
+// Whatever the cloud answers, a request is either done with, and its outcome told,
+// or it is sent again under its ID.
+func TestOutcomesOfAScaleOut(t *testing.T) {
+	created := protocol.MachineNames{Machines: []string{"a", "b"}}
+	for _, test := range []struct {
+		name    string
+		status  int
+		body    any
+		again   bool // it is sent again after the pause
+		blocked bool
+		events  []string
+	}{
+		{"all created", 200, created, false, false, []string{"created m8 a b"}},
+		{"some created", 200, protocol.MachineNames{Machines: []string{"a"}}, false, false, []string{"created m8 a", "refused m8: no capacity"}},
+		{"malformed", 400, nil, false, false, []string{"refused m8: malformed request"}},
+		{"no capacity", 503, protocol.ErrorBody{Error: "no capacity"}, false, false, []string{"refused m8: no capacity"}},
+		{"unavailable", 503, protocol.ErrorBody{Error: "later"}, false, true, nil},
+		{"rate limited", 429, nil, true, false, nil},
+		{"outcome unknown", 0, nil, true, false, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f, scaler, events := newScalerFixture(t)
+			scaler.ScaleOut(Kind{"m8", "z1", true}, 2)
+			scaler.SendScaleOuts(f.api.now)
+			scaler.SendScaleOuts(f.api.now) // one call at a time
+			f.wantCalls(f.api.calls, "POST /hosts")
+			f.answer(test.status, test.body)
+			wantEvents(t, events, test.events...)
+			if got := scaler.Blocked(f.api.now); got != test.blocked {
+				t.Errorf("blocked %v, want %v", got, test.blocked)
+			}
+			f.api.now += RetryDelay
+			f.api.calls = nil
+			scaler.SendScaleOuts(f.api.now)
+			if got := len(f.api.calls) == 1; got != test.again {
+				t.Errorf("sent again %v, want %v", got, test.again)
+			}
+			if got := scaler.requested() == 2; got != test.again {
+				t.Errorf("%d machines are requested", scaler.requested())
+			}
+		})
+	}
+}
+
+func TestUnknownOutcomeIsGivenUpAfterManyAttempts(t *testing.T) {
+	f, scaler, _ := newScalerFixture(t)
+	scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+	for range maxScaleOutAttempts {
+		scaler.SendScaleOuts(f.api.now)
+		f.answer(0, nil)
+		f.api.now += RetryDelay
+	}
+	if scaler.requested() != 0 {
+		t.Fatalf("after %d attempts it is still requested", maxScaleOutAttempts)
+	}
+}
+
+func TestManyMachinesTakeSeveralRequests(t *testing.T) {
+	f, scaler, events := newScalerFixture(t)
+	scaler.ScaleOut(Kind{"m8", "z1", false}, MaxMachinesPerScaleOut+1)
+	f.api.now += time.Second
+	scaler.SendScaleOuts(f.api.now)
+	f.wantCalls(f.api.calls, "POST /hosts", "POST /hosts")
+	f.api.calls = nil
+	names := make([]string, 2*MaxMachinesPerScaleIn+1)
+	scaler.ScaleIn(names, f.api.now)
+	f.wantCalls(f.api.calls, "POST /hosts/release", "POST /hosts/release")
+	wantEvents(t, events, "sent 100", "sent 100")
+}
+
+func TestOnlyASuccessConfirmsARelease(t *testing.T) {
+	f, scaler, events := newScalerFixture(t)
+	scaler.ScaleIn([]string{"a"}, f.api.now)
+	f.answer(503, nil)
+	scaler.ScaleIn([]string{"a"}, f.api.now) // the cloud takes no calls
+	f.api.now += RetryDelay
+	scaler.ScaleIn([]string{"a"}, f.api.now)
+	f.answer(200, nil)
+	wantEvents(t, events, "sent 1", "failed 1", "sent 1", "confirmed 1")
+}
+
+func TestAnswersAfterTheTermAreDropped(t *testing.T) {
+	f, scaler, events := newScalerFixture(t)
+	scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+	scaler.SendScaleOuts(f.api.now)
+	scaler.Stop()
+	f.answer(200, protocol.MachineNames{Machines: []string{"a"}})
+	wantEvents(t, events)
+}
+
+// The IDs of two terms differ, so that neither takes the other's machines for its own.
+func TestIDsOfTwoTermsDiffer(t *testing.T) {
+	f := newFixture(t, 1000)
+	var ids []string
+	f.inventory.config.API = callerFunc(func(body []byte) {
+		var request protocol.ScaleOutRequest
+		if err := f.codec.Decode(body, &request); err != nil {
+			t.Fatal(err)
+		}
+		ids = append(ids, request.RequestID)
+	})
+	for term := uint64(1); term <= 2; term++ {
+		scaler := f.inventory.NewScaler(term, &scaleLog{})
+		scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+		f.api.now += time.Second
+		scaler.SendScaleOuts(f.api.now)
+	}
+	if want := []string{"r-1-1", "r-2-1"}; !slices.Equal(ids, want) {
+		t.Fatalf("IDs %q, want %q", ids, want)
+	}
+}
+
+// callerFunc takes the bodies of calls, which are never answered.
+type callerFunc func(body []byte)
+
+func (f callerFunc) Call(_, _ string, body []byte, _ time.Duration, _ func(storage.Response)) {
+	f(body)
+}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -34,7 +34,7 @@
 //
 // It owns the counts and the marks needed and terminating of machines. It makes
 // no calls to the cloud: its decisions are a scaleOutPlan and names of machines,
-// for cloudRequests to carry out.
+// for the cloud.Scaler to carry out.
 type autoscaler struct {
 	settings         *settings.Settings
 	tuning           *settings.Tuning
@@ -55,12 +55,12 @@
 // autoscalerInput is what one pass of the autoscaler goes by.
 type autoscalerInput struct {
 	now           time.Duration
-	wallMs        int64              // Unix time
-	actingSince   time.Duration      // since when heartbeats have been answered without a break
-	pending       []*trackedJob      // in the order of service
-	requests      []*scaleOutRequest // that the cloud has not answered
-	forecast      map[string]int     // how many machines of each type there should be at the least
-	machinesKnown bool               // every machine that may hold a task is known
+	wallMs        int64                      // Unix time
+	actingSince   time.Duration              // since when heartbeats have been answered without a break
+	pending       []*trackedJob              // in the order of service
+	requested     iter.Seq2[cloud.Kind, int] // machines, by request that the cloud has not answered
+	forecast      map[string]int             // how many machines of each type there should be at the least
+	machinesKnown bool                       // every machine that may hold a task is known
 }
 
 // onMachineList takes from the cloud's list when machines were created.
--- a/internal/coordination/fleet_counts.go
+++ b/internal/coordination/fleet_counts.go
@@ -31,8 +31,8 @@
 		booting: make(map[machineKind]int),
 	}
 	a.listKinds()
-	for _, request := range in.requests {
-		c.perType[request.kind.typeName] += request.Count
+	for kind, n := range in.requested {
+		c.perType[kind.Type] += n
 	}
 	silent, heard := make(map[string]int), make(map[string]int)
 	for m := range a.machines.all {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/election"
 	"github.com/cobaltvale/cobaltvale/internal/estimate"
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
@@ -30,7 +31,7 @@
 	scheduler        scheduler
 	kinds            kindSelector
 	autoscaler       autoscaler
-	cloudRequests    cloudRequests
+	scaler           *cloud.Scaler
 	forecast         forecast.Starts
 	warmPool         warmPool
 	runTimes         estimate.RunTimes
@@ -96,6 +97,7 @@
 	c.leader, l.ended = nil, true
 	c.cloud.Follow()
 	l.records.stop()
+	l.scaler.Stop()
 	for _, pending := range l.pendingResponses {
 		if !pending.finished {
 			pending.reply(Response{Status: 503, RetryAfterS: 1})
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -42,7 +42,6 @@
 	log       *zerolog.Logger
 	store     leaderStore
 	cloud     *cloud.Inventory
-	cloudAPI  storage.Caller // for calls that change the fleet
 	authority authority
 	events    *eventcount.Counter // by responseEvent
 
@@ -67,7 +66,6 @@
 		log:           &c.log,
 		store:         c.store,
 		cloud:         c.cloud,
-		cloudAPI:      c.env.Cloud,
 		authority:     c.election,
 		events:        &c.responseEvents,
 		imagesOf:      c.owner.ImagesOf,
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -28,18 +28,12 @@
 		silenceLimit:     env.silenceLimit,
 		leaseTimeout:     env.leaseTimeout,
 	}
-	l.cloudRequests = cloudRequests{
-		api:            env.cloudAPI,
-		codec:          env.codec,
-		log:            env.log,
-		clock:          env.clock,
-		allowCall:      env.cloud.AllowCall,
-		leading:        func() bool { return !l.ended },
-		fencingToken:   l.fencingToken,
+	l.scaler = env.cloud.NewScaler(l.fencingToken, &scaleOutcomes{
 		machines:       &l.machines,
 		kinds:          &l.kinds,
+		log:            env.log,
 		markTerminated: l.markTerminated,
-	}
+	})
 	l.warmPool = warmPool{
 		settings:    env.settings,
 		catalog:     env.cloud,
@@ -115,7 +109,7 @@
 		wallMs:        l.wallMs(),
 		actingSince:   l.actingSince,
 		pending:       l.scheduler.queue.jobs,
-		requests:      l.cloudRequests.scaleOuts,
+		requested:     l.scaler.Requested(),
 		forecast:      l.forecast.MachinesWanted(now, arrivalsObserved(l.electedAt, now)),
 		machinesKnown: l.records.machinesKnown(),
 	}
@@ -123,14 +117,15 @@
 	l.warmPool.resize(now)
 	available := l.autoscaler.collectSupply(in)
 	shortfalls := l.autoscaler.matchPending(in, available)
-	l.cloudRequests.scaleIn(l.autoscaler.machinesToRelease(in), now)
-	l.cloudRequests.sendScaleOuts(now)
-	if l.cloudRequests.blocked(now) || !(l.cloudRequests.anyScaleOut() || l.autoscaler.knowsFleet(in)) {
+	l.scaler.ScaleIn(l.autoscaler.machinesToRelease(in), now)
+	l.scaler.SendScaleOuts(now)
+	if l.scaler.Blocked(now) || !(l.scaler.AnyScaleOut() || l.autoscaler.knowsFleet(in)) {
 		return
 	}
-	in.requests = l.cloudRequests.scaleOuts
-	plan := l.autoscaler.planScaleOut(in, shortfalls, available, &l.warmPool)
-	l.cloudRequests.scaleOut(plan, now)
+	for kind, n := range l.autoscaler.planScaleOut(in, shortfalls, available, &l.warmPool) {
+		l.scaler.ScaleOut(kind.cloudKind(), n)
+	}
+	l.scaler.SendScaleOuts(now)
 }
 
 // updateExclusiveNeeds notes which jobs fit on a single type of machine.
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
@@ -522,7 +523,7 @@
 	}
 	want(t, "machines rented", len(sim.Cloud.Machines), 480)
 	for _, request := range sim.Cloud.ScaleOutRequests {
-		if request.Count > maxMachinesPerRequest {
+		if request.Count > cloud.MaxMachinesPerScaleOut {
 			t.Fatalf("a request for %d machines", request.Count)
 		}
 	}
@@ -541,7 +542,7 @@
 	sim.Run(90 * time.Second)
 	want(t, "machines returned", len(sim.Cloud.Released), 480)
 	for _, k := range sim.Cloud.ReleaseSizes {
-		if k > maxMachinesPerScaleIn {
+		if k > cloud.MaxMachinesPerScaleIn {
 			t.Fatalf("a release of %d machines", k)
 		}
 	}
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"iter"
 	"math"
 	"time"
 
@@ -30,7 +31,7 @@
 	for _, short := range shortfalls {
 		limit -= a.planForJob(plan, short, s, limit, in.now)
 	}
-	pool.planScaleOut(plan, machinesToCome(a.counts.booting, in.requests), limit, in.now)
+	pool.planScaleOut(plan, machinesToCome(a.counts.booting, in.requested), limit, in.now)
 	a.planForForecast(plan, in, limit)
 	return plan.machines
 }
@@ -74,20 +75,20 @@
 }
 
 // machinesToCome counts the machines that boot or are requested.
-func machinesToCome(booting map[machineKind]int, requests []*scaleOutRequest) map[machineKind]int {
+func machinesToCome(booting map[machineKind]int, requested iter.Seq2[cloud.Kind, int]) map[machineKind]int {
 	coming := make(map[machineKind]int)
 	for kind, n := range booting {
 		coming[kind] += n
 	}
-	for _, request := range requests {
-		coming[request.kind] += request.Count
+	for kind, n := range requested {
+		coming[machineKindOf(kind)] += n
 	}
 	return coming
 }
 
 // maxMachinesPerPass is how many machines the calls of a second can request.
 func (a *autoscaler) maxMachinesPerPass() int {
-	return maxMachinesPerRequest * max(1, int(cloud.LeaderCallsPerSecond(a.settings.Cloud.RPS)))
+	return cloud.MaxMachinesPerScaleOut * max(1, int(cloud.LeaderCallsPerSecond(a.settings.Cloud.RPS)))
 }
 
 // tasksToSupply is how many of a job's pending tasks should find room soon. Urgent
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -43,13 +43,13 @@
 			s.add(m.machineKind, &added)
 		}
 	}
-	for _, request := range in.requests {
-		t := a.inventory.Type(request.kind.typeName)
+	for kind, n := range in.requested {
+		t := a.inventory.Type(kind.Type)
 		if t == nil {
 			continue
 		}
-		for range request.Count {
-			s.add(request.kind, &supplyMachine{free: capacityOf(t)})
+		for range n {
+			s.add(machineKindOf(kind), &supplyMachine{free: capacityOf(t)})
 		}
 	}
 	for _, machines := range s {
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
@@ -207,9 +208,9 @@
 	want(t, "a part of the fleet", kept(), 10)
 	l.kinds.exclusiveNeedAt["m8"] = now
 	want(t, "others need the type, the cloud has it", kept(), 10)
-	l.kinds.refusedUntil[kind] = now + capacityBackoff
+	l.kinds.refusedUntil[kind] = now + cloud.CapacityBackoff
 	want(t, "the cloud refuses it", kept(), 0)
-	now += capacityBackoff + contentionWindow
+	now += cloud.CapacityBackoff + contentionWindow
 	l.kinds.exclusiveNeedAt["m8"] = now
 	want(t, "it has not for a while", kept(), 10)
 	l.kinds.refusedUntil[kind] = now
