--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -43,8 +43,8 @@
 	shortage shortage
 }
 
-// mayPreempt tells whether a task may be preempted for the work at hand.
-type mayPreempt func(*replicaOnMachine) bool
+// victimFilter tells whether a task may be preempted for the work at hand.
+type victimFilter func(*replicaOnMachine) bool
 
 // victims chooses the tasks to stop on a machine that sends a heartbeat, and marks
 // them so.
@@ -126,11 +126,11 @@
 // cheapest chooses the tasks on a machine that lose least until enough CPUs become
 // free, and none that loses more than has to be lost on any machine. It returns
 // the CPUs that become free, too.
-func (p *preemptor) cheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, may mayPreempt) ([]*replicaOnMachine, float64) {
+func (p *preemptor) cheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, eligible victimFilter) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
 	cpus := 0.0
 	for cpus < neededCPUs {
-		victim := p.cheapestOne(m, costLimit, now, may)
+		victim := p.cheapestOne(m, costLimit, now, eligible)
 		if victim == nil {
 			break
 		}
@@ -145,12 +145,12 @@
 	return victims, cpus
 }
 
-func (p *preemptor) cheapestOne(m *machine, costLimit, now time.Duration, may mayPreempt) *replicaOnMachine {
+func (p *preemptor) cheapestOne(m *machine, costLimit, now time.Duration, eligible victimFilter) *replicaOnMachine {
 	var victim *replicaOnMachine
 	least := costLimit
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if !p.preemptible(m, replica, now) || !may(replica) {
+		if !p.preemptible(m, replica, now) || !eligible(replica) {
 			continue
 		}
 		if cost := preemptionCost(m, replica, now); cost <= least {
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -234,9 +234,9 @@
 	cpus float64
 }
 
-func (p *preemptor) appendCandidates(candidates []preemptionCandidate, m *machine, now time.Duration, may mayPreempt) []preemptionCandidate {
+func (p *preemptor) appendCandidates(candidates []preemptionCandidate, m *machine, now time.Duration, eligible victimFilter) []preemptionCandidate {
 	for i := range m.tasks {
-		if replica := &m.tasks[i]; p.preemptible(m, replica, now) && may(replica) {
+		if replica := &m.tasks[i]; p.preemptible(m, replica, now) && eligible(replica) {
 			candidates = append(candidates, preemptionCandidate{preemptionCost(m, replica, now), replica.job.spec.Cpus})
 		}
 	}
