--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -137,17 +137,6 @@
 	}
 }
 
-// inheritImages takes what the last leader knew to be cached on a machine.
-func (l *leader) inheritImages(m *machine) {
-	machineType := l.env.cloud.Type(m.typeName)
-	if machineType == nil {
-		return
-	}
-	for _, im := range l.env.imagesOf(m.name) {
-		m.useImage(l.images.get(im.Name, im.SizeGb), machineType.CacheGB, l.electedAt)
-	}
-}
-
 // expectedWait is how long the tasks that wait for an image will wait, at the present
 // rate, for the machines that have it.
 func (im *image) expectedWait() time.Duration {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -28,6 +28,7 @@
 	actingSince      time.Duration // since when this member may act without a break
 	nextSlowTick     time.Duration
 	records          machineRecorder
+	intake           heartbeatIntake
 	scheduler        scheduler
 	kinds            kindSelector
 	autoscaler       autoscaler
@@ -87,6 +88,7 @@
 	l.quarantine = quarantine{machines: &l.machines, jobs: l.jobs}
 	l.usage = newUsageAccounting(env.settings.Teams, l.leases)
 	l.records = machineRecorder{store: env.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: env.maxRecordBytes()}
+	l.intake = l.newIntake()
 	return l
 }
 
@@ -180,3 +182,24 @@
 		l.records.compact()
 	}
 }
+
+// newIntake connects the intake of heartbeats with those who follow from them.
+func (l *leader) newIntake() heartbeatIntake {
+	return heartbeatIntake{
+		fencingToken:  l.fencingToken,
+		electedAt:     l.electedAt,
+		catalog:       l.env.cloud,
+		jobs:          l.jobs,
+		images:        &l.images,
+		usage:         &l.usage,
+		records:       &l.records,
+		publisher:     &l.publisher,
+		deliveries:    &l.deliveries,
+		quarantine:    &l.quarantine,
+		runTimes:      &l.runTimes,
+		counts:        &l.autoscaler.counts,
+		log:           l.env.log,
+		imagesOf:      l.env.imagesOf,
+		countResponse: l.countResponse,
+	}
+}
