--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -19,7 +19,7 @@
 	fencingToken uint64
 	electedAt    time.Duration
 	catalog      catalog
-	jobs         map[string]*trackedJob
+	jobs         *jobTable
 	images       *imageTable
 	usage        *usageAccounting
 	records      *machineRecorder
@@ -129,7 +129,7 @@
 	machineType := h.catalog.Type(m.typeName)
 	for _, status := range statuses {
 		replica := replicaOnMachine{key: replicaKey{status.Job, uint32(status.Task), status.Replica},
-			state: status.State, exitReason: status.ExitReason, since: now, job: h.jobs[status.Job]}
+			state: status.State, exitReason: status.ExitReason, since: now, job: h.jobs.get(status.Job)}
 		last := findReplica(before, replica.key)
 		if last == nil {
 			last = findReplica(m.sentStarts, replica.key) // it may have ended before it was ever listed
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -39,7 +39,7 @@
 	f.job = &trackedJob{id: "wk-1", spec: &meshpb.JobSummary{Cpus: 2, Class: "c", EstimateS: 10}, image: &image{name: "img", sizeGB: 1}}
 	jobs := map[string]*trackedJob{f.job.id: f.job}
 	f.heartbeatIntake = heartbeatIntake{
-		fencingToken: intakeToken, electedAt: intakeElected, catalog: fixedCatalog{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1}}, jobs: jobs,
+		fencingToken: intakeToken, electedAt: intakeElected, jobs: &jobTable{byID: jobs}, catalog: fixedCatalog{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1}},
 		images: &imageTable{}, usage: &usage, records: &machineRecorder{machines: &f.machines},
 		publisher: &statusPublisher{members: 1}, deliveries: &deliveryTracker{},
 		quarantine: &quarantine{machines: &f.machines, jobs: jobs}, runTimes: &estimate.RunTimes{},
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -344,7 +344,7 @@
 	want(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
 	want(t, "abort", code, 200)
-	j := controllerOf(sim.Leader()).leader.jobs["wk-1"]
+	j := controllerOf(sim.Leader()).leader.jobs.get("wk-1")
 	j.ended = false
 	sim.Run(fullStatusInterval + 3*time.Second)
 	want(t, "running", len(agent.Running()), 0)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -16,7 +16,7 @@
 	fencingToken     uint64
 	electedAt        time.Duration
 	machines         machineTable
-	jobs             map[string]*trackedJob
+	jobs             jobTable
 	leases           machineLeases
 	shards           shardRegistry
 	usage            usageAccounting
@@ -78,14 +78,21 @@
 		electedAt:    now,
 		deliveries:   deliveryTracker{lastProvenAt: now},
 		actingSince:  now,
-		jobs:         make(map[string]*trackedJob),
 		leases:       machineLeases{electedAt: now, timeout: env.leaseTimeout},
 		shards:       newShardRegistry(),
 	}
 	l.machines.init()
 	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: env.tuning.QuotaEscrow}
 	l.publisher.members = env.members
-	l.quarantine = quarantine{machines: &l.machines, jobs: l.jobs}
+	l.jobs = jobTable{
+		byID:            make(map[string]*trackedJob),
+		images:          &l.images,
+		usage:           &l.usage,
+		onlyFittingType: l.kinds.onlyFittingType,
+		onArrival:       l.observeArrival,
+		onPending:       l.scheduler.queue.markDirty,
+	}
+	l.quarantine = quarantine{machines: &l.machines, jobs: l.jobs.byID}
 	l.usage = newUsageAccounting(env.settings.Teams, l.leases)
 	l.records = machineRecorder{store: env.store, machines: &l.machines, fencingToken: fencingToken, maxBytes: env.maxRecordBytes()}
 	l.intake = l.newIntake()
@@ -132,8 +139,8 @@
 func (l *leader) slowTick(now time.Duration) {
 	l.removeTerminated(now)
 	l.images.removeUnused(&l.shards, &l.machines)
-	l.removeTombstones(now)
-	l.usage.recompute(l.jobs, &l.machines)
+	l.jobs.removeTombstones(now)
+	l.usage.recompute(l.jobs.byID, &l.machines)
 	l.reconcileShards(now)
 	if l.env.authority.MayAct(now) {
 		l.autoscale(now)
@@ -189,7 +196,7 @@
 		fencingToken:  l.fencingToken,
 		electedAt:     l.electedAt,
 		catalog:       l.env.cloud,
-		jobs:          l.jobs,
+		jobs:          &l.jobs,
 		images:        &l.images,
 		usage:         &l.usage,
 		records:       &l.records,
--- a/internal/coordination/machine_commands.go
+++ b/internal/coordination/machine_commands.go
@@ -10,7 +10,7 @@
 // onMachineCommands takes an owner's requests to stop or reap replicas.
 func (l *leader) onMachineCommands(p *peer, commands *meshpb.MachineCommands) {
 	for _, command := range commands.Commands {
-		m, job := l.machines.at(command.MachineIndex), l.jobs[command.Job]
+		m, job := l.machines.at(command.MachineIndex), l.jobs.get(command.Job)
 		if m == nil || job == nil || job.shard == nil || job.shard.owner != p {
 			continue
 		}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -137,14 +137,14 @@
 	}
 	l.scheduler.offers.close(o)
 	for _, summary := range f.Jobs {
-		if job := l.jobs[summary.Job]; job.ownedBy(p) && !job.ended {
-			l.setCounts(job, summary)
+		if job := l.jobs.get(summary.Job); job.ownedBy(p) && !job.ended {
+			l.jobs.setCounts(job, summary)
 		}
 	}
 	response := o.response
 	for _, binding := range f.Bindings {
 		// The present owner of a job knows nothing of what an earlier one bound.
-		if job := l.jobs[binding.Job]; job.ownedBy(p) {
+		if job := l.jobs.get(binding.Job); job.ownedBy(p) {
 			response.bindings = append(response.bindings, shardBinding{job.shard, binding})
 		}
 	}
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -46,7 +46,7 @@
 		l.returnBindings(response)
 	}
 	for _, b := range response.bindings {
-		if job := l.jobs[b.binding.Job]; job != nil && !job.ended && !job.cancelling {
+		if job := l.jobs.get(b.binding.Job); job != nil && !job.ended && !job.cancelling {
 			l.addStart(response, job, b.binding, now)
 		}
 	}
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -40,13 +40,13 @@
 func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
 	now, jobsKnown := l.now(), shard.jobsKnown
 	l.rescindOffers(shard)
-	l.endOmittedJobs(shard)
+	l.jobs.endOmitted(shard, now)
 	l.setShardOwner(shard, p)
 	shard.version, shard.registeredAt = version, now
 	shard.reconciled, shard.fullyReconciled = false, false
 	l.shards.setJobsKnown(shard)
 	for _, summary := range shard.arrivingJobs {
-		l.applySummary(shard, summary)
+		l.jobs.apply(shard, summary, now)
 	}
 	shard.arrivingJobs = nil
 	l.scheduler.queue.markDirty()
@@ -58,16 +58,6 @@
 		Int("reads", shard.readAttempts).Msg("shard registered")
 }
 
-// endOmittedJobs ends the jobs of a shard that its new owner does not list.
-func (l *leader) endOmittedJobs(shard *shardState) {
-	for id, job := range shard.jobs {
-		if shard.arrivingJobs[id] == nil {
-			l.endJob(job)
-			job.omitted = true
-		}
-	}
-}
-
 // setShardOwner notes which member has registered a shard; nil: none has. No other
 // place changes it, as the statuses that go out from now on say so.
 func (l *leader) setShardOwner(shard *shardState, p *peer) {
