--- /dev/null
+++ b/internal/coordination/job_table_test.go
@@ -0,0 +1,83 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+// jobTableFixture is a job table with one shard, and what it has told.
+type jobTableFixture struct {
+	*jobTable
+	shard    *shardState
+	arrivals int
+	pending  int // times that it was told that more tasks are pending
+}
+
+func newJobTableFixture() *jobTableFixture {
+	usage := newUsageAccounting([]settings.Team{{Name: "red", CPUs: 100}}, machineLeases{})
+	f := &jobTableFixture{shard: &shardState{name: "a", owner: &peer{member: "a"}, jobs: make(map[string]*trackedJob)}}
+	f.jobTable = &jobTable{
+		byID: make(map[string]*trackedJob), images: &imageTable{}, usage: &usage,
+		onlyFittingType: func(*meshpb.JobSummary) string { return "" },
+		onArrival:       func(*trackedJob, time.Duration) { f.arrivals++ },
+		onPending:       func() { f.pending++ },
+	}
+	return f
+}
+
+func redJob(cpus float64, pending, assigned uint32) *meshpb.JobSummary {
+	return &meshpb.JobSummary{Job: "wk-1", Team: "red", Cpus: cpus, HasSpec: true, SubmittedMs: 1, Pending: pending, Assigned: assigned}
+}
+
+func TestSummariesOfAJob(t *testing.T) {
+	f := newJobTableFixture()
+	red := f.usage.teams["red"]
+	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 5}, time.Second)
+	want(t, "known before its spec", f.get("wk-1") == nil, true)
+	f.apply(f.shard, redJob(2, 3, 1), time.Second)
+	job := f.get("wk-1")
+	want(t, "pending", job.unoffered(), 3)
+	want(t, "use of its team", red.cpus, 2)
+	want(t, "arrivals", f.arrivals, 1)
+	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 1, Assigned: 3}, 2*time.Second)
+	want(t, "use after a change", red.cpus, 6)
+	want(t, "told of pending tasks", f.pending, 1)
+	f.apply(f.shard, redJob(4, 1, 3), 3*time.Second)
+	want(t, "use with another spec", red.cpus, 12)
+	want(t, "arrivals of the same job", f.arrivals, 1)
+	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Ended: true}, 4*time.Second)
+	want(t, "use once it has ended", red.cpus, 0)
+	want(t, "jobs of the shard", len(f.shard.jobs), 0)
+	f.apply(f.shard, redJob(4, 1, 3), 5*time.Second)
+	want(t, "ended for good", job.ended, true)
+	f.removeTombstones(4*time.Second + tombstoneTTL)
+	want(t, "remembered", f.get("wk-1") == job, true)
+	f.removeTombstones(4*time.Second + tombstoneTTL + 1)
+	want(t, "forgotten", f.get("wk-1") == nil, true)
+}
+
+func TestRecordsTellOfNoArrival(t *testing.T) {
+	f := newJobTableFixture()
+	recovered := redJob(2, 0, 4)
+	recovered.SubmittedMs = 0
+	f.apply(f.shard, recovered, time.Second)
+	want(t, "arrivals", f.arrivals, 0)
+	f.apply(f.shard, redJob(2, 3, 1), 2*time.Second)
+	want(t, "arrivals once its owner has told", f.arrivals, 1)
+}
+
+func TestJobThatItsOwnerOmitsComesBackWhenItWasBeingCreated(t *testing.T) {
+	f := newJobTableFixture()
+	f.apply(f.shard, redJob(2, 3, 1), time.Second)
+	f.endOmitted(f.shard, 2*time.Second)
+	job := f.get("wk-1")
+	want(t, "ended", job.ended, true)
+	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 3}, 3*time.Second)
+	want(t, "ended after a summary without spec", job.ended, true)
+	f.apply(f.shard, redJob(2, 3, 1), 4*time.Second)
+	want(t, "ended after its spec", job.ended, false)
+	want(t, "pending", job.unoffered(), 3)
+}
