--- a/internal/transport/http_parser.go
+++ b/internal/transport/http_parser.go
@@ -51,48 +51,52 @@
 // The body is a copy.
 func parseMessage(buf []byte, kind messageKind, bodyLimit int) (message, error) {
 	var m message
-	skip := 0
-	for skip < len(buf) && skip < maxLeadingBreaks && (buf[skip] == '\r' || buf[skip] == '\n') {
-		skip++
-	}
-	head := buf[skip:]
-	end := bytes.Index(head, []byte(lineBreak+lineBreak))
-	if end < 0 {
-		if len(head) > maxHeadBytes {
-			return m, errTooLarge
-		}
-		return m, errIncomplete
-	}
-	if end > maxHeadBytes {
-		return m, errTooLarge
+	head, size, err := cutHead(buf)
+	if err != nil {
+		return m, err
 	}
-	length, chunked, err := m.readHead(string(head[:end]), kind)
+	length, chunked, err := m.readHead(head, kind)
 	if err != nil {
 		return m, err
 	}
-	headSize := end + len(lineBreak+lineBreak)
-	rest := head[headSize:]
-	used := skip + headSize
+	rest := buf[size:]
 	if chunked {
-		body, n, err := readChunks(rest, bodyLimit)
+		body, bodySize, err := readChunks(rest, bodyLimit)
 		if err != nil {
 			return m, err
 		}
-		m.body, m.size = body, used+n
+		m.body, m.size = body, size+bodySize
 		return m, nil
 	}
 	if length > bodyLimit {
-		m.size = used + length
+		m.size = size + length
 		return m, errTooLarge
 	}
 	if len(rest) < length {
 		return m, errIncomplete
 	}
 	m.body = append([]byte(nil), rest[:length]...)
-	m.size = used + length
+	m.size = size + length
 	return m, nil
 }
 
+// cutHead returns a message's head, and the bytes that it takes with the line breaks
+// before it and after it.
+func cutHead(buf []byte) (head string, size int, err error) {
+	start := 0
+	for start < len(buf) && start < maxLeadingBreaks && (buf[start] == '\r' || buf[start] == '\n') {
+		start++
+	}
+	end := bytes.Index(buf[start:], []byte(lineBreak+lineBreak))
+	if end > maxHeadBytes || (end < 0 && len(buf)-start > maxHeadBytes) {
+		return "", 0, errTooLarge
+	}
+	if end < 0 {
+		return "", 0, errIncomplete
+	}
+	return string(buf[start : start+end]), start + end + len(lineBreak+lineBreak), nil
+}
+
 // readHead reads the first line and the headers, and tells how the body is sent.
 func (m *message) readHead(head string, kind messageKind) (length int, chunked bool, err error) {
 	lines := strings.Split(head, lineBreak)
