--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -71,7 +71,8 @@
 
 	owner        *shard.Owner
 	admission    *admission.Control
-	userAPI      userAPI
+	statuses     *statusCache
+	userAPI      *userAPI
 	leader       *leader // nil unless this process leads
 	subscription subscription
 	forwarder    heartbeatForwarder
@@ -109,8 +110,9 @@
 	if c.admission, err = c.newAdmission(); err != nil {
 		return nil, err
 	}
+	c.statuses = newStatusCache()
 	c.owner = c.newOwner()
-	c.userAPI.init(c)
+	c.userAPI = c.newUserAPI()
 	c.forwarder.init(c)
 	c.subscription.c = c
 	c.subscription.reset()
@@ -167,7 +169,7 @@
 	}
 	c.owner.Tick(now)
 	c.tickAdmission(now)
-	c.userAPI.tick(now)
+	c.userAPI.Tick(now)
 	c.forwarder.tick(now)
 	c.cloud.Tick(now)
 	c.responseEvents.Log(now, &c.log)
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -23,9 +23,9 @@
 		*meshpb.Frame_LeaseExtensionRequest, *meshpb.Frame_LeaseExtension:
 		c.dispatchToElection(from, frame)
 	case *meshpb.Frame_JobQuery:
-		c.userAPI.onJobQuery(from, body.JobQuery)
+		c.onJobQuery(from, body.JobQuery)
 	case *meshpb.Frame_JobQueryResult:
-		c.userAPI.onJobQueryResult(from, body.JobQueryResult)
+		c.userAPI.HandleJobQueryResult(from.member, body.JobQueryResult)
 	case *meshpb.Frame_ForwardedHeartbeats:
 		c.onForwardedHeartbeats(from, body.ForwardedHeartbeats)
 	case *meshpb.Frame_HeartbeatResponses:
--- /dev/null
+++ b/internal/coordination/job_queries.go
@@ -0,0 +1,124 @@
+package coordination
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+const (
+	jobQueryTimeout = 500 * time.Millisecond
+	maxJobQueries   = 2000
+)
+
+// jobQueries are the questions to other members about the jobs that they own.
+type jobQueries struct {
+	clock   storage.Clock
+	members memberLinks
+	pending map[uint64]*jobQuery
+	lastID  uint64
+}
+
+// jobQuery is a question to the member that owns a job.
+type jobQuery struct {
+	to       string
+	sentAt   time.Duration
+	onResult func(*meshpb.JobQueryResult) // nil: there is none
+}
+
+// send asks a member about a job, or to cancel it; onResult gets nil if it does not
+// answer.
+func (q *jobQueries) send(member, job string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
+	if !q.members.Connected(member) || len(q.pending) >= maxJobQueries {
+		onResult(nil)
+		return
+	}
+	q.lastID++
+	q.pending[q.lastID] = &jobQuery{to: member, sentAt: q.clock.Now(), onResult: onResult}
+	q.members.SendJobQuery(member, &meshpb.JobQuery{Id: q.lastID, Job: job, Cancel: cancel})
+}
+
+// answered takes the result of a query from the member that it was put to.
+func (q *jobQueries) answered(from string, result *meshpb.JobQueryResult) {
+	if query := q.pending[result.Id]; query != nil && query.to == from {
+		delete(q.pending, result.Id)
+		query.onResult(result)
+	}
+}
+
+func (q *jobQueries) memberDown(member string) {
+	q.end(func(query *jobQuery) bool { return query.to == member })
+}
+
+func (q *jobQueries) expire(now time.Duration) {
+	q.end(func(query *jobQuery) bool { return now-query.sentAt > jobQueryTimeout })
+}
+
+// end ends the queries that get no result any more.
+func (q *jobQueries) end(over func(*jobQuery) bool) {
+	for id, query := range q.pending {
+		if over(query) {
+			delete(q.pending, id)
+			query.onResult(nil)
+		}
+	}
+}
+
+// queryOwner asks the member that holds a shard about a job, or to cancel it; onResult
+// gets nil if it does not answer.
+func (api *userAPI) queryOwner(job, shard string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
+	member, held := api.config.Authority.ShardHolder(shard)
+	if !held {
+		onResult(nil)
+		return
+	}
+	api.queries.send(member, job, cancel, onResult)
+}
+
+// HandleJobQueryResult takes another member's answer to a query.
+func (api *userAPI) HandleJobQueryResult(from string, result *meshpb.JobQueryResult) {
+	api.queries.answered(from, result)
+}
+
+// HandleJobQuery answers another member from what this one owns, now or later.
+func (api *userAPI) HandleJobQuery(query *meshpb.JobQuery, answer func(*meshpb.JobQueryResult)) {
+	if final, ok := api.config.Statuses.final[query.Job]; ok {
+		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: final.status, Done: uint32(final.done())})
+		return
+	}
+	job := api.config.Owner.Job(query.Job)
+	switch {
+	case job == nil || !api.config.Authority.MayAct(api.now()):
+		answer(unavailable())
+	case query.Cancel:
+		api.cancelForMember(job, answer)
+	case job.Ending():
+		answer(unavailable())
+	default:
+		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: job.WireStatus(), Done: uint32(job.Finished()), Running: uint32(job.Running())})
+	}
+}
+
+func (api *userAPI) cancelForMember(job *shard.Job, answer func(*meshpb.JobQueryResult)) {
+	api.config.Owner.Cancel(job, func(status string, err error) {
+		if err != nil {
+			answer(unavailable())
+			return
+		}
+		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: status, Done: uint32(job.Finished())})
+	})
+}
+
+// unavailable is the result of a query that can't be answered here now.
+func unavailable() *meshpb.JobQueryResult {
+	return &meshpb.JobQueryResult{HttpStatus: http.StatusServiceUnavailable}
+}
+
+// ended tells whether an owner says that a job has ended.
+func ended(result *meshpb.JobQueryResult) bool {
+	return result.JobStatus == protocol.StatusDone || result.JobStatus == protocol.StatusCancelled
+}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -138,7 +138,7 @@
 	if c.subscription.leader == p {
 		c.subscription.reset()
 	}
-	c.userAPI.peerDown(p)
+	c.userAPI.MemberDown(p.member)
 	c.forwarder.peerDown(p)
 }
 
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -14,27 +14,13 @@
 	return shard.NewOwner(shard.Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
 		WorkerLeaseTimeout: c.workerLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
-		Clock: c.env.Clock, Log: c.log, Leader: leaderStreamOf{&c.subscription}, FinalStatuses: finalStatusesOf{&c.userAPI}, Admission: c.admission,
+		Clock: c.env.Clock, Log: c.log, Leader: leaderStreamOf{&c.subscription}, FinalStatuses: c.statuses, Admission: c.admission,
 		OpenRecords: func(name string, lease, version uint64, onLost func()) shard.Records {
 			return storage.NewShard(c.store, name, c.identity, lease, version, onLost)
 		},
 	})
 }
 
-// finalStatusesOf are the final statuses that answers to users are given from.
-type finalStatusesOf struct{ api *userAPI }
-
-// Ended implements shard.FinalStatuses.
-func (f finalStatusesOf) Ended(job string) bool {
-	_, ended := f.api.finalStates[job]
-	return ended
-}
-
-// Remember implements shard.FinalStatuses.
-func (f finalStatusesOf) Remember(job, status string, tasks int) {
-	f.api.rememberFinal(job, status, tasks)
-}
-
 // leaderStreamOf is the subscription as the owner sees it.
 type leaderStreamOf struct{ subscription *subscription }
 
--- /dev/null
+++ b/internal/coordination/status_cache.go
@@ -0,0 +1,67 @@
+package coordination
+
+import (
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+const (
+	maxFinalStatuses = 20000
+	maxKnownRecords  = 20000
+)
+
+// finalStatus is how a job has ended, which never changes.
+type finalStatus struct {
+	status string
+	tasks  int
+}
+
+// done is how many tasks of the job ended well, as users are told.
+func (f finalStatus) done() int {
+	if f.status == protocol.StatusDone {
+		return f.tasks
+	}
+	return 0
+}
+
+// statusCache remembers what is known of jobs for certain: how they have ended, and
+// what the records of unfinished ones have said.
+type statusCache struct {
+	final map[string]finalStatus
+	order []string // of final, the oldest first
+	// records remembers what was read of unfinished jobs: to which shard each belongs,
+	// which never changes, and the version by which a change would show.
+	records map[string]storage.KnownRecord
+}
+
+func newStatusCache() *statusCache {
+	return &statusCache{final: make(map[string]finalStatus), records: make(map[string]storage.KnownRecord)}
+}
+
+// Ended tells whether a job is known to have ended.
+func (s *statusCache) Ended(job string) bool {
+	_, ended := s.final[job]
+	return ended
+}
+
+// Remember keeps how a job has ended, as long as there is room for it.
+func (s *statusCache) Remember(job, status string, tasks int) {
+	delete(s.records, job)
+	if s.Ended(job) {
+		return
+	}
+	if len(s.order) >= maxFinalStatuses {
+		delete(s.final, s.order[0])
+		s.order = s.order[1:]
+	}
+	s.final[job] = finalStatus{status, tasks}
+	s.order = append(s.order, job)
+}
+
+// rememberRecord keeps what the record of an unfinished job has said.
+func (s *statusCache) rememberRecord(job string, record storage.KnownRecord) {
+	if len(s.records) >= maxKnownRecords {
+		clear(s.records)
+	}
+	s.records[job] = record
+}
--- /dev/null
+++ b/internal/coordination/user_api_wiring.go
@@ -0,0 +1,121 @@
+package coordination
+
+import (
+	"strings"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+)
+
+// newUserAPI makes the users' API.
+func (c *Controller) newUserAPI() *userAPI {
+	return newUserAPI(userAPIConfig{
+		Clock:     c.env.Clock,
+		Wall:      c.env.Wall,
+		Codec:     c.codec,
+		Owner:     c.owner,
+		Authority: authorityOf{c},
+		Records:   c.store,
+		Members:   memberLinksOf{c},
+		Catalogue: catalogueOf{c},
+		Statuses:  c.statuses,
+	})
+}
+
+// authorityOf is the election as the users' API sees it, which is made after that.
+type authorityOf struct{ c *Controller }
+
+func (a authorityOf) MayAct(now time.Duration) bool { return a.c.election.MayAct(now) }
+
+func (a authorityOf) MayActUntil() time.Duration { return a.c.election.MayActUntil() }
+
+func (a authorityOf) ShardHolder(shard string) (member string, ok bool) {
+	return a.c.election.ShardHolder(shard)
+}
+
+func (a authorityOf) AllReadServices(now time.Duration) bool {
+	return a.c.election.AllReadServices(now)
+}
+
+// memberLinksOf are the other members as the users' API sees them.
+type memberLinksOf struct{ c *Controller }
+
+func (m memberLinksOf) Connected(member string) bool {
+	p := m.c.peers[member]
+	return p != nil && p.link != nil
+}
+
+func (m memberLinksOf) SendJobQuery(member string, query *meshpb.JobQuery) {
+	m.c.peers[member].send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: query}})
+}
+
+func (m memberLinksOf) Reachability() reachability {
+	seen := reachability{alone: len(m.c.peers) > 0}
+	for _, p := range m.c.peers {
+		seen.otherServed = seen.otherServed || (p.link != nil && p.stateServiceReachable)
+		seen.alone = seen.alone && p.link == nil
+	}
+	return seen
+}
+
+// catalogueOf is what submissions are checked against.
+type catalogueOf struct{ c *Controller }
+
+func (s catalogueOf) Team(name string) *settings.Team { return s.c.team(name) }
+
+func (s catalogueOf) MachineTypes() map[string]*protocol.MachineType { return s.c.cloud.Catalog() }
+
+// onJobQuery has a member's question answered, unless its stream has ended meanwhile.
+func (c *Controller) onJobQuery(from *peer, query *meshpb.JobQuery) {
+	link := from.link
+	c.userAPI.HandleJobQuery(query, func(result *meshpb.JobQueryResult) {
+		if from.link == link { // on another stream the number may be another question's
+			result.Id = query.Id
+			from.send(&meshpb.Frame{Body: &meshpb.Frame_JobQueryResult{JobQueryResult: result}})
+		}
+	})
+}
+
+// errorResponse refuses a request.
+func (c *Controller) errorResponse(status int, why string, retryAfterS int) Response {
+	return Response{Status: status, Body: c.codec.Encode(protocol.ErrorBody{Error: why}), RetryAfterS: retryAfterS}
+}
+
+// HandleHTTP takes a request and calls reply once, now or later.
+func (c *Controller) HandleHTTP(req *Request, reply func(Response)) {
+	path, _, _ := strings.Cut(req.Path, "?")
+	need := func(method string) bool {
+		if req.Method != method {
+			reply(c.errorResponse(405, "wrong method", 0))
+			return false
+		}
+		return true
+	}
+	rest, isJob := strings.CutPrefix(path, "/submissions/")
+	switch {
+	case path == "/ready":
+		if need("GET") {
+			c.userAPI.Ready(reply)
+		}
+	case path == heartbeatPath:
+		if need("POST") {
+			c.handleHeartbeat(req, reply)
+		}
+	case path == "/submissions":
+		if need("POST") {
+			c.userAPI.Submit(req.Body, reply)
+		}
+	case isJob && strings.HasSuffix(rest, "/abort") && !strings.Contains(strings.TrimSuffix(rest, "/abort"), "/"):
+		if need("POST") {
+			c.userAPI.Cancel(strings.TrimSuffix(rest, "/abort"), reply)
+		}
+	case isJob && rest != "" && !strings.Contains(rest, "/"):
+		if need("GET") {
+			c.userAPI.Status(rest, reply)
+		}
+	default:
+		reply(c.errorResponse(404, "unknown path", 0))
+	}
+}
--- /dev/null
+++ b/internal/coordination/user_cancellation.go
@@ -0,0 +1,68 @@
+package coordination
+
+import (
+	"net/http"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// Cancel cancels a job, here or at its owner.
+func (api *userAPI) Cancel(id string, reply func(Response)) {
+	if !protocol.ValidJobID(id) {
+		reply(api.responses.refuse(refusedUnknownJob))
+		return
+	}
+	reply = api.withTimeout(submitTimeout, reply)
+	if final, ok := api.config.Statuses.final[id]; ok {
+		reply(api.responses.final(id, final))
+		return
+	}
+	if job := api.config.Owner.Job(id); job != nil {
+		api.cancelOwned(job, reply)
+		return
+	}
+	deadline := api.now() + submitTimeout
+	api.config.Records.LookupJob(id, api.config.Statuses.records[id], deadline, func(record storage.KnownRecord, found, ok bool) {
+		switch {
+		case !ok:
+			reply(api.responses.refuse(refusedStateUnavailable))
+		case !found:
+			reply(api.responses.refuse(refusedUnknownJob))
+		case record.Status != "":
+			api.config.Statuses.Remember(id, record.Status, record.Tasks)
+			reply(api.responses.final(id, finalStatus{record.Status, record.Tasks}))
+		default:
+			api.cancelUnfinished(id, record, reply)
+		}
+	})
+}
+
+// cancelUnfinished cancels a job whose record says that it goes on.
+func (api *userAPI) cancelUnfinished(id string, record storage.KnownRecord, reply func(Response)) {
+	if job := api.config.Owner.Job(id); job != nil {
+		api.cancelOwned(job, reply)
+		return
+	}
+	api.queryOwner(id, record.Shard, true, func(result *meshpb.JobQueryResult) {
+		if result == nil || result.HttpStatus != http.StatusOK || !ended(result) {
+			reply(api.responses.refuse(refusedOwnerSilent))
+			return
+		}
+		api.config.Statuses.Remember(id, result.JobStatus, record.Tasks)
+		reply(api.responses.status(http.StatusOK, id, result.JobStatus, int(result.Done), 0))
+	})
+}
+
+// cancelOwned cancels a job of this process.
+func (api *userAPI) cancelOwned(job *shard.Job, reply func(Response)) {
+	api.config.Owner.Cancel(job, func(status string, err error) {
+		if err != nil {
+			reply(api.responses.refuse(refusedOwnerChanges))
+			return
+		}
+		reply(api.responses.final(job.ID(), finalStatus{status, job.Spec().Tasks}))
+	})
+}
--- /dev/null
+++ b/internal/coordination/user_status.go
@@ -0,0 +1,102 @@
+package coordination
+
+import (
+	"net/http"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// Status answers a user's question about a job.
+func (api *userAPI) Status(id string, reply func(Response)) {
+	if !protocol.ValidJobID(id) {
+		reply(api.responses.refuse(refusedUnknownJob))
+		return
+	}
+	reply = api.withTimeout(statusTimeout, reply)
+	if api.answerFromMemory(id, reply) {
+		return
+	}
+	if record, ok := api.config.Statuses.records[id]; ok {
+		api.answerFromOwner(id, record.Shard, reply, func() {
+			// The owner does not answer. Only the record says whether it goes on.
+			api.answerFromRecord(id, refusedUnknownJob, reply, func(storage.KnownRecord) {
+				reply(api.responses.pending(id))
+			})
+		})
+		return
+	}
+	api.lookUp(id, refusedUnknownJob, reply)
+}
+
+// answerFromMemory answers from what this process holds for certain.
+func (api *userAPI) answerFromMemory(id string, reply func(Response)) bool {
+	if final, ok := api.config.Statuses.final[id]; ok {
+		reply(api.responses.final(id, final))
+		return true
+	}
+	job := api.config.Owner.Job(id)
+	if job == nil || job.Ending() || !api.config.Authority.MayAct(api.now()) {
+		// While the end is being written, other members may read it already and
+		// tell it; only a fresh read is sure not to be older than that.
+		return false
+	}
+	r := api.responses.status(http.StatusOK, id, job.WireStatus(), job.Finished(), job.Running())
+	r.ValidUntil = api.config.Authority.MayActUntil()
+	reply(r)
+	return true
+}
+
+// lookUp reads a job's record afresh, and asks its owner if it goes on. Nothing less than
+// a fresh read may say that a job is unknown, and nothing less than that or its owner
+// that it goes on.
+func (api *userAPI) lookUp(id string, absent refusal, reply func(Response)) {
+	api.answerFromRecord(id, absent, reply, func(record storage.KnownRecord) {
+		api.answerFromOwner(id, record.Shard, reply, func() {
+			// The owner does not answer. The job may have come to its end
+			// since the record was read.
+			api.answerFromRecord(id, absent, reply, func(storage.KnownRecord) {
+				reply(api.responses.pending(id))
+			})
+		})
+	})
+}
+
+// answerFromRecord answers from a job's record unless the job goes on.
+func (api *userAPI) answerFromRecord(id string, absent refusal, reply func(Response), goesOn func(storage.KnownRecord)) {
+	deadline := api.now() + statusTimeout
+	api.config.Records.LookupJob(id, api.config.Statuses.records[id], deadline, func(record storage.KnownRecord, found, ok bool) {
+		switch {
+		case !ok:
+			reply(api.responses.refuse(refusedStateUnavailable))
+		case !found:
+			reply(api.responses.refuse(absent))
+		case record.Status != "":
+			api.config.Statuses.Remember(id, record.Status, record.Tasks)
+			reply(api.responses.final(id, finalStatus{record.Status, record.Tasks}))
+		default:
+			api.config.Statuses.rememberRecord(id, record)
+			if !api.answerFromMemory(id, reply) {
+				goesOn(record)
+			}
+		}
+	})
+}
+
+// answerFromOwner answers with what a job's owner says, or calls silent.
+func (api *userAPI) answerFromOwner(id, shard string, reply func(Response), silent func()) {
+	asked := api.now()
+	api.queryOwner(id, shard, false, func(result *meshpb.JobQueryResult) {
+		if result == nil || result.HttpStatus != http.StatusOK {
+			silent()
+			return
+		}
+		if ended(result) {
+			api.config.Statuses.Remember(id, result.JobStatus, int(result.Done))
+		}
+		r := api.responses.status(http.StatusOK, id, result.JobStatus, int(result.Done), int(result.Running))
+		r.ValidUntil = asked + statusTimeout // what another member has said is older by then
+		reply(r)
+	})
+}
