--- a/internal/coordination/user_cancellation.go
+++ b/internal/api/cancellation.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"net/http"
@@ -10,7 +10,7 @@
 )
 
 // Cancel cancels a job, here or at its owner.
-func (api *userAPI) Cancel(id string, reply func(Response)) {
+func (api *API) Cancel(id string, reply func(Response)) {
 	if !protocol.ValidJobID(id) {
 		reply(api.responses.refuse(refusedUnknownJob))
 		return
@@ -41,7 +41,7 @@
 }
 
 // cancelUnfinished cancels a job whose record says that it goes on.
-func (api *userAPI) cancelUnfinished(id string, record storage.KnownRecord, reply func(Response)) {
+func (api *API) cancelUnfinished(id string, record storage.KnownRecord, reply func(Response)) {
 	if job := api.config.Owner.Job(id); job != nil {
 		api.cancelOwned(job, reply)
 		return
@@ -57,7 +57,7 @@
 }
 
 // cancelOwned cancels a job of this process.
-func (api *userAPI) cancelOwned(job *shard.Job, reply func(Response)) {
+func (api *API) cancelOwned(job *shard.Job, reply func(Response)) {
 	api.config.Owner.Cancel(job, func(status string, err error) {
 		if err != nil {
 			reply(api.responses.refuse(refusedOwnerChanges))
--- a/internal/coordination/job_queries.go
+++ b/internal/api/job_queries.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"net/http"
@@ -18,7 +18,7 @@
 // jobQueries are the questions to other members about the jobs that they own.
 type jobQueries struct {
 	clock   storage.Clock
-	members memberLinks
+	members Members
 	pending map[uint64]*jobQuery
 	lastID  uint64
 }
@@ -70,7 +70,7 @@
 
 // queryOwner asks the member that holds a shard about a job, or to cancel it; onResult
 // gets nil if it does not answer.
-func (api *userAPI) queryOwner(job, shard string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
+func (api *API) queryOwner(job, shard string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
 	member, held := api.config.Authority.ShardHolder(shard)
 	if !held {
 		onResult(nil)
@@ -80,12 +80,12 @@
 }
 
 // HandleJobQueryResult takes another member's answer to a query.
-func (api *userAPI) HandleJobQueryResult(from string, result *meshpb.JobQueryResult) {
+func (api *API) HandleJobQueryResult(from string, result *meshpb.JobQueryResult) {
 	api.queries.answered(from, result)
 }
 
 // HandleJobQuery answers another member from what this one owns, now or later.
-func (api *userAPI) HandleJobQuery(query *meshpb.JobQuery, answer func(*meshpb.JobQueryResult)) {
+func (api *API) HandleJobQuery(query *meshpb.JobQuery, answer func(*meshpb.JobQueryResult)) {
 	if final, ok := api.config.Statuses.final[query.Job]; ok {
 		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: final.status, Done: uint32(final.done())})
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func (api *userAPI) cancelForMember(job *shard.Job, answer func(*meshpb.JobQueryResult)) {
+func (api *API) cancelForMember(job *shard.Job, answer func(*meshpb.JobQueryResult)) {
 	api.config.Owner.Cancel(job, func(status string, err error) {
 		if err != nil {
 			answer(unavailable())
--- a/internal/coordination/user_responses.go
+++ b/internal/api/responses.go
@@ -1,11 +1,22 @@
-package coordination
+package api
 
 import (
 	"net/http"
+	"time"
 
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
+// Response answers a request.
+type Response struct {
+	Status      int // of HTTP
+	Body        []byte
+	RetryAfterS int // in seconds; 0: none is told
+	// ValidUntil is up to when the response may be sent, on Config.Clock: what
+	// entitles this controller to it ends then. 0: at any time.
+	ValidUntil time.Duration
+}
+
 // responder makes the responses to users and agents.
 type responder struct{ codec *protocol.Codec }
 
--- a/internal/coordination/user_status.go
+++ b/internal/api/status.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"net/http"
@@ -9,12 +9,12 @@
 )
 
 // Status answers a user's question about a job.
-func (api *userAPI) Status(id string, reply func(Response)) {
+func (api *API) Status(id string, reply func(Response)) {
 	if !protocol.ValidJobID(id) {
 		reply(api.responses.refuse(refusedUnknownJob))
 		return
 	}
-	reply = api.withTimeout(statusTimeout, reply)
+	reply = api.withTimeout(StatusTimeout, reply)
 	if api.answerFromMemory(id, reply) {
 		return
 	}
@@ -31,7 +31,7 @@
 }
 
 // answerFromMemory answers from what this process holds for certain.
-func (api *userAPI) answerFromMemory(id string, reply func(Response)) bool {
+func (api *API) answerFromMemory(id string, reply func(Response)) bool {
 	if final, ok := api.config.Statuses.final[id]; ok {
 		reply(api.responses.final(id, final))
 		return true
@@ -51,7 +51,7 @@
 // lookUp reads a job's record afresh, and asks its owner if it goes on. Nothing less than
 // a fresh read may say that a job is unknown, and nothing less than that or its owner
 // that it goes on.
-func (api *userAPI) lookUp(id string, absent refusal, reply func(Response)) {
+func (api *API) lookUp(id string, absent refusal, reply func(Response)) {
 	api.answerFromRecord(id, absent, reply, func(record storage.KnownRecord) {
 		api.answerFromOwner(id, record.Shard, reply, func() {
 			// The owner does not answer. The job may have come to its end
@@ -64,8 +64,8 @@
 }
 
 // answerFromRecord answers from a job's record unless the job goes on.
-func (api *userAPI) answerFromRecord(id string, absent refusal, reply func(Response), goesOn func(storage.KnownRecord)) {
-	deadline := api.now() + statusTimeout
+func (api *API) answerFromRecord(id string, absent refusal, reply func(Response), goesOn func(storage.KnownRecord)) {
+	deadline := api.now() + StatusTimeout
 	api.config.Records.LookupJob(id, api.config.Statuses.records[id], deadline, func(record storage.KnownRecord, found, ok bool) {
 		switch {
 		case !ok:
@@ -85,7 +85,7 @@
 }
 
 // answerFromOwner answers with what a job's owner says, or calls silent.
-func (api *userAPI) answerFromOwner(id, shard string, reply func(Response), silent func()) {
+func (api *API) answerFromOwner(id, shard string, reply func(Response), silent func()) {
 	asked := api.now()
 	api.queryOwner(id, shard, false, func(result *meshpb.JobQueryResult) {
 		if result == nil || result.HttpStatus != http.StatusOK {
@@ -96,7 +96,7 @@
 			api.config.Statuses.Remember(id, result.JobStatus, int(result.Done))
 		}
 		r := api.responses.status(http.StatusOK, id, result.JobStatus, int(result.Done), int(result.Running))
-		r.ValidUntil = asked + statusTimeout // what another member has said is older by then
+		r.ValidUntil = asked + StatusTimeout // what another member has said is older by then
 		reply(r)
 	})
 }
--- a/internal/coordination/status_cache.go
+++ b/internal/api/status_cache.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
@@ -24,9 +24,9 @@
 	return 0
 }
 
-// statusCache remembers what is known of jobs for certain: how they have ended, and
+// StatusCache remembers what is known of jobs for certain: how they have ended, and
 // what the records of unfinished ones have said.
-type statusCache struct {
+type StatusCache struct {
 	final map[string]finalStatus
 	order []string // of final, the oldest first
 	// records remembers what was read of unfinished jobs: to which shard each belongs,
@@ -34,18 +34,19 @@
 	records map[string]storage.KnownRecord
 }
 
-func newStatusCache() *statusCache {
-	return &statusCache{final: make(map[string]finalStatus), records: make(map[string]storage.KnownRecord)}
+// NewStatusCache makes an empty cache.
+func NewStatusCache() *StatusCache {
+	return &StatusCache{final: make(map[string]finalStatus), records: make(map[string]storage.KnownRecord)}
 }
 
 // Ended tells whether a job is known to have ended.
-func (s *statusCache) Ended(job string) bool {
+func (s *StatusCache) Ended(job string) bool {
 	_, ended := s.final[job]
 	return ended
 }
 
 // Remember keeps how a job has ended, as long as there is room for it.
-func (s *statusCache) Remember(job, status string, tasks int) {
+func (s *StatusCache) Remember(job, status string, tasks int) {
 	delete(s.records, job)
 	if s.Ended(job) {
 		return
@@ -59,7 +60,7 @@
 }
 
 // rememberRecord keeps what the record of an unfinished job has said.
-func (s *statusCache) rememberRecord(job string, record storage.KnownRecord) {
+func (s *StatusCache) rememberRecord(job string, record storage.KnownRecord) {
 	if len(s.records) >= maxKnownRecords {
 		clear(s.records)
 	}
--- a/internal/coordination/submissions.go
+++ b/internal/api/submission.go
@@ -1,4 +1,4 @@
-package coordination
+package api
 
 import (
 	"net/http"
@@ -10,7 +10,7 @@
 
 // Submit accepts a job. A known job's retry is answered before anything is held against
 // it: submissions are idempotent.
-func (api *userAPI) Submit(body []byte, reply func(Response)) {
+func (api *API) Submit(body []byte, reply func(Response)) {
 	var submission protocol.Submission
 	if err := api.config.Codec.Decode(body, &submission); err != nil {
 		reply(api.responses.refuse(malformed(err)))
@@ -41,7 +41,7 @@
 }
 
 // create writes a new job, unless another member has done so.
-func (api *userAPI) create(job *protocol.Job, reply func(Response)) {
+func (api *API) create(job *protocol.Job, reply func(Response)) {
 	api.config.Owner.CreateJob(job, api.config.Wall().UnixMilli(), api.now()+submitTimeout, func(r storage.CreateResult) {
 		switch r {
 		case storage.Created:
@@ -56,7 +56,7 @@
 
 // checkRunnable returns why a job can never run, or not yet, or nil. It leaves of the
 // types that the job names those that there are.
-func (api *userAPI) checkRunnable(job *protocol.Job) *refusal {
+func (api *API) checkRunnable(job *protocol.Job) *refusal {
 	team := api.config.Catalogue.Team(job.Team)
 	if team == nil {
 		return &refusedUnknownTeam
--- a/internal/coordination/user_api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -4,14 +4,15 @@
 	"strings"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/api"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
 // newUserAPI makes the users' API.
-func (c *Controller) newUserAPI() *userAPI {
-	return newUserAPI(userAPIConfig{
+func (c *Controller) newUserAPI() *api.API {
+	return api.New(api.Config{
 		Clock:     c.env.Clock,
 		Wall:      c.env.Wall,
 		Codec:     c.codec,
@@ -51,11 +52,11 @@
 	m.c.peers[member].send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: query}})
 }
 
-func (m memberLinksOf) Reachability() reachability {
-	seen := reachability{alone: len(m.c.peers) > 0}
+func (m memberLinksOf) Reachability() api.Reachability {
+	seen := api.Reachability{Alone: len(m.c.peers) > 0}
 	for _, p := range m.c.peers {
-		seen.otherServed = seen.otherServed || (p.link != nil && p.stateServiceReachable)
-		seen.alone = seen.alone && p.link == nil
+		seen.OtherServed = seen.OtherServed || (p.link != nil && p.stateServiceReachable)
+		seen.Alone = seen.Alone && p.link == nil
 	}
 	return seen
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -18,6 +18,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/cobaltvale/cobaltvale/internal/admission"
+	"github.com/cobaltvale/cobaltvale/internal/api"
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 	"github.com/cobaltvale/cobaltvale/internal/cloud"
 	"github.com/cobaltvale/cobaltvale/internal/election"
@@ -71,8 +72,8 @@
 
 	owner        *shard.Owner
 	admission    *admission.Control
-	statuses     *statusCache
-	userAPI      *userAPI
+	statuses     *api.StatusCache
+	userAPI      *api.API
 	leader       *leader // nil unless this process leads
 	subscription subscription
 	forwarder    heartbeatForwarder
@@ -110,7 +111,7 @@
 	if c.admission, err = c.newAdmission(); err != nil {
 		return nil, err
 	}
-	c.statuses = newStatusCache()
+	c.statuses = api.NewStatusCache()
 	c.owner = c.newOwner()
 	c.userAPI = c.newUserAPI()
 	c.forwarder.init(c)
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -1,6 +1,10 @@
 package coordination
 
-import "time"
+import (
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/api"
+)
 
 // Request is one HTTP request to this controller.
 type Request struct {
@@ -30,12 +34,5 @@
 	return ClassOther
 }
 
-// Response answers a request.
-type Response struct {
-	Status      int // of HTTP
-	Body        []byte
-	RetryAfterS int // in seconds; 0: none is told
-	// ValidUntil is up to when the response may be sent, on Env.Clock: what
-	// entitles this controller to it ends then. 0: at any time.
-	ValidUntil time.Duration
-}
+// Response answers a request of a user or of an agent.
+type Response = api.Response
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/cobaltvale/cobaltvale/internal/api"
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 	"github.com/cobaltvale/cobaltvale/internal/storage"
@@ -37,7 +38,7 @@
 			}
 			sim.DeliverAll()
 		}
-		sim.Advance(statusTimeout)
+		sim.Advance(api.StatusTimeout)
 		for _, r := range got {
 			want(t, what, r.Status, status)
 		}
