--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -122,13 +122,6 @@
 	}
 }
 
-// addMachines has machines of one zone send heartbeats from now on.
-func (sim *simulation) addMachines(n int) {
-	for i := range n {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
-}
-
 // submitRedEverywhere hands a job of red in at each controller.
 func (sim *simulation) submitRedEverywhere(tasks int) {
 	sim.T.Helper()
@@ -300,9 +293,7 @@
 		if s != 10 && s != 25 {
 			return
 		}
-		for _, name := range scenario.Names {
-			scenario.Crash(name)
-		}
+		scenario.CrashAll()
 		scenario.restoreAll()
 	}
 }
@@ -370,7 +361,7 @@
 // other the next that frees.
 func TestLastCapacityIsGrantedOnce(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(6)
+	sim.AddMachines(6)
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
@@ -395,14 +386,12 @@
 // controller, while another team would take all room.
 func TestGuaranteeFollowsDemand(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(4)
+	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
-	for _, agent := range sim.Agents {
-		agent.FinishTasks("done")
-	}
+	sim.FinishAllTasks()
 	sim.Run(3 * time.Second)
 	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
@@ -413,7 +402,7 @@
 // together at one, which has the time to use it; then allocations stay as they are.
 func TestRemainderStaysWithOneController(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(8)
+	sim.AddMachines(8)
 	sim.Run(8 * time.Second)
 	sim.submitRedEverywhere(12)
 	sim.Run(6 * time.Second)
@@ -429,7 +418,7 @@
 // lost meanwhile: nothing is stopped, and nothing starts until use is below it.
 func TestLimitLoweredWhileRunning(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(6)
+	sim.AddMachines(6)
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
 	sim.Run(8 * time.Second)
@@ -479,7 +468,7 @@
 	sim := prepareSimulation(t, "", []string{"b"}, "a", "b", "c")
 	sim.Tuning.QuotaEscrow = true
 	sim.StartAll()
-	sim.addMachines(8)
+	sim.AddMachines(8)
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
 	sim.Run(8 * time.Second)
@@ -514,7 +503,7 @@
 // nothing, and a record that can't be read keeps its team waiting, and no other.
 func TestMalformedQuotaMessagesAreDropped(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(2)
+	sim.AddMachines(2)
 	sim.Run(4 * time.Second)
 	c := controllerOf(sim.Nodes["a"])
 	p := c.peers["b"]
@@ -557,7 +546,7 @@
 // that the limit was exceeded.
 func TestAuditFindsAnExceededLimit(t *testing.T) {
 	sim := newEscrowSimulation(t)
-	sim.addMachines(10)
+	sim.AddMachines(10)
 	for _, n := range sim.Nodes {
 		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
 	}
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -173,9 +173,7 @@
 		},
 		func() (func(), func()) { // all are back at once
 			return func() {
-				for _, name := range scenario.Names {
-					scenario.Crash(name)
-				}
+				scenario.CrashAll()
 				scenario.restoreAll()
 			}, func() {}
 		},
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -34,9 +34,7 @@
 func TestAlwaysFailingJobsHarmNothingElse(t *testing.T) {
 	for _, machines := range []int{2, 5} {
 		sim := newSimulation(t, "a", "b", "c")
-		for i := range machines {
-			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		}
+		sim.AddMachines(machines)
 		sim.Run(2 * time.Second)
 		want(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
 		sim.Run(3 * time.Second)
@@ -84,9 +82,7 @@
 // it has run for a while, and all of it runs.
 func TestOpenBreakerClosesAgain(t *testing.T) {
 	sim := newSimulation(t, "a")
-	for i := range 6 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(6)
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 20)).Status, 201)
 	for range 4 {
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -78,9 +78,7 @@
 	for _, deaf := range []bool{false, true} {
 		for _, back := range []bool{false, true} {
 			sim := newSimulation(t, "a", "b", "c")
-			for i := range 10 {
-				sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-			}
+			sim.AddMachines(10)
 			sim.Run(2 * time.Second)
 			lead := sim.Leader()
 			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
@@ -200,9 +198,7 @@
 			want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 		}
 		sim.Run(4 * time.Second)
-		for _, n := range sim.Names {
-			sim.Crash(n)
-		}
+		sim.CrashAll()
 		sim.Advance(300 * time.Millisecond)
 		sim.Start(name)
 		sim.Run(14 * time.Second)
@@ -212,9 +208,7 @@
 		for i := range sim.Names {
 			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
 		}
-		for _, agent := range sim.Agents {
-			agent.FinishTasks("done")
-		}
+		sim.FinishAllTasks()
 		sim.Run(5 * time.Second)
 		for i := range sim.Names {
 			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -209,13 +209,9 @@
 		case s < 10 || s > 35:
 			scenario.submitRandomJob()
 		case s == 12:
-			for _, name := range scenario.Names {
-				scenario.Crash(name)
-			}
+			scenario.CrashAll()
 		case s == 34:
-			for _, name := range scenario.Names {
-				scenario.Start(name)
-			}
+			scenario.StartMembers()
 		}
 	}
 }
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -121,21 +121,15 @@
 	sim.Start(lead.Name)
 	scenario.play(10 * time.Second)
 
-	for _, n := range sim.Names {
-		sim.Crash(n)
-	}
+	sim.CrashAll()
 	sim.Advance(5 * time.Second)
-	for _, n := range sim.Names {
-		sim.Start(n)
-	}
+	sim.StartMembers()
 	scenario.play(40 * time.Second)
 	want(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
 	want(t, "starts in all", scenario.startCount(), started)
 	want(t, "heartbeats refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
 
-	for _, agent := range sim.Agents {
-		agent.FinishTasks("done")
-	}
+	sim.FinishAllTasks()
 	scenario.waitFor("every job is done", time.Minute, func() bool {
 		for i := range jobs {
 			if _, s := sim.Nodes["a"].Status(fmt.Sprint("wk-", i)); s.Status != "done" {
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -29,16 +29,6 @@
 	return busy, idle
 }
 
-// heartbeatFor has the machines send heartbeats once a second.
-func (sim *simulation) heartbeatFor(seconds int, machines ...*simtest.Agent) {
-	for range seconds {
-		for _, agent := range machines {
-			agent.Heartbeat()
-		}
-		sim.Advance(time.Second)
-	}
-}
-
 // allowOnlyLeader has only one of the members lead for the next minute.
 func (sim *simulation) allowOnlyLeader(allBut string) {
 	for _, name := range sim.Names {
@@ -66,14 +56,14 @@
 		sim.restartAllWithHidden("own/")
 		sim.allowOnlyLeader("a")
 		sim.Advance(4 * time.Second)
-		sim.heartbeatFor(3, busy, idle)
+		sim.HeartbeatFor(3, busy, idle)
 		sim.State.HiddenPrefix = ""
 		sim.Advance(2 * time.Second) // the owner registers, and no machine sends a heartbeat meanwhile
-		sim.heartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
-		sim.heartbeatFor(5, busy, idle)
+		sim.HeartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
+		sim.HeartbeatFor(5, busy, idle)
 		want(t, "leader", sim.Leader().Name, "a")
 		want(t, "reconciled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
-		sim.heartbeatFor(15, busy, idle)
+		sim.HeartbeatFor(15, busy, idle)
 		want(t, "replicas on the other machine", idle.Starts, 0)
 		want(t, "still running", len(busy.Running()), 1)
 	})
@@ -98,12 +88,12 @@
 		sim.Crash("c")
 		sim.Advance(4 * time.Second)
 		want(t, "leader", sim.Leader().Name, "a")
-		sim.heartbeatFor(1, busy, idle)
+		sim.HeartbeatFor(1, busy, idle)
 		busy.Heartbeat()
 		sim.Connect("a", "b")
 		sim.Advance(2 * time.Second)
-		sim.heartbeatFor(3, idle)
-		sim.heartbeatFor(20, busy, idle)
+		sim.HeartbeatFor(3, idle)
+		sim.HeartbeatFor(20, busy, idle)
 		want(t, "replicas on the other machine", idle.Starts, 0)
 		want(t, "still running", len(busy.Running()), 1)
 	})
@@ -120,11 +110,11 @@
 	l := controllerOf(lead).leader
 	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).selfPeer)
 	busy.Tasks["other#1"] = &simtest.AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
-	sim.heartbeatFor(3, busy, idle) // the list has changed, so it is forwarded whole
+	sim.HeartbeatFor(3, busy, idle) // the list has changed, so it is forwarded whole
 	job := controllerOf(owner).owner.Job("wk-1")
 	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
 	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
-	sim.heartbeatFor(15, busy, idle)
+	sim.HeartbeatFor(15, busy, idle)
 	want(t, "replicas on the other machine", idle.Starts, 0)
 }
 
@@ -176,10 +166,10 @@
 	controllerOf(lead).election.Resign(election.WorkersUnreachable)
 	sim.Advance(2 * time.Second)
 	want(t, "leader", sim.Leader().Name, next)
-	sim.heartbeatFor(3, first, second, idle)
+	sim.HeartbeatFor(3, first, second, idle)
 	sim.Connect(lead.Name, next)
 	sim.Advance(2 * time.Second)
-	sim.heartbeatFor(20, first, second, idle)
+	sim.HeartbeatFor(20, first, second, idle)
 	want(t, "starts", first.Starts+second.Starts+idle.Starts, started)
 	want(t, "running", sim.runningTasks(), 8)
 }
@@ -192,12 +182,12 @@
 	busy, idle := startOneTask(t, sim, sim.Nodes["a"])
 	sim.restartAllWithHidden("fleet/")
 	sim.Advance(3 * time.Second)
-	sim.heartbeatFor(9, idle)
+	sim.HeartbeatFor(9, idle)
 	busy.Heartbeat() // its first here, with the fencing token of before; its lease begins anew
-	sim.heartbeatFor(13, idle)
+	sim.HeartbeatFor(13, idle)
 	want(t, "replicas within the lease", idle.Starts, 0)
 	sim.State.HiddenPrefix = ""
-	sim.heartbeatFor(10, busy, idle)
+	sim.HeartbeatFor(10, busy, idle)
 	want(t, "replicas on the other machine", idle.Starts, 0)
 	want(t, "still running", len(busy.Running()), 1)
 }
@@ -214,9 +204,7 @@
 // restartAllWithHidden ends all members and starts them 4 s later, while listings of the
 // keys with a prefix are refused.
 func (sim *simulation) restartAllWithHidden(prefix string) {
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(4 * time.Second)
 	sim.State.HiddenPrefix = prefix
 	sim.startDown()
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -59,13 +59,9 @@
 		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
 	}
 	want(t, "tasks left on the worker", len(agent.Tasks), 0)
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(10 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Advance(5 * time.Second)
 	for _, name := range sim.Names {
 		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
@@ -197,9 +193,7 @@
 // Until an owner has registered, all of its shard counts against the limit.
 func TestLimitHoldsAcrossFailures(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 8 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(8)
 	sim.Run(15 * time.Second)
 	for i, name := range sim.Names {
 		want(t, "submit", sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
@@ -221,14 +215,10 @@
 	check(12 * time.Second)
 	sim.Start(lead.Name)
 	check(10 * time.Second)
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.Advance(7 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	check(beyondAnyLease)
 	want(t, "running at the limit again", sim.runningTasks(), 16)
 }
@@ -314,9 +304,7 @@
 // the task is overdue, however many others are silent too.
 func TestCancelledTaskOnSilentMachineEnds(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 9 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(9)
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
 	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -415,10 +415,7 @@
 	sim.Advance(8 * time.Second)
 	next := sim.Leader()
 	want(t, "copy at a new leader", next.Call("POST", "/checkin", old).Status, 200)
-	for range 6 {
-		other.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(6, other)
 	agent.Heartbeat()
 	want(t, "replica runs on", strings.Join(other.Running(), " "), "wk-1/0")
 	want(t, "starts", agent.Starts+other.Starts, 2)
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -32,9 +32,7 @@
 
 func TestFairShareBetweenTeams(t *testing.T) {
 	sim := newSimulation(t, "a")
-	for i := range 4 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(4)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 100)).Status, 201)
 	sim.Run(6 * time.Second)
@@ -91,9 +89,7 @@
 
 func TestFailingMachineIsQuarantinedForSeveralJobsOnly(t *testing.T) {
 	sim := newSimulation(t, "a")
-	for i := range 4 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
 	want(t, "bad job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	for range 40 {
@@ -146,9 +142,7 @@
 	}
 	sim.Run(4 * time.Second)
 	want(t, "running", sim.runningTasks(), 16)
-	for _, agent := range sim.Agents {
-		agent.FinishTasks("done")
-	}
+	sim.FinishAllTasks()
 	sim.Run(2 * time.Minute)
 	want(t, "returned", len(sim.Cloud.Released), 4)
 	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -30,13 +30,9 @@
 	for _, task := range agent2.Tasks {
 		agent1.Tasks["old"] = &simtest.AgentTask{Name: failed, Replica: task.Replica - 1, State: "ended", Cause: "error"}
 	}
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(10 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Advance(3 * time.Second)
 	for range 6 { // only the machine with the old replica sends heartbeats
 		agent1.Heartbeat()
@@ -53,29 +49,19 @@
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	agent1.FinishTasks("halted")
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Advance(3 * time.Second)
 	agent2.Silent = true
 	want(t, "new job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
-	for range 8 {
-		agent1.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(8, agent1)
 	if got := agent1.Running(); len(got) != 1 || !strings.HasPrefix(got[0], "wk-2") {
 		t.Fatalf("only the new job may run, got %v", got)
 	}
 	agent2.ExpireLease()
-	for range 25 {
-		agent1.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(25, agent1)
 	want(t, "running once the silent machine's lease is over", len(agent1.Running()), 4)
 }
 
@@ -88,22 +74,15 @@
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 8)
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	sim.State.HiddenPrefix = "fleet/"
 	sim.Cloud.Machines = sim.Cloud.Machines[:1]
 	agent1.FinishTasks("halted")
 	agent2.Silent = true
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Advance(3 * time.Second)
-	for range 8 {
-		agent1.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(8, agent1)
 	want(t, "replicas", len(agent1.Running()), 0)
 }
 
@@ -135,10 +114,7 @@
 	other := sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	want(t, "late heartbeat", sim.Leader().Call("POST", "/checkin", late).Status, 503)
-	for range 5 {
-		other.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(5, other)
 	want(t, "second copy", len(other.Running()), 0)
 
 	// The same from a worker that has not seen the new leader's fencing token yet.
@@ -152,10 +128,7 @@
 	agent.Tasks, agent.FencingToken = tasks, old
 	agent.Sequence -= 50
 	want(t, "stale heartbeat", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
-	for range 5 {
-		other.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(5, other)
 	want(t, "second copy", len(other.Running()), 0)
 }
 
@@ -187,27 +160,19 @@
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
-	for range 15 {
-		agent.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(15, agent)
 	want(t, "replicas before the leases are over", len(agent.Running()), 0)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].ExpireLease()
 	}
-	for range 8 {
-		agent.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(8, agent)
 	want(t, "replicas after", len(agent.Running()), 4)
 }
 
 // A stream that broke may have missed heartbeats: its clock starts anew.
 func TestNewStreamRestartsTheLeaseTimer(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
-	for i := range 9 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(9)
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
 	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
@@ -251,10 +216,7 @@
 		agent1, agent2 = agent2, agent1
 	}
 	agent1.Silent = true
-	for range 10 {
-		agent2.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(10, agent2)
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
 	want(t, "replica", len(agent2.Running()), 1)
 }
@@ -269,13 +231,9 @@
 	sim.Run(3 * time.Second)
 	code, status := sim.Nodes["a"].Cancel("wk-1")
 	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(8 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Run(10 * time.Second)
 	want(t, "left on the machine", len(agent.Tasks), 0)
 }
@@ -295,14 +253,10 @@
 	sim.Run(6 * time.Second)
 	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
 	want(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(8 * time.Second)
 	sim.Agents["vm-1"].FinishTasks("done")
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Run(6 * time.Second)
 	want(t, "running soon after", sim.runningTasks(), 4)
 }
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -33,9 +33,7 @@
 // task of it ever counts as done.
 func TestServiceRunsUntilItIsCancelled(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 4 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 	sim.Run(4 * time.Second)
@@ -116,9 +114,7 @@
 // Whoever ends, replicas that run are taken up as they are.
 func TestServiceSurvivesTakeovers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 4 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
 	for i, name := range sim.Names {
 		want(t, "submit", sim.Nodes[name].Submit(simtest.ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
@@ -132,13 +128,9 @@
 		sim.Start(lead)
 		sim.Run(9 * time.Second)
 	}
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(5 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Run(15 * time.Second)
 	want(t, "replicas that run on", sim.runningTasks(), 6)
 	want(t, "starts", sim.startCount(), 6)
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -104,18 +104,11 @@
 		// An earlier replica, as a late heartbeat of its machine might list it.
 		old.Tasks["old"] = &simtest.AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
 	}
-	for _, name := range sim.Names {
-		sim.Crash(name)
-	}
+	sim.CrashAll()
 	sim.Advance(10 * time.Second)
-	for _, name := range sim.Names {
-		sim.Start(name)
-	}
+	sim.StartMembers()
 	sim.Advance(3 * time.Second)
-	for range 3 {
-		old.Heartbeat()
-		sim.Advance(time.Second)
-	}
+	sim.HeartbeatFor(3, old)
 	sim.Run(3 * time.Second)
 	want(t, "replicas that count", len(live.Running()), 1)
 	old.Tasks = make(map[string]*simtest.AgentTask)
@@ -588,9 +581,7 @@
 // have had time to send a heartbeat, also if the list showed them for a while.
 func TestVanishedMachinesAreProvenLostSoon(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 6 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(6)
 	sim.Run(8 * time.Second)
 	lead := sim.Leader()
 	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 40)).Status, 201)
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -148,15 +148,11 @@
 	}
 	sim.Run(4 * time.Second)
 	sim.Cloud.RefusesRelease = true // what is lost is not proven gone by a release
-	for _, n := range sim.Names {
-		sim.Crash(n)
-	}
+	sim.CrashAll()
 	for _, agent := range sim.Agents {
 		agent.Silent = true // none comes back
 	}
-	for _, n := range sim.Names {
-		sim.Start(n)
-	}
+	sim.StartMembers()
 	for i := range 2 {
 		sim.AddMachine(fmt.Sprintf("vm-7%d", i), "z2").TaskDuration = 5 * time.Second
 	}
@@ -219,9 +215,7 @@
 func TestBestEffortWorkIsPreempted(t *testing.T) {
 	for _, saves := range []bool{true, false} {
 		sim := newSimulation(t, "a", "b", "c")
-		for i := range 4 {
-			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		}
+		sim.AddMachines(4)
 		sim.Run(2 * time.Second)
 		guest := simtest.BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
 		if saves {
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -60,9 +60,7 @@
 // others with room.
 func TestReplicasSpreadOverSeveralMachines(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	for i := range 3 {
-		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-	}
+	sim.AddMachines(3)
 	sim.AddMachine("vm-3", "z2")
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
@@ -91,9 +89,7 @@
 		for _, name := range sim.Names {
 			controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
 		}
-		for i := range 3 {
-			sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		}
+		sim.AddMachines(3)
 		sim.Run(2 * time.Second)
 		n := sim.Leader()
 		want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
--- a/internal/simtest/agent.go
+++ b/internal/simtest/agent.go
@@ -1,6 +1,7 @@
 package simtest
 
 import (
+	"fmt"
 	"sort"
 	"strconv"
 	"testing"
@@ -50,6 +51,13 @@
 	return d.StartAgent(m)
 }
 
+// AddMachines adds machines vm-0, vm-1 and so on of one zone.
+func (d *Deployment) AddMachines(n int) {
+	for i := range n {
+		d.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+	}
+}
+
 // BootMachines starts the agents of machines that were rented a while ago; their tasks
 // take the given time.
 func (d *Deployment) BootMachines(takes time.Duration) {
@@ -111,6 +119,23 @@
 	return nil
 }
 
+// HeartbeatFor has some machines, and no others, send a heartbeat each second.
+func (d *Deployment) HeartbeatFor(seconds int, machines ...*Agent) {
+	for range seconds {
+		for _, agent := range machines {
+			agent.Heartbeat()
+		}
+		d.Advance(time.Second)
+	}
+}
+
+// FinishAllTasks ends every running task well.
+func (d *Deployment) FinishAllTasks() {
+	for _, agent := range d.Agents {
+		agent.FinishTasks("done")
+	}
+}
+
 // HeartbeatTo sends one heartbeat to a member, and carries out the response.
 func (agent *Agent) HeartbeatTo(n *Node) *HTTPResponse {
 	agent.LastHeartbeat = agent.HeartbeatBody()
--- a/internal/simtest/deployment.go
+++ b/internal/simtest/deployment.go
@@ -84,10 +84,15 @@
 
 // StartAll starts a process of every member, and waits until one leads.
 func (d *Deployment) StartAll() {
+	d.StartMembers()
+	d.Advance(8 * time.Second)
+}
+
+// StartMembers starts a process of every member.
+func (d *Deployment) StartMembers() {
 	for _, name := range d.Names {
 		d.Start(name)
 	}
-	d.Advance(8 * time.Second)
 }
 
 // Start starts a process of a member, and connects it to the others that are up.
@@ -135,6 +140,13 @@
 	}
 }
 
+// CrashAll ends the processes of all members without a word.
+func (d *Deployment) CrashAll() {
+	for _, name := range d.Names {
+		d.Crash(name)
+	}
+}
+
 // Pause stops a process while its clock runs on. After four seconds the others take
 // its silence for a broken stream; what they sent before waits for it.
 func (d *Deployment) Pause(name string, span time.Duration) {
