--- /dev/null
+++ b/internal/api/api_test.go
@@ -0,0 +1,227 @@
+package api
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol"
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+	"github.com/cobaltvale/cobaltvale/internal/settings"
+	"github.com/cobaltvale/cobaltvale/internal/shard"
+	"github.com/cobaltvale/cobaltvale/internal/storage"
+)
+
+// surroundings are all that an API is given, as a test sets it. It owns no jobs.
+type surroundings struct {
+	clock       time.Duration
+	ownShard    *shard.Shard
+	mayAct      bool
+	full        bool
+	failing     bool
+	created     storage.CreateResult
+	creations   int
+	record      storage.KnownRecord
+	found, sure bool
+	lookups     int
+	holder      string
+	connected   bool
+	queries     []*meshpb.JobQuery
+	reach       Reachability
+}
+
+func (s *surroundings) Now() time.Duration                     { return s.clock }
+func (s *surroundings) Job(string) *shard.Job                  { return nil }
+func (s *surroundings) OwnShard() *shard.Shard                 { return s.ownShard }
+func (s *surroundings) MemoryFull(*protocol.Job) bool          { return s.full }
+func (s *surroundings) Cancel(*shard.Job, func(string, error)) {}
+func (s *surroundings) MayAct(time.Duration) bool              { return s.mayAct }
+func (s *surroundings) MayActUntil() time.Duration             { return s.clock + time.Second }
+func (s *surroundings) AllReadServices(time.Duration) bool     { return true }
+func (s *surroundings) Fits(*protocol.Job) bool                { return true }
+func (s *surroundings) Failing() bool                          { return s.failing }
+func (s *surroundings) Connected(string) bool                  { return s.connected }
+func (s *surroundings) Reachability() Reachability             { return s.reach }
+func (s *surroundings) ShardHolder(string) (string, bool)      { return s.holder, s.holder != "" }
+
+func (s *surroundings) CreateJob(_ *protocol.Job, _ int64, _ time.Duration, done func(storage.CreateResult)) {
+	s.creations++
+	done(s.created)
+}
+
+func (s *surroundings) LookupJob(_ string, _ storage.KnownRecord, _ time.Duration, done func(storage.KnownRecord, bool, bool)) {
+	s.lookups++
+	done(s.record, s.found, s.sure)
+}
+
+func (s *surroundings) SendJobQuery(_ string, query *meshpb.JobQuery) {
+	s.queries = append(s.queries, query)
+}
+
+func (s *surroundings) Team(name string) *settings.Team {
+	if name != "red" {
+		return nil
+	}
+	return &settings.Team{Name: name, CPUsMax: 8}
+}
+
+func (s *surroundings) MachineTypes() map[string]*protocol.MachineType {
+	return map[string]*protocol.MachineType{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1"}}}
+}
+
+func newTestAPI(t *testing.T, s *surroundings) *API {
+	t.Helper()
+	codec, err := protocol.NewCodec()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return New(Config{Clock: s, Wall: func() time.Time { return time.Unix(1e9, 0) }, Codec: codec,
+		Owner: s, Authority: s, Records: s, Members: s, Catalogue: s, Statuses: NewStatusCache()})
+}
+
+// submission is one of the team red with a number of CPUs for its task.
+func submission(t *testing.T, api *API, cpus float64) []byte {
+	t.Helper()
+	return api.config.Codec.Encode(map[string]any{"nameId": "wk-1", "desk": "d", "crew": "red", "form": "batch", "urgency": "standard", "pages": 1,
+		"vcpus": cpus, "cards": 0.0, "ramGb": 4.0, "plate": "img", "imageGb": 1.0, "breeds": nil, "hall": nil,
+		"together": false, "apart": false, "loaners": true, "expectedS": 30.0, "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
+}
+
+// responses counts the answers and keeps the last.
+type responses struct {
+	n    int
+	last Response
+}
+
+func (r *responses) reply(response Response) {
+	r.n++
+	r.last = response
+}
+
+func TestSubmissionIsAnsweredByWhatIsKnownOfTheJob(t *testing.T) {
+	ready := surroundings{ownShard: &shard.Shard{}, mayAct: true, sure: true}
+	ended := storage.KnownRecord{JobRecord: storage.JobRecord{Status: protocol.StatusDone, Tasks: 1, Shard: "a"}}
+	for _, test := range []struct {
+		name      string
+		change    func(s *surroundings)
+		cpus      float64
+		status    int
+		creations int
+	}{
+		{"new", func(*surroundings) {}, 2, 201, 1},
+		{"ended already", func(s *surroundings) { s.created, s.found, s.record = storage.AlreadyExists, true, ended }, 2, 200, 1},
+		{"too large", func(*surroundings) {}, 16, 422, 0},
+		{"too large now, accepted before", func(s *surroundings) { s.found, s.record = true, ended }, 16, 200, 0},
+		{"state service fails", func(s *surroundings) { s.failing = true }, 2, 503, 0},
+		{"no authority", func(s *surroundings) { s.mayAct = false }, 2, 503, 0},
+		{"no authority, accepted before", func(s *surroundings) { s.mayAct, s.found, s.record = false, true, ended }, 2, 200, 0},
+		{"no memory left", func(s *surroundings) { s.full = true }, 2, 503, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := ready
+			s.created = storage.Created
+			test.change(&s)
+			api := newTestAPI(t, &s)
+			var got responses
+			api.Submit(submission(t, api, test.cpus), got.reply)
+			if got.n != 1 || got.last.Status != test.status || s.creations != test.creations {
+				t.Fatalf("%d answers, the last %d, %d creations; want one of %d and %d creations", got.n, got.last.Status, s.creations, test.status, test.creations)
+			}
+			if test.status != 200 {
+				return
+			}
+			before := s.lookups
+			api.Status("wk-1", got.reply)
+			if got.last.Status != 200 || s.lookups != before {
+				t.Fatalf("the known end is answered %d after %d more reads", got.last.Status, s.lookups-before)
+			}
+		})
+	}
+}
+
+func TestStatusQueryAsksTheOwnerOfAnUnfinishedJob(t *testing.T) {
+	unfinished := storage.KnownRecord{JobRecord: storage.JobRecord{Shard: "b"}}
+	for _, test := range []struct {
+		name   string
+		change func(s *surroundings)
+		answer func(s *surroundings, api *API)
+		status string
+		reads  int
+	}{
+		{"owner answers", func(*surroundings) {}, func(s *surroundings, api *API) {
+			api.HandleJobQueryResult("b", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning, Running: 1})
+		}, protocol.StatusRunning, 1},
+		{"another member answers, the owner is gone", func(*surroundings) {}, func(s *surroundings, api *API) {
+			api.HandleJobQueryResult("c", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning})
+			api.MemberDown("b")
+		}, protocol.StatusPending, 2},
+		{"owner is silent", func(*surroundings) {}, func(s *surroundings, api *API) {
+			s.clock += jobQueryTimeout + 1
+			api.Tick(s.clock)
+		}, protocol.StatusPending, 2},
+		{"owner is out of reach", func(s *surroundings) { s.connected = false }, func(*surroundings, *API) {}, protocol.StatusPending, 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := surroundings{sure: true, found: true, record: unfinished, holder: "b", connected: true}
+			test.change(&s)
+			api := newTestAPI(t, &s)
+			var got responses
+			api.Status("wk-1", got.reply)
+			test.answer(&s, api)
+			s.clock += StatusTimeout + 1
+			api.Tick(s.clock) // its timeout answers nothing more
+			var status protocol.JobStatus
+			if err := api.config.Codec.Decode(got.last.Body, &status); err != nil {
+				t.Fatal(err)
+			}
+			if got.n != 1 || got.last.Status != 200 || status.Status != test.status || s.lookups != test.reads {
+				t.Fatalf("%d answers, the last %d %q after %d reads; want one of %q after %d", got.n, got.last.Status, status.Status, s.lookups, test.status, test.reads)
+			}
+		})
+	}
+}
+
+func TestReadiness(t *testing.T) {
+	own := &shard.Shard{}
+	for _, test := range []struct {
+		name  string
+		s     surroundings
+		after time.Duration // since it may not act
+		ready bool
+	}{
+		{"acts", surroundings{ownShard: own, mayAct: true}, 0, true},
+		{"no shard", surroundings{mayAct: true}, 0, false},
+		{"refused as all others are", surroundings{ownShard: own}, time.Minute, true},
+		{"refused while another is served", surroundings{ownShard: own, reach: Reachability{OtherServed: true}}, time.Minute, false},
+		{"refused a moment ago", surroundings{ownShard: own, reach: Reachability{OtherServed: true}}, notReadyDelay - 1, true},
+		{"refused and alone", surroundings{ownShard: own, reach: Reachability{Alone: true}}, time.Minute, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			s := test.s
+			s.clock = time.Hour
+			api := newTestAPI(t, &s)
+			api.Tick(s.clock)
+			s.clock += test.after
+			var got responses
+			api.Ready(got.reply)
+			if got.n != 1 || (got.last.Status == 200) != test.ready {
+				t.Fatalf("%d answers, the last %d, ready: %v", got.n, got.last.Status, test.ready)
+			}
+		})
+	}
+}
+
+func TestStatusCacheForgetsTheOldestEnd(t *testing.T) {
+	cache := NewStatusCache()
+	cache.rememberRecord("wk-0", storage.KnownRecord{JobRecord: storage.JobRecord{Shard: "a"}})
+	for i := range maxFinalStatuses + 1 {
+		cache.Remember(string(rune('a'+i%26))+time.Duration(i).String(), protocol.StatusDone, 1)
+	}
+	if len(cache.final) != maxFinalStatuses || cache.Ended("a0s") || !cache.Ended("b1ns") {
+		t.Fatalf("%d ends are kept, the oldest: %v", len(cache.final), cache.Ended("a0s"))
+	}
+	cache.Remember("wk-0", protocol.StatusCancelled, 2)
+	cache.Remember("wk-0", protocol.StatusDone, 2)
+	if _, known := cache.records["wk-0"]; known || cache.final["wk-0"].status != protocol.StatusCancelled {
+		t.Fatal("a record is kept of a job that has ended, or its end has changed")
+	}
+}
