--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -33,48 +33,50 @@
 // tasks, and each tries a task now and then.
 func TestAlwaysFailingJobsHarmNothingElse(t *testing.T) {
 	for _, machines := range []int{2, 5} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.AddMachines(machines)
-		sim.Run(2 * time.Second)
-		want(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
-		sim.Run(3 * time.Second)
-		bad := []string{"wk-1", "wk-2", "wk-3"}
-		for i, id := range bad {
-			urgency := []string{"urgent", "standard", "standard"}[i]
-			want(t, "bad job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
-		}
-		fails := 0
-		seconds := func(n int) {
-			for range n {
-				sim.Run(time.Second)
-				fails += sim.failJobs(bad...)
+		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.AddMachines(machines)
+			sim.Run(2 * time.Second)
+			want(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
+			sim.Run(3 * time.Second)
+			bad := []string{"wk-1", "wk-2", "wk-3"}
+			for i, id := range bad {
+				urgency := []string{"urgent", "standard", "standard"}[i]
+				want(t, "bad job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
 			}
-		}
-		seconds(30)
-		fails = 0
-		rented := len(sim.Cloud.ScaleOutRequests)
-		seconds(60)
-		if fails > 3*12 {
-			t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
-		}
-		want(t, "requests for machines", len(sim.Cloud.ScaleOutRequests)-rented, 0)
-		sim.Crash(sim.Leader().Name)
-		seconds(30)
-		fails = 0
-		seconds(60)
-		if fails > 3*30 {
-			t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
-		}
-		want(t, "machines that are left", len(sim.Agents), machines)
-		want(t, "good tasks that run on", sim.runningTasks(), machines)
-		for _, id := range bad {
-			code, _ := sim.Follower().Cancel(id)
-			want(t, "abort", code, 200)
-		}
-		sim.Run(5 * time.Second)
-		want(t, "good job after", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
-		sim.Run(6 * time.Second)
-		want(t, "running", sim.runningTasks(), 2*machines)
+			fails := 0
+			seconds := func(n int) {
+				for range n {
+					sim.Run(time.Second)
+					fails += sim.failJobs(bad...)
+				}
+			}
+			seconds(30)
+			fails = 0
+			rented := len(sim.Cloud.ScaleOutRequests)
+			seconds(60)
+			if fails > 3*12 {
+				t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
+			}
+			want(t, "requests for machines", len(sim.Cloud.ScaleOutRequests)-rented, 0)
+			sim.Crash(sim.Leader().Name)
+			seconds(30)
+			fails = 0
+			seconds(60)
+			if fails > 3*30 {
+				t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
+			}
+			want(t, "machines that are left", len(sim.Agents), machines)
+			want(t, "good tasks that run on", sim.runningTasks(), machines)
+			for _, id := range bad {
+				code, _ := sim.Follower().Cancel(id)
+				want(t, "abort", code, 200)
+			}
+			sim.Run(5 * time.Second)
+			want(t, "good job after", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
+			sim.Run(6 * time.Second)
+			want(t, "running", sim.runningTasks(), 2*machines)
+		})
 	}
 }
 
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -38,36 +38,38 @@
 // stays so, what runs goes on, and the job is done once the last has ended.
 func TestShortJobEndsAcrossLeaderChange(t *testing.T) {
 	for _, at := range []string{"leader", "follower"} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.AddMachine("vm-1", "z1")
-		sim.AddMachine("vm-2", "z2")
-		sim.Run(2 * time.Second)
-		lead := sim.Leader()
-		n := lead
-		if at == "follower" {
-			n = sim.Follower()
-		}
-		want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
-		sim.Run(3 * time.Second)
-		sim.finishTask("wk-1/0")
-		sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
-		sim.Crash(lead.Name)
-		sim.Run(time.Second)
-		sim.finishTask("wk-1/1")
-		sim.Run(15 * time.Second)
-		next := sim.Leader()
-		if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
-			t.Fatalf("%d %q while a task runs", code, s.Status)
-		}
-		want(t, "starts", sim.startCount(), 3)
-		sim.Start(lead.Name)
-		sim.Run(10 * time.Second)
-		sim.finishTask("wk-1/2")
-		sim.Run(5 * time.Second)
-		for _, name := range sim.Names {
-			sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
-		}
-		want(t, "starts in all", sim.startCount(), 3)
+		t.Run("submitted at the "+at, func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.AddMachine("vm-1", "z1")
+			sim.AddMachine("vm-2", "z2")
+			sim.Run(2 * time.Second)
+			lead := sim.Leader()
+			n := lead
+			if at == "follower" {
+				n = sim.Follower()
+			}
+			want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
+			sim.Run(3 * time.Second)
+			sim.finishTask("wk-1/0")
+			sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
+			sim.Crash(lead.Name)
+			sim.Run(time.Second)
+			sim.finishTask("wk-1/1")
+			sim.Run(15 * time.Second)
+			next := sim.Leader()
+			if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
+				t.Fatalf("%d %q while a task runs", code, s.Status)
+			}
+			want(t, "starts", sim.startCount(), 3)
+			sim.Start(lead.Name)
+			sim.Run(10 * time.Second)
+			sim.finishTask("wk-1/2")
+			sim.Run(5 * time.Second)
+			for _, name := range sim.Names {
+				sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
+			}
+			want(t, "starts in all", sim.startCount(), 3)
+		})
 	}
 }
 
@@ -77,36 +79,38 @@
 func TestLeaderCrashWhileMachinesAreUnreachable(t *testing.T) {
 	for _, deaf := range []bool{false, true} {
 		for _, back := range []bool{false, true} {
-			sim := newSimulation(t, "a", "b", "c")
-			sim.AddMachines(10)
-			sim.Run(2 * time.Second)
-			lead := sim.Leader()
-			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
-			sim.Run(4 * time.Second)
-			want(t, "running", sim.runningTasks(), 20)
-			var lost []*simtest.Agent
-			for _, name := range sim.AgentNames() {
-				if agent := sim.Agents[name]; len(lost) < 3 && len(agent.Running()) > 0 {
-					agent.Silent, agent.LosesResponses = !deaf, deaf
-					lost = append(lost, agent)
+			t.Run(fmt.Sprint("responses lost: ", deaf, ", back in time: ", back), func(t *testing.T) {
+				sim := newSimulation(t, "a", "b", "c")
+				sim.AddMachines(10)
+				sim.Run(2 * time.Second)
+				lead := sim.Leader()
+				want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
+				sim.Run(4 * time.Second)
+				want(t, "running", sim.runningTasks(), 20)
+				var lost []*simtest.Agent
+				for _, name := range sim.AgentNames() {
+					if agent := sim.Agents[name]; len(lost) < 3 && len(agent.Running()) > 0 {
+						agent.Silent, agent.LosesResponses = !deaf, deaf
+						lost = append(lost, agent)
+					}
+				}
+				sim.Crash(lead.Name)
+				sim.Run(10 * time.Second) // within their leases of 16 s
+				want(t, "starts before the leases are over", sim.startCount(), 20)
+				if back {
+					for _, agent := range lost {
+						agent.Silent, agent.LosesResponses = false, false
+					}
+					sim.Run(15 * time.Second)
+					want(t, "starts of tasks whose machines are back", sim.startCount(), 20)
+					return
 				}
-			}
-			sim.Crash(lead.Name)
-			sim.Run(10 * time.Second) // within their leases of 16 s
-			want(t, "starts before the leases are over", sim.startCount(), 20)
-			if back {
 				for _, agent := range lost {
-					agent.Silent, agent.LosesResponses = false, false
+					agent.ExpireLease()
 				}
-				sim.Run(15 * time.Second)
-				want(t, "starts of tasks whose machines are back", sim.startCount(), 20)
-				continue
-			}
-			for _, agent := range lost {
-				agent.ExpireLease()
-			}
-			sim.Run(30 * time.Second)
-			want(t, "running again", sim.runningTasks(), 20)
+				sim.Run(30 * time.Second)
+				want(t, "running again", sim.runningTasks(), 20)
+			})
 		}
 	}
 }
@@ -157,32 +161,34 @@
 // then carries it out: the start counts, or is proven absent, before another.
 func TestDelayedResponseOfACrashedLeader(t *testing.T) {
 	for _, arrives := range []bool{true, false} {
-		sim := newSimulation(t, "a", "b", "c")
-		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
-		sim.Run(2 * time.Second)
-		lead := sim.Leader()
-		want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose shard changes hands too
-		if agent.ConnectedTo != lead.Process {
-			agent.HeartbeatTo(lead)
-		}
-		held := &Response{}
-		controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
-		sim.Advance(400 * time.Millisecond)
-		want(t, "answer", held.Status, 200)
-		agent.Silent = true // it waits for the answer
-		sim.Crash(lead.Name)
-		for range 3 {
-			sim.Advance(time.Second)
-			other.Heartbeat()
-		}
-		agent.Silent = false
-		if arrives {
-			agent.Execute(held.Body)
-		}
-		agent.ConnectedTo = nil
-		sim.Run(20 * time.Second)
-		want(t, "running", sim.runningTasks(), 2)
-		want(t, "starts", sim.startCount(), 2)
+		t.Run(fmt.Sprint("response arrives: ", arrives), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+			sim.Run(2 * time.Second)
+			lead := sim.Leader()
+			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose shard changes hands too
+			if agent.ConnectedTo != lead.Process {
+				agent.HeartbeatTo(lead)
+			}
+			held := &Response{}
+			controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
+			sim.Advance(400 * time.Millisecond)
+			want(t, "answer", held.Status, 200)
+			agent.Silent = true // it waits for the answer
+			sim.Crash(lead.Name)
+			for range 3 {
+				sim.Advance(time.Second)
+				other.Heartbeat()
+			}
+			agent.Silent = false
+			if arrives {
+				agent.Execute(held.Body)
+			}
+			agent.ConnectedTo = nil
+			sim.Run(20 * time.Second)
+			want(t, "running", sim.runningTasks(), 2)
+			want(t, "starts", sim.startCount(), 2)
+		})
 	}
 }
 
@@ -190,30 +196,32 @@
 // once nobody can hold a extension of its predecessor's.
 func TestOneMemberRecoversAfterAllCrash(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.AddMachine("vm-1", "z1")
-		sim.AddMachine("vm-2", "z1")
-		sim.Run(2 * time.Second)
-		for i, n := range sim.Names {
-			want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
-		}
-		sim.Run(4 * time.Second)
-		sim.CrashAll()
-		sim.Advance(300 * time.Millisecond)
-		sim.Start(name)
-		sim.Run(14 * time.Second)
-		n := sim.Nodes[name]
-		want(t, "leads", sim.Leader(), n)
-		want(t, "running", sim.runningTasks(), 6)
-		for i := range sim.Names {
-			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
-		}
-		sim.FinishAllTasks()
-		sim.Run(5 * time.Second)
-		for i := range sim.Names {
-			sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
-		}
-		want(t, "starts", sim.startCount(), 6)
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.AddMachine("vm-1", "z1")
+			sim.AddMachine("vm-2", "z1")
+			sim.Run(2 * time.Second)
+			for i, n := range sim.Names {
+				want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+			}
+			sim.Run(4 * time.Second)
+			sim.CrashAll()
+			sim.Advance(300 * time.Millisecond)
+			sim.Start(name)
+			sim.Run(14 * time.Second)
+			n := sim.Nodes[name]
+			want(t, "leads", sim.Leader(), n)
+			want(t, "running", sim.runningTasks(), 6)
+			for i := range sim.Names {
+				sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
+			}
+			sim.FinishAllTasks()
+			sim.Run(5 * time.Second)
+			for i := range sim.Names {
+				sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
+			}
+			want(t, "starts", sim.startCount(), 6)
+		})
 	}
 }
 
@@ -234,99 +242,101 @@
 	}
 	for kind, is := range kinds {
 		for variant := range 4 {
-			sim := newSimulation(t, "a", "b", "c")
-			type late struct {
-				at    time.Duration
-				apply func() storage.Response
-			}
-			var held []late
-			n, hits := 0, 0
-			sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-				hit := false
-				for _, c := range txn.Then {
-					hit = hit || is(c)
-				}
-				if !hit {
-					return false
+			t.Run(fmt.Sprint(kind, ", variant ", variant), func(t *testing.T) {
+				sim := newSimulation(t, "a", "b", "c")
+				type late struct {
+					at    time.Duration
+					apply func() storage.Response
 				}
-				if n++; n%3 != variant%3 { // one in three
-					return false
-				}
-				hits++
-				held = append(held, late{sim.Now() + time.Duration(2+n%11)*time.Second, apply})
-				done(storage.Response{})
-				return true
-			}
-			for i := range 6 {
-				agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-				agent.TaskDuration, agent.DurationSpread = 2*time.Second, time.Second
-			}
-			second := func() {
-				sim.Run(time.Second)
-				sim.BootMachines(2 * time.Second)
-				kept := held[:0]
-				for _, l := range held {
-					if sim.Now() < l.at {
-						kept = append(kept, l)
-						continue
+				var held []late
+				n, hits := 0, 0
+				sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+					hit := false
+					for _, c := range txn.Then {
+						hit = hit || is(c)
+					}
+					if !hit {
+						return false
 					}
-					l.apply()
+					if n++; n%3 != variant%3 { // one in three
+						return false
+					}
+					hits++
+					held = append(held, late{sim.Now() + time.Duration(2+n%11)*time.Second, apply})
+					done(storage.Response{})
+					return true
 				}
-				held = kept
-			}
-			accepted, cancelled := make(map[string]bool), make(map[string]bool)
-			for i := range 40 {
-				second()
-				id := fmt.Sprint("wk-", i+1)
-				r := sim.Nodes[sim.Names[i%3]]
-				if r.Up && r.Submit(simtest.BatchJob(id, 1+i%9)).Status == 201 {
-					accepted[id] = true
+				for i := range 6 {
+					agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
+					agent.TaskDuration, agent.DurationSpread = 2*time.Second, time.Second
 				}
-				if i%7 == 6 && r.Up && accepted[fmt.Sprint("wk-", i)] {
-					if code, s := r.Cancel(fmt.Sprint("wk-", i)); code == 200 && s == "withdrawn" {
-						cancelled[fmt.Sprint("wk-", i)] = true
+				second := func() {
+					sim.Run(time.Second)
+					sim.BootMachines(2 * time.Second)
+					kept := held[:0]
+					for _, l := range held {
+						if sim.Now() < l.at {
+							kept = append(kept, l)
+							continue
+						}
+						l.apply()
 					}
+					held = kept
 				}
-				switch {
-				case variant == 3 && i == 15:
-					sim.Crash(sim.Leader().Name)
-				case variant == 3 && i == 25:
-					for _, name := range sim.Names {
-						if !sim.Nodes[name].Up {
-							sim.Start(name)
+				accepted, cancelled := make(map[string]bool), make(map[string]bool)
+				for i := range 40 {
+					second()
+					id := fmt.Sprint("wk-", i+1)
+					r := sim.Nodes[sim.Names[i%3]]
+					if r.Up && r.Submit(simtest.BatchJob(id, 1+i%9)).Status == 201 {
+						accepted[id] = true
+					}
+					if i%7 == 6 && r.Up && accepted[fmt.Sprint("wk-", i)] {
+						if code, s := r.Cancel(fmt.Sprint("wk-", i)); code == 200 && s == "withdrawn" {
+							cancelled[fmt.Sprint("wk-", i)] = true
 						}
 					}
-				case variant == 2 && i == 20:
-					name := sim.Leader().Name
-					sim.Crash(name)
-					sim.Start(name) // back at once
+					switch {
+					case variant == 3 && i == 15:
+						sim.Crash(sim.Leader().Name)
+					case variant == 3 && i == 25:
+						for _, name := range sim.Names {
+							if !sim.Nodes[name].Up {
+								sim.Start(name)
+							}
+						}
+					case variant == 2 && i == 20:
+						name := sim.Leader().Name
+						sim.Crash(name)
+						sim.Start(name) // back at once
+					}
 				}
-			}
-			for range 60 {
-				second()
-			}
-			sim.State.OnTransaction = nil
-			for len(held) > 0 {
-				second()
-			}
-			for range 40 {
-				second()
-			}
-			if hits == 0 && kind != "leader" && kind != "member" && kind != "shard" {
-				t.Fatalf("%s %d: nothing was held", kind, variant)
-			}
-			if len(accepted) < 15 {
-				t.Fatalf("%s %d: %d of 40 jobs were accepted", kind, variant, len(accepted))
-			}
-			for id := range accepted {
-				end := "done"
-				if cancelled[id] {
-					end = "withdrawn"
+				for range 60 {
+					second()
 				}
-				if code, s := sim.Leader().Status(id); code != 200 || (s.Status != end && s.Status != "withdrawn") || (s.Status == "withdrawn") != (end == "withdrawn") {
-					t.Fatalf("%s %d: %s is answered %d %q, not %q", kind, variant, id, code, s.Status, end)
+				sim.State.OnTransaction = nil
+				for len(held) > 0 {
+					second()
 				}
-			}
+				for range 40 {
+					second()
+				}
+				if hits == 0 && kind != "leader" && kind != "member" && kind != "shard" {
+					t.Fatalf("%s %d: nothing was held", kind, variant)
+				}
+				if len(accepted) < 15 {
+					t.Fatalf("%s %d: %d of 40 jobs were accepted", kind, variant, len(accepted))
+				}
+				for id := range accepted {
+					end := "done"
+					if cancelled[id] {
+						end = "withdrawn"
+					}
+					if code, s := sim.Leader().Status(id); code != 200 || (s.Status != end && s.Status != "withdrawn") || (s.Status == "withdrawn") != (end == "withdrawn") {
+						t.Fatalf("%s %d: %s is answered %d %q, not %q", kind, variant, id, code, s.Status, end)
+					}
+				}
+			})
 		}
 	}
 }
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -75,24 +75,26 @@
 // anything is concluded from it, whether it was applied or not.
 func TestCreationWithUnknownOutcomeIsResolved(t *testing.T) {
 	for _, applied := range []bool{true, false} {
-		sim := newSimulation(t, "a", "b")
-		hit := false
-		sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-			if hit || len(txn.Then) == 0 || !strings.HasPrefix(txn.Then[0].Put, "job/") {
-				return false
+		t.Run(fmt.Sprint("applied: ", applied), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b")
+			hit := false
+			sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+				if hit || len(txn.Then) == 0 || !strings.HasPrefix(txn.Then[0].Put, "job/") {
+					return false
+				}
+				hit = true
+				if applied {
+					apply()
+				}
+				done(storage.Response{})
+				return true
 			}
-			hit = true
-			if applied {
-				apply()
-			}
-			done(storage.Response{})
-			return true
-		}
-		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-		want(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
-		agent := sim.AddMachine("vm-1", "z1")
-		sim.Run(4 * time.Second)
-		want(t, "running", len(agent.Running()), 2)
+			want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+			want(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
+			agent := sim.AddMachine("vm-1", "z1")
+			sim.Run(4 * time.Second)
+			want(t, "running", len(agent.Running()), 2)
+		})
 	}
 }
 
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -270,46 +270,48 @@
 		pause  time.Duration
 		starts bool
 	}{{5 * time.Second, false}, {8 * time.Second, true}} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.Cloud.RefusesScaleOut = true
-		for _, name := range sim.Names {
-			tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
-			tune.SilenceHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
-		}
-		agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
-		pause := func(d time.Duration) { // the leader hears of others meanwhile
-			for end := sim.Now() + d; sim.Now() < end; {
-				sim.Advance(time.Second)
-				other.Heartbeat()
+		t.Run(fmt.Sprint("silent for ", c.pause), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.Cloud.RefusesScaleOut = true
+			for _, name := range sim.Names {
+				tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
+				tune.SilenceHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
 			}
-		}
-		sim.Run(4 * time.Second)
-		n := sim.Leader()
-		agent.HeartbeatTo(n)
-		pause(c.pause)
-		want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
-		agent.ConnectedTo = nil // its connection is gone
-		agent.HeartbeatTo(n)
-		want(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
-		agent.HeartbeatTo(n)
-		want(t, "started by the next heartbeat", sim.runningTasks(), 2)
-		agent.FinishTasks("done")
-		for range 3 { // until its results are written and cleared
+			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
+			pause := func(d time.Duration) { // the leader hears of others meanwhile
+				for end := sim.Now() + d; sim.Now() < end; {
+					sim.Advance(time.Second)
+					other.Heartbeat()
+				}
+			}
+			sim.Run(4 * time.Second)
+			n := sim.Leader()
 			agent.HeartbeatTo(n)
-			sim.Advance(time.Second)
-		}
-		agent.LosesResponses = true // it hears nothing, and pauses again: it gets nothing twice
-		sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
-		agent.ConnectedTo = nil
-		pause(8 * time.Second)
-		want(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
-		agent.HeartbeatTo(n)
-		first := sent()
-		for range 2 { // the first shows that its starts are lost
+			pause(c.pause)
+			want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
+			agent.ConnectedTo = nil // its connection is gone
+			agent.HeartbeatTo(n)
+			want(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
+			agent.HeartbeatTo(n)
+			want(t, "started by the next heartbeat", sim.runningTasks(), 2)
+			agent.FinishTasks("done")
+			for range 3 { // until its results are written and cleared
+				agent.HeartbeatTo(n)
+				sim.Advance(time.Second)
+			}
+			agent.LosesResponses = true // it hears nothing, and pauses again: it gets nothing twice
+			sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
+			agent.ConnectedTo = nil
 			pause(8 * time.Second)
+			want(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
 			agent.HeartbeatTo(n)
-		}
-		want(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
+			first := sent()
+			for range 2 { // the first shows that its starts are lost
+				pause(8 * time.Second)
+				agent.HeartbeatTo(n)
+			}
+			want(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
+		})
 	}
 }
 
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -215,33 +215,35 @@
 // other, each once there is room kept for it; from the last moment on whatever comes.
 func TestReplicasMoveOffADrainingMachine(t *testing.T) {
 	for _, room := range []bool{true, false} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.Cloud.RefusesScaleOut = true
-		first := sim.AddMachine("vm-0", "z1")
-		sim.Run(2 * time.Second)
-		n := sim.Leader()
-		want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
-		sim.Run(4 * time.Second)
-		want(t, "replicas", len(first.Running()), 3)
-		if room {
-			sim.AddMachine("vm-1", "z1")
-			sim.AddMachine("vm-2", "z1")
+		t.Run(fmt.Sprint("room: ", room), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.Cloud.RefusesScaleOut = true
+			first := sim.AddMachine("vm-0", "z1")
+			sim.Run(2 * time.Second)
+			n := sim.Leader()
+			want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 			sim.Run(4 * time.Second)
-		}
-		least := 3
-		for left := 14; left > 1; left-- {
-			first.PreemptionNotice = float64(left)
-			sim.Run(time.Second)
-			least = min(least, len(sim.machinesOfJob("wk-1")))
-			if !room && left > 5 {
-				want(t, "replicas that stay while there is no room", len(first.Running()), 3)
+			want(t, "replicas", len(first.Running()), 3)
+			if room {
+				sim.AddMachine("vm-1", "z1")
+				sim.AddMachine("vm-2", "z1")
+				sim.Run(4 * time.Second)
 			}
-		}
-		want(t, "left on the machine", len(first.Running()), 0)
-		if room {
-			want(t, "moved", len(sim.machinesOfJob("wk-1")), 3)
-			want(t, "served all the while", least >= 2, true)
-		}
+			least := 3
+			for left := 14; left > 1; left-- {
+				first.PreemptionNotice = float64(left)
+				sim.Run(time.Second)
+				least = min(least, len(sim.machinesOfJob("wk-1")))
+				if !room && left > 5 {
+					want(t, "replicas that stay while there is no room", len(first.Running()), 3)
+				}
+			}
+			want(t, "left on the machine", len(first.Running()), 0)
+			if room {
+				want(t, "moved", len(sim.machinesOfJob("wk-1")), 3)
+				want(t, "served all the while", least >= 2, true)
+			}
+		})
 	}
 }
 
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -214,43 +214,45 @@
 // what it saved.
 func TestBestEffortWorkIsPreempted(t *testing.T) {
 	for _, saves := range []bool{true, false} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.AddMachines(4)
-		sim.Run(2 * time.Second)
-		guest := simtest.BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
-		if saves {
-			guest.With("proofEveryS", 30.0).With("proofS", 2.0)
-		}
-		want(t, "guest", sim.Leader().Submit(guest).Status, 201)
-		sim.Run(10 * time.Second)
-		want(t, "guest's tasks", sim.runningTasks(), 16)
-		sim.Cloud.RefusesScaleOut = true
-		owner := sim.Follower()
-		want(t, "owner's job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
-		sim.Run(8 * time.Second)
-		count := func(job string) int {
-			n := 0
-			for _, agent := range sim.Agents {
-				for _, name := range agent.Running() {
-					if strings.HasPrefix(name, job+"/") {
-						n++
+		t.Run(fmt.Sprint("saves: ", saves), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.AddMachines(4)
+			sim.Run(2 * time.Second)
+			guest := simtest.BatchJob("wk-1", 40).With("crew", "guest").With("urgency", "best_effort").With("expectedS", 300.0)
+			if saves {
+				guest.With("proofEveryS", 30.0).With("proofS", 2.0)
+			}
+			want(t, "guest", sim.Leader().Submit(guest).Status, 201)
+			sim.Run(10 * time.Second)
+			want(t, "guest's tasks", sim.runningTasks(), 16)
+			sim.Cloud.RefusesScaleOut = true
+			owner := sim.Follower()
+			want(t, "owner's job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
+			sim.Run(8 * time.Second)
+			count := func(job string) int {
+				n := 0
+				for _, agent := range sim.Agents {
+					for _, name := range agent.Running() {
+						if strings.HasPrefix(name, job+"/") {
+							n++
+						}
 					}
 				}
+				return n
 			}
-			return n
-		}
-		// On one machine the guest's first task is left, with room for three of two CPUs.
-		want(t, "owner's tasks", count("wk-2"), 4)
-		want(t, "guest's tasks beside them", count("wk-1"), 4)
-		want(t, "of these the first", fmt.Sprint(sim.machineOfTask("wk-1/0") != nil), "true")
-		for range 30 { // it comes back wherever the owner's are over
-			sim.finishTask(fmt.Sprint("wk-2/", 0))
-			sim.finishTask(fmt.Sprint("wk-2/", 1))
-			sim.Run(time.Second)
-		}
-		if n := count("wk-1"); n < 7 {
-			t.Fatalf("%d of the guest's tasks run again", n)
-		}
+			// On one machine the guest's first task is left, with room for three of two CPUs.
+			want(t, "owner's tasks", count("wk-2"), 4)
+			want(t, "guest's tasks beside them", count("wk-1"), 4)
+			want(t, "of these the first", fmt.Sprint(sim.machineOfTask("wk-1/0") != nil), "true")
+			for range 30 { // it comes back wherever the owner's are over
+				sim.finishTask(fmt.Sprint("wk-2/", 0))
+				sim.finishTask(fmt.Sprint("wk-2/", 1))
+				sim.Run(time.Second)
+			}
+			if n := count("wk-1"); n < 7 {
+				t.Fatalf("%d of the guest's tasks run again", n)
+			}
+		})
 	}
 }
 
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -85,19 +85,21 @@
 // last replica waits for as many heartbeats as there are machines.
 func TestReplicasSpreadOverTwoMachinesIfStartsAreUrgent(t *testing.T) {
 	for within, started := range map[float64]int{1: 6, 5: 4} {
-		sim := newSimulation(t, "a", "b", "c")
-		for _, name := range sim.Names {
-			controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
-		}
-		sim.AddMachines(3)
-		sim.Run(2 * time.Second)
-		n := sim.Leader()
-		want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
-		sim.Run(4 * time.Second)
-		want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
-		sim.Agents["vm-0"].Heartbeat()
-		sim.Agents["vm-1"].Heartbeat()
-		want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
+		t.Run(fmt.Sprint("wanted in ", within), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			for _, name := range sim.Names {
+				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
+			}
+			sim.AddMachines(3)
+			sim.Run(2 * time.Second)
+			n := sim.Leader()
+			want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
+			sim.Run(4 * time.Second)
+			want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
+			sim.Agents["vm-0"].Heartbeat()
+			sim.Agents["vm-1"].Heartbeat()
+			want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
+		})
 	}
 }
 
@@ -105,21 +107,23 @@
 // sooner than the image could be fetched, and not otherwise.
 func TestReplicaWaitsForAMachineWithItsImage(t *testing.T) {
 	for since, goesTo := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
-		sim := newSimulation(t, "a", "b", "c")
-		first := sim.AddMachine("vm-0", "z1")
-		sim.Run(2 * time.Second)
-		n := sim.Leader()
-		want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
-		sim.Run(4 * time.Second)
-		second := sim.AddMachine("vm-1", "z1")
-		sim.Run(4 * time.Second)
-		want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
-		first.Heartbeat()
-		sim.Advance(since - tickInterval)
-		want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
-		second.Heartbeat()
-		first.Heartbeat()
-		want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
+		t.Run(fmt.Sprint("last heartbeat before ", since), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			first := sim.AddMachine("vm-0", "z1")
+			sim.Run(2 * time.Second)
+			n := sim.Leader()
+			want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
+			sim.Run(4 * time.Second)
+			second := sim.AddMachine("vm-1", "z1")
+			sim.Run(4 * time.Second)
+			want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
+			first.Heartbeat()
+			sim.Advance(since - tickInterval)
+			want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
+			second.Heartbeat()
+			first.Heartbeat()
+			want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
+		})
 	}
 }
 
@@ -127,19 +131,21 @@
 // job of them is seen.
 func TestWarmPoolBeforeTheFirstService(t *testing.T) {
 	for _, aim := range []string{"wait", "deadline"} {
-		sim := newSimulation(t, "a", "b", "c")
-		for _, name := range sim.Names {
-			controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
-		}
-		sim.Crash(sim.Leader().Name)
-		sim.Run(30 * time.Second)
-		ordinary := 0
-		for _, request := range sim.Cloud.ScaleOutRequests {
-			if !request.Spot {
-				ordinary += request.Count
+		t.Run(aim, func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			for _, name := range sim.Names {
+				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: aim, Class: "portal", WithinS: 5, Share: 0.9}}
 			}
-		}
-		want(t, "ordinary machines for "+aim, ordinary, map[string]int{"wait": 4}[aim])
+			sim.Crash(sim.Leader().Name)
+			sim.Run(30 * time.Second)
+			ordinary := 0
+			for _, request := range sim.Cloud.ScaleOutRequests {
+				if !request.Spot {
+					ordinary += request.Count
+				}
+			}
+			want(t, "ordinary machines for "+aim, ordinary, map[string]int{"wait": 4}[aim])
+		})
 	}
 }
 
@@ -151,23 +157,25 @@
 		seen  bool
 		typ   string
 	}{{2.2, false, "m16"}, {2.2, true, "m16"}, {3, false, "m8"}, {3, true, "m8"}} {
-		sim := newSimulation(t, "a", "b", "c")
-		sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
-		sim.Run(90 * time.Second) // until all know the catalogue
-		if c.seen {
-			want(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
-		} else {
-			for _, name := range sim.Names {
-				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
+		t.Run(fmt.Sprintf("m16 at %v, seen: %v", c.price, c.seen), func(t *testing.T) {
+			sim := newSimulation(t, "a", "b", "c")
+			sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
+			sim.Run(90 * time.Second) // until all know the catalogue
+			if c.seen {
+				want(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
+			} else {
+				for _, name := range sim.Names {
+					controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
+				}
+				sim.Crash(sim.Leader().Name)
 			}
-			sim.Crash(sim.Leader().Name)
-		}
-		sim.Run(30 * time.Second)
-		types := make(map[string]bool)
-		for _, request := range sim.Cloud.ScaleOutRequests {
-			types[request.Type] = true
-		}
-		want(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
+			sim.Run(30 * time.Second)
+			types := make(map[string]bool)
+			for _, request := range sim.Cloud.ScaleOutRequests {
+				types[request.Type] = true
+			}
+			want(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
+		})
 	}
 }
 
