--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"net/http"
 	"strings"
 	"time"
 
@@ -79,6 +80,11 @@
 	})
 }
 
+// unavailable refuses a request for now.
+func (c *Controller) unavailable(why string) Response {
+	return c.errorResponse(http.StatusServiceUnavailable, why, 1)
+}
+
 // errorResponse refuses a request.
 func (c *Controller) errorResponse(status int, why string, retryAfterS int) Response {
 	return Response{Status: status, Body: c.codec.Encode(protocol.ErrorBody{Error: why}), RetryAfterS: retryAfterS}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -77,6 +77,7 @@
 	leader       *leader // nil unless this process leads
 	subscription subscription
 	forwarder    heartbeatForwarder
+	balancer     heartbeatBalancer
 	cloud        *cloud.Inventory // every member keeps the catalogue
 
 	responseEvents    eventcount.Counter // by responseEvent
@@ -114,7 +115,8 @@
 	c.statuses = api.NewStatusCache()
 	c.owner = c.newOwner()
 	c.userAPI = c.newUserAPI()
-	c.forwarder.init(c)
+	c.forwarder = newHeartbeatForwarder(env.Clock, c.unavailable)
+	c.balancer = newHeartbeatBalancer(c.now())
 	c.subscription.c = c
 	c.subscription.reset()
 	c.cloud = cloud.NewInventory(cloud.Config{
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -251,7 +251,7 @@
 	code, _ := follower.Cancel("wk-1")
 	want(t, "abort", code, 200)
 	for _, name := range sim.AgentNames() {
-		controllerOf(lead).forwarder.redirectBudget = 0 // none is sent elsewhere
+		controllerOf(lead).balancer.redirectBudget = 0 // none is sent elsewhere
 		r := sim.Agents[name].Heartbeat()
 		if r.Status != 200 || len(r.Body) > 64<<10 {
 			t.Fatalf("answered %d with %d bytes", r.Status, len(r.Body))
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -139,6 +139,7 @@
 		c.subscription.reset()
 	}
 	c.userAPI.MemberDown(p.member)
+	c.balancer.peerDown(p)
 	c.forwarder.peerDown(p)
 }
 
@@ -152,9 +153,9 @@
 // sendPeerHeartbeats tells every member that this one lives and, from a leader
 // that may act, up to when all that machines have reported has been passed on.
 func (c *Controller) sendPeerHeartbeats(now time.Duration) {
-	c.forwarder.balance(now)
+	c.balancer.rebalance(now, c.leader != nil)
 	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
-	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.forwarder.load()}
+	heartbeat := &meshpb.PeerHeartbeat{StateOk: c.election.LeaseValid(now), Load: c.balancer.load(c.leader != nil)}
 	if c.leader != nil && c.election.MayAct(now) {
 		heartbeat.FencingToken = c.leader.fencingToken
 		heartbeat.ClockUs = now.Microseconds()
@@ -170,7 +171,7 @@
 func (c *Controller) onPeerHeartbeat(from *peer, heartbeat *meshpb.PeerHeartbeat) {
 	from.stateServiceReachable = heartbeat.StateOk
 	if from != c.selfPeer {
-		c.forwarder.peerLoad[from] = heartbeat.Load
+		c.balancer.observeLoad(from, heartbeat.Load)
 	}
 	if heartbeat.LeaderOk {
 		c.election.ObserveLeader(from.member, heartbeat.FencingToken)
