--- /dev/null
+++ b/internal/coordination/heartbeat_balancing_test.go
@@ -0,0 +1,95 @@
+package coordination
+
+import (
+	"testing"
+	"time"
+
+	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
+)
+
+// connected is a peer that a stream leads to.
+func connected(member string) *peer {
+	return &peer{member: member, link: loopbackLink{}}
+}
+
+func TestWorkersAreSentToALessLoadedMember(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		rate   float64 // heartbeats a second here
+		leads  bool
+		load   float64 // of the other
+		target string
+		budget float64
+	}{
+		{"even", 100, false, 100, "", 0},
+		{"little load", 20, false, 1, "", 0},
+		{"uneven", 300, false, 100, "b", 20},
+		{"a leader's heartbeats cost more", 100, true, 100, "b", 10},
+		{"the other takes none", 300, false, 0, "b", 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			b := newHeartbeatBalancer(0)
+			b.receiveRate, b.received = test.rate, int(test.rate)
+			b.observeLoad(connected("b"), test.load)
+			b.rebalance(time.Second, test.leads)
+			want(t, "budget", b.redirectBudget, test.budget)
+			want(t, "target", b.redirectTarget(), test.target)
+		})
+	}
+}
+
+func TestRedirectsToAMemberWithoutHeartbeatsBackOff(t *testing.T) {
+	b := newHeartbeatBalancer(0)
+	other := connected("b")
+	b.observeLoad(other, 0)
+	var at []time.Duration
+	for now := time.Second; now <= 20*time.Second; now += time.Second {
+		b.receiveRate, b.received = 100, 100
+		b.rebalance(now, false)
+		for b.redirectTarget() != "" {
+			at = append(at, now)
+		}
+	}
+	want(t, "redirects in 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
+	want(t, "last of them", at[len(at)-1], 16*time.Second)
+	b.peerDown(other)
+	b.observeLoad(other, 0)
+	b.receiveRate, b.received = 100, 100
+	b.rebalance(21*time.Second, false)
+	want(t, "after its stream has ended", b.redirectTarget(), "b")
+}
+
+type fixedClock time.Duration
+
+func (c *fixedClock) Now() time.Duration { return time.Duration(*c) }
+
+func TestForwardedHeartbeatIsAnsweredOnce(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		answer func(f *heartbeatForwarder, leader, other *peer)
+		status int
+	}{
+		{"by the leader", func(f *heartbeatForwarder, leader, _ *peer) {
+			f.onResponses(leader, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
+		}, 200},
+		{"by another", func(f *heartbeatForwarder, _, other *peer) {
+			f.onResponses(other, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
+		}, 0},
+		{"stream ended", func(f *heartbeatForwarder, leader, _ *peer) { f.peerDown(leader) }, 503},
+		{"in time still", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout) }, 0},
+		{"too late", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout + 1) }, 503},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var clock fixedClock
+			f := newHeartbeatForwarder(&clock, func(string) Response { return Response{Status: 503} })
+			leader, other := connected("a"), connected("b")
+			answers, last := 0, 0
+			f.forward(leader, &Request{Body: []byte{1}}, func(r Response) { answers, last = answers+1, r.Status })
+			want(t, "frames to the leader", len(leader.forwardedHeartbeats), 1)
+			test.answer(&f, leader, other)
+			test.answer(&f, leader, other)
+			want(t, "answer", last, test.status)
+			want(t, "answers", answers, min(test.status, 1))
+		})
+	}
+}
