--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -53,5 +53,5 @@
 
 // withinTeamLimit tells whether one more task keeps its team inside its limit.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	return l.usage.withinLimit(job, l.knowledge())
+	return !job.limited() || l.usage.withinLimit(job, l.knowledge())
 }
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -157,6 +157,12 @@
 	m.unreconciled = most
 }
 
+// limited tells whether a limit of its team applies to a job: of most teams none does,
+// and the question is asked for each job that is looked at.
+func (j *trackedJob) limited() bool {
+	return (j.team.cfg.CPUsMax > 0 && j.spec.Cpus != 0) || (j.team.cfg.GPUsMax > 0 && j.spec.Gpus != 0)
+}
+
 // withinLimit tells whether one more task keeps a job's team inside its limit,
 // whatever may be running that no owner accounts for. While not all unfinished jobs
 // are known, no limit can be kept for sure.
