--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -75,6 +75,8 @@
 	})
 }
 
+// beginLeadership makes this process the leader. Its fencing token is the version that
+// the claim gave the leader key.
 func (e *Election) beginLeadership(fencingToken uint64, reason AcquisitionReason) {
 	e.fencingToken = fencingToken
 	e.env.Log.Info().Uint64("fencing_token", fencingToken).Stringer("reason", reason).Msg("leadership acquired")
