--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -51,7 +51,7 @@
 	// ShardHolder returns the member that is thought to hold a shard, if any is.
 	ShardHolder(shard string) (member string, ok bool)
 	// AllReadServices tells whether all controllers can read services.
-	AllReadServices(now time.Duration) bool
+	AllMembersReadServices(now time.Duration) bool
 }
 
 // Records are the jobs' records in the state service; it is a storage.Store.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -29,19 +29,19 @@
 	reach       Reachability
 }
 
-func (s *surroundings) Now() time.Duration                     { return s.clock }
-func (s *surroundings) Job(string) *shard.Job                  { return nil }
-func (s *surroundings) OwnShard() *shard.Shard                 { return s.ownShard }
-func (s *surroundings) MemoryFull(*protocol.Job) bool          { return s.full }
-func (s *surroundings) Cancel(*shard.Job, func(string, error)) {}
-func (s *surroundings) MayAct(time.Duration) bool              { return s.mayAct }
-func (s *surroundings) MayActUntil() time.Duration             { return s.clock + time.Second }
-func (s *surroundings) AllReadServices(time.Duration) bool     { return true }
-func (s *surroundings) Fits(*protocol.Job) bool                { return true }
-func (s *surroundings) Failing() bool                          { return s.failing }
-func (s *surroundings) Connected(string) bool                  { return s.connected }
-func (s *surroundings) Reachability() Reachability             { return s.reach }
-func (s *surroundings) ShardHolder(string) (string, bool)      { return s.holder, s.holder != "" }
+func (s *surroundings) Now() time.Duration                        { return s.clock }
+func (s *surroundings) Job(string) *shard.Job                     { return nil }
+func (s *surroundings) OwnShard() *shard.Shard                    { return s.ownShard }
+func (s *surroundings) MemoryFull(*protocol.Job) bool             { return s.full }
+func (s *surroundings) Cancel(*shard.Job, func(string, error))    {}
+func (s *surroundings) MayAct(time.Duration) bool                 { return s.mayAct }
+func (s *surroundings) MayActUntil() time.Duration                { return s.clock + time.Second }
+func (s *surroundings) AllMembersReadServices(time.Duration) bool { return true }
+func (s *surroundings) Fits(*protocol.Job) bool                   { return true }
+func (s *surroundings) Failing() bool                             { return s.failing }
+func (s *surroundings) Connected(string) bool                     { return s.connected }
+func (s *surroundings) Reachability() Reachability                { return s.reach }
+func (s *surroundings) ShardHolder(string) (string, bool)         { return s.holder, s.holder != "" }
 
 func (s *surroundings) CreateJob(_ *protocol.Job, _ int64, _ time.Duration, done func(storage.CreateResult)) {
 	s.creations++
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -86,7 +86,7 @@
 	if !api.config.Records.Fits(job) {
 		return &refusedDescriptionTooLarge
 	}
-	if job.Service && !api.config.Authority.AllReadServices(api.now()) {
+	if job.Service && !api.config.Authority.AllMembersReadServices(api.now()) {
 		return &refusedServicesUnsupported
 	}
 	return nil
--- a/internal/coordination/admission_wiring.go
+++ b/internal/coordination/admission_wiring.go
@@ -28,7 +28,7 @@
 
 func (c *Controller) tickAdmission(now time.Duration) {
 	if c.admission.Enabled() {
-		c.admission.Tick(now, admission.Entitlement{AllDivideLimits: c.election.AllDivideLimits(),
+		c.admission.Tick(now, admission.Entitlement{AllDivideLimits: c.election.AllMembersDivideLimits(),
 			MayAct: c.election.MayAct(now), LeaseValid: c.election.LeaseValid(now)})
 	}
 }
--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -37,8 +37,8 @@
 	return a.c.election.ShardHolder(shard)
 }
 
-func (a authorityOf) AllReadServices(now time.Duration) bool {
-	return a.c.election.AllReadServices(now)
+func (a authorityOf) AllMembersReadServices(now time.Duration) bool {
+	return a.c.election.AllMembersReadServices(now)
 }
 
 // memberLinksOf are the other members as the users' API sees them.
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (s electionShards) Version(name string) (version uint64, held bool) {
+func (s electionShards) KeyVersion(name string) (version uint64, held bool) {
 	shard := s.owner.Shard(name)
 	if shard == nil {
 		return 0, false
@@ -62,16 +62,16 @@
 	s.owner.Release(name, done)
 }
 
-func (s electionShards) Lose(name string) { s.owner.RemoveShard(name) }
+func (s electionShards) RemoveLost(name string) { s.owner.RemoveShard(name) }
 
-func (s electionShards) LoseAll() { s.owner.RemoveAllShards() }
+func (s electionShards) RemoveAll() { s.owner.RemoveAllShards() }
 
 // electionRegistrations tells which shards are registered with a leader.
 type electionRegistrations struct{ c *Controller }
 
-func (r electionRegistrations) Confirmed() bool { return r.c.subscription.allRegistered() }
+func (r electionRegistrations) HeldShardsConfirmed() bool { return r.c.subscription.allRegistered() }
 
-func (r electionRegistrations) Complete() bool {
+func (r electionRegistrations) AllShardsRegistered() bool {
 	return r.c.leader == nil || r.c.leader.shards.allRegistered()
 }
 
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -163,7 +163,7 @@
 		}
 	}
 	sim.Disconnect(lead.Name, next) // it registers only once the machines have sent heartbeats there
-	controllerOf(lead).election.Resign(election.WorkersUnreachable)
+	controllerOf(lead).election.Resign(election.MachinesUnreachable)
 	sim.Advance(2 * time.Second)
 	want(t, "leader", sim.Leader().Name, next)
 	sim.HeartbeatFor(3, first, second, idle)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -145,7 +145,7 @@
 	if l.env.authority.MayAct(now) {
 		l.autoscale(now)
 		if !l.reachesMachines(now) {
-			l.env.authority.Resign(election.WorkersUnreachable)
+			l.env.authority.Resign(election.MachinesUnreachable)
 		}
 	}
 }
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -93,7 +93,7 @@
 		}
 	case 1:
 		if lead != nil {
-			controllerOf(lead).election.Resign(election.WorkersUnreachable)
+			controllerOf(lead).election.Resign(election.MachinesUnreachable)
 		}
 	default:
 		if lead != nil {
@@ -126,7 +126,7 @@
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
 			if lead := scenario.activeLeader(); lead != nil { // it keeps its shards
-				controllerOf(lead).election.Resign(election.WorkersUnreachable)
+				controllerOf(lead).election.Resign(election.MachinesUnreachable)
 			}
 			return
 		}
--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	takeoverDelay        = 1500 * time.Millisecond // a free shard is left this long to its own member
-	takeoverDelayOfPeer  = 3 * takeoverDelay       // the same while its member is connected
-	handoverInterval     = time.Second
-	leaderContactTimeout = 6 * time.Second // without a leader's confirmation, a holder releases its shards
+	takeoverDelay          = 1500 * time.Millisecond // a free shard is left this long to its own member
+	connectedTakeoverDelay = 3 * takeoverDelay       // the same while its member is connected
+	handoverInterval       = time.Second
+	leaderContactTimeout   = 6 * time.Second // without a leader's confirmation, a holder releases its shards
 )
 
 // claimStep is what this process does about a shard that it does not hold.
@@ -45,7 +45,7 @@
 // holders are gone.
 func (e *Election) claimShards(now time.Duration) {
 	for name, key := range e.view.shards {
-		if e.claiming[name] || e.holds(name) {
+		if e.pendingShards[name] || e.holds(name) {
 			continue
 		}
 		switch e.nextClaimStep(name, key, now) {
@@ -63,7 +63,7 @@
 }
 
 func (e *Election) holds(shard string) bool {
-	_, held := e.env.Shards.Version(shard)
+	_, held := e.env.Shards.KeyVersion(shard)
 	return held
 }
 
@@ -72,7 +72,7 @@
 func (e *Election) nextClaimStep(name string, key *observedKey, now time.Duration) claimStep {
 	own := name == e.member()
 	switch {
-	case key.present && key.holder == e.config.Identity && !e.mayClaim(now):
+	case key.present && key.holder == e.config.Identity && !e.extensionsAllowClaim(now):
 		// A claim of ours that was applied late; it may have been granted away since.
 		return stepNone
 	case key.heldBy(e.member()):
@@ -83,11 +83,11 @@
 		return stepRequestHandover
 	case key.present:
 		return stepNone
-	case own && e.mayClaimOwnShard(now):
+	case own && e.extensionsAllowOwnShardClaim(now):
 		return stepClaimFreeKey
 	case own:
 		return stepRequestReleases
-	case e.Leading() && e.takeoverDue(name, now-key.changedAt) && e.mayClaim(now):
+	case e.Leading() && e.takeoverDue(name, now-key.changedAt) && e.extensionsAllowClaim(now):
 		return stepClaimFreeKey
 	}
 	return stepNone
@@ -99,16 +99,16 @@
 	if peer := e.peers[shard]; peer == nil || !peer.Connected() {
 		return free > takeoverDelay
 	}
-	return free > takeoverDelayOfPeer
+	return free > connectedTakeoverDelay
 }
 
 // requestHandover asks the holder of this member's own shard to give it back.
 func (e *Election) requestHandover(holder string, now time.Duration) {
 	peer := e.peers[holder]
-	if peer == nil || !peer.Connected() || now < e.nextHandoverRequest {
+	if peer == nil || !peer.Connected() || now < e.nextHandoverRequestAt {
 		return
 	}
-	e.nextHandoverRequest = now + handoverInterval
+	e.nextHandoverRequestAt = now + handoverInterval
 	peer.RequestHandover(e.member())
 }
 
@@ -116,17 +116,17 @@
 // goes on with it although the key has vanished. Frames keep their order: a
 // member that then answers another request has done so.
 func (e *Election) requestReleases(now time.Duration) {
-	if now < e.nextHandoverRequest {
+	if now < e.nextHandoverRequestAt {
 		return
 	}
-	e.nextHandoverRequest = now + handoverInterval
+	e.nextHandoverRequestAt = now + handoverInterval
 	for _, peer := range e.peers {
 		peer.requestRelease(e.member(), now)
 	}
 }
 
 func (e *Election) claimShard(name string, version uint64) {
-	e.claiming[name] = true
+	e.pendingShards[name] = true
 	lease := e.lease.id
 	key := storage.ShardKey(name)
 	e.claimKey(key, version, func(result storage.TxnResult) {
@@ -135,14 +135,14 @@
 		}
 		switch result.Outcome {
 		case storage.Applied:
-			delete(e.claiming, name)
-			e.observe(key, e.encodedIdentity(), result.Revision, true)
+			delete(e.pendingShards, name)
+			e.observeKey(key, e.encodedIdentity(), result.Revision, true)
 			e.env.Log.Info().Str("shard", name).Uint64("version", result.Revision).Uint64("previous_version", version).Msg("shard acquired")
 			e.env.Shards.Acquire(name, lease, result.Revision)
 		case storage.LeaseExpired:
 			e.endLease(LeaseSessionUnknown)
 		default:
-			e.readKeyAfterClaim(key, func() { delete(e.claiming, name) })
+			e.readKeyAfterClaim(key, func() { delete(e.pendingShards, name) })
 		}
 	})
 }
@@ -173,7 +173,7 @@
 		}
 		finished()
 		if current.Found {
-			e.observe(key, current.KeyValue.Value, current.KeyValue.Version, true)
+			e.observeKey(key, current.KeyValue.Value, current.KeyValue.Version, true)
 		}
 	})
 }
@@ -181,20 +181,20 @@
 // observeShardKey takes in a shard's key, and loses the shard if it was this
 // process's and is another's now.
 func (e *Election) observeShardKey(name string, known *observedKey, seen observedKey) {
-	if !known.supersededBy(seen) {
+	if !known.olderThan(seen) {
 		return
 	}
 	*known = seen
 	if name == e.member() && seen.present && seen.holder.Member != e.member() {
-		e.peers.forgetReleases()
+		e.peers.clearReleaseConfirmations()
 	}
 	if seen.present && seen.holder == e.config.Identity {
 		return
 	}
-	if version, held := e.env.Shards.Version(name); held && seen.version > version {
+	if version, held := e.env.Shards.KeyVersion(name); held && seen.version > version {
 		e.env.Log.Info().Str("shard", name).Str("holder", seen.holder.Member).Uint64("version", seen.version).
 			Str("reason", "its key has changed").Msg("shard lost")
-		e.env.Shards.Lose(name)
+		e.env.Shards.RemoveLost(name)
 	}
 }
 
@@ -209,7 +209,7 @@
 // the machines: every shard here is registered with the leader, or there is no
 // other leader.
 func (e *Election) inContactWithLeader() bool {
-	return e.env.Registrations.Confirmed() || !e.view.leader.present || e.view.leader.heldBy(e.member())
+	return e.env.Registrations.HeldShardsConfirmed() || !e.view.leader.present || e.view.leader.heldBy(e.member())
 }
 
 // releaseAllShards gives up every shard of a process that the leader cannot
@@ -224,11 +224,11 @@
 // ReleaseShard gives up a shard that this process holds.
 func (e *Election) ReleaseShard(name string, reason ReleaseReason) {
 	e.env.Log.WithLevel(reason.level()).Str("shard", name).Stringer("reason", reason).Msg("shard released")
-	e.claiming[name] = true
+	e.pendingShards[name] = true
 	e.env.Shards.Release(name, func(result storage.TxnResult) {
-		delete(e.claiming, name)
+		delete(e.pendingShards, name)
 		if result.Outcome == storage.Applied {
-			e.observe(storage.ShardKey(name), nil, result.Revision, false)
+			e.observeKey(storage.ShardKey(name), nil, result.Revision, false)
 		}
 	})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -61,14 +61,14 @@
 	processKeyVersion  uint64        // of the key that names this process; 0: not certainly written
 	registeringProcess bool
 
-	fencingToken uint64 // 0 unless this process leads
-	campaigning  bool   // the outcome of a claim of the leader key is open
-	campaignAt   time.Duration
-	abstainUntil time.Duration
-
-	claiming            map[string]bool // shards the outcome of whose claim or release is open
-	nextHandoverRequest time.Duration   // for this member's own shard
-	lastLeaderContact   time.Duration   // when every shard was last registered with a leader
+	fencingToken       uint64 // 0 unless this process leads
+	leaderClaimPending bool   // the outcome of a claim of the leader key is open
+	campaignAt         time.Duration
+	abstainUntil       time.Duration
+
+	pendingShards         map[string]bool // shards the outcome of whose claim or release is open
+	nextHandoverRequestAt time.Duration   // for this member's own shard
+	lastLeaderContactAt   time.Duration   // when every shard was last registered with a leader
 }
 
 // retryInterval is the pause after a request that the state service did not answer.
@@ -79,30 +79,30 @@
 	now := env.Clock.Now()
 	peers := newPeerTable(env.Peers)
 	return &Election{
-		config:     config,
-		env:        env,
-		peers:      peers,
-		view:       newKeyView(config.Identity.Member, peers, now),
-		formats:    newRecordFormats(),
-		extensions: newLeaseExtensions(now),
-		claiming:   make(map[string]bool),
+		config:        config,
+		env:           env,
+		peers:         peers,
+		view:          newKeyView(config.Identity.Member, peers, now),
+		formats:       newRecordFormats(),
+		extensions:    newLeaseExtensions(now),
+		pendingShards: make(map[string]bool),
 	}
 }
 
 // Tick does what time asks for. It is called about ten times a second.
 func (e *Election) Tick(now time.Duration) {
 	e.maintainLease(now)
-	e.noteUnreachableMembers(now)
+	e.trackUnreachableMembers(now)
 	e.followKeys(now)
 	e.registerProcess(now)
 	e.requestExtensions(now)
-	if !e.mayClaimKeys(now) {
+	if !e.readyToClaim(now) {
 		return
 	}
 	if e.inContactWithLeader() {
-		e.lastLeaderContact = now
+		e.lastLeaderContactAt = now
 	}
-	if now-e.lastLeaderContact > leaderContactTimeout {
+	if now-e.lastLeaderContactAt > leaderContactTimeout {
 		e.releaseAllShards()
 	} else {
 		e.claimShards(now)
@@ -110,8 +110,8 @@
 	e.campaign(now)
 }
 
-// mayClaimKeys tells whether a claim could succeed and what it rests on is known.
-func (e *Election) mayClaimKeys(now time.Duration) bool {
+// readyToClaim tells whether a claim could succeed and what it rests on is known.
+func (e *Election) readyToClaim(now time.Duration) bool {
 	return e.Registered() && e.view.loaded && e.LeaseValid(now)
 }
 
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -10,7 +10,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-func want(t *testing.T, what string, got, want any) {
+func requireEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Fatalf("%s: got %v, want %v", what, got, want)
@@ -23,61 +23,61 @@
 	ttl := testTTL
 	span := time.Duration(float64(ttl)/ClockDriftFactor) - leaseSafetyMargin
 	p := newProcess(t)
-	want(t, "without a lease", p.MayAct(p.now), false)
+	requireEqual(t, "without a lease", p.MayAct(p.now), false)
 	p.Tick(p.now)
 	p.now += 300 * time.Millisecond
 	p.leases[0](7)
-	want(t, "lasts until", p.MayActUntil(), testStarted+span)
-	sent := testStarted + testTTL/renewalsPerLease
-	p.advance(sent - p.now)
+	requireEqual(t, "lasts until", p.MayActUntil(), testStartedAt+span)
+	sent := testStartedAt + testTTL/renewalsPerLease
+	p.tickFor(sent - p.now)
 	p.now += 2 * time.Second
 	p.renewals[0](true, false)
-	want(t, "renewed until", p.MayActUntil(), sent+span)
-	want(t, "just before its end", p.MayAct(sent+span-1), true)
-	want(t, "at its end", p.MayAct(sent+span), false)
+	requireEqual(t, "renewed until", p.MayActUntil(), sent+span)
+	requireEqual(t, "just before its end", p.MayAct(sent+span-1), true)
+	requireEqual(t, "at its end", p.MayAct(sent+span), false)
 }
 
 // With its lease a process loses its leadership and all of its shards.
 func TestExpiredLeaseEndsEverything(t *testing.T) {
 	p := newReadyProcess(t)
-	p.lead(10)
-	p.advance(testTTL / renewalsPerLease)
+	p.becomeLeader(10)
+	p.tickFor(testTTL / renewalsPerLease)
 	p.events = nil
 	p.renewals[0](false, true)
-	want(t, "events", p.events, "[leadership lost lost all]")
-	want(t, "leads", p.Leading(), false)
-	want(t, "may act", p.MayAct(p.now), false)
+	requireEqual(t, "events", p.events, "[leadership lost lost all]")
+	requireEqual(t, "leads", p.Leading(), false)
+	requireEqual(t, "may act", p.MayAct(p.now), false)
 }
 
 // An answer to a claim of before the lease ended counts no more, and the next
 // lease begins without it.
 func TestClaimOfAnEndedLease(t *testing.T) {
 	p := newReadyProcess(t)
-	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 	claim := p.txns[len(p.txns)-1]
-	want(t, "claimed", claim.Then[0].Put, storage.LeaderKey)
+	requireEqual(t, "claimed", claim.Then[0].Put, storage.LeaderKey)
 	p.endLease(LeaseSessionExpired)
 	p.txns = nil
-	p.advance(100 * time.Millisecond)
+	p.tickFor(100 * time.Millisecond)
 	p.leases[len(p.leases)-1](8)
 	claim.done(storage.TxnResult{Outcome: storage.Applied, Revision: 9})
-	want(t, "leads", p.Leading(), false)
-	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	requireEqual(t, "leads", p.Leading(), false)
+	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 	again := p.txns[len(p.txns)-1].Then[0]
-	want(t, "claimed again", again.Put, storage.LeaderKey)
-	want(t, "lease", again.Lease, 8)
+	requireEqual(t, "claimed again", again.Put, storage.LeaderKey)
+	requireEqual(t, "lease", again.Lease, 8)
 }
 
 // lead has the process win the leader key at a version, and its own shard before
 // that.
-func (p *process) lead(version uint64) {
+func (p *process) becomeLeader(version uint64) {
 	p.t.Helper()
-	p.advance(maxCampaignDelay + 100*time.Millisecond)
+	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 	for !p.Leading() {
 		if len(p.txns) > 0 && p.txns[0].Then[0].Put == storage.LeaderKey {
-			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: version})
+			p.answerOldestTxn(storage.TxnResult{Outcome: storage.Applied, Revision: version})
 		} else {
-			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: 3})
+			p.answerOldestTxn(storage.TxnResult{Outcome: storage.Applied, Revision: 3})
 		}
 	}
 }
@@ -99,17 +99,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
-			p.advance(maxCampaignDelay + 100*time.Millisecond)
+			p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 			p.txns = p.txns[len(p.txns)-1:] // after the claim of the own shard
 			claim := p.txns[0]
-			want(t, "key", claim.Then[0].Put, storage.LeaderKey)
-			want(t, "lease", claim.Then[0].Lease, 7)
-			want(t, "conditions", claim.If, []protocol.Condition{{Key: storage.LeaderKey}, {Key: storage.ProcessKey("a"), Version: 2}})
+			requireEqual(t, "key", claim.Then[0].Put, storage.LeaderKey)
+			requireEqual(t, "lease", claim.Then[0].Lease, 7)
+			requireEqual(t, "conditions", claim.If, []protocol.Condition{{Key: storage.LeaderKey}, {Key: storage.ProcessKey("a"), Version: 2}})
 			p.gets, p.events = nil, nil
-			p.answer(test.result)
-			want(t, "leads", p.Leading(), test.leads)
-			want(t, "events", p.events, test.events)
-			want(t, "reads of the key", len(p.gets), test.reads)
+			p.answerOldestTxn(test.result)
+			requireEqual(t, "leads", p.Leading(), test.leads)
+			requireEqual(t, "events", p.events, test.events)
+			requireEqual(t, "reads of the key", len(p.gets), test.reads)
 		})
 	}
 }
@@ -117,27 +117,27 @@
 // A process that was replaced claims nothing until it has registered anew.
 func TestReplacedProcessRegistersAnew(t *testing.T) {
 	p := newReadyProcess(t)
-	p.advance(maxCampaignDelay + 100*time.Millisecond)
-	p.answer(storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.ProcessKey("a")}})
-	want(t, "registered", p.Registered(), false)
+	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
+	p.answerOldestTxn(storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.ProcessKey("a")}})
+	requireEqual(t, "registered", p.Registered(), false)
 	p.txns = nil
-	p.advance(time.Second)
-	want(t, "claims", len(p.txns), 0)
+	p.tickFor(time.Second)
+	requireEqual(t, "claims", len(p.txns), 0)
 }
 
 // Whoever resigns deletes the version of the key that it led by, and lets others
 // lead for a while.
 func TestResignation(t *testing.T) {
 	p := newReadyProcess(t)
-	p.lead(9)
+	p.becomeLeader(9)
 	p.events, p.txns = nil, nil
-	p.Resign(WorkersUnreachable)
-	want(t, "events", p.events, "[leadership lost]")
-	want(t, "condition", p.txns[0].If, []protocol.Condition{{Key: storage.LeaderKey, Version: 9}})
-	want(t, "change", p.txns[0].Then[0].Delete, storage.LeaderKey)
+	p.Resign(MachinesUnreachable)
+	requireEqual(t, "events", p.events, "[leadership lost]")
+	requireEqual(t, "condition", p.txns[0].If, []protocol.Condition{{Key: storage.LeaderKey, Version: 9}})
+	requireEqual(t, "change", p.txns[0].Then[0].Delete, storage.LeaderKey)
 	p.txns = nil
-	p.advance(time.Second)
-	want(t, "claims soon after", len(p.txns), 0)
+	p.tickFor(time.Second)
+	requireEqual(t, "claims soon after", len(p.txns), 0)
 }
 
 // A newer leader key of another ends the leadership, an older one doesn't.
@@ -145,9 +145,9 @@
 	for version, leads := range map[uint64]bool{8: true, 9: true, 10: false} {
 		t.Run(fmt.Sprint(version), func(t *testing.T) {
 			p := newReadyProcess(t)
-			p.lead(9)
+			p.becomeLeader(9)
 			p.ObserveLeader("b", version)
-			want(t, "leads", p.Leading(), leads)
+			requireEqual(t, "leads", p.Leading(), leads)
 		})
 	}
 }
@@ -156,11 +156,11 @@
 // was applied, which it has not heard of.
 func TestLeaderKeyUnderAnotherVersionEndsTheLeadership(t *testing.T) {
 	p := newReadyProcess(t)
-	p.lead(9)
-	p.observe(storage.LeaderKey, p.encodedIdentity(), 9, true)
-	want(t, "leads under its own", p.Leading(), true)
-	p.observe(storage.LeaderKey, p.encodedIdentity(), 10, true)
-	want(t, "leads under another", p.Leading(), false)
+	p.becomeLeader(9)
+	p.observeKey(storage.LeaderKey, p.encodedIdentity(), 9, true)
+	requireEqual(t, "leads under its own", p.Leading(), true)
+	p.observeKey(storage.LeaderKey, p.encodedIdentity(), 10, true)
+	requireEqual(t, "leads under another", p.Leading(), false)
 }
 
 // A late claim of this very process may have been granted away since it was sent;
@@ -177,14 +177,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
 			p.txns = nil
-			p.extensions.bind(p.now)
-			p.observe(storage.LeaderKey, p.holder("a", test.nonce), 9, true)
-			p.advance(ExtensionDuration / 2)
+			p.extensions.recordGrant(p.now)
+			p.observeKey(storage.LeaderKey, p.holderValue("a", test.nonce), 9, true)
+			p.tickFor(ExtensionDuration / 2)
 			claimed := false
 			for _, txn := range p.txns {
 				claimed = claimed || txn.Then[0].Put == storage.LeaderKey
 			}
-			want(t, "claimed", claimed, test.claimed)
+			requireEqual(t, "claimed", claimed, test.claimed)
 		})
 	}
 }
@@ -192,16 +192,16 @@
 // Who is thought to lead changes only with a newer version of the key.
 func TestLeaderIsWhoeverWroteTheNewestKey(t *testing.T) {
 	p := newReadyProcess(t)
-	p.observe(storage.LeaderKey, p.holder("b", "1"), 9, true)
+	p.observeKey(storage.LeaderKey, p.holderValue("b", "1"), 9, true)
 	p.ObserveLeader("c", 9)
-	p.observe(storage.LeaderKey, p.holder("c", "1"), 9, true)
-	p.observe(storage.LeaderKey, nil, 8, false)
+	p.observeKey(storage.LeaderKey, p.holderValue("c", "1"), 9, true)
+	p.observeKey(storage.LeaderKey, nil, 8, false)
 	leadership, known := p.Leader()
-	want(t, "known", known, true)
-	want(t, "leader", leadership, Leadership{Member: "b", FencingToken: 9})
-	p.observe(storage.LeaderKey, nil, 9, false)
+	requireEqual(t, "known", known, true)
+	requireEqual(t, "leader", leadership, Leadership{Member: "b", FencingToken: 9})
+	p.observeKey(storage.LeaderKey, nil, 9, false)
 	_, known = p.Leader()
-	want(t, "known once the key is gone", known, false)
+	requireEqual(t, "known once the key is gone", known, false)
 }
 
 // What a process does about a shard follows from its key as it was last seen.
@@ -223,8 +223,8 @@
 		{name: "own, held by another", shard: "a", holds: "b1", want: stepRequestHandover},
 		{name: "another's, held by another", shard: "b", holds: "c1", leads: true, free: time.Hour, want: stepNone},
 		{name: "another's, free", shard: "b", free: time.Hour, want: stepNone},
-		{name: "another's, free, to the leader", shard: "b", leads: true, free: takeoverDelayOfPeer + 1, want: stepClaimFreeKey},
-		{name: "another's, just free, to the leader", shard: "b", leads: true, free: takeoverDelayOfPeer, want: stepNone},
+		{name: "another's, free, to the leader", shard: "b", leads: true, free: connectedTakeoverDelay + 1, want: stepClaimFreeKey},
+		{name: "another's, just free, to the leader", shard: "b", leads: true, free: connectedTakeoverDelay, want: stepNone},
 		{name: "another's, free, to the leader, bound by an extension", shard: "b", leads: true, bound: true, free: time.Hour, want: stepNone},
 		{name: "of one out of reach, free, to the leader", shard: "c", leads: true, free: takeoverDelay + 1, want: stepClaimFreeKey},
 	} {
@@ -237,12 +237,12 @@
 				key.holder = storage.Holder{Member: test.holds[:1], Nonce: test.holds[1:], RecordFormat: testIdentity.RecordFormat}
 			}
 			if test.bound {
-				p.extensions.bind(p.now)
+				p.extensions.recordGrant(p.now)
 			}
 			if test.leads {
 				p.fencingToken = 9
 			}
-			want(t, "step", p.nextClaimStep(test.shard, key, p.now), test.want)
+			requireEqual(t, "step", p.nextClaimStep(test.shard, key, p.now), test.want)
 		})
 	}
 }
@@ -261,23 +261,23 @@
 		{"newer than what is known", func(*process) {}, leader, true},
 		{"no key", func(*process) {}, nil, false},
 		{"a shard that there is not", func(*process) {}, []*meshpb.HeldKey{{Key: storage.ShardKey("z"), Version: 1}}, false},
-		{"known as the asker's", func(p *process) { p.observe(storage.ShardKey("b"), p.holder("b", "1"), 6, true) }, shard, true},
-		{"known as another's", func(p *process) { p.observe(storage.ShardKey("b"), p.holder("c", "1"), 6, true) }, shard, false},
-		{"known to be free", func(p *process) { p.observe(storage.ShardKey("b"), nil, 7, false) }, shard, false},
-		{"claimed here", func(p *process) { p.claiming["b"] = true }, shard, false},
-		{"leader key claimed here", func(p *process) { p.campaigning = true }, leader, false},
+		{"known as the asker's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("b", "1"), 6, true) }, shard, true},
+		{"known as another's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("c", "1"), 6, true) }, shard, false},
+		{"known to be free", func(p *process) { p.observeKey(storage.ShardKey("b"), nil, 7, false) }, shard, false},
+		{"claimed here", func(p *process) { p.pendingShards["b"] = true }, shard, false},
+		{"leader key claimed here", func(p *process) { p.leaderClaimPending = true }, leader, false},
 		{"not registered", func(p *process) { p.processKeyVersion = 0 }, shard, false},
 		{"view not loaded", func(p *process) { p.view.loaded = false }, shard, false},
-		{"one of two refused", func(p *process) { p.campaigning = true }, append(leader, shard...), false},
+		{"one of two refused", func(p *process) { p.leaderClaimPending = true }, append(leader, shard...), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
 			test.prepare(p)
 			answer := p.HandleExtensionRequest("b", &meshpb.LeaseExtensionRequest{Round: 3, Keys: test.keys})
-			want(t, "round", answer.Round, 3)
-			want(t, "granted", answer.Granted, test.want)
-			want(t, "may claim", p.mayClaim(p.now), !test.want)
-			want(t, "may claim later", p.mayClaim(p.now+ExtensionDuration+extensionClockDrift+1), true)
+			requireEqual(t, "round", answer.Round, 3)
+			requireEqual(t, "granted", answer.Granted, test.want)
+			requireEqual(t, "may claim", p.extensionsAllowClaim(p.now), !test.want)
+			requireEqual(t, "may claim later", p.extensionsAllowClaim(p.now+ExtensionDuration+extensionClockDrift+1), true)
 		})
 	}
 }
@@ -286,22 +286,22 @@
 // counted from when it asked.
 func TestActingByExtensions(t *testing.T) {
 	p := newReadyProcess(t)
-	p.shards["a"] = 3
-	p.advance(extensionRequestDelay)
+	p.heldShards["a"] = 3
+	p.tickFor(extensionRequestDelay)
 	round := p.extensions.lastRound
-	asked := p.extensions.requestedAt[round]
+	asked := p.extensions.roundSentAt[round]
 	granted := &meshpb.LeaseExtension{Round: round, Granted: true}
 	until := asked + ExtensionDuration - 2*extensionClockDrift - leaseSafetyMargin/2
 	p.now += testTTL // the lease has ended, for all that the process knows
-	want(t, "by none", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "by none", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("b", granted)
-	want(t, "by one of two", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "by one of two", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("c", &meshpb.LeaseExtension{Round: round})
-	want(t, "refused by the other", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "refused by the other", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("c", granted)
-	want(t, "by both", p.extendedUntil(), until)
-	p.complete = false
-	want(t, "while a shard is not registered", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "by both", p.extendedUntil(), until)
+	p.allRegistered = false
+	requireEqual(t, "while a shard is not registered", p.extendedUntil(), time.Duration(0))
 }
 
 // A restarted member may have granted extensions that it does not remember,
@@ -323,9 +323,9 @@
 				p.PeerConnected(member)
 				p.HandleUptime(member, test.uptime)
 			}
-			want(t, "may claim", p.mayClaim(p.now), test.want)
+			requireEqual(t, "may claim", p.extensionsAllowClaim(p.now), test.want)
 			p.PeerDisconnected("c")
-			want(t, "may claim without a stream", p.mayClaim(p.now), false)
+			requireEqual(t, "may claim without a stream", p.extensionsAllowClaim(p.now), false)
 		})
 	}
 }
@@ -338,13 +338,13 @@
 			p.Tick(p.now)
 			var current storage.GetResult
 			if hadPredecessor {
-				current.KeyValue = protocol.KeyValue{Key: storage.ProcessKey("a"), Value: p.holder("a", "1"), Version: 4}
+				current.KeyValue = protocol.KeyValue{Key: storage.ProcessKey("a"), Value: p.holderValue("a", "1"), Version: 4}
 				current.Found = true
 			}
 			p.gets[0](current)
-			p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: 5})
-			want(t, "registered", p.Registered(), true)
-			want(t, "may claim", p.mayClaim(p.now), !hadPredecessor)
+			p.answerOldestTxn(storage.TxnResult{Outcome: storage.Applied, Revision: 5})
+			requireEqual(t, "registered", p.Registered(), true)
+			requireEqual(t, "may claim", p.extensionsAllowClaim(p.now), !hadPredecessor)
 		})
 	}
 }
@@ -356,19 +356,19 @@
 	for _, member := range []string{"b", "c"} {
 		p.PeerConnected(member)
 	}
-	p.extensions.bind(p.now)
+	p.extensions.recordGrant(p.now)
 	p.requestReleases(p.now)
-	want(t, "sent", p.peers["b"].sent, "[uptime handover a uptime]")
+	requireEqual(t, "sent", p.peers["b"].sent, "[uptime handover a uptime]")
 	for _, member := range []string{"b", "c"} {
 		p.HandleUptime(member, time.Hour)
 	}
-	want(t, "after the first answers", p.mayClaimOwnShard(p.now), false)
+	requireEqual(t, "after the first answers", p.extensionsAllowOwnShardClaim(p.now), false)
 	for _, member := range []string{"b", "c"} {
 		p.HandleUptime(member, time.Hour)
 	}
-	want(t, "after the second", p.mayClaimOwnShard(p.now), true)
-	p.observe(storage.ShardKey("a"), p.holder("b", "1"), 20, true)
-	want(t, "once another holds it again", p.mayClaimOwnShard(p.now), false)
+	requireEqual(t, "after the second", p.extensionsAllowOwnShardClaim(p.now), true)
+	p.observeKey(storage.ShardKey("a"), p.holderValue("b", "1"), 20, true)
+	requireEqual(t, "once another holds it again", p.extensionsAllowOwnShardClaim(p.now), false)
 }
 
 // A shard is lost only to a newer version of its key.
@@ -376,10 +376,10 @@
 	for version, events := range map[uint64]string{5: "[]", 6: "[]", 7: "[lost a]"} {
 		t.Run(fmt.Sprint(version), func(t *testing.T) {
 			p := newReadyProcess(t)
-			p.shards["a"] = 6
+			p.heldShards["a"] = 6
 			p.events = nil
-			p.observe(storage.ShardKey("a"), p.holder("b", "1"), version, true)
-			want(t, "events", p.events, events)
+			p.observeKey(storage.ShardKey("a"), p.holderValue("b", "1"), version, true)
+			requireEqual(t, "events", p.events, events)
 		})
 	}
 }
@@ -387,54 +387,54 @@
 // A holder that no leader confirms gives its shards up.
 func TestHolderWithoutALeaderReleasesItsShards(t *testing.T) {
 	p := newReadyProcess(t)
-	p.shards["a"] = 6
-	p.observe(storage.LeaderKey, p.holder("b", "1"), 9, true)
+	p.heldShards["a"] = 6
+	p.observeKey(storage.LeaderKey, p.holderValue("b", "1"), 9, true)
 	p.Tick(p.now)
-	p.registered, p.events = false, nil
+	p.shardsConfirmed, p.events = false, nil
 	for range int(leaderContactTimeout / time.Second) {
 		p.renewals = nil
-		p.lease.lastRenewalSent = p.now
-		p.advance(time.Second)
-		if p.now-p.lastLeaderContact <= leaderContactTimeout {
-			want(t, "events", p.events, "[]")
+		p.lease.lastSuccessSentAt = p.now
+		p.tickFor(time.Second)
+		if p.now-p.lastLeaderContactAt <= leaderContactTimeout {
+			requireEqual(t, "events", p.events, "[]")
 		}
 	}
-	p.lease.lastRenewalSent = p.now
-	p.advance(100 * time.Millisecond)
-	want(t, "events", p.events, "[released a]")
+	p.lease.lastSuccessSentAt = p.now
+	p.tickFor(100 * time.Millisecond)
+	requireEqual(t, "events", p.events, "[released a]")
 }
 
 // Only the member whose name a shard bears gets it back.
 func TestHandover(t *testing.T) {
 	p := newReadyProcess(t)
-	p.shards["b"] = 6
+	p.heldShards["b"] = 6
 	p.events = nil
 	p.HandleHandover("c", "b")
-	want(t, "asked by another", p.events, "[]")
+	requireEqual(t, "asked by another", p.events, "[]")
 	p.HandleHandover("b", "b")
-	want(t, "asked by its member", p.events, "[released b]")
+	requireEqual(t, "asked by its member", p.events, "[released b]")
 }
 
 // Services are refused while a member that can't read them may come to hold a
 // shard; a member that is out of reach for long and holds nothing doesn't count.
 func TestMembersOfAnOlderRecordFormat(t *testing.T) {
 	p := newReadyProcess(t)
-	want(t, "members never seen", p.AllReadServices(p.now), true)
-	p.observe(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b"}), 30, true)
-	want(t, "one of an older format", p.AllReadServices(p.now), false)
-	want(t, "divides limits", p.AllDivideLimits(), false)
+	requireEqual(t, "members never seen", p.AllMembersReadServices(p.now), true)
+	p.observeKey(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b"}), 30, true)
+	requireEqual(t, "one of an older format", p.AllMembersReadServices(p.now), false)
+	requireEqual(t, "divides limits", p.AllMembersDivideLimits(), false)
 	p.peers["b"].connected = false
 	p.Tick(p.now)
-	want(t, "just out of reach", p.AllReadServices(p.now+unseenMemberTimeout), false)
-	want(t, "out of reach for long", p.AllReadServices(p.now+unseenMemberTimeout+1), true)
-	want(t, "divides limits still", p.AllDivideLimits(), false)
-	p.observe(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b", RecordFormat: storage.QuotaRecordFormat}), 31, true)
-	want(t, "upgraded", p.AllDivideLimits(), true)
+	requireEqual(t, "just out of reach", p.AllMembersReadServices(p.now+unreachableMemberTimeout), false)
+	requireEqual(t, "out of reach for long", p.AllMembersReadServices(p.now+unreachableMemberTimeout+1), true)
+	requireEqual(t, "divides limits still", p.AllMembersDivideLimits(), false)
+	p.observeKey(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b", RecordFormat: storage.QuotaRecordFormat}), 31, true)
+	requireEqual(t, "upgraded", p.AllMembersDivideLimits(), true)
 }
 
 func TestReasonsHaveTexts(t *testing.T) {
 	for _, reason := range []fmt.Stringer{LeaderKeyFree, LeaderKeyAlreadyHeld, LeaseSessionExpired, LeaseSessionUnknown,
-		LeaderKeyChanged, WorkersUnreachable, ReleasedToOwnMember, ReleasedWithoutLeader} {
+		LeaderKeyChanged, MachinesUnreachable, ReleasedToOwnMember, ReleasedWithoutLeader} {
 		if reason.String() == "unknown" {
 			t.Errorf("%T %d has no text", reason, reason)
 		}
--- a/internal/election/environment.go
+++ b/internal/election/environment.go
@@ -37,25 +37,25 @@
 	// Held yields the shards held with the versions of their keys.
 	Held() iter.Seq2[string, uint64]
 	// Version is the version of a held shard's key.
-	Version(shard string) (version uint64, held bool)
+	KeyVersion(shard string) (version uint64, held bool)
 	// Acquire takes a shard over whose key this process has just written.
 	Acquire(shard string, lease, version uint64)
 	// Release deletes the key of a held shard and forgets the shard.
 	Release(shard string, done func(storage.TxnResult))
 	// Lose forgets a shard whose key is another's.
-	Lose(shard string)
-	// LoseAll forgets every shard.
-	LoseAll()
+	RemoveLost(shard string)
+	// RemoveAll forgets every shard.
+	RemoveAll()
 }
 
 // Registrations tells which shards have been registered with a leader.
 type Registrations interface {
 	// Confirmed tells whether the leader has confirmed the registration of every
 	// shard of this process that is ready.
-	Confirmed() bool
+	HeldShardsConfirmed() bool
 	// Complete tells whether every shard has registered with this process; true
 	// unless this process leads.
-	Complete() bool
+	AllShardsRegistered() bool
 }
 
 // Observer is told of what an election has decided or seen.
--- a/internal/election/fake_test.go
+++ b/internal/election/fake_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	testTTL     time.Duration = 5 * time.Second
-	testStarted               = time.Hour // on the clock, when the process starts
+	testTTL       time.Duration = 5 * time.Second
+	testStartedAt               = time.Hour // on the clock, when the process starts
 )
 
 var testIdentity = storage.Holder{Member: "a", Nonce: "2", RecordFormat: storage.CurrentRecordFormat}
@@ -36,10 +36,10 @@
 	txns     []fakeTxn
 	lists    []storage.ListDone
 
-	shards     map[string]uint64 // held, with the versions of their keys
-	registered bool              // with the leader
-	complete   bool              // every shard is registered with this process
-	events     []string
+	heldShards      map[string]uint64 // held, with the versions of their keys
+	shardsConfirmed bool              // with the leader
+	allRegistered   bool              // every shard is registered with this process
+	events          []string
 }
 
 type fakeTxn struct {
@@ -73,10 +73,10 @@
 		t.Fatal(err)
 	}
 	p := &process{
-		t: t, now: testStarted, codec: codec, shards: make(map[string]uint64), registered: true, complete: true,
+		t: t, now: testStartedAt, codec: codec, heldShards: make(map[string]uint64), shardsConfirmed: true, allRegistered: true,
 		peers: map[string]*fakePeer{"b": {member: "b", connected: true}, "c": {member: "c", connected: true}},
 	}
-	p.Election = New(Config{Identity: testIdentity, StartedAt: testStarted, LeaseTTL: testTTL}, Environment{
+	p.Election = New(Config{Identity: testIdentity, StartedAt: testStartedAt, LeaseTTL: testTTL}, Environment{
 		Clock: processClock{p}, Rand: rand.New(rand.NewPCG(1, 1)), Codec: codec, Log: zerolog.Nop(),
 		State: p, Peers: []Peer{p.peers["b"], p.peers["c"]}, Shards: processShards{p}, Registrations: p, Observer: p,
 	})
@@ -92,7 +92,7 @@
 	p.leases[0](7)
 	p.lists[0](nil, 1, nil)
 	p.gets[0](storage.GetResult{})
-	p.answer(storage.TxnResult{Outcome: storage.Applied, Revision: 2})
+	p.answerOldestTxn(storage.TxnResult{Outcome: storage.Applied, Revision: 2})
 	if !p.Registered() || !p.ViewLoaded() || !p.LeaseValid(p.now) {
 		t.Fatal("the process is not ready")
 	}
@@ -100,7 +100,7 @@
 }
 
 // answer answers the oldest transaction.
-func (p *process) answer(result storage.TxnResult) {
+func (p *process) answerOldestTxn(result storage.TxnResult) {
 	p.t.Helper()
 	if len(p.txns) == 0 {
 		p.t.Fatal("no transaction was sent")
@@ -111,12 +111,12 @@
 }
 
 // holder is the value of a key that a process of a member holds.
-func (p *process) holder(member, nonce string) []byte {
+func (p *process) holderValue(member, nonce string) []byte {
 	return p.codec.Encode(storage.Holder{Member: member, Nonce: nonce, RecordFormat: storage.CurrentRecordFormat})
 }
 
 // advance ticks until a span has passed.
-func (p *process) advance(span time.Duration) {
+func (p *process) tickFor(span time.Duration) {
 	for end := p.now + span; p.now < end; {
 		p.now += 100 * time.Millisecond
 		p.Tick(p.now)
@@ -151,9 +151,9 @@
 
 func (p *process) After(time.Duration, func()) {}
 
-func (p *process) Confirmed() bool { return p.registered }
+func (p *process) HeldShardsConfirmed() bool { return p.shardsConfirmed }
 
-func (p *process) Complete() bool { return p.complete }
+func (p *process) AllShardsRegistered() bool { return p.allRegistered }
 
 func (p *process) LeadershipAcquired(uint64) { p.events = append(p.events, "leadership acquired") }
 
@@ -168,29 +168,29 @@
 // processShards are the shards that a process holds.
 type processShards struct{ p *process }
 
-func (s processShards) Held() iter.Seq2[string, uint64] { return maps.All(s.p.shards) }
+func (s processShards) Held() iter.Seq2[string, uint64] { return maps.All(s.p.heldShards) }
 
-func (s processShards) Version(shard string) (version uint64, held bool) {
-	version, held = s.p.shards[shard]
+func (s processShards) KeyVersion(shard string) (version uint64, held bool) {
+	version, held = s.p.heldShards[shard]
 	return version, held
 }
 
 func (s processShards) Acquire(shard string, _, version uint64) {
-	s.p.shards[shard] = version
+	s.p.heldShards[shard] = version
 	s.p.events = append(s.p.events, "acquired "+shard)
 }
 
 func (s processShards) Release(shard string, _ func(storage.TxnResult)) {
-	delete(s.p.shards, shard)
+	delete(s.p.heldShards, shard)
 	s.p.events = append(s.p.events, "released "+shard)
 }
 
-func (s processShards) Lose(shard string) {
-	delete(s.p.shards, shard)
+func (s processShards) RemoveLost(shard string) {
+	delete(s.p.heldShards, shard)
 	s.p.events = append(s.p.events, "lost "+shard)
 }
 
-func (s processShards) LoseAll() {
-	clear(s.p.shards)
+func (s processShards) RemoveAll() {
+	clear(s.p.heldShards)
 	s.p.events = append(s.p.events, "lost all")
 }
--- a/internal/election/key_view.go
+++ b/internal/election/key_view.go
@@ -24,8 +24,8 @@
 // heldBy tells whether a member, in this or an earlier process, holds the key.
 func (k *observedKey) heldBy(member string) bool { return k.present && k.holder.Member == member }
 
-// supersededBy tells whether an observation of the key is newer than this one.
-func (k *observedKey) supersededBy(seen observedKey) bool {
+// olderThan tells whether an observation of the key is newer than this one.
+func (k *observedKey) olderThan(seen observedKey) bool {
 	if seen.version == k.version {
 		return seen.present != k.present
 	}
@@ -55,7 +55,7 @@
 }
 
 // shard returns the view of a shard's key.
-func (v *keyView) shard(name string) *observedKey {
+func (v *keyView) ensureShard(name string) *observedKey {
 	k := v.shards[name]
 	if k == nil {
 		k = &observedKey{}
@@ -119,13 +119,13 @@
 	}
 	switch {
 	case !e.view.loaded && !e.view.loading:
-		e.loadView()
+		e.listKeys()
 	case e.view.loaded && !e.view.watching:
 		e.watchKeys()
 	}
 }
 
-func (e *Election) loadView() {
+func (e *Election) listKeys() {
 	e.view.loading = true
 	e.env.State.List(storage.WatchedPrefix, func(items []protocol.KeyValue, revision uint64, err error) {
 		e.view.loading = false
@@ -158,9 +158,9 @@
 func (e *Election) observeEvents(changes protocol.WatchResponse) {
 	for _, event := range changes.Events {
 		if event.Put != "" {
-			e.observe(event.Put, event.Value, event.Version, true)
+			e.observeKey(event.Put, event.Value, event.Version, true)
 		} else {
-			e.observe(event.Delete, nil, event.Version, false)
+			e.observeKey(event.Delete, nil, event.Version, false)
 		}
 	}
 	e.view.revision = max(e.view.revision, changes.Revision)
@@ -168,28 +168,28 @@
 
 // observeList takes in a complete list of the keys.
 func (e *Election) observeList(items []protocol.KeyValue) {
-	e.peers.forgetReleases() // what has happened since the last list is not known
+	e.peers.clearReleaseConfirmations() // what has happened since the last list is not known
 	listed := make(map[string]bool, len(items))
 	for _, item := range items {
 		listed[item.Key] = true
-		e.observe(item.Key, item.Value, item.Version, true)
+		e.observeKey(item.Key, item.Value, item.Version, true)
 	}
 	e.env.Observer.KeysListed(items)
 	if !listed[storage.LeaderKey] {
-		e.observe(storage.LeaderKey, nil, e.view.revision, false)
+		e.observeKey(storage.LeaderKey, nil, e.view.revision, false)
 	}
 	for name := range e.view.shards {
 		if key := storage.ShardKey(name); !listed[key] {
-			e.observe(key, nil, e.view.revision, false)
+			e.observeKey(key, nil, e.view.revision, false)
 		}
 	}
 	e.env.Observer.ViewChanged()
 }
 
 // observe takes in one key as it was at a version.
-func (e *Election) observe(key string, value []byte, version uint64, present bool) {
+func (e *Election) observeKey(key string, value []byte, version uint64, present bool) {
 	if member, ok := storage.MemberOfProcessKey(key); ok {
-		e.observeProcess(member, value, present)
+		e.observeProcessKey(member, value, present)
 		return
 	}
 	if team, ok := storage.TeamOfQuotaKey(key); ok {
@@ -203,7 +203,7 @@
 		return
 	}
 	if shard, ok := storage.ShardOfKey(key); ok {
-		known := e.view.shard(shard)
+		known := e.view.ensureShard(shard)
 		if seen, ok := e.decodeKey(value, version, present); ok {
 			e.observeShardKey(shard, known, seen)
 		}
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -23,7 +23,7 @@
 func (e *Election) campaign(now time.Duration) {
 	key := &e.view.leader
 	heldByMember := key.heldBy(e.member())
-	if e.campaigning || e.Leading() || now < e.abstainUntil || (key.present && !heldByMember) {
+	if e.leaderClaimPending || e.Leading() || now < e.abstainUntil || (key.present && !heldByMember) {
 		return
 	}
 	e.scheduleCampaign(now, heldByMember)
@@ -33,7 +33,7 @@
 	// A claim of this very process that was applied late may have been granted
 	// away since; what an earlier one holds cannot have been.
 	heldByPredecessor := heldByMember && key.holder != e.config.Identity
-	if !heldByPredecessor && !e.mayClaim(now) {
+	if !heldByPredecessor && !e.extensionsAllowClaim(now) {
 		return
 	}
 	if heldByMember {
@@ -55,7 +55,7 @@
 }
 
 func (e *Election) claimLeaderKey(version uint64, reason AcquisitionReason) {
-	e.campaigning = true
+	e.leaderClaimPending = true
 	lease := e.lease.id
 	e.claimKey(storage.LeaderKey, version, func(result storage.TxnResult) {
 		if lease != e.lease.id {
@@ -63,14 +63,14 @@
 		}
 		switch result.Outcome {
 		case storage.Applied:
-			e.campaigning = false
-			e.observe(storage.LeaderKey, e.encodedIdentity(), result.Revision, true)
+			e.leaderClaimPending = false
+			e.observeKey(storage.LeaderKey, e.encodedIdentity(), result.Revision, true)
 			e.beginLeadership(result.Revision, reason)
 		case storage.LeaseExpired:
 			e.endLease(LeaseSessionUnknown)
 		default:
 			e.campaignAt = 0
-			e.readKeyAfterClaim(storage.LeaderKey, func() { e.campaigning = false })
+			e.readKeyAfterClaim(storage.LeaderKey, func() { e.leaderClaimPending = false })
 		}
 	})
 }
@@ -127,7 +127,7 @@
 // observeLeaderKey takes in the leader key, and ends this process's leadership
 // if it is not named there.
 func (e *Election) observeLeaderKey(seen observedKey) {
-	if !e.view.leader.supersededBy(seen) {
+	if !e.view.leader.olderThan(seen) {
 		return
 	}
 	e.view.leader = seen
--- a/internal/election/lease_extension.go
+++ b/internal/election/lease_extension.go
@@ -23,66 +23,66 @@
 	extensionClockDrift      = 5 * time.Millisecond // more than two clocks differ by in that time
 	extensionRequestInterval = 400 * time.Millisecond
 	extensionRequestDelay    = 1500 * time.Millisecond // without a successful renewal
-	maxExtensionRounds       = 16                      // remembered
+	maxRetainedRounds        = 16                      // remembered
 )
 
 // leaseExtensions is what this member has asked the others for, and what it is
 // bound by itself.
 type leaseExtensions struct {
-	// boundUntil is before when this member claims nothing of others.
-	boundUntil time.Duration
-	// boundByPredecessorOnly is true until this process grants an extension.
-	boundByPredecessorOnly bool
-	requestedAt            map[uint64]time.Duration // by round
-	lastRound              uint64
-	nextRequest            time.Duration
+	// claimsBlockedUntil is before when this member claims nothing of others.
+	claimsBlockedUntil time.Duration
+	// blockedByPredecessorOnly is true until this process grants an extension.
+	blockedByPredecessorOnly bool
+	roundSentAt              map[uint64]time.Duration // by round
+	lastRound                uint64
+	nextRequestAt            time.Duration
 }
 
 func newLeaseExtensions(now time.Duration) leaseExtensions {
 	return leaseExtensions{
-		boundUntil:             now + ExtensionDuration + extensionClockDrift,
-		boundByPredecessorOnly: true,
-		requestedAt:            make(map[uint64]time.Duration),
+		claimsBlockedUntil:       now + ExtensionDuration + extensionClockDrift,
+		blockedByPredecessorOnly: true,
+		roundSentAt:              make(map[uint64]time.Duration),
 	}
 }
 
-// clearPredecessorBound notes that this is the member's first process ever, so
+// clearPredecessorBlock notes that this is the member's first process ever, so
 // that none before it can have granted anything.
-func (x *leaseExtensions) clearPredecessorBound() {
-	if x.boundByPredecessorOnly {
-		x.boundUntil = 0
+func (x *leaseExtensions) clearPredecessorBlock() {
+	if x.blockedByPredecessorOnly {
+		x.claimsBlockedUntil = 0
 	}
 }
 
 // bind notes that this process has granted an extension.
-func (x *leaseExtensions) bind(now time.Duration) {
-	x.boundByPredecessorOnly = false
-	x.boundUntil = max(x.boundUntil, now+ExtensionDuration+extensionClockDrift)
+func (x *leaseExtensions) recordGrant(now time.Duration) {
+	x.blockedByPredecessorOnly = false
+	x.claimsBlockedUntil = max(x.claimsBlockedUntil, now+ExtensionDuration+extensionClockDrift)
 }
 
 // beginRound returns the number of a new round of requests.
 func (x *leaseExtensions) beginRound(now time.Duration) uint64 {
-	x.nextRequest = now + extensionRequestInterval
+	x.nextRequestAt = now + extensionRequestInterval
 	x.lastRound++
-	x.requestedAt[x.lastRound] = now
-	delete(x.requestedAt, x.lastRound-maxExtensionRounds)
+	x.roundSentAt[x.lastRound] = now
+	delete(x.roundSentAt, x.lastRound-maxRetainedRounds)
 	return x.lastRound
 }
 
-// mayClaim tells whether no extension, granted or perhaps forgotten, binds this
+// extensionsAllowClaim tells whether no extension, granted or perhaps forgotten, binds this
 // member. An earlier process of it cannot have granted one to processes that
 // started after this one.
-func (e *Election) mayClaim(now time.Duration) bool {
-	if now > e.extensions.boundUntil {
+func (e *Election) extensionsAllowClaim(now time.Duration) bool {
+	if now > e.extensions.claimsBlockedUntil {
 		return true
 	}
-	return e.extensions.boundByPredecessorOnly && e.peers.allStartedLater()
+	return e.extensions.blockedByPredecessorOnly && e.peers.allStartedAfterThisProcess()
 }
 
-// mayClaimOwnShard is the same for this member's own shard: nobody goes on with
+// extensionsAllowOwnShardClaim is the same for this member's own shard: nobody goes on with
 // that by an extension once everybody has been asked for it, see requestReleases.
-func (e *Election) mayClaimOwnShard(now time.Duration) bool {
-	return e.mayClaim(now) || e.peers.allReleasedOwnShard()
+func (e *Election) extensionsAllowOwnShardClaim(now time.Duration) bool {
+	return e.extensionsAllowClaim(now) || e.peers.allReleasesConfirmed()
 }
 
 // extendedUntil is up to when every other member is bound. To a leader
@@ -92,15 +92,15 @@
 // answers for may have confirmed one and ended before it could tell
 // (ran_cancelled).
 func (e *Election) extendedUntil() time.Duration {
-	if !e.env.Registrations.Complete() {
+	if !e.env.Registrations.AllShardsRegistered() {
 		return 0
 	}
 	until := time.Duration(math.MaxInt64) // a member alone needs nobody's
 	for _, peer := range e.peers {
-		if !peer.extended {
+		if !peer.everExtended {
 			return 0
 		}
-		until = min(until, peer.extensionRequestedAt+ExtensionDuration-2*extensionClockDrift-leaseSafetyMargin/2)
+		until = min(until, peer.lastGrantRequestedAt+ExtensionDuration-2*extensionClockDrift-leaseSafetyMargin/2)
 	}
 	return until
 }
@@ -120,10 +120,10 @@
 }
 
 func (e *Election) extensionsNeeded(now time.Duration) bool {
-	if !e.lease.open() || len(e.peers) == 0 || now < e.extensions.nextRequest {
+	if !e.lease.open() || len(e.peers) == 0 || now < e.extensions.nextRequestAt {
 		return false
 	}
-	return now-e.lease.lastRenewalSent >= min(extensionRequestDelay, e.config.LeaseTTL/2)
+	return now-e.lease.lastSuccessSentAt >= min(extensionRequestDelay, e.config.LeaseTTL/2)
 }
 
 // heldKeys are the keys that this process holds.
@@ -150,17 +150,17 @@
 		granted = granted && e.mayExtend(from, key)
 	}
 	if granted {
-		e.extensions.bind(e.now())
+		e.extensions.recordGrant(e.now())
 	}
 	return &meshpb.LeaseExtension{Round: request.Round, Granted: granted}
 }
 
 // mayExtend tells whether a key may still be the other member's.
 func (e *Election) mayExtend(from string, key *meshpb.HeldKey) bool {
-	known, claiming := &e.view.leader, e.campaigning
+	known, claiming := &e.view.leader, e.leaderClaimPending
 	if key.Key != storage.LeaderKey {
 		shard, _ := storage.ShardOfKey(key.Key)
-		known, claiming = e.view.shards[shard], e.claiming[shard]
+		known, claiming = e.view.shards[shard], e.pendingShards[shard]
 	}
 	if known == nil || claiming {
 		return false
@@ -174,10 +174,10 @@
 // HandleExtension takes in another member's answer.
 func (e *Election) HandleExtension(from string, answer *meshpb.LeaseExtension) {
 	peer := e.peers[from]
-	requestedAt, remembered := e.extensions.requestedAt[answer.Round]
+	requestedAt, remembered := e.extensions.roundSentAt[answer.Round]
 	if peer == nil || !remembered || !answer.Granted {
 		return
 	}
-	peer.extended = true
-	peer.extensionRequestedAt = max(peer.extensionRequestedAt, requestedAt)
+	peer.everExtended = true
+	peer.lastGrantRequestedAt = max(peer.lastGrantRequestedAt, requestedAt)
 }
--- a/internal/election/lease_session.go
+++ b/internal/election/lease_session.go
@@ -15,17 +15,17 @@
 // leaseSession is the process's one lease at the state service, which keeps all
 // of its keys alive.
 type leaseSession struct {
-	id               uint64 // 0: none is open
-	opening          bool
-	lastRenewalSent  time.Duration // of those that succeeded
-	nextRenewal      time.Duration
-	renewalsInFlight int
+	id                uint64 // 0: none is open
+	opening           bool
+	lastSuccessSentAt time.Duration // of those that succeeded
+	nextRenewalAt     time.Duration
+	renewalsInFlight  int
 }
 
 func (l *leaseSession) open() bool { return l.id != 0 }
 
 func (l *leaseSession) renewalDue(now time.Duration) bool {
-	return now >= l.nextRenewal && l.renewalsInFlight < maxRenewalsInFlight
+	return now >= l.nextRenewalAt && l.renewalsInFlight < maxRenewalsInFlight
 }
 
 // LeaseValid tells whether the lease surely lasts.
@@ -37,7 +37,7 @@
 	if !e.lease.open() {
 		return 0
 	}
-	return e.lease.lastRenewalSent + time.Duration(float64(e.config.LeaseTTL)/ClockDriftFactor) - leaseSafetyMargin
+	return e.lease.lastSuccessSentAt + time.Duration(float64(e.config.LeaseTTL)/ClockDriftFactor) - leaseSafetyMargin
 }
 
 func (e *Election) maintainLease(now time.Duration) {
@@ -60,22 +60,22 @@
 			return
 		}
 		e.lease.id = id
-		e.lease.lastRenewalSent = now
-		e.lease.nextRenewal = now + e.config.LeaseTTL/renewalsPerLease
+		e.lease.lastSuccessSentAt = now
+		e.lease.nextRenewalAt = now + e.config.LeaseTTL/renewalsPerLease
 		e.env.Log.Info().Uint64("lease", id).Msg("lease session opened")
 	})
 }
 
 func (e *Election) renewLease(now time.Duration) {
 	id := e.lease.id
-	e.lease.nextRenewal = now + e.config.LeaseTTL/renewalsPerLease
+	e.lease.nextRenewalAt = now + e.config.LeaseTTL/renewalsPerLease
 	e.lease.renewalsInFlight++
 	e.env.State.RenewLease(id, e.config.LeaseTTL/2, func(renewed, expired bool) {
 		e.lease.renewalsInFlight--
 		switch {
 		case id != e.lease.id:
 		case renewed:
-			e.lease.lastRenewalSent = max(e.lease.lastRenewalSent, now)
+			e.lease.lastSuccessSentAt = max(e.lease.lastSuccessSentAt, now)
 		case expired:
 			e.env.Log.Error().Uint64("lease", id).Msg("lease session expired")
 			e.endLease(LeaseSessionExpired)
@@ -86,8 +86,8 @@
 // endLease gives up everything that the lease kept alive.
 func (e *Election) endLease(reason LossReason) {
 	e.lease.id = 0
-	e.campaigning = false
-	e.claiming = make(map[string]bool)
+	e.leaderClaimPending = false
+	e.pendingShards = make(map[string]bool)
 	e.endLeadership(reason)
-	e.env.Shards.LoseAll()
+	e.env.Shards.RemoveAll()
 }
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -7,15 +7,15 @@
 	Peer
 
 	// On the present stream.
-	firstUptimeRequestAt time.Duration
-	uptimeRequests       int
-	uptimeResponses      int
-	releaseConfirmedBy   int  // the response that shows that it does not hold this member's shard; 0: none
-	releasedOwnShard     bool // that response has come
-	startedLater         bool // its process surely started after this one
+	firstUptimeRequestAt      time.Duration
+	uptimeRequests            int
+	uptimeResponses           int
+	releaseConfirmingResponse int  // the response that shows that it does not hold this member's shard; 0: none
+	releaseConfirmed          bool // that response has come
+	startedAfterThisProcess   bool // its process surely started after this one
 
-	extended             bool // it has ever extended this member's lease
-	extensionRequestedAt time.Duration
+	everExtended         bool // it has ever extended this member's lease
+	lastGrantRequestedAt time.Duration
 }
 
 // peerTable holds the other members by name.
@@ -29,27 +29,27 @@
 	return t
 }
 
-// forgetReleases notes that whoever gave this member's own shard up may hold it
+// clearReleaseConfirmations notes that whoever gave this member's own shard up may hold it
 // again.
-func (t peerTable) forgetReleases() {
+func (t peerTable) clearReleaseConfirmations() {
 	for _, p := range t {
-		p.releaseConfirmedBy = 0
-		p.releasedOwnShard = false
+		p.releaseConfirmingResponse = 0
+		p.releaseConfirmed = false
 	}
 }
 
-func (t peerTable) allStartedLater() bool {
+func (t peerTable) allStartedAfterThisProcess() bool {
 	for _, p := range t {
-		if !p.startedLater {
+		if !p.startedAfterThisProcess {
 			return false
 		}
 	}
 	return true
 }
 
-func (t peerTable) allReleasedOwnShard() bool {
+func (t peerTable) allReleasesConfirmed() bool {
 	for _, p := range t {
-		if !p.releasedOwnShard {
+		if !p.releaseConfirmed {
 			return false
 		}
 	}
@@ -72,23 +72,23 @@
 func (p *peer) requestRelease(shard string, now time.Duration) {
 	p.RequestHandover(shard)
 	p.requestUptime(now)
-	p.releaseConfirmedBy = p.uptimeRequests
+	p.releaseConfirmingResponse = p.uptimeRequests
 }
 
 // PeerConnected tells that a stream to another member has begun.
 func (e *Election) PeerConnected(member string) {
 	p := e.peers[member]
 	p.uptimeRequests, p.uptimeResponses = 0, 0
-	p.releaseConfirmedBy, p.releasedOwnShard = 0, false
-	p.startedLater = false
+	p.releaseConfirmingResponse, p.releaseConfirmed = 0, false
+	p.startedAfterThisProcess = false
 	p.requestUptime(e.now())
 }
 
 // PeerDisconnected tells that it has ended.
 func (e *Election) PeerDisconnected(member string) {
 	p := e.peers[member]
-	p.releasedOwnShard = false
-	p.startedLater = false
+	p.releaseConfirmed = false
+	p.startedAfterThisProcess = false
 }
 
 // HandleUptime takes in how long a peer's process had been up. That was measured
@@ -100,9 +100,9 @@
 	}
 	p.uptimeResponses++
 	if p.uptimeResponses == 1 {
-		p.startedLater = uptime+extensionClockDrift < p.firstUptimeRequestAt-e.config.StartedAt
+		p.startedAfterThisProcess = uptime+extensionClockDrift < p.firstUptimeRequestAt-e.config.StartedAt
 	}
-	if p.releaseConfirmedBy > 0 && p.uptimeResponses >= p.releaseConfirmedBy {
-		p.releasedOwnShard = true
+	if p.releaseConfirmingResponse > 0 && p.uptimeResponses >= p.releaseConfirmingResponse {
+		p.releaseConfirmed = true
 	}
 }
--- a/internal/election/reasons.go
+++ b/internal/election/reasons.go
@@ -29,7 +29,7 @@
 	LeaseSessionExpired LossReason = iota + 1 // the lease session has ended
 	LeaseSessionUnknown                       // the state service knows no such lease
 	LeaderKeyChanged                          // the leader key is another's, or gone
-	WorkersUnreachable                        // no worker reaches this member: it has resigned
+	MachinesUnreachable                       // no worker reaches this member: it has resigned
 )
 
 func (r LossReason) String() string {
@@ -40,7 +40,7 @@
 		return "the state service knows no such lease"
 	case LeaderKeyChanged:
 		return "the leader key has changed"
-	case WorkersUnreachable:
+	case MachinesUnreachable:
 		return "no worker reaches this member"
 	}
 	return "unknown"
@@ -49,7 +49,7 @@
 // level is how urgent the reason is to whoever is on call: the network between
 // this member and its workers has to be looked at.
 func (r LossReason) level() zerolog.Level {
-	if r == WorkersUnreachable {
+	if r == MachinesUnreachable {
 		return zerolog.ErrorLevel
 	}
 	return zerolog.InfoLevel
--- a/internal/election/registration.go
+++ b/internal/election/registration.go
@@ -26,7 +26,7 @@
 		case current.Found && e.namesThisProcess(current.KeyValue.Value):
 			// An earlier write of ours that got no answer. Others of ours have
 			// the same condition and fail from now on.
-			e.registeredAs(current.KeyValue.Version)
+			e.recordRegistration(current.KeyValue.Version)
 		default:
 			e.writeProcessKey(key, current.KeyValue.Version, current.Found)
 		}
@@ -47,15 +47,15 @@
 			e.retryRegistration()
 			return
 		}
-		e.registeredAs(result.Revision)
+		e.recordRegistration(result.Revision)
 		if !hadPredecessor {
-			e.extensions.clearPredecessorBound()
+			e.extensions.clearPredecessorBlock()
 		}
 		e.Tick(e.now())
 	})
 }
 
-func (e *Election) registeredAs(version uint64) {
+func (e *Election) recordRegistration(version uint64) {
 	e.processKeyVersion = version
 	e.registeringProcess = false
 }
