--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -8,21 +8,28 @@
 )
 
 const (
-	takeoverDelay          = 1500 * time.Millisecond // a free shard is left this long to its own member
-	connectedTakeoverDelay = 3 * takeoverDelay       // the same while its member is connected
-	handoverInterval       = time.Second
-	leaderContactTimeout   = 6 * time.Second // without a leader's confirmation, a holder releases its shards
+	// takeoverDelay is how long the leader leaves a free shard to the member that it
+	// is named after, while that member is not connected.
+	takeoverDelay = 1500 * time.Millisecond
+	// connectedTakeoverDelay is the same while that member is connected.
+	connectedTakeoverDelay = 3 * takeoverDelay
+	// handoverInterval is the time between requests for this member's own shard.
+	handoverInterval = time.Second
+	// leaderContactTimeout is how long a holder keeps its shards while no leader
+	// confirms their registration.
+	leaderContactTimeout = 6 * time.Second
 )
 
-// claimStep is what this process does about a shard that it does not hold.
+// claimStep is the next action for a shard that this process does not hold. A
+// member's own shard is the one that bears the member's name.
 type claimStep uint8
 
 const (
 	stepNone            claimStep = iota
-	stepClaimHeldKey              // an earlier process of this member holds it
-	stepClaimFreeKey              // nobody holds it
-	stepRequestHandover           // another member holds this member's own
-	stepRequestReleases           // nobody holds this member's own, but one may go on with it by an extension
+	stepClaimHeldKey              // an earlier process of this member holds the shard
+	stepClaimFreeKey              // the shard has no holder
+	stepRequestHandover           // another member holds this member's own shard
+	stepRequestReleases           // own shard without holder; a member may still act by an extension
 )
 
 func (s claimStep) String() string {
@@ -41,8 +48,8 @@
 	return "unknown"
 }
 
-// claimShards takes this member's own shard, and as leader also those whose
-// holders are gone.
+// claimShards claims this member's own shard and, if this process leads, the
+// shards that have been free for long enough.
 func (e *Election) claimShards(now time.Duration) {
 	for name, key := range e.view.shards {
 		if e.pendingShards[name] || e.holds(name) {
@@ -67,17 +74,18 @@
 	return held
 }
 
-// nextClaimStep decides what is to be done about a shard that this process does
-// not hold, by the key as it was last seen.
+// nextClaimStep returns the next action for a shard that this process does not
+// hold, based on the last observation of its key.
 func (e *Election) nextClaimStep(name string, key *observedKey, now time.Duration) claimStep {
 	own := name == e.member()
 	switch {
 	case key.present && key.holder == e.config.Identity && !e.extensionsAllowClaim(now):
-		// A claim of ours that was applied late; it may have been granted away since.
+		// A claim of this process was applied late. This member may since have
+		// extended another member's lease on the key.
 		return stepNone
 	case key.heldBy(e.member()):
-		// An earlier process of this member held it; that one has ended.
-		// (A claim of this process whose answer was lost also ends up here.)
+		// The holder is an earlier process of this member, which has ended, or
+		// this process, by a claim whose answer was lost.
 		return stepClaimHeldKey
 	case key.present && own:
 		return stepRequestHandover
@@ -93,16 +101,17 @@
 	return stepNone
 }
 
-// takeoverDue tells whether a shard has been free for long enough to be taken
-// from its own member.
-func (e *Election) takeoverDue(shard string, free time.Duration) bool {
+// takeoverDue reports whether a shard has been free for long enough that the
+// leader may claim it in place of the member that it is named after.
+func (e *Election) takeoverDue(shard string, freeFor time.Duration) bool {
 	if peer := e.peers[shard]; peer == nil || !peer.Connected() {
-		return free > takeoverDelay
+		return freeFor > takeoverDelay
 	}
-	return free > connectedTakeoverDelay
+	return freeFor > connectedTakeoverDelay
 }
 
-// requestHandover asks the holder of this member's own shard to give it back.
+// requestHandover asks the holder of this member's own shard to release it, at
+// most once in a handoverInterval.
 func (e *Election) requestHandover(holder string, now time.Duration) {
 	peer := e.peers[holder]
 	if peer == nil || !peer.Connected() || now < e.nextHandoverRequestAt {
@@ -112,9 +121,10 @@
 	peer.RequestHandover(e.member())
 }
 
-// requestReleases asks every member to give this one's own shard up, in case it
-// goes on with it although the key has vanished. Frames keep their order: a
-// member that then answers another request has done so.
+// requestReleases asks every member to release this member's own shard, in case
+// one still acts for it by an extension although its key is gone. Frames are
+// delivered in order, so a member that answers a request sent after this one has
+// released the shard.
 func (e *Election) requestReleases(now time.Duration) {
 	if now < e.nextHandoverRequestAt {
 		return
@@ -147,8 +157,9 @@
 	})
 }
 
-// claimKey writes this process's identity to a key, on condition of the key's
-// version and of this process not having been replaced.
+// claimKey writes this process's identity to a key, on the condition that the key
+// still has the given version (0: does not exist) and that no newer process of
+// this member has registered.
 func (e *Election) claimKey(key string, version uint64, done func(storage.TxnResult)) {
 	processKey := storage.ProcessKey(e.member())
 	e.env.State.Txn(storage.Urgent, protocol.Transaction{
@@ -162,9 +173,10 @@
 	})
 }
 
-// readKeyAfterClaim reads a key whose claim failed or was not answered: it may
-// or may not be ours. The fresh view decides, and a claim of ours that is
-// applied later shows there as held by this member.
+// readKeyAfterClaim reads a key whose claim failed or was not answered, so that
+// this process may or may not hold it, and then calls finished. The next step
+// follows from the new observation. If the claim is applied later still, the view
+// then shows the key as held by this member.
 func (e *Election) readKeyAfterClaim(key string, finished func()) {
 	lease := e.lease.id
 	e.env.State.Get(storage.Urgent, key, func(current storage.GetResult) {
@@ -178,8 +190,8 @@
 	})
 }
 
-// observeShardKey takes in a shard's key, and loses the shard if it was this
-// process's and is another's now.
+// observeShardKey records an observation of a shard's key. If this process holds
+// the shard and a newer version of the key is not its own, the shard is lost.
 func (e *Election) observeShardKey(name string, known *observedKey, seen observedKey) {
 	if !known.olderThan(seen) {
 		return
@@ -198,30 +210,33 @@
 	}
 }
 
-// HandleHandover gives a shard back to the member whose name it bears.
+// HandleHandover handles a request of the member from to release a shard to it.
+// The request has effect only if this process holds the shard and the shard is
+// named after that member.
 func (e *Election) HandleHandover(from, shard string) {
 	if shard == from && e.holds(shard) {
 		e.ReleaseShard(shard, ReleasedToOwnMember)
 	}
 }
 
-// inContactWithLeader tells whether users' cancellations reach whoever answers
-// the machines: every shard here is registered with the leader, or there is no
-// other leader.
+// inContactWithLeader reports whether cancellations by users reach the controller
+// that answers the machines: the leader has confirmed every shard of this process,
+// or no other member is known to lead.
 func (e *Election) inContactWithLeader() bool {
 	return e.env.Registrations.HeldShardsConfirmed() || !e.view.leader.present || e.view.leader.heldBy(e.member())
 }
 
-// releaseAllShards gives up every shard of a process that the leader cannot
-// reach: nothing of them could be started, and tasks of jobs that users cancel
-// here would go on running.
+// releaseAllShards releases every shard of this process when it is out of contact
+// with the leader: none of their tasks could be started, and tasks of jobs that
+// users cancel here would continue to run.
 func (e *Election) releaseAllShards() {
 	for name := range e.env.Shards.Held() {
 		e.ReleaseShard(name, ReleasedWithoutLeader)
 	}
 }
 
-// ReleaseShard gives up a shard that this process holds.
+// ReleaseShard releases a shard that this process holds: the process stops acting
+// for it at once and deletes its key. The reason is logged.
 func (e *Election) ReleaseShard(name string, reason ReleaseReason) {
 	e.env.Log.WithLevel(reason.level()).Str("shard", name).Stringer("reason", reason).Msg("shard released")
 	e.pendingShards[name] = true
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,18 +1,20 @@
-// Package election decides for one process what it holds at the state service
-// and until when it may act on it.
+// Package election decides, for one process, which keys of the state service the
+// process claims (the leader key and the keys of shards) and until when it may
+// act as their holder.
 //
-// It owns the process's lease session, its view of the leader key and the shard
-// keys, the campaign for leadership and its fencing token, the claims of
-// shards, the extensions of the lease that members grant each other while the
-// state service is away, and the record formats of the members' processes.
+// It maintains the process's lease session, its view of the leader key and the
+// shard keys, the campaign for leadership and the resulting fencing token, the
+// claims of shards, the lease extensions that members grant each other while the
+// state service is unavailable, and the record formats of the members' processes.
 //
-// It promises that MayAct is true only while no other process can hold this
-// one's keys, provided that clocks run within the drift that is allowed for.
+// It guarantees that Election.MayAct returns true only while no other process can
+// hold this process's keys, provided that clocks drift by no more than
+// ClockDriftFactor allows.
 //
-// It never opens a connection, starts a goroutine or reads a clock of its own:
-// all of it runs on the goroutine that calls Tick, and everything outside is
-// reached through the interfaces of Environment. It knows nothing of what a
-// leader or the holder of a shard does.
+// The package opens no connection, starts no goroutine and reads no clock
+// directly: all of it runs on the goroutine that calls Election.Tick, and it
+// reaches everything outside through the interfaces in Environment. What a leader
+// or the holder of a shard does is outside its scope.
 package election
 
 import (
@@ -25,27 +27,27 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Config is what does not change while the process lives.
+// Config holds the parameters of an Election that stay constant while the process runs.
 type Config struct {
-	Identity  storage.Holder // of this process, as it is written into its keys
-	StartedAt time.Duration  // on Environment.Clock
-	LeaseTTL  time.Duration  // of the lease at the state service
+	Identity  storage.Holder // this process, as written to the keys that it holds
+	StartedAt time.Duration  // start time of this process on Environment.Clock
+	LeaseTTL  time.Duration  // time to live of the lease at the state service
 }
 
-// Environment is everything outside that this package uses.
+// Environment holds the external dependencies of an Election.
 type Environment struct {
-	Clock         storage.Clock
-	Rand          *rand.Rand
+	Clock         storage.Clock // monotonic; every time in this package is on this clock
+	Rand          *rand.Rand    // used for the random delay of campaigns
 	Codec         *protocol.Codec
 	Log           zerolog.Logger
 	State         StateService
-	Peers         []Peer // every other member
+	Peers         []Peer // all other members
 	Shards        Shards
 	Registrations Registrations
 	Observer      Observer
 }
 
-// Election is this process's part in the election of a leader and in the
+// Election takes part, for this process, in the election of the leader and the
 // distribution of the shards. It is not safe for concurrent use.
 type Election struct {
 	config Config
@@ -57,24 +59,25 @@
 	formats    recordFormats
 	extensions leaseExtensions
 
-	retryAt            time.Duration // no registration, lease or watch is tried before
-	processKeyVersion  uint64        // of the key that names this process; 0: not certainly written
+	retryAt            time.Duration // earliest time of the next registration, OpenLease, List or Watch
+	processKeyVersion  uint64        // version of this process's process key; 0: not known to be written
 	registeringProcess bool
 
-	fencingToken       uint64 // 0 unless this process leads
-	leaderClaimPending bool   // the outcome of a claim of the leader key is open
-	campaignAt         time.Duration
-	abstainUntil       time.Duration
+	fencingToken       uint64        // 0 unless this process leads
+	leaderClaimPending bool          // the outcome of a claim of the leader key is not known yet
+	campaignAt         time.Duration // time of the scheduled campaign; 0: none is scheduled
+	abstainUntil       time.Duration // no campaign before this time
 
-	pendingShards         map[string]bool // shards the outcome of whose claim or release is open
-	nextHandoverRequestAt time.Duration   // for this member's own shard
-	lastLeaderContactAt   time.Duration   // when every shard was last registered with a leader
+	pendingShards         map[string]bool // shards with a claim or release whose outcome is not known yet
+	nextHandoverRequestAt time.Duration   // earliest time of the next request for this member's own shard
+	lastLeaderContactAt   time.Duration   // last time at which inContactWithLeader was true
 }
 
 // retryInterval is the pause after a request that the state service did not answer.
 const retryInterval = 400 * time.Millisecond
 
-// New prepares the part of a process that has just started. It sends nothing.
+// New returns the Election of a process that has just started. New itself sends
+// nothing.
 func New(config Config, env Environment) *Election {
 	now := env.Clock.Now()
 	peers := newPeerTable(env.Peers)
@@ -89,7 +92,10 @@
 	}
 }
 
-// Tick does what time asks for. It is called about ten times a second.
+// Tick does the work that is due at now, which must be the current time on
+// Environment.Clock: it renews the lease, follows the keys, claims or releases
+// shards and campaigns. The caller calls it about ten times a second, always on the
+// same goroutine.
 func (e *Election) Tick(now time.Duration) {
 	e.maintainLease(now)
 	e.trackUnreachableMembers(now)
@@ -110,17 +116,20 @@
 	e.campaign(now)
 }
 
-// readyToClaim tells whether a claim could succeed and what it rests on is known.
+// readyToClaim reports whether a claim could succeed (this process is registered
+// and its lease is valid) and the view of the keys that it is based on is loaded.
 func (e *Election) readyToClaim(now time.Duration) bool {
 	return e.Registered() && e.view.loaded && e.LeaseValid(now)
 }
 
-// MayAct tells whether the keys attached to the lease are surely still this
-// process's.
+// MayAct reports whether the keys attached to this process's lease are guaranteed
+// to be still its own at now. The caller must not act as leader or as holder of a
+// shard while it returns false.
 func (e *Election) MayAct(now time.Duration) bool { return now < e.MayActUntil() }
 
-// MayActUntil is up to when they surely are: by the lease, or because every
-// other member has extended it.
+// MayActUntil returns the time on Environment.Clock before which the keys are
+// guaranteed to be still this process's, either by the lease itself or because
+// every other member has extended it. It returns 0 if no lease is open.
 func (e *Election) MayActUntil() time.Duration {
 	if !e.lease.open() {
 		return 0
@@ -128,13 +137,14 @@
 	return max(e.leaseValidUntil(), e.extendedUntil())
 }
 
-// member is the name of the member that this process belongs to.
+// member returns the name of the member that this process belongs to.
 func (e *Election) member() string { return e.config.Identity.Member }
 
 func (e *Election) now() time.Duration { return e.env.Clock.Now() }
 
-// pauseRequests puts the next registration, lease or watch off.
+// pauseRequests delays the next registration, lease opening, list or watch by
+// retryInterval.
 func (e *Election) pauseRequests() { e.retryAt = e.now() + retryInterval }
 
-// encodedIdentity is the value of every key that this process holds.
+// encodedIdentity returns the value of every key that this process holds.
 func (e *Election) encodedIdentity() []byte { return e.env.Codec.Encode(e.config.Identity) }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -17,28 +17,28 @@
 	}
 }
 
-// A lease lasts as counted from when its last successful renewal was sent,
+// The validity of a lease is counted from when its last successful renewal was sent,
 // however late the answer came.
-func TestLeaseIsCountedFromWhenItsRenewalWasSent(t *testing.T) {
+func TestLeaseIsCountedFromSendingOfRenewal(t *testing.T) {
 	ttl := testTTL
-	span := time.Duration(float64(ttl)/ClockDriftFactor) - leaseSafetyMargin
+	validFor := time.Duration(float64(ttl)/ClockDriftFactor) - leaseSafetyMargin
 	p := newProcess(t)
 	requireEqual(t, "without a lease", p.MayAct(p.now), false)
 	p.Tick(p.now)
 	p.now += 300 * time.Millisecond
 	p.leases[0](7)
-	requireEqual(t, "lasts until", p.MayActUntil(), testStartedAt+span)
-	sent := testStartedAt + testTTL/renewalsPerLease
-	p.tickFor(sent - p.now)
+	requireEqual(t, "lasts until", p.MayActUntil(), testStartedAt+validFor)
+	renewalSentAt := testStartedAt + testTTL/renewalsPerLease
+	p.tickFor(renewalSentAt - p.now)
 	p.now += 2 * time.Second
 	p.renewals[0](true, false)
-	requireEqual(t, "renewed until", p.MayActUntil(), sent+span)
-	requireEqual(t, "just before its end", p.MayAct(sent+span-1), true)
-	requireEqual(t, "at its end", p.MayAct(sent+span), false)
+	requireEqual(t, "renewed until", p.MayActUntil(), renewalSentAt+validFor)
+	requireEqual(t, "just before its end", p.MayAct(renewalSentAt+validFor-1), true)
+	requireEqual(t, "at its end", p.MayAct(renewalSentAt+validFor), false)
 }
 
-// With its lease a process loses its leadership and all of its shards.
-func TestExpiredLeaseEndsEverything(t *testing.T) {
+// When its lease expires, a process loses its leadership and all of its shards.
+func TestExpiredLeaseEndsLeadershipAndShards(t *testing.T) {
 	p := newReadyProcess(t)
 	p.becomeLeader(10)
 	p.tickFor(testTTL / renewalsPerLease)
@@ -49,13 +49,13 @@
 	requireEqual(t, "may act", p.MayAct(p.now), false)
 }
 
-// An answer to a claim of before the lease ended counts no more, and the next
-// lease begins without it.
-func TestClaimOfAnEndedLease(t *testing.T) {
+// The answer to a claim that was sent under a lease that has ended since is ignored,
+// and the process claims the key again under its next lease.
+func TestAnswerAfterLeaseEndIsIgnored(t *testing.T) {
 	p := newReadyProcess(t)
 	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 	claim := p.txns[len(p.txns)-1]
-	requireEqual(t, "claimed", claim.Then[0].Put, storage.LeaderKey)
+	requireEqual(t, "claimed key", claim.Then[0].Put, storage.LeaderKey)
 	p.endLease(LeaseSessionExpired)
 	p.txns = nil
 	p.tickFor(100 * time.Millisecond)
@@ -63,13 +63,13 @@
 	claim.done(storage.TxnResult{Outcome: storage.Applied, Revision: 9})
 	requireEqual(t, "leads", p.Leading(), false)
 	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
-	again := p.txns[len(p.txns)-1].Then[0]
-	requireEqual(t, "claimed again", again.Put, storage.LeaderKey)
-	requireEqual(t, "lease", again.Lease, 8)
+	secondClaim := p.txns[len(p.txns)-1].Then[0]
+	requireEqual(t, "key claimed again", secondClaim.Put, storage.LeaderKey)
+	requireEqual(t, "lease of the second claim", secondClaim.Lease, 8)
 }
 
-// lead has the process win the leader key at a version, and its own shard before
-// that.
+// becomeLeader lets the process acquire the leader key at a version. Claims of its
+// own shard before that are applied too, at version 3.
 func (p *process) becomeLeader(version uint64) {
 	p.t.Helper()
 	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
@@ -82,15 +82,17 @@
 	}
 }
 
-// A claim holds only while the process has not been replaced, and the version
-// that it is applied at is the fencing token.
-func TestClaimOfTheLeaderKey(t *testing.T) {
+// The claim of the leader key is conditional on the process not having been replaced
+// by a newer one. It makes the process leader only if it is applied, and the version at
+// which it is applied is the fencing token. After a conflict or without an answer, the
+// process reads the key to see who holds it.
+func TestLeaderKeyClaim(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		result storage.TxnResult
 		leads  bool
 		events string
-		reads  int // of the key, to see whose it is
+		reads  int // of the leader key
 	}{
 		{"applied", storage.TxnResult{Outcome: storage.Applied, Revision: 9}, true, "[leadership acquired]", 0},
 		{"conflict", storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.LeaderKey}}, false, "[]", 1},
@@ -100,7 +102,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
 			p.tickFor(maxCampaignDelay + 100*time.Millisecond)
-			p.txns = p.txns[len(p.txns)-1:] // after the claim of the own shard
+			p.txns = p.txns[len(p.txns)-1:] // the claim of the own shard comes before it
 			claim := p.txns[0]
 			requireEqual(t, "key", claim.Then[0].Put, storage.LeaderKey)
 			requireEqual(t, "lease", claim.Then[0].Lease, 7)
@@ -114,8 +116,9 @@
 	}
 }
 
-// A process that was replaced claims nothing until it has registered anew.
-func TestReplacedProcessRegistersAnew(t *testing.T) {
+// A process whose process key was replaced claims nothing until it has registered
+// again.
+func TestReplacedProcessClaimsNothing(t *testing.T) {
 	p := newReadyProcess(t)
 	p.tickFor(maxCampaignDelay + 100*time.Millisecond)
 	p.answerOldestTxn(storage.TxnResult{Outcome: storage.Conflict, FailedKeys: []string{storage.ProcessKey("a")}})
@@ -125,8 +128,8 @@
 	requireEqual(t, "claims", len(p.txns), 0)
 }
 
-// Whoever resigns deletes the version of the key that it led by, and lets others
-// lead for a while.
+// A leader that resigns deletes the leader key, on the condition that the key still
+// has the version of its fencing token, and does not claim it again for a while.
 func TestResignation(t *testing.T) {
 	p := newReadyProcess(t)
 	p.becomeLeader(9)
@@ -137,11 +140,12 @@
 	requireEqual(t, "change", p.txns[0].Then[0].Delete, storage.LeaderKey)
 	p.txns = nil
 	p.tickFor(time.Second)
-	requireEqual(t, "claims soon after", len(p.txns), 0)
+	requireEqual(t, "claims within 1 s", len(p.txns), 0)
 }
 
-// A newer leader key of another ends the leadership, an older one doesn't.
-func TestNewerLeaderKeyEndsTheLeadership(t *testing.T) {
+// A leader key of another member ends the leadership if it is newer than the fencing
+// token, and is ignored otherwise.
+func TestNewerLeaderKeyEndsLeadership(t *testing.T) {
 	for version, leads := range map[uint64]bool{8: true, 9: true, 10: false} {
 		t.Run(fmt.Sprint(version), func(t *testing.T) {
 			p := newReadyProcess(t)
@@ -152,27 +156,29 @@
 	}
 }
 
-// The leader key names this process under another version: a later claim of it
-// was applied, which it has not heard of.
-func TestLeaderKeyUnderAnotherVersionEndsTheLeadership(t *testing.T) {
+// If the leader key names this process at another version than its fencing token, a
+// later claim of the process was applied without its knowledge. Its leadership ends.
+func TestLeaderKeyAtAnotherVersionEndsLeadership(t *testing.T) {
 	p := newReadyProcess(t)
 	p.becomeLeader(9)
 	p.observeKey(storage.LeaderKey, p.encodedIdentity(), 9, true)
-	requireEqual(t, "leads under its own", p.Leading(), true)
+	requireEqual(t, "leads at the version of its fencing token", p.Leading(), true)
 	p.observeKey(storage.LeaderKey, p.encodedIdentity(), 10, true)
-	requireEqual(t, "leads under another", p.Leading(), false)
+	requireEqual(t, "leads at another version", p.Leading(), false)
 }
 
-// A late claim of this very process may have been granted away since it was sent;
-// a key that an earlier process holds can't have been.
-func TestCampaignWhileBoundByAnExtension(t *testing.T) {
+// While this member is blocked by an extension that it granted, it must not claim a
+// leader key that names this process: that claim was applied late, and the extension
+// may be for the same key. It may claim a key that an earlier process of the member
+// holds, which cannot have been extended for another member.
+func TestCampaignWhileBlockedByExtension(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		nonce   string // of the holder, a process of this member
+		nonce   string // of the holder, which is a process of this member
 		claimed bool
 	}{
 		{"held by an earlier process", "1", true},
-		{"held by a late claim of this one", testIdentity.Nonce, false},
+		{"held by a late claim of this process", testIdentity.Nonce, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
@@ -189,8 +195,9 @@
 	}
 }
 
-// Who is thought to lead changes only with a newer version of the key.
-func TestLeaderIsWhoeverWroteTheNewestKey(t *testing.T) {
+// The observed leader changes only with a newer version of the leader key, or when
+// the key is observed to be absent at the same version.
+func TestLeaderIsWriterOfNewestKey(t *testing.T) {
 	p := newReadyProcess(t)
 	p.observeKey(storage.LeaderKey, p.holderValue("b", "1"), 9, true)
 	p.ObserveLeader("c", 9)
@@ -201,45 +208,45 @@
 	requireEqual(t, "leader", leadership, Leadership{Member: "b", FencingToken: 9})
 	p.observeKey(storage.LeaderKey, nil, 9, false)
 	_, known = p.Leader()
-	requireEqual(t, "known once the key is gone", known, false)
+	requireEqual(t, "known after the key was deleted", known, false)
 }
 
-// What a process does about a shard follows from its key as it was last seen.
+// The next step for a shard follows from the last observation of its key.
 func TestNextClaimStep(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		shard string
-		holds string // member and nonce of the holder; "": nobody
-		bound bool   // this member has granted an extension
-		leads bool
-		free  time.Duration // since when the key has been as it is
-		want  claimStep
+		name         string
+		shard        string
+		heldBy       string // member and nonce of the holder; "": the shard is free
+		blocked      bool   // this member has granted an extension
+		leading      bool
+		unchangedFor time.Duration // time since the key last changed
+		want         claimStep
 	}{
 		{name: "own, free", shard: "a", want: stepClaimFreeKey},
-		{name: "own, free, bound by an extension", shard: "a", bound: true, want: stepRequestReleases},
-		{name: "own, of an earlier process", shard: "a", holds: "a1", want: stepClaimHeldKey},
-		{name: "own, of an earlier process, bound by an extension", shard: "a", holds: "a1", bound: true, want: stepClaimHeldKey},
-		{name: "own, of a late claim, bound by an extension", shard: "a", holds: "a2", bound: true, want: stepNone},
-		{name: "own, held by another", shard: "a", holds: "b1", want: stepRequestHandover},
-		{name: "another's, held by another", shard: "b", holds: "c1", leads: true, free: time.Hour, want: stepNone},
-		{name: "another's, free", shard: "b", free: time.Hour, want: stepNone},
-		{name: "another's, free, to the leader", shard: "b", leads: true, free: connectedTakeoverDelay + 1, want: stepClaimFreeKey},
-		{name: "another's, just free, to the leader", shard: "b", leads: true, free: connectedTakeoverDelay, want: stepNone},
-		{name: "another's, free, to the leader, bound by an extension", shard: "b", leads: true, bound: true, free: time.Hour, want: stepNone},
-		{name: "of one out of reach, free, to the leader", shard: "c", leads: true, free: takeoverDelay + 1, want: stepClaimFreeKey},
+		{name: "own, free, blocked by an extension", shard: "a", blocked: true, want: stepRequestReleases},
+		{name: "own, of an earlier process", shard: "a", heldBy: "a1", want: stepClaimHeldKey},
+		{name: "own, of an earlier process, blocked by an extension", shard: "a", heldBy: "a1", blocked: true, want: stepClaimHeldKey},
+		{name: "own, of a late claim, blocked by an extension", shard: "a", heldBy: "a2", blocked: true, want: stepNone},
+		{name: "own, held by another", shard: "a", heldBy: "b1", want: stepRequestHandover},
+		{name: "another's, held by another", shard: "b", heldBy: "c1", leading: true, unchangedFor: time.Hour, want: stepNone},
+		{name: "another's, free", shard: "b", unchangedFor: time.Hour, want: stepNone},
+		{name: "another's, free, this process leads", shard: "b", leading: true, unchangedFor: connectedTakeoverDelay + 1, want: stepClaimFreeKey},
+		{name: "another's, just free, this process leads", shard: "b", leading: true, unchangedFor: connectedTakeoverDelay, want: stepNone},
+		{name: "another's, free, this process leads, blocked by an extension", shard: "b", leading: true, blocked: true, unchangedFor: time.Hour, want: stepNone},
+		{name: "of an unreachable member, free, this process leads", shard: "c", leading: true, unchangedFor: takeoverDelay + 1, want: stepClaimFreeKey},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
 			p.peers["c"].connected = false
-			key := &observedKey{changedAt: p.now - test.free}
-			if test.holds != "" {
+			key := &observedKey{changedAt: p.now - test.unchangedFor}
+			if test.heldBy != "" {
 				key.present = true
-				key.holder = storage.Holder{Member: test.holds[:1], Nonce: test.holds[1:], RecordFormat: testIdentity.RecordFormat}
+				key.holder = storage.Holder{Member: test.heldBy[:1], Nonce: test.heldBy[1:], RecordFormat: testIdentity.RecordFormat}
 			}
-			if test.bound {
+			if test.blocked {
 				p.extensions.recordGrant(p.now)
 			}
-			if test.leads {
+			if test.leading {
 				p.fencingToken = 9
 			}
 			requireEqual(t, "step", p.nextClaimStep(test.shard, key, p.now), test.want)
@@ -247,8 +254,8 @@
 	}
 }
 
-// A member extends a lease only if it has not seen that the keys are another's,
-// and claims none of them itself.
+// A member extends another's lease only if it has not observed that the requester no
+// longer holds the keys, and has no claim of its own pending on any of them.
 func TestExtensionRequest(t *testing.T) {
 	leader := []*meshpb.HeldKey{{Key: storage.LeaderKey, Version: 5}}
 	shard := []*meshpb.HeldKey{{Key: storage.ShardKey("b"), Version: 6}}
@@ -258,17 +265,17 @@
 		keys    []*meshpb.HeldKey
 		want    bool
 	}{
-		{"newer than what is known", func(*process) {}, leader, true},
+		{"newer than the observed version", func(*process) {}, leader, true},
 		{"no key", func(*process) {}, nil, false},
-		{"a shard that there is not", func(*process) {}, []*meshpb.HeldKey{{Key: storage.ShardKey("z"), Version: 1}}, false},
-		{"known as the asker's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("b", "1"), 6, true) }, shard, true},
-		{"known as another's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("c", "1"), 6, true) }, shard, false},
-		{"known to be free", func(p *process) { p.observeKey(storage.ShardKey("b"), nil, 7, false) }, shard, false},
-		{"claimed here", func(p *process) { p.pendingShards["b"] = true }, shard, false},
-		{"leader key claimed here", func(p *process) { p.leaderClaimPending = true }, leader, false},
+		{"unknown shard", func(*process) {}, []*meshpb.HeldKey{{Key: storage.ShardKey("z"), Version: 1}}, false},
+		{"observed as the requester's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("b", "1"), 6, true) }, shard, true},
+		{"observed as another's", func(p *process) { p.observeKey(storage.ShardKey("b"), p.holderValue("c", "1"), 6, true) }, shard, false},
+		{"observed as free", func(p *process) { p.observeKey(storage.ShardKey("b"), nil, 7, false) }, shard, false},
+		{"own claim pending", func(p *process) { p.pendingShards["b"] = true }, shard, false},
+		{"own claim of the leader key pending", func(p *process) { p.leaderClaimPending = true }, leader, false},
 		{"not registered", func(p *process) { p.processKeyVersion = 0 }, shard, false},
 		{"view not loaded", func(p *process) { p.view.loaded = false }, shard, false},
-		{"one of two refused", func(p *process) { p.leaderClaimPending = true }, append(leader, shard...), false},
+		{"one of two keys rejected", func(p *process) { p.leaderClaimPending = true }, append(leader, shard...), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newReadyProcess(t)
@@ -277,44 +284,45 @@
 			requireEqual(t, "round", answer.Round, 3)
 			requireEqual(t, "granted", answer.Granted, test.want)
 			requireEqual(t, "may claim", p.extensionsAllowClaim(p.now), !test.want)
-			requireEqual(t, "may claim later", p.extensionsAllowClaim(p.now+ExtensionDuration+extensionClockDrift+1), true)
+			requireEqual(t, "may claim after its end", p.extensionsAllowClaim(p.now+ExtensionDuration+extensionClockDrift+1), true)
 		})
 	}
 }
 
-// A process may act past its lease only while every other member extends it,
-// counted from when it asked.
-func TestActingByExtensions(t *testing.T) {
+// A process may act past the end of its lease only while every other member extends
+// it, counted from when the process sent the request. Extensions do not count while
+// a shard is not registered with it.
+func TestMayActWhileAllPeersExtend(t *testing.T) {
 	p := newReadyProcess(t)
 	p.heldShards["a"] = 3
 	p.tickFor(extensionRequestDelay)
 	round := p.extensions.lastRound
-	asked := p.extensions.roundSentAt[round]
+	requestedAt := p.extensions.roundSentAt[round]
 	granted := &meshpb.LeaseExtension{Round: round, Granted: true}
-	until := asked + ExtensionDuration - 2*extensionClockDrift - leaseSafetyMargin/2
-	p.now += testTTL // the lease has ended, for all that the process knows
-	requireEqual(t, "by none", p.extendedUntil(), time.Duration(0))
+	extendedUntil := requestedAt + ExtensionDuration - 2*extensionClockDrift - leaseSafetyMargin/2
+	p.now += testTTL // past the end of the lease as the process calculates it
+	requireEqual(t, "extended by none", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("b", granted)
-	requireEqual(t, "by one of two", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "extended by one of two", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("c", &meshpb.LeaseExtension{Round: round})
-	requireEqual(t, "refused by the other", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "rejected by the other", p.extendedUntil(), time.Duration(0))
 	p.HandleExtension("c", granted)
-	requireEqual(t, "by both", p.extendedUntil(), until)
+	requireEqual(t, "extended by both", p.extendedUntil(), extendedUntil)
 	p.allRegistered = false
-	requireEqual(t, "while a shard is not registered", p.extendedUntil(), time.Duration(0))
+	requireEqual(t, "extended by both while a shard is not registered", p.extendedUntil(), time.Duration(0))
 }
 
-// A restarted member may have granted extensions that it does not remember,
-// except to processes that started after it.
-func TestRestartedMemberIsBound(t *testing.T) {
+// An earlier process of a restarted member may have granted extensions of which this
+// process has no record, but not to processes that started after this one.
+func TestRestartedMemberIsBlocked(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		uptime time.Duration // of the members b and c, while this one is up for 1.5 s
+		uptime time.Duration // of members b and c, when this process has run for 1.5 s
 		want   bool
 	}{
-		{"others are older", time.Hour, false},
-		{"others are younger by less than clocks drift", 1500*time.Millisecond - extensionClockDrift, false},
-		{"others are younger", 1500*time.Millisecond - extensionClockDrift - 1, true},
+		{"others started earlier", time.Hour, false},
+		{"others started later by no more than the clock drift", 1500*time.Millisecond - extensionClockDrift, false},
+		{"others started later", 1500*time.Millisecond - extensionClockDrift - 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := newProcess(t)
@@ -330,8 +338,8 @@
 	}
 }
 
-// The first process of a member ever is not bound by one before it.
-func TestFirstProcessIsNotBound(t *testing.T) {
+// The first process of a member has no predecessor whose extensions could block it.
+func TestFirstProcessIsNotBlocked(t *testing.T) {
 	for _, hadPredecessor := range []bool{false, true} {
 		t.Run(fmt.Sprint(hadPredecessor), func(t *testing.T) {
 			p := newProcess(t)
@@ -349,8 +357,8 @@
 	}
 }
 
-// A member that answers a request after one for this member's shard has given
-// the shard up; an answer to an earlier request tells nothing.
+// A member that answers an uptime request sent after the request for this member's own
+// shard has released the shard. An answer to an earlier uptime request proves nothing.
 func TestReleaseIsConfirmedByALaterAnswer(t *testing.T) {
 	p := newReadyProcess(t)
 	for _, member := range []string{"b", "c"} {
@@ -362,16 +370,16 @@
 	for _, member := range []string{"b", "c"} {
 		p.HandleUptime(member, time.Hour)
 	}
-	requireEqual(t, "after the first answers", p.extensionsAllowOwnShardClaim(p.now), false)
+	requireEqual(t, "may claim after the first answers", p.extensionsAllowOwnShardClaim(p.now), false)
 	for _, member := range []string{"b", "c"} {
 		p.HandleUptime(member, time.Hour)
 	}
-	requireEqual(t, "after the second", p.extensionsAllowOwnShardClaim(p.now), true)
+	requireEqual(t, "may claim after the second answers", p.extensionsAllowOwnShardClaim(p.now), true)
 	p.observeKey(storage.ShardKey("a"), p.holderValue("b", "1"), 20, true)
-	requireEqual(t, "once another holds it again", p.extensionsAllowOwnShardClaim(p.now), false)
+	requireEqual(t, "may claim once another member holds it again", p.extensionsAllowOwnShardClaim(p.now), false)
 }
 
-// A shard is lost only to a newer version of its key.
+// A shard is lost only if a newer version of its key names another holder.
 func TestShardIsLostToANewerKey(t *testing.T) {
 	for version, events := range map[uint64]string{5: "[]", 6: "[]", 7: "[lost a]"} {
 		t.Run(fmt.Sprint(version), func(t *testing.T) {
@@ -384,8 +392,8 @@
 	}
 }
 
-// A holder that no leader confirms gives its shards up.
-func TestHolderWithoutALeaderReleasesItsShards(t *testing.T) {
+// A holder whose shards no leader has confirmed for leaderContactTimeout releases them.
+func TestHolderWithoutLeaderReleasesShards(t *testing.T) {
 	p := newReadyProcess(t)
 	p.heldShards["a"] = 6
 	p.observeKey(storage.LeaderKey, p.holderValue("b", "1"), 9, true)
@@ -404,32 +412,33 @@
 	requireEqual(t, "events", p.events, "[released a]")
 }
 
-// Only the member whose name a shard bears gets it back.
+// A shard is handed over only to the member that it is named after.
 func TestHandover(t *testing.T) {
 	p := newReadyProcess(t)
 	p.heldShards["b"] = 6
 	p.events = nil
 	p.HandleHandover("c", "b")
-	requireEqual(t, "asked by another", p.events, "[]")
+	requireEqual(t, "events after a request of another member", p.events, "[]")
 	p.HandleHandover("b", "b")
-	requireEqual(t, "asked by its member", p.events, "[released b]")
+	requireEqual(t, "events after a request of its own member", p.events, "[released b]")
 }
 
-// Services are refused while a member that can't read them may come to hold a
-// shard; a member that is out of reach for long and holds nothing doesn't count.
-func TestMembersOfAnOlderRecordFormat(t *testing.T) {
+// Services are rejected while a member that cannot read them may acquire a shard. A
+// member that has been unreachable for longer than unreachableMemberTimeout and holds
+// no key does not count.
+func TestOlderRecordFormatBlocksServices(t *testing.T) {
 	p := newReadyProcess(t)
-	requireEqual(t, "members never seen", p.AllMembersReadServices(p.now), true)
+	requireEqual(t, "reads services, no member has started", p.AllMembersReadServices(p.now), true)
 	p.observeKey(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b"}), 30, true)
-	requireEqual(t, "one of an older format", p.AllMembersReadServices(p.now), false)
-	requireEqual(t, "divides limits", p.AllMembersDivideLimits(), false)
+	requireEqual(t, "reads services, one member of an older format", p.AllMembersReadServices(p.now), false)
+	requireEqual(t, "divides limits, one member of an older format", p.AllMembersDivideLimits(), false)
 	p.peers["b"].connected = false
 	p.Tick(p.now)
-	requireEqual(t, "just out of reach", p.AllMembersReadServices(p.now+unreachableMemberTimeout), false)
-	requireEqual(t, "out of reach for long", p.AllMembersReadServices(p.now+unreachableMemberTimeout+1), true)
-	requireEqual(t, "divides limits still", p.AllMembersDivideLimits(), false)
+	requireEqual(t, "reads services, unreachable for the timeout", p.AllMembersReadServices(p.now+unreachableMemberTimeout), false)
+	requireEqual(t, "reads services, unreachable for longer", p.AllMembersReadServices(p.now+unreachableMemberTimeout+1), true)
+	requireEqual(t, "divides limits, unreachable for longer", p.AllMembersDivideLimits(), false)
 	p.observeKey(storage.ProcessKey("b"), p.codec.Encode(storage.Holder{Member: "b", RecordFormat: storage.QuotaRecordFormat}), 31, true)
-	requireEqual(t, "upgraded", p.AllMembersDivideLimits(), true)
+	requireEqual(t, "divides limits, member upgraded", p.AllMembersDivideLimits(), true)
 }
 
 func TestReasonsHaveTexts(t *testing.T) {
--- a/internal/election/fake_test.go
+++ b/internal/election/fake_test.go
@@ -16,13 +16,13 @@
 
 const (
 	testTTL       time.Duration = 5 * time.Second
-	testStartedAt               = time.Hour // on the clock, when the process starts
+	testStartedAt               = time.Hour // start of the process, on its clock
 )
 
 var testIdentity = storage.Holder{Member: "a", Nonce: "2", RecordFormat: storage.CurrentRecordFormat}
 
-// process is one process of the member a, beside the members b and c, whose
-// requests to the state service the test answers.
+// process is one process of member a in a deployment with members b and c. It
+// collects the requests to the state service for the test to answer.
 type process struct {
 	*Election
 	t     *testing.T
@@ -36,10 +36,10 @@
 	txns     []fakeTxn
 	lists    []storage.ListDone
 
-	heldShards      map[string]uint64 // held, with the versions of their keys
-	shardsConfirmed bool              // with the leader
-	allRegistered   bool              // every shard is registered with this process
-	events          []string
+	heldShards      map[string]uint64 // versions of the keys, by shard
+	shardsConfirmed bool              // result of HeldShardsConfirmed
+	allRegistered   bool              // result of AllShardsRegistered
+	events          []string          // changes of shards and of leadership, in order
 }
 
 type fakeTxn struct {
@@ -50,7 +50,7 @@
 type fakePeer struct {
 	member    string
 	connected bool
-	sent      []string
+	sent      []string // requests, in order
 }
 
 func (f *fakePeer) Member() string { return f.member }
@@ -65,7 +65,7 @@
 	f.sent = append(f.sent, "extension")
 }
 
-// newProcess starts a process that has not sent anything.
+// newProcess returns a process that has just started and not sent any request.
 func newProcess(t *testing.T) *process {
 	t.Helper()
 	codec, err := protocol.NewCodec()
@@ -83,8 +83,9 @@
 	return p
 }
 
-// newReadyProcess has a lease, has registered and knows that there are no keys;
-// it is not bound by any extension of before.
+// newReadyProcess returns a process that has opened lease 7, has registered, has
+// observed that there are no keys, and is not blocked by an extension that an earlier
+// process may have granted.
 func newReadyProcess(t *testing.T) *process {
 	t.Helper()
 	p := newProcess(t)
@@ -99,7 +100,7 @@
 	return p
 }
 
-// answer answers the oldest transaction.
+// answerOldestTxn answers the oldest transaction that is not answered yet.
 func (p *process) answerOldestTxn(result storage.TxnResult) {
 	p.t.Helper()
 	if len(p.txns) == 0 {
@@ -110,12 +111,12 @@
 	txn.done(result)
 }
 
-// holder is the value of a key that a process of a member holds.
+// holderValue returns the value of a key that a process of a member holds.
 func (p *process) holderValue(member, nonce string) []byte {
 	return p.codec.Encode(storage.Holder{Member: member, Nonce: nonce, RecordFormat: storage.CurrentRecordFormat})
 }
 
-// advance ticks until a span has passed.
+// tickFor advances the clock by span in steps of 100 ms, with a Tick after each.
 func (p *process) tickFor(span time.Duration) {
 	for end := p.now + span; p.now < end; {
 		p.now += 100 * time.Millisecond
@@ -165,7 +166,7 @@
 
 func (p *process) KeysListed([]protocol.KeyValue) {}
 
-// processShards are the shards that a process holds.
+// processShards implements Shards for a process.
 type processShards struct{ p *process }
 
 func (s processShards) Held() iter.Seq2[string, uint64] { return maps.All(s.p.heldShards) }
--- a/internal/election/key_view.go
+++ b/internal/election/key_view.go
@@ -10,21 +10,22 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// watchTimeout is how long the state service holds a watch that has nothing to tell.
+// watchTimeout is how long the state service holds a watch while nothing changes.
 const watchTimeout = 8 * time.Second
 
-// observedKey is a leader or shard key as it was last seen.
+// observedKey is the last observation of the leader key or of a shard's key.
 type observedKey struct {
 	present   bool
 	holder    storage.Holder
 	version   uint64
-	changedAt time.Duration // when it was last seen to change
+	changedAt time.Duration // when this process last observed a change
 }
 
-// heldBy tells whether a member, in this or an earlier process, holds the key.
+// heldBy reports whether any process of a member, current or earlier, holds the key.
 func (k *observedKey) heldBy(member string) bool { return k.present && k.holder.Member == member }
 
-// olderThan tells whether an observation of the key is newer than this one.
+// olderThan reports whether the observation seen is newer than this one. At equal
+// versions, one that differs in the key's presence counts as newer.
 func (k *observedKey) olderThan(seen observedKey) bool {
 	if seen.version == k.version {
 		return seen.present != k.present
@@ -32,18 +33,18 @@
 	return seen.version > k.version
 }
 
-// keyView is what this process knows of the keys of all members.
+// keyView is this process's view of the leader key and of all shard keys.
 type keyView struct {
-	loaded   bool // it follows every change since a complete list
-	loading  bool
-	watching bool
-	revision uint64
+	loaded   bool   // a complete list was read and every change since is being watched
+	loading  bool   // a list request is in flight
+	watching bool   // a watch request is in flight
+	revision uint64 // of the state service, up to which changes have been applied
 	leader   observedKey
-	shards   map[string]*observedKey
+	shards   map[string]*observedKey // by shard name
 }
 
-// newKeyView is the view of a process that has not seen anything yet: every
-// member has a shard.
+// newKeyView returns the view of a process that has not observed any key yet. It
+// has one shard for each member, named after the member.
 func newKeyView(member string, peers peerTable, now time.Duration) keyView {
 	v := keyView{shards: make(map[string]*observedKey)}
 	v.shards[member] = &observedKey{changedAt: now}
@@ -54,65 +55,70 @@
 	return v
 }
 
-// shard returns the view of a shard's key.
+// ensureShard returns the observed key of a shard, which it adds if the shard was
+// unknown.
 func (v *keyView) ensureShard(name string) *observedKey {
-	k := v.shards[name]
-	if k == nil {
-		k = &observedKey{}
-		v.shards[name] = k
+	key := v.shards[name]
+	if key == nil {
+		key = &observedKey{}
+		v.shards[name] = key
 	}
-	return k
+	return key
 }
 
-// holdsAny tells whether a member holds the leader key or the key of a shard.
+// holdsAny reports whether a member holds the leader key or the key of a shard.
 func (v *keyView) holdsAny(member string) bool {
 	if v.leader.heldBy(member) {
 		return true
 	}
-	for _, k := range v.shards {
-		if k.heldBy(member) {
+	for _, key := range v.shards {
+		if key.heldBy(member) {
 			return true
 		}
 	}
 	return false
 }
 
-// Leadership is a member's that holds the leader key.
+// Leadership names a leader and its fencing token.
 type Leadership struct {
 	Member       string
-	FencingToken uint64 // the version of the leader key
+	FencingToken uint64 // version of the leader key
 }
 
-// Leader returns the leadership as far as it is known; ok is false while nobody
-// is thought to lead.
+// Leader returns the current leadership as last observed; ok is false if no member
+// was observed to lead. The observation may be out of date; only MayAct decides
+// whether this process itself may act as leader.
 func (e *Election) Leader() (leadership Leadership, ok bool) {
-	k := &e.view.leader
-	if !k.present {
+	key := &e.view.leader
+	if !key.present {
 		return Leadership{}, false
 	}
-	return Leadership{Member: k.holder.Member, FencingToken: k.version}, true
+	return Leadership{Member: key.holder.Member, FencingToken: key.version}, true
 }
 
-// ShardHolder returns the member that is thought to hold a shard; ok is false
-// while nobody is.
+// ShardHolder returns the member last observed to hold a shard; ok is false if
+// there is none. The observation may be out of date.
 func (e *Election) ShardHolder(shard string) (member string, ok bool) {
-	k := e.view.shards[shard]
-	if k == nil || !k.present {
+	key := e.view.shards[shard]
+	if key == nil || !key.present {
 		return "", false
 	}
-	return k.holder.Member, true
+	return key.holder.Member, true
 }
 
 // Shards yields the names of all shards, held or not.
 func (e *Election) Shards() iter.Seq[string] { return maps.Keys(e.view.shards) }
 
-// HoldsAnyKey tells whether a member holds the leader key or a shard.
+// HoldsAnyKey reports whether a member was last observed to hold the leader key or
+// the key of a shard.
 func (e *Election) HoldsAnyKey(member string) bool { return e.view.holdsAny(member) }
 
-// ViewLoaded tells whether the view follows every change of the keys.
+// ViewLoaded reports whether the view was read completely and is being kept up to
+// date by a watch.
 func (e *Election) ViewLoaded() bool { return e.view.loaded }
 
-// followKeys keeps the view up to date.
+// followKeys starts the next list or watch request that keeps the view up to date,
+// if none is in flight.
 func (e *Election) followKeys(now time.Duration) {
 	if now < e.retryAt {
 		return
@@ -166,9 +172,10 @@
 	e.view.revision = max(e.view.revision, changes.Revision)
 }
 
-// observeList takes in a complete list of the keys.
+// observeList records a complete list of the keys as of view.revision. A leader or
+// shard key that is not listed is recorded as absent.
 func (e *Election) observeList(items []protocol.KeyValue) {
-	e.peers.clearReleaseConfirmations() // what has happened since the last list is not known
+	e.peers.clearReleaseConfirmations() // changes since the last list may have been missed
 	listed := make(map[string]bool, len(items))
 	for _, item := range items {
 		listed[item.Key] = true
@@ -186,7 +193,7 @@
 	e.env.Observer.ViewChanged()
 }
 
-// observe takes in one key as it was at a version.
+// observeKey records an observation of one key at a version.
 func (e *Election) observeKey(key string, value []byte, version uint64, present bool) {
 	if member, ok := storage.MemberOfProcessKey(key); ok {
 		e.observeProcessKey(member, value, present)
@@ -210,7 +217,7 @@
 	}
 }
 
-// decodeKey reads a leader or shard key; ok is false if its value is malformed.
+// decodeKey decodes a leader or shard key; ok is false if its value is malformed.
 func (e *Election) decodeKey(value []byte, version uint64, present bool) (key observedKey, ok bool) {
 	key = observedKey{present: present, version: version, changedAt: e.now()}
 	if !present {
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -8,18 +8,23 @@
 )
 
 const (
-	maxCampaignDelay = 250 * time.Millisecond // random, so that members seldom campaign at once
-	abstainDuration  = 25 * time.Second       // after a resignation
+	// maxCampaignDelay is the upper limit of the delay of a campaign, which is random
+	// so that members rarely campaign at the same time.
+	maxCampaignDelay = 250 * time.Millisecond
+	// abstainDuration is how long a member does not campaign after a resignation.
+	abstainDuration = 25 * time.Second
 )
 
-// Leading tells whether this process holds the leader key.
+// Leading reports whether this process holds the leader key as far as it knows.
+// Whether it may act as leader is decided by MayAct.
 func (e *Election) Leading() bool { return e.fencingToken != 0 }
 
-// Abstain keeps this member from campaigning before a time.
+// Abstain prevents this process from campaigning for leadership before the time
+// until, on Environment.Clock. It does not end a leadership.
 func (e *Election) Abstain(until time.Duration) { e.abstainUntil = until }
 
-// campaign tries for the leader key when nobody holds it, or an earlier process
-// of this member does.
+// campaign claims the leader key, after a random delay, if the key has no holder.
+// If this member holds it in this or an earlier process, it claims without delay.
 func (e *Election) campaign(now time.Duration) {
 	key := &e.view.leader
 	heldByMember := key.heldBy(e.member())
@@ -30,8 +35,9 @@
 	if now < e.campaignAt {
 		return
 	}
-	// A claim of this very process that was applied late may have been granted
-	// away since; what an earlier one holds cannot have been.
+	// If an earlier claim of this process was applied late, this member may since
+	// have extended another member's lease on the key. That cannot have happened
+	// to a key that an earlier process of this member holds.
 	heldByPredecessor := heldByMember && key.holder != e.config.Identity
 	if !heldByPredecessor && !e.extensionsAllowClaim(now) {
 		return
@@ -43,7 +49,7 @@
 	}
 }
 
-// scheduleCampaign picks the time of the campaign, unless that has been done.
+// scheduleCampaign sets campaignAt if no campaign is scheduled.
 func (e *Election) scheduleCampaign(now time.Duration, heldByMember bool) {
 	if e.campaignAt != 0 {
 		return
@@ -75,8 +81,8 @@
 	})
 }
 
-// beginLeadership makes this process the leader. Its fencing token is the version that
-// the claim gave the leader key.
+// beginLeadership makes this process the leader. Its fencing token is the version
+// at which its claim of the leader key was applied.
 func (e *Election) beginLeadership(fencingToken uint64, reason AcquisitionReason) {
 	e.fencingToken = fencingToken
 	e.env.Log.Info().Uint64("fencing_token", fencingToken).Stringer("reason", reason).Msg("leadership acquired")
@@ -88,17 +94,19 @@
 	if !e.Leading() {
 		return
 	}
-	line := e.env.Log.WithLevel(reason.level()).Uint64("fencing_token", e.fencingToken).Stringer("reason", reason)
+	event := e.env.Log.WithLevel(reason.level()).Uint64("fencing_token", e.fencingToken).Stringer("reason", reason)
 	if reason == LeaderKeyChanged {
-		line.Str("leader", e.view.leader.holder.Member).Uint64("version", e.view.leader.version)
+		event.Str("leader", e.view.leader.holder.Member).Uint64("version", e.view.leader.version)
 	}
-	line.Msg("leadership lost")
+	event.Msg("leadership lost")
 	e.fencingToken = 0
 	e.env.Observer.LeadershipLost()
 }
 
-// Resign gives the leader key up and stays out for a while, so that the answers
-// which name the leader do not lead everyone back here.
+// Resign ends this process's leadership, deletes the leader key and abstains from
+// campaigning for abstainDuration, so that responses that name the leader do not
+// direct the machines back to this member. The reason is logged. Resign does
+// nothing if this process does not lead.
 func (e *Election) Resign(reason LossReason) {
 	if !e.Leading() {
 		return
@@ -110,9 +118,9 @@
 	e.deleteLeaderKey(fencingToken)
 }
 
-// deleteLeaderKey removes the leader key that this process has given up. It
-// tries until the key is gone: kept alive by the lease, it would keep every
-// other member out.
+// deleteLeaderKey deletes the leader key that this process held under a fencing
+// token. It retries until the key is known to be deleted or changed: this process's
+// lease would otherwise keep it alive, and no other member could lead.
 func (e *Election) deleteLeaderKey(fencingToken uint64) {
 	e.env.State.Txn(storage.Urgent, protocol.Transaction{
 		If:   []protocol.Condition{{Key: storage.LeaderKey, Version: fencingToken}},
@@ -124,8 +132,8 @@
 	})
 }
 
-// observeLeaderKey takes in the leader key, and ends this process's leadership
-// if it is not named there.
+// observeLeaderKey records an observation of the leader key. It ends this process's
+// leadership if the key does not name this process under its fencing token.
 func (e *Election) observeLeaderKey(seen observedKey) {
 	if !e.view.leader.olderThan(seen) {
 		return
@@ -137,11 +145,15 @@
 	}
 }
 
-// ObserveLeader takes a member's word that it leads under a fencing token, which
-// is the version that it wrote the leader key with. The watch may show that
-// much later, or not before the end of an outage: a holder of shards that
-// registers with an earlier leader, or none, would tell nobody who answers
-// machines what its users cancel (ran_cancelled).
+// ObserveLeader records that a member has reported itself leader under a fencing
+// token, which is the version at which it wrote the leader key. Reports that are
+// not newer than the last observation of the key are ignored.
+//
+// The watch may deliver that version much later, or only after an outage of the
+// state service. Until then a holder of shards would register them with an earlier
+// leader or with none, and cancellations by its users would not reach the leader
+// that answers the machines: cancelled tasks would continue to run (rule
+// ran_cancelled).
 func (e *Election) ObserveLeader(member string, fencingToken uint64) {
 	if member == e.member() || fencingToken <= e.view.leader.version {
 		return
--- a/internal/election/lease_extension.go
+++ b/internal/election/lease_extension.go
@@ -8,32 +8,44 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// While the state service is away nobody can renew a lease, yet no lease
-// ends. A holder cannot tell that from being refused alone, so it may go on
-// past its own count of its lease only while every other member keeps
-// extending it, which is to say that it will not claim the holder's keys. An
-// extension binds its granter for a fixed time, counted by the holder from when
-// it asked; a restarted member, which may have forgotten one, claims nothing of
-// others for that long.
+// During an outage of the state service no lease can be renewed, but no lease ends
+// either. A holder cannot distinguish an outage from a failure of its own requests
+// only, after which its lease does end. It may therefore act past the end of its
+// lease, as calculated from its last renewal, only while every other member keeps
+// extending the lease, that is, promises not to claim the holder's keys.
+//
+// An extension blocks the claims of the member that granted it for a fixed time,
+// which the holder counts from when it sent the request. A restarted member may
+// have lost the record of an extension that it granted, so it claims no keys that
+// other members may hold for the same time after its start.
 
 const (
-	// ExtensionDuration is how long an extension binds the member that granted it.
+	// ExtensionDuration is how long an extension blocks the claims of the member
+	// that granted it.
 	ExtensionDuration = 2 * time.Second
 
-	extensionClockDrift      = 5 * time.Millisecond // more than two clocks differ by in that time
+	// extensionClockDrift is more than two clocks drift apart in ExtensionDuration.
+	extensionClockDrift = 5 * time.Millisecond
+	// extensionRequestInterval is the time between two rounds of requests.
 	extensionRequestInterval = 400 * time.Millisecond
-	extensionRequestDelay    = 1500 * time.Millisecond // without a successful renewal
-	maxRetainedRounds        = 16                      // remembered
+	// extensionRequestDelay is the time without a successful renewal after which
+	// extensions are requested.
+	extensionRequestDelay = 1500 * time.Millisecond
+	// maxRetainedRounds is the number of rounds whose answers are accepted.
+	maxRetainedRounds = 16
 )
 
-// leaseExtensions is what this member has asked the others for, and what it is
-// bound by itself.
+// leaseExtensions holds this member's requests for lease extensions, and the block
+// on its own claims by the extensions that it granted. Times are on
+// Environment.Clock.
 type leaseExtensions struct {
-	// claimsBlockedUntil is before when this member claims nothing of others.
+	// claimsBlockedUntil is the time up to which this member claims no keys that
+	// another member may still hold by an extension.
 	claimsBlockedUntil time.Duration
-	// blockedByPredecessorOnly is true until this process grants an extension.
+	// blockedByPredecessorOnly is true until this process grants an extension: only
+	// an earlier process of this member can have granted one.
 	blockedByPredecessorOnly bool
-	roundSentAt              map[uint64]time.Duration // by round
+	roundSentAt              map[uint64]time.Duration // by round, for the last maxRetainedRounds
 	lastRound                uint64
 	nextRequestAt            time.Duration
 }
@@ -46,21 +58,21 @@
 	}
 }
 
-// clearPredecessorBlock notes that this is the member's first process ever, so
-// that none before it can have granted anything.
+// clearPredecessorBlock records that this is the first process of the member, so
+// that no earlier process can have granted an extension.
 func (x *leaseExtensions) clearPredecessorBlock() {
 	if x.blockedByPredecessorOnly {
 		x.claimsBlockedUntil = 0
 	}
 }
 
-// bind notes that this process has granted an extension.
+// recordGrant records that this process has granted an extension.
 func (x *leaseExtensions) recordGrant(now time.Duration) {
 	x.blockedByPredecessorOnly = false
 	x.claimsBlockedUntil = max(x.claimsBlockedUntil, now+ExtensionDuration+extensionClockDrift)
 }
 
-// beginRound returns the number of a new round of requests.
+// beginRound starts a new round of requests and returns its number.
 func (x *leaseExtensions) beginRound(now time.Duration) uint64 {
 	x.nextRequestAt = now + extensionRequestInterval
 	x.lastRound++
@@ -69,9 +81,10 @@
 	return x.lastRound
 }
 
-// extensionsAllowClaim tells whether no extension, granted or perhaps forgotten, binds this
-// member. An earlier process of it cannot have granted one to processes that
-// started after this one.
+// extensionsAllowClaim reports whether no extension blocks the claims of this
+// member, be it one that this process granted or one that an earlier process of
+// this member may have granted. An earlier process cannot have granted extensions
+// to processes that started after this one.
 func (e *Election) extensionsAllowClaim(now time.Duration) bool {
 	if now > e.extensions.claimsBlockedUntil {
 		return true
@@ -79,23 +92,28 @@
 	return e.extensions.blockedByPredecessorOnly && e.peers.allStartedAfterThisProcess()
 }
 
-// extensionsAllowOwnShardClaim is the same for this member's own shard: nobody goes on with
-// that by an extension once everybody has been asked for it, see requestReleases.
+// extensionsAllowOwnShardClaim is extensionsAllowClaim for this member's own shard:
+// no member acts for that shard by an extension once every other member has
+// confirmed its release, see requestReleases.
 func (e *Election) extensionsAllowOwnShardClaim(now time.Duration) bool {
 	return e.extensionsAllowClaim(now) || e.peers.allReleasesConfirmed()
 }
 
-// extendedUntil is up to when every other member is bound. To a leader
-// extensions are worth something only while every shard has registered with it:
-// whoever confirms a cancellation then tells it on the stream that brings the
-// extension, or grants none any more. The last holder of a shard that nobody
-// answers for may have confirmed one and ended before it could tell
-// (ran_cancelled).
+// extendedUntil returns the time before which the extensions of all other members
+// keep them from claiming this process's keys. It returns 0 if a member has granted
+// none or if they do not count.
+//
+// For a leader they count only while every shard is registered with it. A holder
+// that confirms a cancellation to a user then reports it to the leader on the
+// stream that carries its extensions, or no longer grants any. If a shard is not
+// registered, its last holder may have confirmed a cancellation and ended before
+// it could report it, and the cancelled tasks would continue to run (rule
+// ran_cancelled).
 func (e *Election) extendedUntil() time.Duration {
 	if !e.env.Registrations.AllShardsRegistered() {
 		return 0
 	}
-	until := time.Duration(math.MaxInt64) // a member alone needs nobody's
+	until := time.Duration(math.MaxInt64) // a deployment of one member needs no extensions
 	for _, peer := range e.peers {
 		if !peer.everExtended {
 			return 0
@@ -105,7 +123,8 @@
 	return until
 }
 
-// requestExtensions asks the others to extend the lease once renewals fail.
+// requestExtensions asks the other members to extend this process's lease, once
+// renewals have failed for long enough and the next round of requests is due.
 func (e *Election) requestExtensions(now time.Duration) {
 	if !e.extensionsNeeded(now) {
 		return
@@ -126,7 +145,7 @@
 	return now-e.lease.lastSuccessSentAt >= min(extensionRequestDelay, e.config.LeaseTTL/2)
 }
 
-// heldKeys are the keys that this process holds.
+// heldKeys returns the keys that this process holds, with their versions.
 func (e *Election) heldKeys() []*meshpb.HeldKey {
 	var keys []*meshpb.HeldKey
 	for shard, version := range e.env.Shards.Held() {
@@ -138,9 +157,13 @@
 	return keys
 }
 
-// HandleExtensionRequest decides whether this member extends another's lease:
-// unless it has seen that a key is not the other's any more, or a claim of its
-// own is under way.
+// HandleExtensionRequest handles the request of the member from to extend its lease,
+// and returns the answer to send. The extension is granted if this process is
+// registered, its view is loaded, the request names at least one key, and for each
+// key this process has neither observed that the other member no longer holds it
+// nor a claim or release of its own pending. A granted extension blocks the claims
+// of this member for ExtensionDuration. A leader key in the request is also recorded
+// as a report of leadership, see ObserveLeader.
 func (e *Election) HandleExtensionRequest(from string, request *meshpb.LeaseExtensionRequest) *meshpb.LeaseExtension {
 	granted := e.view.loaded && e.Registered() && len(request.Keys) > 0
 	for _, key := range request.Keys {
@@ -155,23 +178,27 @@
 	return &meshpb.LeaseExtension{Round: request.Round, Granted: granted}
 }
 
-// mayExtend tells whether a key may still be the other member's.
+// mayExtend reports whether the other member may still hold a key, and no claim or
+// release of the key by this process is pending.
 func (e *Election) mayExtend(from string, key *meshpb.HeldKey) bool {
-	known, claiming := &e.view.leader, e.leaderClaimPending
+	known, pending := &e.view.leader, e.leaderClaimPending
 	if key.Key != storage.LeaderKey {
 		shard, _ := storage.ShardOfKey(key.Key)
-		known, claiming = e.view.shards[shard], e.pendingShards[shard]
+		known, pending = e.view.shards[shard], e.pendingShards[shard]
 	}
-	if known == nil || claiming {
+	if known == nil || pending {
 		return false
 	}
-	// A newer version was written after what this member last saw of the key,
-	// which may be long ago if the state service refuses it. It knows of no
-	// newer claim, and whoever made one refuses by itself.
+	// A version newer than the one observed was written after the observation,
+	// which may be long ago if the state service refuses this member's requests.
+	// This member knows of no later claim, and a member that made one rejects the
+	// request itself.
 	return key.Version > known.version || known.heldBy(from)
 }
 
-// HandleExtension takes in another member's answer.
+// HandleExtension handles the answer of the member from to an extension request of
+// this process. An answer that grants nothing is ignored, and so is one to a round
+// that is no longer retained.
 func (e *Election) HandleExtension(from string, answer *meshpb.LeaseExtension) {
 	peer := e.peers[from]
 	requestedAt, remembered := e.extensions.roundSentAt[answer.Round]
--- a/internal/election/lease_session.go
+++ b/internal/election/lease_session.go
@@ -3,21 +3,24 @@
 import "time"
 
 const (
-	// ClockDriftFactor is by how much a span may differ between two clocks, each
-	// up to 0.05% off, with room to spare.
+	// ClockDriftFactor is an upper bound of the ratio between the lengths of a time
+	// span on two clocks. Each clock may be up to 0.05% off; the rest is a margin.
 	ClockDriftFactor = 1.0015
 
-	leaseSafetyMargin   = 400 * time.Millisecond // a holder stops this long before its lease may end
-	renewalsPerLease    = 5
+	// leaseSafetyMargin is how long before the possible end of its lease a holder
+	// stops acting.
+	leaseSafetyMargin = 400 * time.Millisecond
+
+	renewalsPerLease    = 5 // renewals sent per Config.LeaseTTL
 	maxRenewalsInFlight = 3
 )
 
-// leaseSession is the process's one lease at the state service, which keeps all
-// of its keys alive.
+// leaseSession is this process's only lease at the state service. All keys that the
+// process holds are attached to it and exist only as long as it does.
 type leaseSession struct {
-	id                uint64 // 0: none is open
-	opening           bool
-	lastSuccessSentAt time.Duration // of those that succeeded
+	id                uint64        // 0: no lease is open
+	opening           bool          // a request to open a lease is in flight
+	lastSuccessSentAt time.Duration // when the last successful renewal, or the opening, was sent
 	nextRenewalAt     time.Duration
 	renewalsInFlight  int
 }
@@ -28,11 +31,13 @@
 	return now >= l.nextRenewalAt && l.renewalsInFlight < maxRenewalsInFlight
 }
 
-// LeaseValid tells whether the lease surely lasts.
+// LeaseValid reports whether this process's lease is guaranteed not to have ended at
+// now, on Environment.Clock. Unlike MayAct, it does not consider lease extensions.
 func (e *Election) LeaseValid(now time.Duration) bool { return now < e.leaseValidUntil() }
 
-// leaseValidUntil is up to when the lease surely lasts: it is counted from when
-// its last successful renewal was sent.
+// leaseValidUntil returns the time before which the lease is guaranteed not to have
+// ended, or 0 if none is open. The lease is counted from when its last successful
+// renewal was sent, however late the answer came.
 func (e *Election) leaseValidUntil() time.Duration {
 	if !e.lease.open() {
 		return 0
@@ -83,7 +88,8 @@
 	})
 }
 
-// endLease gives up everything that the lease kept alive.
+// endLease closes the lease session, whose lease has ended, and with it this
+// process's leadership and all of its shards.
 func (e *Election) endLease(reason LossReason) {
 	e.lease.id = 0
 	e.leaderClaimPending = false
--- a/internal/election/peers.go
+++ b/internal/election/peers.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// peer is another member with what its answers have shown.
+// peer is another member and what its messages have shown about it.
 type peer struct {
 	Peer
 
-	// On the present stream.
-	firstUptimeRequestAt      time.Duration
-	uptimeRequests            int
-	uptimeResponses           int
-	releaseConfirmingResponse int  // the response that shows that it does not hold this member's shard; 0: none
-	releaseConfirmed          bool // that response has come
-	startedAfterThisProcess   bool // its process surely started after this one
+	// On the current stream to the peer:
+	firstUptimeRequestAt time.Duration
+	uptimeRequests       int // sent
+	uptimeResponses      int // received
+	// releaseConfirmingResponse is the number of the uptime response which shows
+	// that the peer does not hold this member's own shard; 0: none is expected.
+	releaseConfirmingResponse int
+	releaseConfirmed          bool // that response has arrived
+	startedAfterThisProcess   bool // the peer's process is proven to have started after this one
 
-	everExtended         bool // it has ever extended this member's lease
-	lastGrantRequestedAt time.Duration
+	// On any stream:
+	everExtended         bool          // the peer has extended this process's lease at least once
+	lastGrantRequestedAt time.Duration // when the newest request that it granted was sent
 }
 
-// peerTable holds the other members by name.
+// peerTable holds all other members by name.
 type peerTable map[string]*peer
 
 func newPeerTable(members []Peer) peerTable {
@@ -29,8 +32,8 @@
 	return t
 }
 
-// clearReleaseConfirmations notes that whoever gave this member's own shard up may hold it
-// again.
+// clearReleaseConfirmations discards the confirmations that the peers released this
+// member's own shard, as one of them may hold it again.
 func (t peerTable) clearReleaseConfirmations() {
 	for _, p := range t {
 		p.releaseConfirmingResponse = 0
@@ -56,9 +59,10 @@
 	return true
 }
 
-// requestUptime asks how long the peer's process has been up. Its age is judged
-// by the first request of a stream; later ones only tell that frames before
-// them have been dealt with.
+// requestUptime asks how long the peer's process has been running. Only the first
+// request on a stream serves to compare the start times of the two processes; the
+// responses to later ones only confirm that the peer has handled the frames sent
+// before them.
 func (p *peer) requestUptime(now time.Duration) {
 	p.uptimeRequests++
 	if p.uptimeRequests == 1 {
@@ -67,15 +71,17 @@
 	p.RequestUptime()
 }
 
-// requestRelease asks the peer to give up this member's own shard, and notes
-// which response will show that it has.
+// requestRelease asks the peer to release this member's own shard, and records which
+// uptime response will confirm that it has.
 func (p *peer) requestRelease(shard string, now time.Duration) {
 	p.RequestHandover(shard)
 	p.requestUptime(now)
 	p.releaseConfirmingResponse = p.uptimeRequests
 }
 
-// PeerConnected tells that a stream to another member has begun.
+// PeerConnected records that a stream to another member was opened. The caller must
+// call it before it passes on any message of that stream. The member must be one
+// of Environment.Peers.
 func (e *Election) PeerConnected(member string) {
 	p := e.peers[member]
 	p.uptimeRequests, p.uptimeResponses = 0, 0
@@ -84,15 +90,18 @@
 	p.requestUptime(e.now())
 }
 
-// PeerDisconnected tells that it has ended.
+// PeerDisconnected records that the stream to another member, which must be one of
+// Environment.Peers, has ended.
 func (e *Election) PeerDisconnected(member string) {
 	p := e.peers[member]
 	p.releaseConfirmed = false
 	p.startedAfterThisProcess = false
 }
 
-// HandleUptime takes in how long a peer's process had been up. That was measured
-// after the request went out, however late either was on its way.
+// HandleUptime handles the response of the member from to a RequestUptime: how long
+// its process had been running. The peer measured that after the request was sent,
+// so a delay of either message cannot make its process appear to have started later
+// than it did.
 func (e *Election) HandleUptime(from string, uptime time.Duration) {
 	p := e.peers[from]
 	if p == nil {
--- a/internal/election/reasons.go
+++ b/internal/election/reasons.go
@@ -2,13 +2,13 @@
 
 import "github.com/rs/zerolog"
 
-// AcquisitionReason is why the leader key was free to this process.
+// AcquisitionReason is why this process could claim the leader key.
 type AcquisitionReason uint8
 
-// The reasons.
+// The reasons for acquiring leadership.
 const (
-	LeaderKeyFree        AcquisitionReason = iota + 1 // nobody held the leader key
-	LeaderKeyAlreadyHeld                              // this member held it, in this process or an earlier one
+	LeaderKeyFree        AcquisitionReason = iota + 1 // the leader key had no holder
+	LeaderKeyAlreadyHeld                              // this or an earlier process of the member held it
 )
 
 func (r AcquisitionReason) String() string {
@@ -21,15 +21,15 @@
 	return "unknown"
 }
 
-// LossReason is why this process leads no more.
+// LossReason is why this process no longer leads.
 type LossReason uint8
 
-// The reasons.
+// The reasons for losing leadership.
 const (
-	LeaseSessionExpired LossReason = iota + 1 // the lease session has ended
-	LeaseSessionUnknown                       // the state service knows no such lease
-	LeaderKeyChanged                          // the leader key is another's, or gone
-	MachinesUnreachable                       // no worker reaches this member: it has resigned
+	LeaseSessionExpired LossReason = iota + 1 // a renewal showed that the lease has ended
+	LeaseSessionUnknown                       // a claim was rejected because the lease has ended
+	LeaderKeyChanged                          // the leader key was deleted or has a newer version
+	MachinesUnreachable                       // no machine reaches this member, so it resigned
 )
 
 func (r LossReason) String() string {
@@ -46,8 +46,8 @@
 	return "unknown"
 }
 
-// level is how urgent the reason is to whoever is on call: the network between
-// this member and its workers has to be looked at.
+// level returns the log level for the reason. The error level asks the operator on
+// call to check the network between this member and the machines.
 func (r LossReason) level() zerolog.Level {
 	if r == MachinesUnreachable {
 		return zerolog.ErrorLevel
@@ -55,13 +55,13 @@
 	return zerolog.InfoLevel
 }
 
-// ReleaseReason is why this process has given a shard up of its own accord.
+// ReleaseReason is why this process released a shard that it still held.
 type ReleaseReason uint8
 
-// The reasons.
+// The reasons for releasing a shard.
 const (
-	ReleasedToOwnMember   ReleaseReason = iota + 1 // the shard's own member asked for it
-	ReleasedWithoutLeader                          // no leader confirms the shards held here
+	ReleasedToOwnMember   ReleaseReason = iota + 1 // requested by the member it is named after
+	ReleasedWithoutLeader                          // no leader confirms the shards of this process
 )
 
 func (r ReleaseReason) String() string {
@@ -74,8 +74,8 @@
 	return "unknown"
 }
 
-// level is how urgent the reason is to whoever is on call: the network between
-// the controllers has to be looked at.
+// level returns the log level for the reason. The error level asks the operator on
+// call to check the network between the controllers.
 func (r ReleaseReason) level() zerolog.Level {
 	if r == ReleasedWithoutLeader {
 		return zerolog.ErrorLevel
--- a/internal/election/record_formats.go
+++ b/internal/election/record_formats.go
@@ -6,27 +6,29 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// While members still run the version before this one, whatever the two share
-// means to each what it meant to the version before: this one only adds fields,
-// and writes them only where something new is said. What the other cannot
-// read, services, is refused until no member runs it any more. Once that version
-// is given up for good this file can go, with its two callers.
+// During an upgrade some members still run the previous version of the software.
+// Until none does, shared records and messages keep the meaning that they have in
+// the previous version: this version only adds fields, and writes them only for
+// new features. Services, which the previous version cannot read, are rejected.
+// Once the previous version is no longer supported, this file can be removed
+// together with the callers of its two exported methods.
 
-// unreachableMemberTimeout is how long a member that may run the version before, but
-// is out of reach and holds nothing, keeps services from being accepted.
+// unreachableMemberTimeout is how long a member that may run the previous version
+// prevents services from being accepted, while it is not connected and holds no key.
 const unreachableMemberTimeout = time.Minute
 
-// recordFormats is what the members' own keys say of their present processes.
+// recordFormats holds the record formats that the other members' processes support,
+// and since when members have been unreachable.
 type recordFormats struct {
-	byMember         map[string]int // none of a member that has never started
-	unreachableSince map[string]time.Duration
+	byMember         map[string]int           // from the process keys; no entry if a member never started
+	unreachableSince map[string]time.Duration // no entry while connectedOrHoldsKey is true
 }
 
 func newRecordFormats() recordFormats {
 	return recordFormats{byMember: make(map[string]int), unreachableSince: make(map[string]time.Duration)}
 }
 
-// unreachableDuration is how long a member has been out of reach.
+// unreachableDuration returns how long a member has been unreachable.
 func (f *recordFormats) unreachableDuration(member string, now time.Duration) time.Duration {
 	since, ok := f.unreachableSince[member]
 	if !ok {
@@ -35,7 +37,7 @@
 	return now - since
 }
 
-// observeProcessKey takes in the key that names a member's process.
+// observeProcessKey records the format in the key that names a member's process.
 func (e *Election) observeProcessKey(member string, value []byte, present bool) {
 	var holder storage.Holder
 	if !present || e.env.Codec.Decode(value, &holder) != nil {
@@ -44,12 +46,13 @@
 	e.formats.byMember[member] = holder.RecordFormat
 }
 
-// connectedOrHoldsKey tells whether a member is connected, or holds a key although it is not.
+// connectedOrHoldsKey reports whether a member is connected or, if not, holds a key.
 func (e *Election) connectedOrHoldsKey(p *peer) bool {
 	return p.Connected() || e.view.holdsAny(p.Member())
 }
 
-// trackUnreachableMembers notes since when members have been out of reach.
+// trackUnreachableMembers records since when members have been neither connected nor
+// holder of a key.
 func (e *Election) trackUnreachableMembers(now time.Duration) {
 	for name, p := range e.peers {
 		if e.connectedOrHoldsKey(p) {
@@ -60,10 +63,12 @@
 	}
 }
 
-// AllMembersReadServices tells whether every member that may come to hold this one's
-// shard can read services. One that runs the version before, and cannot be
-// reached, could acquire a shard while its process lives; after a minute without
-// a key it is most likely down, and may come back as either.
+// AllMembersReadServices reports whether every other member that may acquire this
+// member's shard can read the records of services, so that services may be
+// accepted. A member that runs the previous version and is unreachable could still
+// acquire a shard while its process runs. After a minute without a connection or a
+// key it is most likely down, and may return with either version, so it no longer
+// counts.
 func (e *Election) AllMembersReadServices(now time.Duration) bool {
 	for name, p := range e.peers {
 		format, known := e.formats.byMember[name]
@@ -77,8 +82,8 @@
 	return true
 }
 
-// AllMembersDivideLimits tells whether every member that has ever started divides
-// limits among the shards.
+// AllMembersDivideLimits reports whether every other member that has ever started
+// divides the limits of teams among the shards.
 func (e *Election) AllMembersDivideLimits() bool {
 	for name := range e.peers {
 		if format, known := e.formats.byMember[name]; known && format < storage.QuotaRecordFormat {
--- a/internal/election/registration.go
+++ b/internal/election/registration.go
@@ -7,12 +7,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Registered tells whether the key that names this process is certainly written.
+// Registered reports whether the key that names this process as the current process
+// of its member is known to be written.
 func (e *Election) Registered() bool { return e.processKeyVersion != 0 }
 
-// registerProcess writes the key that names this process. Before that is certain
-// it neither claims nor grants anything: claims of an earlier process of this
-// member may still be on their way, and only this write puts an end to them.
+// registerProcess writes the key that names this process. Until the write is known
+// to be applied, this process neither claims keys nor grants extensions: claims of
+// an earlier process of this member may still be in flight, and only this write
+// makes their conditions fail.
 func (e *Election) registerProcess(now time.Duration) {
 	if e.Registered() || e.registeringProcess || now < e.retryAt {
 		return
@@ -24,8 +26,8 @@
 		case current.Err != nil:
 			e.retryRegistration()
 		case current.Found && e.namesThisProcess(current.KeyValue.Value):
-			// An earlier write of ours that got no answer. Others of ours have
-			// the same condition and fail from now on.
+			// An earlier write of this process was applied without an answer.
+			// Its other writes have the same condition and can no longer succeed.
 			e.recordRegistration(current.KeyValue.Version)
 		default:
 			e.writeProcessKey(key, current.KeyValue.Version, current.Found)
