--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -168,7 +168,7 @@
 	}
 	if now-c.lastFlush >= storage.FlushInterval {
 		c.lastFlush = now
-		c.owner.FlushRecords()
+		c.owner.FlushFinishedTasks()
 	}
 	c.owner.Tick(now)
 	c.tickAdmission(now)
@@ -186,7 +186,7 @@
 func (c *Controller) EndBatch() {
 	for c.batchPending() {
 		c.runDeferred()
-		c.owner.Publish()
+		c.owner.PublishChangedJobs()
 		c.subscription.flushCommands()
 		c.selfPeer.flush()
 	}
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -55,11 +55,11 @@
 }
 
 func (s electionShards) Acquire(name string, lease, version uint64) {
-	s.owner.Acquire(name, lease, version)
+	s.owner.AcquireShard(name, lease, version)
 }
 
 func (s electionShards) Release(name string, done func(storage.TxnResult)) {
-	s.owner.Release(name, done)
+	s.owner.ReleaseShard(name, done)
 }
 
 func (s electionShards) RemoveLost(name string) { s.owner.RemoveShard(name) }
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -68,7 +68,7 @@
 		cloud:         c.cloud,
 		authority:     c.election,
 		events:        &c.responseEvents,
-		imagesOf:      c.owner.ImagesOf,
+		imagesOf:      c.owner.CachedImages,
 		errorResponse: c.errorResponse,
 	}
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -51,7 +51,9 @@
 
 // allRegistered tells whether the leader has confirmed every shard of this
 // process that is recovered.
-func (s *subscription) allRegistered() bool { return s.c.owner.AllConfirmed() && s.leader != nil }
+func (s *subscription) allRegistered() bool {
+	return s.c.owner.AllRegistrationsConfirmed() && s.leader != nil
+}
 
 // registerShards offers this process's shards to the member that leads now.
 func (s *subscription) registerShards() {
@@ -77,7 +79,7 @@
 		s.reset()
 		s.leader, s.fencingToken = to, leadership.FencingToken
 	}
-	for held := range c.owner.Unregistered() {
+	for held := range c.owner.UnregisteredShards() {
 		s.registerShard(held)
 	}
 }
@@ -104,7 +106,7 @@
 
 func (s *subscription) onMachineStatuses(p *peer, f *meshpb.MachineStatuses) {
 	if p == s.leader {
-		s.c.owner.OnMachineStatuses(f)
+		s.c.owner.HandleMachineStatuses(f)
 	}
 }
 
@@ -133,7 +135,7 @@
 	if p != s.leader || b.FencingToken != s.fencingToken {
 		return
 	}
-	for held := range s.c.owner.Unconfirmed() {
+	for held := range s.c.owner.UnconfirmedShards() {
 		// The leader had not yet heard of its own election when the first
 		// registration came, or this one crosses its answer: registering twice
 		// only starts the clock later.
@@ -144,13 +146,13 @@
 
 func (s *subscription) onMachineTerminated(p *peer, f *meshpb.MachineTerminated) {
 	if p == s.leader {
-		s.c.owner.OnMachineTerminated(f.Name)
+		s.c.owner.HandleMachineTerminated(f.Name)
 	}
 }
 
 func (s *subscription) onReconciled(p *peer, f *meshpb.Reconciled) {
 	if p == s.leader && f.FencingToken == s.fencingToken {
-		s.c.owner.OnReconciled(f)
+		s.c.owner.HandleReconciled(f)
 	}
 }
 
--- a/internal/shard/admission.go
+++ b/internal/shard/admission.go
@@ -11,7 +11,7 @@
 // StartableTasks implements admission.Shards.
 func (o *Owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
 	for _, job := range o.jobs {
-		if n := job.startable(); n > 0 {
+		if n := job.startableTasks(); n > 0 {
 			visit(&job.claim, n)
 		}
 	}
@@ -32,7 +32,7 @@
 // or fewer tasks may start than it knows.
 func (o *Owner) AllocationsChanged() {
 	for _, job := range o.jobs {
-		if o.admission.Limited(&job.claim) && job.publishedPending != o.admissible(job) {
+		if o.admission.Limited(&job.claim) && job.publishedPending != o.admissibleTasks(job) {
 			o.MarkChanged(job)
 		}
 	}
--- a/internal/shard/bindings.go
+++ b/internal/shard/bindings.go
@@ -5,7 +5,7 @@
 // Bind adds to the bindings the tasks that go to an offered machine, and how the jobs
 // stand then.
 func (o *Owner) Bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
-	machine := o.machines.local(offer.MachineIndex)
+	machine := o.machines.localIndex(offer.MachineIndex)
 	if machine == unknownMachine {
 		return
 	}
@@ -25,16 +25,16 @@
 		return bindings
 	}
 	zone := o.machines.zoneOf(machine)
-	for n = min(n, o.admissible(job)); n > 0; n-- {
+	for n = min(n, o.admissibleTasks(job)); n > 0; n-- {
 		i, found := job.nextPending()
-		if !found || !job.zoneAllows(zone) || !o.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
+		if !found || !job.allowsZone(zone) || !o.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
 			break
 		}
-		job.pendingOrder = job.pendingOrder[1:]
+		job.pendingQueue = job.pendingQueue[1:]
 		job.shard.lastReplica++
 		t := &job.tasks[i]
 		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
-		o.place(job, i, machine, TaskAssigned)
+		o.setMachine(job, i, machine, TaskAssigned)
 		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
 	}
 	return bindings
@@ -49,7 +49,7 @@
 			continue
 		}
 		if t := &job.tasks[binding.Task]; t.state == TaskAssigned && t.replica == binding.Replica {
-			o.replicaLost(job, int32(binding.Task), lossNotSent)
+			o.recordReplicaLost(job, int32(binding.Task), lossNotSent)
 		}
 	}
 }
--- a/internal/shard/circuit_breaker_test.go
+++ b/internal/shard/circuit_breaker_test.go
@@ -9,11 +9,11 @@
 func openBreaker(t *testing.T) *circuitBreaker {
 	t.Helper()
 	b := &circuitBreaker{}
-	for machine := range int32(breakerMachines) {
+	for machine := range int32(breakerMachineThreshold) {
 		b.recordFailure(machine, 0, 0, time.Second)
 	}
 	if !b.open {
-		t.Fatalf("closed after failures on %d machines", breakerMachines)
+		t.Fatalf("closed after failures on %d machines", breakerMachineThreshold)
 	}
 	return b
 }
@@ -47,19 +47,19 @@
 // While the breaker is open one task at a time may start, once the pause is over.
 func TestOpenBreakerAllowsOneTask(t *testing.T) {
 	b := openBreaker(t)
-	if n := b.allowed(10, 0); n != 0 {
+	if n := b.allowedStarts(10, 0); n != 0 {
 		t.Errorf("%d tasks may start during the pause", n)
 	}
-	if change := b.probe(0, b.retryAt-1); change != breakerUnchanged {
+	if change := b.update(0, b.retryAt-1); change != breakerUnchanged {
 		t.Errorf("a probe during the pause returned %d", change)
 	}
-	if change := b.probe(0, b.retryAt); change != breakerRetries {
+	if change := b.update(0, b.retryAt); change != breakerTrialAllowed {
 		t.Errorf("the probe after the pause returned %d", change)
 	}
-	if n := b.allowed(10, 0); n != 1 {
+	if n := b.allowedStarts(10, 0); n != 1 {
 		t.Errorf("%d tasks may start after the pause, want 1", n)
 	}
-	if n := b.allowed(10, 1); n != 0 {
+	if n := b.allowedStarts(10, 1); n != 0 {
 		t.Errorf("%d tasks may start beside an active one", n)
 	}
 }
@@ -68,20 +68,20 @@
 func TestBreakerClosesAfterATrial(t *testing.T) {
 	b := openBreaker(t)
 	now := b.retryAt
-	b.probe(0, now)
-	for want := breakerTrialRuntime; want < time.Minute; want *= 2 {
-		b.probe(1, now)
-		if change := b.probe(1, now+want); change == breakerClosed {
+	b.update(0, now)
+	for want := initialTrialRuntime; want < time.Minute; want *= 2 {
+		b.update(1, now)
+		if change := b.update(1, now+want); change == breakerClosed {
 			t.Fatalf("closed after %v, want more", want)
 		}
 		now += want + 1
-		if change := b.probe(1, now); change != breakerClosed {
+		if change := b.update(1, now); change != breakerClosed {
 			t.Fatalf("open after %v", want+1)
 		}
-		if n := b.allowed(10, 1); n != 10 {
+		if n := b.allowedStarts(10, 1); n != 10 {
 			t.Fatalf("%d tasks may start, want 10", n)
 		}
-		for machine := range int32(breakerMachines) {
+		for machine := range int32(breakerMachineThreshold) {
 			b.recordFailure(machine, 0, 0, now)
 		}
 	}
@@ -90,7 +90,7 @@
 func TestSuccessClosesTheBreaker(t *testing.T) {
 	b := openBreaker(t)
 	b.recordSuccess()
-	if b.open || b.failures != 0 || len(b.failedOn) != 0 {
+	if b.open || b.consecutiveFailures != 0 || len(b.failedMachines) != 0 {
 		t.Errorf("after a success: %+v", b)
 	}
 }
@@ -99,19 +99,19 @@
 	last := time.Duration(0)
 	for failures := range 40 {
 		pause := failureBackOff(failures)
-		if pause < last || pause > maxFailureBackOff*time.Second {
+		if pause < last || pause > maxFailureBackOffSeconds*time.Second {
 			t.Errorf("after %d failures: %v, before that %v", failures, pause, last)
 		}
 		last = pause
 	}
-	if last != maxFailureBackOff*time.Second {
+	if last != maxFailureBackOffSeconds*time.Second {
 		t.Errorf("the limit is %v", last)
 	}
 	var b circuitBreaker
 	for range 40 {
 		b.recordFailure(1, 1, 1, 0)
 	}
-	if want := failureBackOff(maxBackOffFailures); b.backOff() != want {
+	if want := failureBackOff(maxTaskBackOffFailures); b.backOff() != want {
 		t.Errorf("a task's pause is %v, want %v", b.backOff(), want)
 	}
 }
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -6,20 +6,20 @@
 )
 
 // clearing is how a replica is taken off its machine.
-type clearing bool
+type replicaCommand bool
 
 const (
-	stopReplica   clearing = false // it may still run
-	forgetReplica clearing = true  // it has exited: its end was taken note of
+	stopCommand replicaCommand = false // it may still run
+	reapCommand replicaCommand = true  // it has exited: its end was taken note of
 )
 
-func clearingOf(s *meshpb.TaskStatus) clearing {
-	return clearing(protocol.TaskState(s.State) == protocol.TaskExited)
+func commandFor(s *meshpb.TaskStatus) replicaCommand {
+	return replicaCommand(protocol.TaskState(s.State) == protocol.TaskExited)
 }
 
 // command asks the leader to have a replica stopped or forgotten.
-func (o *Owner) command(machine int32, job string, task uint32, replica uint64, how clearing) {
-	if m := o.machines.at(machine); m.named {
+func (o *Owner) queueCommand(machine int32, job string, task uint32, replica uint64, how replicaCommand) {
+	if m := o.machines.entry(machine); m.hasLeaderIndex {
 		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(how)})
 	}
 }
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -10,37 +10,37 @@
 // Job is an unfinished job of one of this process's shards, with the states of
 // its tasks and how many are in which.
 type Job struct {
-	id           string
-	shard        *Shard
-	spec         *protocol.Job
-	submittedMs  int64
-	nonce        string
-	claim        admission.Claim // what each of its replicas takes of its team's limit
-	tasks        []task
-	pendingOrder []int32 // pending tasks, in order; may hold ones that are pending no more
-	backingOff   []int32
-	activeByZone map[string]int // active tasks with a known machine by zone; nil: the job asks for no zones
-	pending      int
-	active       int // unreconciled, assigned or placed: a replica may exist on a machine
-	running      int
-	finished     int    // finished or durable
-	finalStatus  string // that is being written
-	ended        bool
-	breaker      circuitBreaker
-	changed      bool // since the leader was told last
-	specUnsent   bool // its description has not been sent to the present leader
-	onEnd        []func(status string, err error)
+	id              string
+	shard           *Shard
+	spec            *protocol.Job
+	submittedAtMs   int64
+	nonce           string
+	claim           admission.Claim // what each of its replicas takes of its team's limit
+	tasks           []supervisedTask
+	pendingQueue    []int32 // pending tasks, in order; may hold ones that are pending no more
+	backingOffTasks []int32
+	activeByZone    map[string]int // active tasks with a known machine by zone; nil: the job asks for no zones
+	pending         int
+	active          int // unreconciled, assigned or placed: a replica may exist on a machine
+	running         int
+	finished        int    // finished or durable
+	finalStatus     string // that is being written
+	ended           bool
+	breaker         circuitBreaker
+	unpublished     bool // since the leader was told last
+	specUnsent      bool // its description has not been sent to the present leader
+	onEnd           []func(status string, err error)
 	// publishedPending is how many tasks the leader was told of last that may be started.
 	publishedPending int
 }
 
 // newJob makes a job all of whose tasks are pending.
 func newJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
-	job := &Job{id: spec.ID, shard: shard, spec: spec, submittedMs: submittedMs, nonce: nonce, specUnsent: true,
-		tasks: make([]task, spec.Tasks), pendingOrder: make([]int32, spec.Tasks), pending: spec.Tasks}
+	job := &Job{id: spec.ID, shard: shard, spec: spec, submittedAtMs: submittedMs, nonce: nonce, specUnsent: true,
+		tasks: make([]supervisedTask, spec.Tasks), pendingQueue: make([]int32, spec.Tasks), pending: spec.Tasks}
 	job.claim = admission.Claim{Shard: shard.name, FencingToken: shard.fencingToken, Team: spec.Team, Job: spec.ID, Amount: admission.AmountOf(spec)}
-	for i := range job.pendingOrder {
-		job.pendingOrder[i] = int32(i)
+	for i := range job.pendingQueue {
+		job.pendingQueue[i] = int32(i)
 	}
 	if spec.SingleZone || spec.SpreadZones {
 		job.activeByZone = make(map[string]int)
@@ -82,7 +82,7 @@
 
 // restore sets the states of a job's tasks as its records tell: those that are not done
 // may be anywhere.
-func (job *Job) restore(done []bool) {
+func (job *Job) recoverTasks(done []bool) {
 	for i := range done {
 		if done[i] {
 			job.setState(int32(i), TaskDurable)
@@ -90,28 +90,28 @@
 			job.setState(int32(i), TaskUnreconciled)
 		}
 	}
-	job.pendingOrder = nil
+	job.pendingQueue = nil
 }
 
 // setState moves a task to another state, and keeps the counts. One that becomes pending
 // goes behind the others.
 func (job *Job) setState(i int32, state TaskState) {
 	t := &job.tasks[i]
-	job.count(t.state, -1)
-	job.count(state, 1)
+	job.adjustCounts(t.state, -1)
+	job.adjustCounts(state, 1)
 	t.state = state
 	if state == TaskPending {
-		job.pendingOrder = append(job.pendingOrder, i)
+		job.pendingQueue = append(job.pendingQueue, i)
 	}
 }
 
-func (job *Job) count(state TaskState, n int) {
+func (job *Job) adjustCounts(state TaskState, n int) {
 	switch state {
 	case TaskPending:
 		job.pending += n
 	case TaskUnreconciled:
 		job.active += n
-		job.shard.unreconciled += n
+		job.shard.unreconciledTasks += n
 	case TaskAssigned, TaskPlaced:
 		job.active += n
 	case TaskFinished, TaskDurable:
@@ -129,7 +129,7 @@
 // markRunning notes that a task is seen to run.
 func (job *Job) markRunning(i int32, now time.Duration) {
 	if t := &job.tasks[i]; !t.running {
-		t.running, t.readyAt = true, now
+		t.running, t.readyOrRunningAt = true, now
 		job.running++
 	}
 }
@@ -144,22 +144,22 @@
 
 // nextPending returns the first pending task without taking it, if there is one.
 func (job *Job) nextPending() (i int32, found bool) {
-	for len(job.pendingOrder) > 0 {
-		i := job.pendingOrder[0]
+	for len(job.pendingQueue) > 0 {
+		i := job.pendingQueue[0]
 		if job.tasks[i].state == TaskPending {
 			return i, true
 		}
-		job.pendingOrder = job.pendingOrder[1:]
+		job.pendingQueue = job.pendingQueue[1:]
 	}
 	return 0, false
 }
 
 // startable is how many tasks of a job may be started now.
-func (job *Job) startable() int {
+func (job *Job) startableTasks() int {
 	if job.Ending() {
 		return 0
 	}
-	return job.breaker.allowed(job.pending, job.active)
+	return job.breaker.allowedStarts(job.pending, job.active)
 }
 
 // Ending tells whether a job's end is being written, or is.
@@ -176,9 +176,9 @@
 // allFinished tells whether every task of a job has ended well.
 func (job *Job) allFinished() bool { return job.finished == len(job.tasks) }
 
-// zoneAllows keeps to a single zone, or spreads over zones, given where the job's other
+// allowsZone keeps to a single zone, or spreads over zones, given where the job's other
 // tasks are. While some may be anywhere, nothing is placed.
-func (job *Job) zoneAllows(zone string) bool {
+func (job *Job) allowsZone(zone string) bool {
 	if job.activeByZone == nil {
 		return true
 	}
@@ -197,30 +197,30 @@
 
 // backOff has a task that backs off wait for a while before it is pending again.
 func (job *Job) backOff(i int32, until time.Duration) {
-	job.tasks[i].readyAt = until
-	job.backingOff = append(job.backingOff, i)
+	job.tasks[i].readyOrRunningAt = until
+	job.backingOffTasks = append(job.backingOffTasks, i)
 }
 
 // endBackOffs makes the tasks pending whose pauses are over, and tells whether there
 // were any.
 func (job *Job) endBackOffs(now time.Duration) bool {
-	if len(job.backingOff) == 0 {
+	if len(job.backingOffTasks) == 0 {
 		return false
 	}
 	ended := false
-	kept := job.backingOff[:0]
-	for _, i := range job.backingOff {
+	kept := job.backingOffTasks[:0]
+	for _, i := range job.backingOffTasks {
 		t := &job.tasks[i]
 		if t.state != TaskBackingOff {
 			continue
 		}
-		if t.readyAt > now {
+		if t.readyOrRunningAt > now {
 			kept = append(kept, i)
 			continue
 		}
 		job.setState(i, TaskPending)
 		ended = true
 	}
-	job.backingOff = kept
+	job.backingOffTasks = kept
 	return ended
 }
--- a/internal/shard/job_lifecycle.go
+++ b/internal/shard/job_lifecycle.go
@@ -15,7 +15,7 @@
 	bytesPerTask = 72
 )
 
-func estimatedBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
+func estimatedJobBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
 
 // ErrShardLost is told to those who wait for a job's end when its shard is held no more:
 // how the job ends is the next holder's to say.
@@ -24,7 +24,7 @@
 // MemoryFull tells whether one more job would take more than new jobs may; shards that
 // are taken over need room too.
 func (o *Owner) MemoryFull(spec *protocol.Job) bool {
-	return o.memoryBytes+estimatedBytes(spec) > o.config.MemoryLimit
+	return o.estimatedMemoryBytes+estimatedJobBytes(spec) > o.config.MemoryLimit
 }
 
 // addJob adds a job whose tasks are all pending.
@@ -32,7 +32,7 @@
 	job := newJob(shard, spec, submittedMs, nonce)
 	shard.jobs[job.id] = job
 	o.jobs[job.id] = job
-	o.memoryBytes += estimatedBytes(spec)
+	o.estimatedMemoryBytes += estimatedJobBytes(spec)
 	o.MarkChanged(job)
 	return job
 }
@@ -50,16 +50,16 @@
 		done(storage.AlreadyExists)
 		return
 	}
-	if pending := shard.creations[spec.ID]; pending != nil {
+	if pending := shard.pendingCreations[spec.ID]; pending != nil {
 		pending.waiters = append(pending.waiters, done)
 		return
 	}
 	o.lastNonce++
 	nonce := o.config.ProcessNonce + "-" + strconv.FormatUint(o.lastNonce, 36)
 	pending := &pendingCreation{nonce: nonce, waiters: []func(storage.CreateResult){done}}
-	shard.creations[spec.ID] = pending
+	shard.pendingCreations[spec.ID] = pending
 	shard.records.CreateJob(spec, submittedMs, nonce, deadline, func(result storage.CreateResult) {
-		delete(shard.creations, spec.ID)
+		delete(shard.pendingCreations, spec.ID)
 		if result == storage.Created && shard.jobs[spec.ID] == nil {
 			o.addJob(shard, spec, submittedMs, nonce)
 		}
@@ -107,17 +107,17 @@
 // machines is the leader's to clear.
 func (o *Owner) removeJob(job *Job) {
 	if o.admission.Limited(&job.claim) {
-		o.orphans.keep(job)
+		o.orphans.addJob(job)
 	}
 	for i := range job.tasks {
 		switch job.tasks[i].state {
 		case TaskUnreconciled:
-			job.shard.unreconciled--
+			job.shard.unreconciledTasks--
 		case TaskAssigned, TaskPlaced:
-			o.removeReplica(job, int32(i))
+			o.removeFromMachine(job, int32(i))
 		}
 	}
 	delete(job.shard.jobs, job.id)
 	delete(o.jobs, job.id)
-	o.memoryBytes -= estimatedBytes(job.spec)
+	o.estimatedMemoryBytes -= estimatedJobBytes(job.spec)
 }
--- a/internal/shard/job_test.go
+++ b/internal/shard/job_test.go
@@ -20,8 +20,8 @@
 		}
 		active := counts[TaskUnreconciled] + counts[TaskAssigned] + counts[TaskPlaced]
 		finished := counts[TaskFinished] + counts[TaskDurable]
-		if job.pending != counts[TaskPending] || job.Active() != active || job.Finished() != finished || s.unreconciled != counts[TaskUnreconciled] {
-			t.Fatalf("counts %d, %d, %d, %d of states %v", job.pending, job.Active(), job.Finished(), s.unreconciled, counts)
+		if job.pending != counts[TaskPending] || job.Active() != active || job.Finished() != finished || s.unreconciledTasks != counts[TaskUnreconciled] {
+			t.Fatalf("counts %d, %d, %d, %d of states %v", job.pending, job.Active(), job.Finished(), s.unreconciledTasks, counts)
 		}
 		if _, found := job.nextPending(); found != (counts[TaskPending] > 0) {
 			t.Fatalf("a pending task is found: %v, of %d", found, counts[TaskPending])
@@ -78,7 +78,7 @@
 			for i := range test.lost {
 				job.setState(int32(len(test.zones)+i), TaskUnreconciled)
 			}
-			if got := job.zoneAllows(test.zone); got != test.want {
+			if got := job.allowsZone(test.zone); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
--- a/internal/shard/lease_expiry.go
+++ b/internal/shard/lease_expiry.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// forgetMachinesInterval is the least time between two looks for machines that only
+// machineSweepInterval is the least time between two looks for machines that only
 // earlier leaders told of.
-const forgetMachinesInterval = time.Minute
+const machineSweepInterval = time.Minute
 
 // ExpireLeases judges losses by the leader's clock: every heartbeat that the leader
 // answered before it has been passed on already. A machine whose last heartbeat
@@ -12,8 +12,8 @@
 func (o *Owner) ExpireLeases(clockUs int64) {
 	timeout := o.config.WorkerLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
-	for machine, refs := range o.replicas {
-		last := o.machines.at(machine).heardAtUs
+	for machine, refs := range o.tasksByMachine {
+		last := o.machines.entry(machine).lastHeartbeatUs
 		if clockUs-last <= timeout {
 			continue
 		}
@@ -24,54 +24,54 @@
 			}
 		}
 		for _, ref := range lost {
-			o.replicaLost(ref.job, ref.task, lossLeaseExpired)
+			o.recordReplicaLost(ref.job, ref.task, lossLeaseExpired)
 		}
 		if len(lost) > 0 {
 			machines++
 			tasks += len(lost)
 		}
 	}
-	o.reconcileUnchecked(clockUs, timeout)
+	o.reconcileForOlderLeader(clockUs, timeout)
 	o.orphans.releaseExpired(&o.machines, clockUs, timeout)
 	if machines > 0 { // hundreds may be lost together: one line for all
 		o.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machine leases expired")
 	}
-	o.forgetUnnamedMachines()
+	o.removeStaleMachines()
 }
 
 // leaseExpired tells whether a machine's lease is surely over as far as a shard is
 // concerned, times being on the leader's clock.
 func (r *registration) leaseExpired(heardAtUs, clockUs, timeoutUs int64) bool {
-	return r.confirmed() && clockUs-max(heardAtUs, r.atUs) > timeoutUs
+	return r.confirmed() && clockUs-max(heardAtUs, r.registeredAtUs) > timeoutUs
 }
 
-// OnMachineTerminated takes the leader's word that a machine has ended for good.
-func (o *Owner) OnMachineTerminated(name string) {
+// HandleMachineTerminated takes the leader's word that a machine has ended for good.
+func (o *Owner) HandleMachineTerminated(name string) {
 	machine, known := o.machines.byName(name)
 	if !known {
 		return
 	}
-	o.orphans.machineTerminated(machine)
-	for _, ref := range append([]taskRef(nil), o.replicas[machine]...) {
-		o.replicaLost(ref.job, ref.task, lossMachineTerminated)
+	o.orphans.releaseTerminated(machine)
+	for _, ref := range append([]taskRef(nil), o.tasksByMachine[machine]...) {
+		o.recordReplicaLost(ref.job, ref.task, lossMachineTerminated)
 	}
-	o.machines.forget(name, machine)
+	o.machines.remove(name, machine)
 }
 
-// forgetUnnamedMachines forgets machines that only earlier leaders told of.
-func (o *Owner) forgetUnnamedMachines() {
+// removeStaleMachines forgets machines that only earlier leaders told of.
+func (o *Owner) removeStaleMachines() {
 	now := o.now()
-	if now < o.nextSweepAt {
+	if now < o.nextMachineSweepAt {
 		return
 	}
-	o.nextSweepAt = now + forgetMachinesInterval
-	for name, machine := range o.machines.names.byName {
-		m := o.machines.at(machine)
-		if m.named || now-m.lastSeen <= o.config.MachineTTL {
+	o.nextMachineSweepAt = now + machineSweepInterval
+	for name, machine := range o.machines.indices.byName {
+		m := o.machines.entry(machine)
+		if m.hasLeaderIndex || now-m.lastSeenAt <= o.config.MachineTTL {
 			continue
 		}
-		if len(o.replicas[machine]) == 0 && !o.orphans.mayHold(machine) {
-			o.machines.forget(name, machine)
+		if len(o.tasksByMachine[machine]) == 0 && !o.orphans.mayExistOn(machine) {
+			o.machines.remove(name, machine)
 		}
 	}
 }
--- a/internal/shard/loss_proof.go
+++ b/internal/shard/loss_proof.go
@@ -26,15 +26,15 @@
 type machineObservation struct {
 	machine int32
 	status  *meshpb.MachineStatus
-	// heardSinceRegistration tells whether the machine has surely sent a heartbeat since
-	// the last shard of this process was registered, see observedSince.
-	heardSinceRegistration bool
+	// heartbeatSinceRegistration tells whether the machine has surely sent a heartbeat since
+	// the last shard of this process was registered, see sentHeartbeatSince.
+	heartbeatSinceRegistration bool
 }
 
-// observedSince tells whether a machine has surely sent a heartbeat since the last shard
+// sentHeartbeatSince tells whether a machine has surely sent a heartbeat since the last shard
 // of this process was registered, by the leader's clock: the leader has told of it twice
 // since, at different times.
-func observedSince(lastRegisteredAtUs, heardBeforeUs int64) bool {
+func sentHeartbeatSince(lastRegisteredAtUs, heardBeforeUs int64) bool {
 	return lastRegisteredAtUs > 0 && heardBeforeUs >= lastRegisteredAtUs
 }
 
@@ -47,15 +47,15 @@
 	if !r.confirmed() {
 		return false
 	}
-	if r.number != 0 {
-		return slices.Contains(o.status.CompleteForShards, r.number)
+	if r.shardNumber != 0 {
+		return slices.Contains(o.status.CompleteForShards, r.shardNumber)
 	}
-	return o.heardSinceRegistration
+	return o.heartbeatSinceRegistration
 }
 
 // absence tells what a status proves by what it does not list of a shard. Nothing
 // else concludes from a status that lacks a replica.
-func (o *machineObservation) absence(r *registration) absenceProof {
+func (o *machineObservation) proofOfAbsence(r *registration) absenceProof {
 	switch {
 	case !o.status.Current || !o.completeFor(r):
 		return absenceProvesNothing
@@ -67,7 +67,7 @@
 
 // proveLoss tells whether a status proves that the replica of an assigned or placed task
 // which it does not list is lost, and by what.
-func (o *machineObservation) proveLoss(t *task, r *registration) lossReason {
+func (o *machineObservation) proveLoss(t *supervisedTask, r *registration) lossReason {
 	status := o.status
 	if status.Epoch > t.epoch {
 		return lossLaterEpoch
@@ -75,7 +75,7 @@
 	if !status.Current || (status.Unchanged && t.state == TaskPlaced) {
 		return notLost // listed as it was before
 	}
-	if o.absence(r) == absenceProvesNothing {
+	if o.proofOfAbsence(r) == absenceProvesNothing {
 		if status.Unchanged {
 			return notLost
 		}
--- a/internal/shard/loss_proof_test.go
+++ b/internal/shard/loss_proof_test.go
@@ -13,13 +13,13 @@
 		change(s)
 		return s
 	}
-	confirmed := registration{sent: true, atUs: 100, number: number}
-	placed := task{state: TaskPlaced, epoch: 2, sequence: 4}
-	assigned := task{state: TaskAssigned, epoch: 2, sequence: 4}
+	confirmed := registration{sent: true, registeredAtUs: 100, shardNumber: number}
+	placed := supervisedTask{state: TaskPlaced, epoch: 2, sequence: 4}
+	assigned := supervisedTask{state: TaskAssigned, epoch: 2, sequence: 4}
 	same := func(*meshpb.MachineStatus) {}
 	for _, test := range []struct {
 		name         string
-		task         task
+		task         supervisedTask
 		registration registration
 		status       *meshpb.MachineStatus
 		heard        bool
@@ -37,12 +37,12 @@
 		{"unchanged and incomplete", assigned, confirmed, current(func(s *meshpb.MachineStatus) { s.Unchanged, s.CompleteForShards = true, nil }), false, notLost},
 		{"incomplete", placed, confirmed, current(func(s *meshpb.MachineStatus) { s.CompleteForShards = nil }), true, lossUnproven},
 		{"complete for another shard", placed, confirmed, current(func(s *meshpb.MachineStatus) { s.CompleteForShards = []uint32{number + 1} }), true, lossUnproven},
-		{"registration not confirmed", placed, registration{sent: true, atUs: registrationRequested, number: number}, current(same), true, lossUnproven},
-		{"leader that gives no numbers", placed, registration{sent: true, atUs: 100}, current(same), false, lossUnproven},
-		{"leader that gives no numbers, heard since", placed, registration{sent: true, atUs: 100}, current(same), true, lossNotListed},
+		{"registration not confirmed", placed, registration{sent: true, registeredAtUs: registrationRequested, shardNumber: number}, current(same), true, lossUnproven},
+		{"leader that gives no numbers", placed, registration{sent: true, registeredAtUs: 100}, current(same), false, lossUnproven},
+		{"leader that gives no numbers, heard since", placed, registration{sent: true, registeredAtUs: 100}, current(same), true, lossNotListed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			o := machineObservation{status: test.status, heardSinceRegistration: test.heard}
+			o := machineObservation{status: test.status, heartbeatSinceRegistration: test.heard}
 			if got := o.proveLoss(&test.task, &test.registration); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
@@ -61,7 +61,7 @@
 		{"heard twice since", 10, 10, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := observedSince(test.registeredUs, test.heardBefore); got != test.want {
+			if got := sentHeartbeatSince(test.registeredUs, test.heardBefore); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
@@ -81,7 +81,7 @@
 		{"registered after it was heard", 210, 200, 251, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := registration{sent: true, atUs: test.atUs}
+			r := registration{sent: true, registeredAtUs: test.atUs}
 			if got := r.leaseExpired(test.heardUs, test.nowUs, timeout); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
--- a/internal/shard/machine_statuses.go
+++ b/internal/shard/machine_statuses.go
@@ -2,36 +2,36 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// OnMachineStatuses takes what the leader passes on of machines.
-func (o *Owner) OnMachineStatuses(f *meshpb.MachineStatuses) {
+// HandleMachineStatuses takes what the leader passes on of machines.
+func (o *Owner) HandleMachineStatuses(f *meshpb.MachineStatuses) {
 	for _, n := range f.Names {
-		o.machines.name(n)
+		o.machines.setLeaderIndex(n)
 	}
 	now := o.now()
 	for _, status := range f.Statuses {
-		machine := o.machines.local(status.MachineIndex)
+		machine := o.machines.localIndex(status.MachineIndex)
 		if machine == unknownMachine {
 			continue
 		}
-		o.machines.observe(machine, status, f.ClockUs, now)
-		o.onMachineStatus(machine, status)
+		o.machines.recordStatus(machine, status, f.ClockUs, now)
+		o.handleMachineStatus(machine, status)
 	}
 }
 
-// onMachineStatus takes what the leader passes on of a machine. Only a current status
+// handleMachineStatus takes what the leader passes on of a machine. Only a current status
 // tells what is on it, as it was sent by an agent that follows the present leader;
 // what its absence proves is told by machineObservation. One of a later epoch, however
 // old, proves that all that the machine held before is gone.
-func (o *Owner) onMachineStatus(machine int32, status *meshpb.MachineStatus) {
+func (o *Owner) handleMachineStatus(machine int32, status *meshpb.MachineStatus) {
 	var listed map[taskRef]bool
 	if status.Current && !status.Unchanged && len(status.Tasks) > 0 {
 		listed = make(map[taskRef]bool, len(status.Tasks))
-		o.onTaskStatuses(machine, status, listed)
+		o.handleTaskStatuses(machine, status, listed)
 	}
 	observation := machineObservation{machine: machine, status: status,
-		heardSinceRegistration: observedSince(o.lastRegisteredAtUs, o.machines.at(machine).heardBeforeUs)}
-	o.orphans.onMachineStatus(&observation)
-	refs := o.replicas[machine]
+		heartbeatSinceRegistration: sentHeartbeatSince(o.lastRegisteredAtUs, o.machines.entry(machine).previousHeartbeatUs)}
+	o.orphans.handleMachineStatus(&observation)
+	refs := o.tasksByMachine[machine]
 	for k := len(refs) - 1; k >= 0; k-- {
 		ref := refs[k]
 		t := &ref.job.tasks[ref.task]
@@ -41,39 +41,39 @@
 		switch reason := observation.proveLoss(t, &ref.job.shard.registration); reason {
 		case notLost:
 		case lossUnproven:
-			o.losses.Add(int(lossUnproven))
+			o.lossCounter.Add(int(lossUnproven))
 			o.log.Debug().Str("shard", ref.job.shard.name).Str("job", ref.job.id).Int32("task", ref.task).Uint64("replica", t.replica).
 				Msg("replica missing from a status that may be incomplete")
 		default:
-			o.replicaLost(ref.job, ref.task, reason)
+			o.recordReplicaLost(ref.job, ref.task, reason)
 		}
 	}
 }
 
-// onTaskStatuses takes the tasks that a machine lists, and marks as listed those whose
+// handleTaskStatuses takes the tasks that a machine lists, and marks as listed those whose
 // replica is the one that counts.
-func (o *Owner) onTaskStatuses(machine int32, status *meshpb.MachineStatus, listed map[taskRef]bool) {
+func (o *Owner) handleTaskStatuses(machine int32, status *meshpb.MachineStatus, listed map[taskRef]bool) {
 	for _, s := range status.Tasks {
 		job := o.jobs[s.Job]
 		if job == nil {
-			o.onTaskOfUnknownJob(machine, s)
+			o.handleTaskOfUnknownJob(machine, s)
 			continue
 		}
 		if int(s.Task) >= len(job.tasks) {
 			continue
 		}
 		ref := taskRef{job, int32(s.Task)}
-		o.onTaskStatus(&taskStatus{ref: ref, machine: machine, epoch: status.Epoch, status: s})
+		o.handleTaskStatus(&listedTask{ref: ref, machine: machine, epoch: status.Epoch, status: s})
 		if s.Replica == job.tasks[ref.task].replica {
 			listed[ref] = true
 		}
 	}
 }
 
-// onTaskOfUnknownJob has what is left of a job that has ended cleared. The leader should
+// handleTaskOfUnknownJob has what is left of a job that has ended cleared. The leader should
 // know that it has; in case it does not, its tasks must still go (ran_cancelled).
-func (o *Owner) onTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
+func (o *Owner) handleTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
 	if o.config.FinalStatuses.Ended(s.Job) {
-		o.command(machine, s.Job, s.Task, s.Replica, clearingOf(s))
+		o.queueCommand(machine, s.Job, s.Task, s.Replica, commandFor(s))
 	}
 }
--- a/internal/shard/orphaned_replicas.go
+++ b/internal/shard/orphaned_replicas.go
@@ -10,8 +10,8 @@
 // their teams until their machines have proved them lost, by the same proofs as the
 // replicas of jobs that go on.
 type orphans struct {
-	byMachine map[int32][]*orphanedReplica // under unknownMachine those of which it is not known where they are
-	refund    func(*orphanedReplica)       // gives back what one used that is proven lost
+	byMachine    map[int32][]*orphanedReplica // under unknownMachine those of which it is not known where they are
+	releaseClaim func(*orphanedReplica)       // gives back what one used that is proven lost
 }
 
 // orphanedReplica is a replica of a task whose job has ended.
@@ -21,17 +21,17 @@
 	task            int32
 	replica         uint64
 	epoch, sequence uint64
-	assigned        bool // its start has not been acknowledged by a status
+	unacknowledged  bool // its start has not been acknowledged by a status
 	knownToLeader   bool // the present leader has known the job while it went on, and tells of its replicas
 }
 
 func (o *orphans) init(refund func(*orphanedReplica)) {
 	o.byMachine = make(map[int32][]*orphanedReplica)
-	o.refund = refund
+	o.releaseClaim = refund
 }
 
 // keep keeps what may be left of a job that is about to be removed.
-func (o *orphans) keep(job *Job) {
+func (o *orphans) addJob(job *Job) {
 	for i := range job.tasks {
 		t := &job.tasks[i]
 		machine := t.machine
@@ -45,12 +45,12 @@
 		o.byMachine[machine] = append(o.byMachine[machine], &orphanedReplica{
 			shard: job.shard, claim: job.claim, task: int32(i),
 			replica: t.replica, epoch: t.epoch, sequence: t.sequence,
-			assigned: t.state == TaskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent})
+			unacknowledged: t.state == TaskAssigned, knownToLeader: job.shard.registration.sent && !job.specUnsent})
 	}
 }
 
 // release gives back what the replicas on a machine used for which lost holds.
-func (o *orphans) release(machine int32, lost func(orphan *orphanedReplica) bool) {
+func (o *orphans) releaseWhere(machine int32, lost func(orphan *orphanedReplica) bool) {
 	list := o.byMachine[machine]
 	if len(list) == 0 {
 		return
@@ -61,7 +61,7 @@
 			kept = append(kept, orphan)
 			continue
 		}
-		o.refund(orphan)
+		o.releaseClaim(orphan)
 	}
 	clear(list[len(kept):])
 	if o.byMachine[machine] = kept; len(kept) == 0 {
@@ -69,12 +69,12 @@
 	}
 }
 
-// mayHold tells whether a machine may hold any.
-func (o *orphans) mayHold(machine int32) bool { return len(o.byMachine[machine]) > 0 }
+// mayExistOn tells whether a machine may hold any.
+func (o *orphans) mayExistOn(machine int32) bool { return len(o.byMachine[machine]) > 0 }
 
-// detachAll notes that the stream from the leader has ended. The next leader may not
+// markAllUnknownToLeader notes that the stream from the leader has ended. The next leader may not
 // know the jobs, and so not tell of their replicas: it says when none is left.
-func (o *orphans) detachAll() {
+func (o *orphans) markAllUnknownToLeader() {
 	for _, list := range o.byMachine {
 		for _, orphan := range list {
 			orphan.knownToLeader = false
@@ -82,11 +82,11 @@
 	}
 }
 
-// detachUnreconciled detaches the replicas of a shard of which it is not known where they
+// markUnreconciledUnknownToLeader detaches the replicas of a shard of which it is not known where they
 // are although the leader has known their jobs, and tells whether there are any. Their
 // jobs ended while the shard was being reconciled: only after another registration does
 // the leader's word cover them.
-func (o *orphans) detachUnreconciled(shard string) bool {
+func (o *orphans) markUnreconciledUnknownToLeader(shard string) bool {
 	found := false
 	for _, orphan := range o.byMachine[unknownMachine] {
 		if orphan.shard.name == shard && orphan.knownToLeader {
@@ -100,19 +100,19 @@
 // registered with the present leader, which says that no machine holds any of it.
 func (o *orphans) releaseReconciled(shard string) {
 	for machine := range o.byMachine {
-		o.release(machine, func(orphan *orphanedReplica) bool { return !orphan.knownToLeader && orphan.shard.name == shard })
+		o.releaseWhere(machine, func(orphan *orphanedReplica) bool { return !orphan.knownToLeader && orphan.shard.name == shard })
 	}
 }
 
-// onMachineStatus judges by a machine's status what is left on it.
-func (o *orphans) onMachineStatus(observation *machineObservation) {
-	if !o.mayHold(observation.machine) {
+// handleMachineStatus judges by a machine's status what is left on it.
+func (o *orphans) handleMachineStatus(observation *machineObservation) {
+	if !o.mayExistOn(observation.machine) {
 		return
 	}
 	live := liveReplicas(observation.status)
-	o.release(observation.machine, func(orphan *orphanedReplica) bool {
+	o.releaseWhere(observation.machine, func(orphan *orphanedReplica) bool {
 		if live[orphan.key()] && observation.status.Epoch == orphan.epoch && observation.status.Current && orphan.knownToLeader {
-			orphan.assigned = false
+			orphan.unacknowledged = false
 			return false
 		}
 		return orphan.provenLost(observation)
@@ -150,16 +150,16 @@
 	case !status.Current || !orphan.knownToLeader || status.Epoch < orphan.epoch:
 		return false
 	}
-	proof := observation.absence(&orphan.shard.registration)
-	if orphan.assigned {
+	proof := observation.proofOfAbsence(&orphan.shard.registration)
+	if orphan.unacknowledged {
 		return proof != absenceProvesNothing && status.Seq > orphan.sequence
 	}
 	return proof == absenceProvesEnd
 }
 
-// machineTerminated releases what was on a machine that has ended for good.
-func (o *orphans) machineTerminated(machine int32) {
-	o.release(machine, func(*orphanedReplica) bool { return true })
+// releaseTerminated releases what was on a machine that has ended for good.
+func (o *orphans) releaseTerminated(machine int32) {
+	o.releaseWhere(machine, func(*orphanedReplica) bool { return true })
 }
 
 // releaseExpired releases what was on machines whose leases are surely over, by the
@@ -169,8 +169,8 @@
 		if machine == unknownMachine {
 			continue
 		}
-		heardAtUs := machines.at(machine).heardAtUs
-		o.release(machine, func(orphan *orphanedReplica) bool {
+		heardAtUs := machines.entry(machine).lastHeartbeatUs
+		o.releaseWhere(machine, func(orphan *orphanedReplica) bool {
 			return orphan.shard.registration.leaseExpired(heardAtUs, clockUs, timeoutUs)
 		})
 	}
@@ -179,8 +179,8 @@
 // releaseUnsent releases a replica whose start was never sent.
 func (o *orphans) releaseUnsent(p *meshpb.Binding) {
 	for machine := range o.byMachine {
-		o.release(machine, func(orphan *orphanedReplica) bool {
-			return orphan.assigned && orphan.key() == replicaKey{p.Job, p.Task, p.Replica}
+		o.releaseWhere(machine, func(orphan *orphanedReplica) bool {
+			return orphan.unacknowledged && orphan.key() == replicaKey{p.Job, p.Task, p.Replica}
 		})
 	}
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -69,34 +69,34 @@
 
 // Owner holds the shards of this process.
 type Owner struct {
-	config      Config
-	log         zerolog.Logger
-	admission   *admission.Control
-	shards      map[string]*Shard
-	jobs        map[string]*Job
-	machines    observedMachines
-	replicas    map[int32][]taskRef // assigned or placed, by machine
-	changed     []*Job              // since the leader was told last
-	lastNonce   uint64
-	losses      eventcount.Counter // by lossReason
-	orphans     orphans
-	memoryBytes int64 // what the unfinished jobs take, roughly
+	config               Config
+	log                  zerolog.Logger
+	admission            *admission.Control
+	shards               map[string]*Shard
+	jobs                 map[string]*Job
+	machines             observedMachines
+	tasksByMachine       map[int32][]taskRef // assigned or placed, by machine
+	unpublished          []*Job              // since the leader was told last
+	lastNonce            uint64
+	lossCounter          eventcount.Counter // by lossReason
+	orphans              orphans
+	estimatedMemoryBytes int64 // what the unfinished jobs take, roughly
 
 	lastRegisteredAtUs int64                    // the latest of the shards' registrations
 	commands           []*meshpb.MachineCommand // gathered for the leader
-	nextSweepAt        time.Duration
+	nextMachineSweepAt time.Duration
 }
 
 // NewOwner makes an owner that holds no shard yet.
 func NewOwner(config Config) *Owner {
 	o := &Owner{
-		config:    config,
-		log:       config.Log,
-		admission: config.Admission,
-		shards:    make(map[string]*Shard),
-		jobs:      make(map[string]*Job),
-		replicas:  make(map[int32][]taskRef),
-		losses:    newLossCounter(),
+		config:         config,
+		log:            config.Log,
+		admission:      config.Admission,
+		shards:         make(map[string]*Shard),
+		jobs:           make(map[string]*Job),
+		tasksByMachine: make(map[int32][]taskRef),
+		lossCounter:    newLossCounter(),
 	}
 	o.machines.maxMachines = config.MaxMachines
 	o.orphans.init(func(orphan *orphanedReplica) {
@@ -123,22 +123,24 @@
 	return nil
 }
 
-// ImagesOf is what the last leader knew to be cached on a machine.
-func (o *Owner) ImagesOf(machine string) []*meshpb.CachedImage { return o.machines.imagesOf(machine) }
+// CachedImages is what the last leader knew to be cached on a machine.
+func (o *Owner) CachedImages(machine string) []*meshpb.CachedImage {
+	return o.machines.cachedImages(machine)
+}
 
 // MarkChanged has the leader told of a job with the next publish.
 func (o *Owner) MarkChanged(job *Job) {
-	if !job.changed {
-		job.changed = true
-		o.changed = append(o.changed, job)
+	if !job.unpublished {
+		job.unpublished = true
+		o.unpublished = append(o.unpublished, job)
 	}
 }
 
 // HasUnpublished tells whether there is anything to tell the leader.
-func (o *Owner) HasUnpublished() bool { return len(o.changed) > 0 || len(o.commands) > 0 }
+func (o *Owner) HasUnpublished() bool { return len(o.unpublished) > 0 || len(o.commands) > 0 }
 
-// FlushRecords has the finished tasks written that have gathered.
-func (o *Owner) FlushRecords() {
+// FlushFinishedTasks has the finished tasks written that have gathered.
+func (o *Owner) FlushFinishedTasks() {
 	for _, shard := range o.shards {
 		shard.records.FlushFinishedTasks()
 	}
@@ -147,12 +149,12 @@
 // Tick has new and ended jobs written that have gathered, and ends the pauses of failed
 // tasks.
 func (o *Owner) Tick(now time.Duration) {
-	o.losses.Log(now, &o.log)
+	o.lossCounter.Log(now, &o.log)
 	for _, shard := range o.shards {
 		shard.records.FlushJobs()
 	}
 	for _, job := range o.jobs {
-		probed := job.breaker.probe(job.running, now)
+		probed := job.breaker.update(job.running, now)
 		if ready := job.endBackOffs(now); ready || probed != breakerUnchanged {
 			o.MarkChanged(job)
 		}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -34,7 +34,7 @@
 
 // RegisterShards implements LeaderStream: the leader answers at once.
 func (f *fixture) RegisterShards() {
-	for shard := range f.Unregistered() {
+	for shard := range f.UnregisteredShards() {
 		f.RegisterShard(shard)
 	}
 }
@@ -57,10 +57,10 @@
 // memoryRecords are records that are durable once flushed.
 type memoryRecords struct {
 	Records
-	version  uint64
-	jobs     []storage.RecoveredJob
-	finished []func()
-	ends     []func()
+	version        uint64
+	jobs           []storage.RecoveredJob
+	unflushedTasks []func()
+	unflushedEnds  []func()
 }
 
 func (r *memoryRecords) Recover(done func([]storage.RecoveredJob)) { done(r.jobs) }
@@ -69,18 +69,18 @@
 func (r *memoryRecords) Version() uint64                           { return r.version }
 func (r *memoryRecords) Close()                                    {}
 func (r *memoryRecords) EndJob(_ *protocol.Job, _, _ string, done func()) {
-	r.ends = append(r.ends, done)
+	r.unflushedEnds = append(r.unflushedEnds, done)
 }
 func (r *memoryRecords) FinishTask(_ *protocol.Job, _ int, done func()) {
-	r.finished = append(r.finished, done)
+	r.unflushedTasks = append(r.unflushedTasks, done)
 }
-func (r *memoryRecords) FlushJobs()          { run(&r.ends) }
-func (r *memoryRecords) FlushFinishedTasks() { run(&r.finished) }
+func (r *memoryRecords) FlushJobs()          { callAll(&r.unflushedEnds) }
+func (r *memoryRecords) FlushFinishedTasks() { callAll(&r.unflushedTasks) }
 func (r *memoryRecords) CreateJob(_ *protocol.Job, _ int64, _ string, _ time.Duration, done func(storage.CreateResult)) {
 	done(storage.Created)
 }
 
-func run(list *[]func()) {
+func callAll(list *[]func()) {
 	for _, fn := range *list {
 		fn()
 	}
@@ -99,8 +99,8 @@
 	f.Owner = NewOwner(Config{Member: "a", ProcessNonce: "n", MemoryLimit: 1 << 20, WorkerLeaseTimeout: leaseTimeout,
 		MachineTTL: time.Hour, MaxMachines: 100, Clock: f, Log: zerolog.Nop(), Leader: f, FinalStatuses: f, Admission: control,
 		OpenRecords: func(string, uint64, uint64, func()) Records { return f.records }})
-	f.Acquire("a", 1, fencingToken)
-	f.report(&meshpb.MachineStatus{Epoch: 1, Seq: 1})
+	f.AcquireShard("a", 1, fencingToken)
+	f.reportStatus(&meshpb.MachineStatus{Epoch: 1, Seq: 1})
 	return f
 }
 
@@ -116,7 +116,7 @@
 }
 
 // offer binds up to n tasks of the job to the machine with the response to a heartbeat.
-func (f *fixture) offer(n, seq int) []*meshpb.Binding {
+func (f *fixture) bindOffered(n, seq int) []*meshpb.Binding {
 	var bindings meshpb.Bindings
 	f.Bind(&meshpb.Offer{MachineIndex: machineIndex, Epoch: 1, Seq: uint64(seq),
 		Items: []*meshpb.OfferItem{{Job: "wk-1", Count: uint32(n)}}}, &bindings)
@@ -124,23 +124,23 @@
 }
 
 // report passes a status of the machine on, a second after the last.
-func (f *fixture) report(status *meshpb.MachineStatus) {
+func (f *fixture) reportStatus(status *meshpb.MachineStatus) {
 	f.now += time.Second
 	status.MachineIndex, status.Current = machineIndex, true
-	f.OnMachineStatuses(&meshpb.MachineStatuses{ClockUs: f.now.Microseconds(), Statuses: []*meshpb.MachineStatus{status},
+	f.HandleMachineStatuses(&meshpb.MachineStatuses{ClockUs: f.now.Microseconds(), Statuses: []*meshpb.MachineStatus{status},
 		Names: []*meshpb.MachineName{{MachineIndex: machineIndex, Name: machineName, Zone: "z1"}}})
 }
 
 // listing is a complete status of the machine.
-func listing(seq int, tasks ...*meshpb.TaskStatus) *meshpb.MachineStatus {
+func completeStatus(seq int, tasks ...*meshpb.TaskStatus) *meshpb.MachineStatus {
 	return &meshpb.MachineStatus{Epoch: 1, Seq: uint64(seq), CompleteForShards: []uint32{shardNumber}, Tasks: tasks}
 }
 
-func replica(b *meshpb.Binding, state protocol.TaskState, reason protocol.ExitReason) *meshpb.TaskStatus {
+func taskStatusOf(b *meshpb.Binding, state protocol.TaskState, reason protocol.ExitReason) *meshpb.TaskStatus {
 	return &meshpb.TaskStatus{Job: b.Job, Task: b.Task, Replica: b.Replica, State: uint32(state), ExitReason: uint32(reason)}
 }
 
-func (f *fixture) wantState(what string, job *Job, want TaskState) {
+func (f *fixture) checkState(what string, job *Job, want TaskState) {
 	f.t.Helper()
 	if got := job.TaskState(0); got != want {
 		f.t.Errorf("%s: the task is %v, want %v", what, got, want)
@@ -150,22 +150,22 @@
 func TestTaskFromSubmissionToDurableEnd(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(2)
-	f.wantState("submitted", job, TaskPending)
-	bindings := f.offer(2, 1)
-	f.wantState("bound", job, TaskAssigned)
-	f.report(listing(2, replica(bindings[0], protocol.TaskRunning, 0), replica(bindings[1], protocol.TaskRunning, 0)))
-	f.wantState("listed", job, TaskPlaced)
+	f.checkState("submitted", job, TaskPending)
+	bindings := f.bindOffered(2, 1)
+	f.checkState("bound", job, TaskAssigned)
+	f.reportStatus(completeStatus(2, taskStatusOf(bindings[0], protocol.TaskRunning, 0), taskStatusOf(bindings[1], protocol.TaskRunning, 0)))
+	f.checkState("listed", job, TaskPlaced)
 	if job.Running() != 2 {
 		t.Errorf("%d tasks run, want 2", job.Running())
 	}
-	f.report(listing(3, replica(bindings[0], protocol.TaskExited, protocol.ExitReasonDone), replica(bindings[1], protocol.TaskRunning, 0)))
-	f.wantState("exited", job, TaskFinished)
-	f.FlushRecords()
-	f.wantState("written", job, TaskDurable)
+	f.reportStatus(completeStatus(3, taskStatusOf(bindings[0], protocol.TaskExited, protocol.ExitReasonDone), taskStatusOf(bindings[1], protocol.TaskRunning, 0)))
+	f.checkState("exited", job, TaskFinished)
+	f.FlushFinishedTasks()
+	f.checkState("written", job, TaskDurable)
 	if commands := f.TakeCommands(); len(commands) != 1 || !commands[0].Reap || commands[0].Replica != bindings[0].Replica {
 		t.Errorf("commands %v, want the durable replica forgotten", commands)
 	}
-	f.report(listing(4, replica(bindings[1], protocol.TaskExited, protocol.ExitReasonDone)))
+	f.reportStatus(completeStatus(4, taskStatusOf(bindings[1], protocol.TaskExited, protocol.ExitReasonDone)))
 	if f.ended["wk-1"] != "" {
 		t.Error("the job is told as ended before that is durable")
 	}
@@ -180,16 +180,16 @@
 func TestLostReplicaIsReplacedAndCleared(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	lost := f.offer(1, 1)[0]
-	f.report(listing(2, replica(lost, protocol.TaskRunning, 0)))
-	f.report(listing(3))
-	f.wantState("not listed any more", job, TaskPending)
-	next := f.offer(1, 4)[0]
+	lost := f.bindOffered(1, 1)[0]
+	f.reportStatus(completeStatus(2, taskStatusOf(lost, protocol.TaskRunning, 0)))
+	f.reportStatus(completeStatus(3))
+	f.checkState("not listed any more", job, TaskPending)
+	next := f.bindOffered(1, 4)[0]
 	if next.Replica <= lost.Replica {
 		t.Errorf("replica %d follows %d", next.Replica, lost.Replica)
 	}
-	f.report(listing(5, replica(lost, protocol.TaskExited, protocol.ExitReasonDone), replica(next, protocol.TaskRunning, 0)))
-	f.wantState("listed with the lost one", job, TaskPlaced)
+	f.reportStatus(completeStatus(5, taskStatusOf(lost, protocol.TaskExited, protocol.ExitReasonDone), taskStatusOf(next, protocol.TaskRunning, 0)))
+	f.checkState("listed with the lost one", job, TaskPlaced)
 	if commands := f.TakeCommands(); len(commands) != 1 || commands[0].Replica != lost.Replica {
 		t.Errorf("commands %v, want one about replica %d", commands, lost.Replica)
 	}
@@ -198,26 +198,26 @@
 func TestLeaseExpiryOfASilentMachine(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	binding := f.offer(1, 1)[0]
-	f.report(listing(2, replica(binding, protocol.TaskRunning, 0)))
+	binding := f.bindOffered(1, 1)[0]
+	f.reportStatus(completeStatus(2, taskStatusOf(binding, protocol.TaskRunning, 0)))
 	heard := f.now.Microseconds()
 	f.ExpireLeases(heard + leaseTimeout.Microseconds())
-	f.wantState("after a lease", job, TaskPlaced)
+	f.checkState("after a lease", job, TaskPlaced)
 	f.ExpireLeases(heard + leaseTimeout.Microseconds() + 1)
-	f.wantState("after more than a lease", job, TaskPending)
+	f.checkState("after more than a lease", job, TaskPending)
 }
 
 // When its stream ends an owner concludes nothing until the next leader has answered.
 func TestNothingIsConcludedWithoutALeader(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	binding := f.offer(1, 1)[0]
-	f.report(listing(2, replica(binding, protocol.TaskRunning, 0)))
+	binding := f.bindOffered(1, 1)[0]
+	f.reportStatus(completeStatus(2, taskStatusOf(binding, protocol.TaskRunning, 0)))
 	f.ResetStream()
-	f.report(listing(3))
+	f.reportStatus(completeStatus(3))
 	f.ExpireLeases(time.Hour.Microseconds())
-	f.wantState("without an answer", job, TaskPlaced)
-	if bindings := f.offer(1, 4); bindings != nil {
+	f.checkState("without an answer", job, TaskPlaced)
+	if bindings := f.bindOffered(1, 4); bindings != nil {
 		t.Errorf("bindings %v without a registration", bindings)
 	}
 }
@@ -231,14 +231,14 @@
 func TestRecoveredTaskWaitsForReconciliation(t *testing.T) {
 	f := newFixture(t, 2, recoveredJob(1))
 	job := f.Job("wk-1")
-	f.report(listing(2))
+	f.reportStatus(completeStatus(2))
 	f.ExpireLeases(time.Hour.Microseconds())
-	f.wantState("before the reconciliation", job, TaskUnreconciled)
-	if bindings := f.offer(1, 3); len(bindings) > 0 {
+	f.checkState("before the reconciliation", job, TaskUnreconciled)
+	if bindings := f.bindOffered(1, 3); len(bindings) > 0 {
 		t.Errorf("bindings %v before the reconciliation", bindings)
 	}
-	f.OnReconciled(&meshpb.Reconciled{Shard: "a"})
-	f.wantState("after it", job, TaskPending)
+	f.HandleReconciled(&meshpb.Reconciled{Shard: "a"})
+	f.checkState("after it", job, TaskPending)
 }
 
 // A replica of an earlier holder counts, though it ended; its number is below all of this
@@ -247,11 +247,11 @@
 	f := newFixture(t, 2, recoveredJob(2))
 	job := f.Job("wk-1")
 	inherited := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 5}
-	f.report(listing(2, replica(inherited, protocol.TaskRunning, 0)))
-	f.wantState("listed", job, TaskPlaced)
-	f.OnReconciled(&meshpb.Reconciled{Shard: "a"})
-	f.wantState("reconciled", job, TaskPlaced)
-	next := f.offer(1, 3)
+	f.reportStatus(completeStatus(2, taskStatusOf(inherited, protocol.TaskRunning, 0)))
+	f.checkState("listed", job, TaskPlaced)
+	f.HandleReconciled(&meshpb.Reconciled{Shard: "a"})
+	f.checkState("reconciled", job, TaskPlaced)
+	next := f.bindOffered(1, 3)
 	if len(next) != 1 || next[0].Task != 1 || next[0].Replica <= inherited.Replica {
 		t.Errorf("bindings %v, want task 1 with a number above %d", next, inherited.Replica)
 	}
@@ -262,23 +262,23 @@
 	f := newFixture(t, 2, recoveredJob(1))
 	job := f.Job("wk-1")
 	inherited := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 5}
-	f.report(listing(2, replica(inherited, protocol.TaskRunning, 0)))
-	f.report(listing(3))
-	f.wantState("lost", job, TaskUnreconciled)
+	f.reportStatus(completeStatus(2, taskStatusOf(inherited, protocol.TaskRunning, 0)))
+	f.reportStatus(completeStatus(3))
+	f.checkState("lost", job, TaskUnreconciled)
 	older := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 4}
-	f.report(listing(4, replica(older, protocol.TaskRunning, 0)))
-	f.wantState("an older one is listed", job, TaskUnreconciled)
+	f.reportStatus(completeStatus(4, taskStatusOf(older, protocol.TaskRunning, 0)))
+	f.checkState("an older one is listed", job, TaskUnreconciled)
 }
 
 func TestReturnedBindingIsPendingAgain(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	bindings := f.offer(1, 1)
+	bindings := f.bindOffered(1, 1)
 	f.ReturnBindings(bindings)
-	f.wantState("returned", job, TaskPending)
-	next := f.offer(1, 2)
+	f.checkState("returned", job, TaskPending)
+	next := f.bindOffered(1, 2)
 	f.ReturnBindings(bindings) // a repeat says nothing of the next replica
-	f.wantState("another's", job, TaskAssigned)
+	f.checkState("another's", job, TaskAssigned)
 	if next[0].Replica <= bindings[0].Replica {
 		t.Errorf("replica %d follows %d", next[0].Replica, bindings[0].Replica)
 	}
@@ -295,8 +295,8 @@
 	if len(told) != 1 || !errors.Is(told[0], ErrShardLost) {
 		t.Errorf("told %v", told)
 	}
-	if f.Job("wk-1") != nil || f.Shard("a") != nil || f.memoryBytes != 0 {
-		t.Errorf("%d bytes of a removed shard are left", f.memoryBytes)
+	if f.Job("wk-1") != nil || f.Shard("a") != nil || f.estimatedMemoryBytes != 0 {
+		t.Errorf("%d bytes of a removed shard are left", f.estimatedMemoryBytes)
 	}
 }
 
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -2,29 +2,29 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// OnReconciled takes the leader's word that no machine holds a replica of a shard's
+// HandleReconciled takes the leader's word that no machine holds a replica of a shard's
 // recovered tasks that it has not told of, or none at all that is not known of.
-func (o *Owner) OnReconciled(word *meshpb.Reconciled) {
+func (o *Owner) HandleReconciled(word *meshpb.Reconciled) {
 	shard := o.shards[word.Shard]
 	if shard == nil || !shard.registration.confirmed() {
 		return
 	}
-	shard.registration.reconciledUnchecked = shard.registration.number == 0
-	if !shard.reconciled && !shard.registration.reconciledUnchecked {
+	shard.registration.reconciledByOlderLeader = shard.registration.shardNumber == 0
+	if !shard.reconciled && !shard.registration.reconciledByOlderLeader {
 		o.reconcile(shard)
 	}
 	if word.NoUnknownReplicas {
-		o.onNoUnknownReplicas(shard)
+		o.handleNoUnknownReplicas(shard)
 	}
 }
 
-// onNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
+// handleNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
 // that is not known of.
-func (o *Owner) onNoUnknownReplicas(shard *Shard) {
+func (o *Owner) handleNoUnknownReplicas(shard *Shard) {
 	if !o.admission.Enabled() {
 		return
 	}
-	if o.orphans.detachUnreconciled(shard.name) {
+	if o.orphans.markUnreconciledUnknownToLeader(shard.name) {
 		o.config.Leader.RegisterShard(shard)
 		return
 	}
@@ -32,27 +32,27 @@
 	o.admission.Complete(shard.name)
 }
 
-// reconcileUnchecked takes a leader's word that a shard is reconciled, which a leader of
+// reconcileForOlderLeader takes a leader's word that a shard is reconciled, which a leader of
 // a version that does not say which statuses are complete gives too early, once every
 // machine has sent a heartbeat since the shard was registered.
-func (o *Owner) reconcileUnchecked(clockUs, timeoutUs int64) {
+func (o *Owner) reconcileForOlderLeader(clockUs, timeoutUs int64) {
 	for _, shard := range o.shards {
-		if shard.registration.reconciledUnchecked && !shard.reconciled && o.allObservedSinceRegistration(clockUs, timeoutUs) {
+		if shard.registration.reconciledByOlderLeader && !shard.reconciled && o.allMachinesReportedSinceRegistration(clockUs, timeoutUs) {
 			o.reconcile(shard)
 		}
 	}
 }
 
-// allObservedSinceRegistration tells whether every machine that the leader has told of
+// allMachinesReportedSinceRegistration tells whether every machine that the leader has told of
 // has sent a heartbeat since the last shard was registered, or has lost its lease.
-func (o *Owner) allObservedSinceRegistration(clockUs, timeoutUs int64) bool {
+func (o *Owner) allMachinesReportedSinceRegistration(clockUs, timeoutUs int64) bool {
 	last := o.lastRegisteredAtUs
 	for _, machine := range o.machines.byLeaderIndex {
 		if machine == unknownMachine {
 			continue
 		}
-		m := o.machines.at(machine)
-		if !observedSince(last, m.heardBeforeUs) && clockUs-max(m.heardAtUs, last) <= timeoutUs {
+		m := o.machines.entry(machine)
+		if !sentHeartbeatSince(last, m.previousHeartbeatUs) && clockUs-max(m.lastHeartbeatUs, last) <= timeoutUs {
 			return false
 		}
 	}
@@ -62,14 +62,14 @@
 // reconcile makes every recovered task pending that no machine listed.
 func (o *Owner) reconcile(shard *Shard) {
 	shard.reconciled = true
-	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciled).Msg("shard reconciled")
-	if shard.unreconciled == 0 {
+	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciledTasks).Msg("shard reconciled")
+	if shard.unreconciledTasks == 0 {
 		return
 	}
 	for _, job := range shard.jobs {
 		for i := range job.tasks {
 			if job.tasks[i].state == TaskUnreconciled {
-				o.replicaLost(job, int32(i), lossReconciled)
+				o.recordReplicaLost(job, int32(i), lossReconciled)
 			}
 		}
 	}
--- a/internal/shard/registration.go
+++ b/internal/shard/registration.go
@@ -11,27 +11,27 @@
 
 // registration is how far the present leader counts a shard.
 type registration struct {
-	sent   bool   // the leader was told of the shard and its jobs
-	atUs   int64  // on the leader's clock; 0: it was not asked, see registrationRequested
-	number uint32 // in the leader's statuses, see MachineStatus.complete_for_shards; 0: it gave none
-	// reconciledUnchecked: a leader that does not say which statuses are complete has
+	sent           bool   // the leader was told of the shard and its jobs
+	registeredAtUs int64  // on the leader's clock; 0: it was not asked, see registrationRequested
+	shardNumber    uint32 // in the leader's statuses, see MachineStatus.complete_for_shards; 0: it gave none
+	// reconciledByOlderLeader: a leader that does not say which statuses are complete has
 	// called the shard reconciled.
-	reconciledUnchecked bool
+	reconciledByOlderLeader bool
 }
 
 // confirmed tells whether the leader has answered.
-func (r *registration) confirmed() bool { return r.atUs > 0 }
+func (r *registration) confirmed() bool { return r.registeredAtUs > 0 }
 
 // request begins a registration anew.
-func (r *registration) request() {
-	*r = registration{sent: true, atUs: registrationRequested}
+func (r *registration) markRequested() {
+	*r = registration{sent: true, registeredAtUs: registrationRequested}
 }
 
 // Unregistered yields the recovered shards of which the present leader was not told.
-func (o *Owner) Unregistered() iter.Seq[*Shard] {
+func (o *Owner) UnregisteredShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
-			if r := &shard.registration; shard.recovered && !r.sent && r.atUs == 0 && !yield(shard) {
+			if r := &shard.registration; shard.recovered && !r.sent && r.registeredAtUs == 0 && !yield(shard) {
 				return
 			}
 		}
@@ -39,7 +39,7 @@
 }
 
 // Unconfirmed yields the recovered shards for which the present leader has not answered.
-func (o *Owner) Unconfirmed() iter.Seq[*Shard] {
+func (o *Owner) UnconfirmedShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
 			if r := &shard.registration; shard.recovered && (!r.sent || !r.confirmed()) && !yield(shard) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// AllConfirmed tells whether the leader has answered for every recovered shard.
-func (o *Owner) AllConfirmed() bool {
-	for range o.Unconfirmed() {
+// AllRegistrationsConfirmed tells whether the leader has answered for every recovered shard.
+func (o *Owner) AllRegistrationsConfirmed() bool {
+	for range o.UnconfirmedShards() {
 		return false
 	}
 	return true
@@ -66,16 +66,16 @@
 	for _, shard := range o.shards {
 		shard.registration = registration{}
 	}
-	o.orphans.detachAll()
+	o.orphans.markAllUnknownToLeader()
 }
 
 // BeginRegistration returns what the leader has to know of a shard's jobs as it is
 // registered.
 func (o *Owner) BeginRegistration(shard *Shard) []*meshpb.JobSummary {
-	shard.registration.request()
+	shard.registration.markRequested()
 	jobs := make([]*meshpb.JobSummary, 0, len(shard.jobs))
 	for _, job := range shard.jobs {
-		jobs = append(jobs, o.describe(job))
+		jobs = append(jobs, o.summarizeWithSpec(job))
 		job.specUnsent = false
 	}
 	return jobs
@@ -84,9 +84,9 @@
 // ConfirmRegistration takes the leader's answer to a registration.
 func (o *Owner) ConfirmRegistration(answer *meshpb.ShardRegistered) {
 	shard := o.shards[answer.Shard]
-	if shard == nil || shard.registration.atUs == 0 {
+	if shard == nil || shard.registration.registeredAtUs == 0 {
 		return
 	}
-	shard.registration.atUs, shard.registration.number = answer.ClockUs, answer.ShardNumber
+	shard.registration.registeredAtUs, shard.registration.shardNumber = answer.ClockUs, answer.ShardNumber
 	o.lastRegisteredAtUs = max(o.lastRegisteredAtUs, answer.ClockUs)
 }
--- a/internal/shard/replicas.go
+++ b/internal/shard/replicas.go
@@ -1,16 +1,16 @@
 package shard
 
-// setReplicas sets which tasks have a replica on a machine.
-func (o *Owner) setReplicas(machine int32, refs []taskRef) {
+// setMachineTasks sets which tasks have a replica on a machine.
+func (o *Owner) setMachineTasks(machine int32, refs []taskRef) {
 	if len(refs) == 0 {
-		delete(o.replicas, machine)
+		delete(o.tasksByMachine, machine)
 		return
 	}
-	o.replicas[machine] = refs
+	o.tasksByMachine[machine] = refs
 }
 
 // place notes that a replica of a task is on its way to, or on, a machine.
-func (o *Owner) place(job *Job, i int32, machine int32, state TaskState) {
+func (o *Owner) setMachine(job *Job, i int32, machine int32, state TaskState) {
 	t := &job.tasks[i]
 	switch t.state {
 	case TaskFinished, TaskDurable:
@@ -20,25 +20,25 @@
 			job.setState(i, state)
 			return
 		}
-		o.removeReplica(job, i)
+		o.removeFromMachine(job, i)
 	}
 	job.setState(i, state)
 	t.machine = machine
-	o.replicas[machine] = append(o.replicas[machine], taskRef{job, i})
+	o.tasksByMachine[machine] = append(o.tasksByMachine[machine], taskRef{job, i})
 	if job.activeByZone != nil {
 		job.activeByZone[o.machines.zoneOf(machine)]++
 	}
 	o.MarkChanged(job)
 }
 
-// removeReplica takes an assigned or placed task off its machine.
-func (o *Owner) removeReplica(job *Job, i int32) {
+// removeFromMachine takes an assigned or placed task off its machine.
+func (o *Owner) removeFromMachine(job *Job, i int32) {
 	t := &job.tasks[i]
-	refs := o.replicas[t.machine]
+	refs := o.tasksByMachine[t.machine]
 	for k, r := range refs {
 		if r.job == job && r.task == i {
 			refs[k] = refs[len(refs)-1]
-			o.setReplicas(t.machine, refs[:len(refs)-1])
+			o.setMachineTasks(t.machine, refs[:len(refs)-1])
 			break
 		}
 	}
@@ -51,7 +51,7 @@
 // has proof that no replica of it is left.
 func (o *Owner) unassign(job *Job, i int32, state TaskState) {
 	if s := job.tasks[i].state; s == TaskAssigned || s == TaskPlaced {
-		o.removeReplica(job, i)
+		o.removeFromMachine(job, i)
 	}
 	job.markNotRunning(i)
 	job.setState(i, state)
@@ -59,12 +59,12 @@
 	o.MarkChanged(job)
 }
 
-// replicaLost replicates a task whose replica is proven lost. Was it started by an
+// recordReplicaLost replicates a task whose replica is proven lost. Was it started by an
 // earlier holder of the shard, there may be a newer one somewhere, until every
 // machine is reconciled.
-func (o *Owner) replicaLost(job *Job, i int32, reason lossReason) {
+func (o *Owner) recordReplicaLost(job *Job, i int32, reason lossReason) {
 	t := &job.tasks[i]
-	o.losses.Add(int(reason))
+	o.lossCounter.Add(int(reason))
 	o.log.Debug().Str("shard", job.shard.name).Str("job", job.id).Int32("task", i).Uint64("replica", t.replica).Stringer("reason", reason).Msg("replica lost")
 	if !job.shard.reconciled && t.replica <= job.shard.lastInheritedReplica {
 		o.unassign(job, i, TaskUnreconciled)
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -21,8 +21,8 @@
 	lastReplica          uint64 // the highest replica number of the shard
 	lastInheritedReplica uint64 // replicas up to this number were started by earlier holders
 	reconciled           bool   // no replica of earlier holders is left that is not known of
-	unreconciled         int    // recovered tasks that may be anywhere
-	creations            map[string]*pendingCreation
+	unreconciledTasks    int    // recovered tasks that may be anywhere
+	pendingCreations     map[string]*pendingCreation
 }
 
 // pendingCreation is a new job that is being written.
@@ -52,10 +52,10 @@
 
 // Acquire takes a shard over whose key this process has just written, and reads what is
 // unfinished in it.
-func (o *Owner) Acquire(name string, lease, version uint64) {
+func (o *Owner) AcquireShard(name string, lease, version uint64) {
 	o.RemoveShard(name)
 	acquiredAt := o.now()
-	shard := &Shard{name: name, jobs: make(map[string]*Job), creations: make(map[string]*pendingCreation),
+	shard := &Shard{name: name, jobs: make(map[string]*Job), pendingCreations: make(map[string]*pendingCreation),
 		fencingToken: version, lastReplica: version << replicaBits, lastInheritedReplica: version << replicaBits}
 	shard.records = o.config.OpenRecords(name, lease, version, func() {
 		o.log.Error().Str("shard", name).Uint64("fencing_token", version).Msg("shard lost")
@@ -65,7 +65,7 @@
 	o.admission.OpenShard(name, version)
 	shard.records.Recover(func(jobs []storage.RecoveredJob) {
 		for i := range jobs {
-			o.restoreJob(shard, &jobs[i])
+			o.recoverJob(shard, &jobs[i])
 		}
 		shard.recovered = true
 		if keys := shard.records.UnreadableKeys(); len(keys) > 0 {
@@ -80,14 +80,14 @@
 	})
 }
 
-func (o *Owner) restoreJob(shard *Shard, r *storage.RecoveredJob) {
+func (o *Owner) recoverJob(shard *Shard, r *storage.RecoveredJob) {
 	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
-	job.restore(r.FinishedTasks)
+	job.recoverTasks(r.FinishedTasks)
 	o.admission.ChargeInherited(&job.claim, job.active)
 }
 
 // Release gives a shard's key up and forgets the shard.
-func (o *Owner) Release(name string, done func(storage.TxnResult)) {
+func (o *Owner) ReleaseShard(name string, done func(storage.TxnResult)) {
 	o.shards[name].records.Release(done)
 	o.RemoveShard(name)
 }
@@ -105,22 +105,22 @@
 	for _, job := range shard.jobs {
 		job.ended = true
 		delete(o.jobs, job.id)
-		o.memoryBytes -= estimatedBytes(job.spec)
+		o.estimatedMemoryBytes -= estimatedJobBytes(job.spec)
 		job.notifyEnd("", ErrShardLost)
 	}
-	for _, pending := range shard.creations {
+	for _, pending := range shard.pendingCreations {
 		for _, fn := range pending.waiters {
 			fn(storage.Unavailable)
 		}
 	}
-	for machine, refs := range o.replicas {
+	for machine, refs := range o.tasksByMachine {
 		kept := refs[:0]
 		for _, ref := range refs {
 			if ref.job.shard != shard {
 				kept = append(kept, ref)
 			}
 		}
-		o.setReplicas(machine, kept)
+		o.setMachineTasks(machine, kept)
 	}
 }
 
--- a/internal/shard/task_state.go
+++ b/internal/shard/task_state.go
@@ -30,14 +30,14 @@
 }
 
 // task is one task's supervision state (the paper's SupervisedTaskState).
-type task struct {
-	state    TaskState
-	running  bool
-	machine  int32
-	replica  uint64        // replica number of the replica that counts
-	epoch    uint64        // of the heartbeat whose response carried the start
-	sequence uint64        // the same heartbeat's
-	readyAt  time.Duration // backing off: when it is pending again; running: since when it is seen to
+type supervisedTask struct {
+	state            TaskState
+	running          bool
+	machine          int32
+	replica          uint64        // replica number of the replica that counts
+	epoch            uint64        // of the heartbeat whose response carried the start
+	sequence         uint64        // the same heartbeat's
+	readyOrRunningAt time.Duration // backing off: when it is pending again; running: since when it is seen to
 }
 
 // taskRef names a task of a job in memory.
--- a/internal/shard/task_status.go
+++ b/internal/shard/task_status.go
@@ -7,44 +7,44 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// taskStatus is one task as a machine lists it.
-type taskStatus struct {
+// listedTask is one task as a machine lists it.
+type listedTask struct {
 	ref     taskRef
 	machine int32
 	epoch   uint64
 	status  *meshpb.TaskStatus
 }
 
-func (s *taskStatus) exited() bool { return protocol.TaskState(s.status.State) == protocol.TaskExited }
+func (s *listedTask) exited() bool { return protocol.TaskState(s.status.State) == protocol.TaskExited }
 
-func (s *taskStatus) exitReason() protocol.ExitReason {
+func (s *listedTask) exitReason() protocol.ExitReason {
 	return protocol.ExitReason(s.status.ExitReason)
 }
 
-// clearReplica has the machine stop or forget the replica that it lists.
-func (o *Owner) clearReplica(s *taskStatus) {
-	o.command(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, clearingOf(s.status))
+// queueCleanup has the machine stop or forget the replica that it lists.
+func (o *Owner) queueCleanup(s *listedTask) {
+	o.queueCommand(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, commandFor(s.status))
 }
 
-// onTaskStatus takes one listed task.
-func (o *Owner) onTaskStatus(s *taskStatus) {
+// handleTaskStatus takes one listed task.
+func (o *Owner) handleTaskStatus(s *listedTask) {
 	job, i := s.ref.job, s.ref.task
 	if job.Ending() && job.tasks[i].state != TaskDurable {
 		o.confirmPlacement(s)
 		return // the leader clears machines of jobs that are over
 	}
-	if !o.acknowledge(s) {
+	if !o.identifyReplica(s) {
 		return
 	}
 	if !s.exited() {
-		o.observeProgress(s)
+		o.recordProgress(s)
 		return
 	}
-	o.onTaskExit(s)
+	o.handleTaskExit(s)
 }
 
-// observeProgress notes whether a listed replica runs, or only fetches its image yet.
-func (o *Owner) observeProgress(s *taskStatus) {
+// recordProgress notes whether a listed replica runs, or only fetches its image yet.
+func (o *Owner) recordProgress(s *listedTask) {
 	job, i := s.ref.job, s.ref.task
 	switch {
 	case protocol.TaskState(s.status.State) == protocol.TaskFetching:
@@ -57,7 +57,7 @@
 // confirmPlacement notes that a replica of a job that is ending is on its machine. Without
 // that the next status, which lists the same, would be taken for proof that the start
 // never arrived, and what the replica uses given to others while it still runs.
-func (o *Owner) confirmPlacement(s *taskStatus) {
+func (o *Owner) confirmPlacement(s *listedTask) {
 	t := &s.ref.job.tasks[s.ref.task]
 	if t.state == TaskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
 		s.ref.job.setState(s.ref.task, TaskPlaced)
@@ -67,40 +67,40 @@
 
 // acknowledge notes where a listed replica is, and tells whether it is the one that
 // counts. Others are cleared.
-func (o *Owner) acknowledge(s *taskStatus) bool {
+func (o *Owner) identifyReplica(s *listedTask) bool {
 	job, i := s.ref.job, s.ref.task
 	counts := false
 	switch job.tasks[i].state {
 	case TaskPending, TaskBackingOff, TaskDurable:
 		// Its result is written, or every replica was proven lost and this is a late
 		// status of one.
-		o.clearReplica(s)
+		o.queueCleanup(s)
 	case TaskFinished:
 		// Its own replica stays listed until the result is written.
 		if s.status.Replica != job.tasks[i].replica {
-			o.clearReplica(s)
+			o.queueCleanup(s)
 		}
 	case TaskUnreconciled:
-		counts = o.acknowledgeUnreconciled(s)
+		counts = o.identifyUnreconciledReplica(s)
 	case TaskAssigned, TaskPlaced:
-		counts = o.acknowledgeActive(s)
+		counts = o.identifyActiveReplica(s)
 	}
 	if counts {
-		o.place(job, i, s.machine, TaskPlaced)
+		o.setMachine(job, i, s.machine, TaskPlaced)
 		job.tasks[i].epoch = s.epoch
 	}
 	return counts
 }
 
-// acknowledgeUnreconciled takes a listed replica of a recovered task that may be
+// identifyUnreconciledReplica takes a listed replica of a recovered task that may be
 // anywhere, and tells whether it counts.
-func (o *Owner) acknowledgeUnreconciled(s *taskStatus) bool {
+func (o *Owner) identifyUnreconciledReplica(s *listedTask) bool {
 	job, i := s.ref.job, s.ref.task
 	// A newer replica was proven lost already; or an older one that ended says
 	// nothing of a newer one, which may run on a machine that has not been
 	// heard of yet.
 	if s.status.Replica < job.tasks[i].replica || (s.exited() && s.exitReason() != protocol.ExitReasonDone) {
-		o.clearReplica(s)
+		o.queueCleanup(s)
 		return false
 	}
 	job.setReplica(i, s.status.Replica)
@@ -110,9 +110,9 @@
 	return true
 }
 
-// acknowledgeActive takes a listed replica of a task that is assigned or placed, and
+// identifyActiveReplica takes a listed replica of a task that is assigned or placed, and
 // tells whether it counts.
-func (o *Owner) acknowledgeActive(s *taskStatus) bool {
+func (o *Owner) identifyActiveReplica(s *listedTask) bool {
 	job, i := s.ref.job, s.ref.task
 	t, replica := &job.tasks[i], s.status.Replica
 	switch {
@@ -126,58 +126,58 @@
 		return true
 	case replica < t.replica || t.machine != s.machine:
 		// Not the replica that counts: its result is ignored.
-		o.clearReplica(s)
+		o.queueCleanup(s)
 	}
 	return false
 }
 
-// onTaskExit takes the end of the replica that counts.
-func (o *Owner) onTaskExit(s *taskStatus) {
+// handleTaskExit takes the end of the replica that counts.
+func (o *Owner) handleTaskExit(s *listedTask) {
 	job, i, why := s.ref.job, s.ref.task, s.exitReason()
 	if job.spec.Service && (why == protocol.ExitReasonDone || why == protocol.ExitReasonError) {
-		o.onServiceTaskExit(job, i, s.machine)
-		o.clearReplica(s)
+		o.handleServiceTaskExit(job, i, s.machine)
+		o.queueCleanup(s)
 		return
 	}
 	switch why {
 	case protocol.ExitReasonDone:
 		o.unassign(job, i, TaskFinished)
 		o.recordSuccess(job)
-		o.finishTask(job, i)
+		o.writeFinishedTask(job, i)
 	case protocol.ExitReasonError:
 		o.unassign(job, i, TaskBackingOff)
-		o.clearReplica(s)
-		o.retryFailed(job, i, s.machine)
+		o.queueCleanup(s)
+		o.backOffFailedTask(job, i, s.machine)
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
 		o.unassign(job, i, TaskBackingOff)
-		o.clearReplica(s)
-		job.backOff(i, o.now()+refusedStartBackOff)
+		o.queueCleanup(s)
+		job.backOff(i, o.now()+rejectedStartBackOff)
 	default:
-		o.clearReplica(s)
-		o.replicaLost(job, i, lossStopped)
+		o.queueCleanup(s)
+		o.recordReplicaLost(job, i, lossStopped)
 	}
 }
 
-// refusedStartBackOff is after how long a start that a machine refused is tried again.
-const refusedStartBackOff = time.Second
+// rejectedStartBackOff is after how long a start that a machine refused is tried again.
+const rejectedStartBackOff = time.Second
 
-// steadyRuntime is for how long a service's task has to run until its end says
+// minHealthyServiceRuntime is for how long a service's task has to run until its end says
 // nothing against its job.
-const steadyRuntime = 20 * time.Second
+const minHealthyServiceRuntime = 20 * time.Second
 
-// onServiceTaskExit has a service's task run again, though it ended by itself. One that
+// handleServiceTaskExit has a service's task run again, though it ended by itself. One that
 // ran for a while before is back at once; one that ends again and again waits as a
 // task that fails does, and its job tries one task at a time, see circuitBreaker.
-func (o *Owner) onServiceTaskExit(job *Job, i, machine int32) {
+func (o *Owner) handleServiceTaskExit(job *Job, i, machine int32) {
 	t := &job.tasks[i]
-	ran := t.running && o.now()-t.readyAt > steadyRuntime
+	ran := t.running && o.now()-t.readyOrRunningAt > minHealthyServiceRuntime
 	if ran {
 		o.unassign(job, i, TaskPending)
 		o.recordSuccess(job)
 		return
 	}
 	o.unassign(job, i, TaskBackingOff)
-	o.retryFailed(job, i, machine)
+	o.backOffFailedTask(job, i, machine)
 }
 
 // recordSuccess notes that a task of a job ended well, or ran for long enough.
@@ -188,17 +188,17 @@
 	job.breaker.recordSuccess()
 }
 
-// retryFailed notes that a task has failed on a machine, and has it wait before the
+// backOffFailedTask notes that a task has failed on a machine, and has it wait before the
 // next replica.
-func (o *Owner) retryFailed(job *Job, i, machine int32) {
+func (o *Owner) backOffFailedTask(job *Job, i, machine int32) {
 	now := o.now()
 	job.breaker.recordFailure(machine, job.active, job.running, now)
 	job.backOff(i, now+job.breaker.backOff())
 }
 
-// finishTask has a finished task written, or the whole job when it was the
+// writeFinishedTask has a finished task written, or the whole job when it was the
 // last one.
-func (o *Owner) finishTask(job *Job, i int32) {
+func (o *Owner) writeFinishedTask(job *Job, i int32) {
 	o.MarkChanged(job)
 	if job.allFinished() {
 		o.endIfFinished(job)
@@ -207,7 +207,7 @@
 	job.shard.records.FinishTask(job.spec, int(i), func() {
 		if t := &job.tasks[i]; t.state == TaskFinished {
 			job.setState(i, TaskDurable)
-			o.command(t.machine, job.id, uint32(i), t.replica, forgetReplica)
+			o.queueCommand(t.machine, job.id, uint32(i), t.replica, reapCommand)
 		}
 	})
 }
