--- a/internal/shard/admission.go
+++ b/internal/shard/admission.go
@@ -11,8 +11,8 @@
 // StartableTasks implements admission.Shards.
 func (o *Owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
 	for _, job := range o.jobs {
-		if n := job.startableTasks(); n > 0 {
-			visit(&job.claim, n)
+		if startable := job.startableTasks(); startable > 0 {
+			visit(&job.claim, startable)
 		}
 	}
 }
@@ -28,8 +28,8 @@
 	}
 }
 
-// AllocationsChanged implements admission.Shards: the leader is told of jobs of which more
-// or fewer tasks may start than it knows.
+// AllocationsChanged implements admission.Shards. It marks for publishing each job whose
+// number of tasks that may start differs from the number that the leader was last told.
 func (o *Owner) AllocationsChanged() {
 	for _, job := range o.jobs {
 		if o.admission.Limited(&job.claim) && job.publishedPending != o.admissibleTasks(job) {
--- a/internal/shard/bindings.go
+++ b/internal/shard/bindings.go
@@ -2,8 +2,8 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// Bind adds to the bindings the tasks that go to an offered machine, and how the jobs
-// stand then.
+// Bind binds pending tasks to the machine of an offer. It appends the new bindings and a
+// summary of each offered job to bindings.
 func (o *Owner) Bind(offer *meshpb.Offer, bindings *meshpb.Bindings) {
 	machine := o.machines.localIndex(offer.MachineIndex)
 	if machine == unknownMachine {
@@ -19,28 +19,30 @@
 	}
 }
 
-// bindTasks appends bindings of up to n pending tasks of a job to an offered machine.
-func (o *Owner) bindTasks(bindings []*meshpb.Binding, job *Job, n int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
+// bindTasks binds up to limit pending tasks of a job to an offered machine and appends
+// their bindings. It binds none before the leader was told of the job's shard.
+func (o *Owner) bindTasks(bindings []*meshpb.Binding, job *Job, limit int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
 	if !job.shard.registration.sent {
 		return bindings
 	}
 	zone := o.machines.zoneOf(machine)
-	for n = min(n, o.admissibleTasks(job)); n > 0; n-- {
-		i, found := job.nextPending()
-		if !found || !job.allowsZone(zone) || !o.admission.Admit(&job.claim, i, job.shard.lastReplica+1) {
+	for limit = min(limit, o.admissibleTasks(job)); limit > 0; limit-- {
+		task, found := job.nextPending()
+		if !found || !job.allowsZone(zone) || !o.admission.Admit(&job.claim, task, job.shard.lastReplica+1) {
 			break
 		}
 		job.pendingQueue = job.pendingQueue[1:]
 		job.shard.lastReplica++
-		t := &job.tasks[i]
+		t := &job.tasks[task]
 		t.replica, t.epoch, t.sequence = job.shard.lastReplica, offer.Epoch, offer.Seq
-		o.setMachine(job, i, machine, TaskAssigned)
-		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(i), Replica: t.replica})
+		o.setMachine(job, task, machine, TaskAssigned)
+		bindings = append(bindings, &meshpb.Binding{Job: job.id, Task: uint32(task), Replica: t.replica})
 	}
 	return bindings
 }
 
-// ReturnBindings takes back bindings that were never sent to their machines.
+// ReturnBindings handles bindings that the leader returns because they were never sent to
+// their machines: their replicas do not exist.
 func (o *Owner) ReturnBindings(bindings []*meshpb.Binding) {
 	for _, binding := range bindings {
 		job := o.jobs[binding.Job]
--- a/internal/shard/circuit_breaker.go
+++ b/internal/shard/circuit_breaker.go
@@ -5,49 +5,51 @@
 	"time"
 )
 
-// The pause after failures in a row: it begins at failureBackOffBaseSeconds, grows by
-// failureBackOffGrowth with each failure, and stays below maxFailureBackOffSeconds.
+// The pause after consecutive failures starts from failureBackOffBaseSeconds, grows by the
+// factor failureBackOffGrowth with each failure, and is at most maxFailureBackOffSeconds.
 const (
-	failureBackOffBaseSeconds = 0.5 // seconds
+	failureBackOffBaseSeconds = 0.5
 	failureBackOffGrowth      = 1.5
-	maxFailureBackOffSeconds  = 60 // seconds
-	maxBackOffExponent        = 20 // failures, beyond which the power isn't taken any more
+	maxFailureBackOffSeconds  = 60
+	maxBackOffExponent        = 20 // failures; the power is not computed beyond that
 )
 
-// failureBackOff grows with the failures in a row.
+// failureBackOff returns the pause after a number of consecutive failures.
 func failureBackOff(failures int) time.Duration {
-	step := float64(min(failures, maxBackOffExponent))
-	return time.Duration(math.Min(maxFailureBackOffSeconds, failureBackOffBaseSeconds*math.Pow(failureBackOffGrowth, step)) * float64(time.Second))
+	exponent := float64(min(failures, maxBackOffExponent))
+	return time.Duration(math.Min(maxFailureBackOffSeconds, failureBackOffBaseSeconds*math.Pow(failureBackOffGrowth, exponent)) * float64(time.Second))
 }
 
-// maxTaskBackOffFailures is up to which of a job's failures in a row the pauses of its tasks
-// grow: they may be due to a few machines, while its other tasks run.
+// maxTaskBackOffFailures is the number of a job's consecutive failures up to which the
+// pauses of its tasks grow. They grow no further because the failures may be due to a few
+// machines while the job's other tasks run.
 const maxTaskBackOffFailures = 8
 
-// initialTrialRuntime is how long a task has to run until its job is trusted again, at
-// first.
+// initialTrialRuntime is how long a task has to run before an open breaker closes for the
+// first time; the time doubles with each closing.
 const initialTrialRuntime = 5 * time.Second
 
-// breakerMachineThreshold is on how many machines a job fails before the mistake is taken for its
-// own.
+// breakerMachineThreshold is the number of machines on which a job has to fail before the
+// failures are attributed to the job instead of the machines.
 const breakerMachineThreshold = 3
 
-// circuitBreaker is open while a job seems to have been submitted with a mistake:
-// its tasks have failed on several machines, or often where there are few, and none
-// of it runs. Then one task at a time is tried, after a pause that grows: all at
-// once, again and again, they would keep machines busy and have the fleet scaled out
-// for them. Its zero value is closed.
+// circuitBreaker limits the starts of a job that seems to have been submitted with a
+// mistake: its tasks have failed on several machines, or repeatedly where there are few
+// machines, and none of them runs. While the breaker is open, one task at a time is
+// started, each after a longer pause. If all tasks were retried together, again and again,
+// they would keep machines busy and cause the fleet to be scaled out. The zero value is
+// closed.
 type circuitBreaker struct {
-	consecutiveFailures int            // in a row
-	failedMachines      map[int32]bool // machines that the job has failed on since a task ended well
+	consecutiveFailures int            // since a task last succeeded
+	failedMachines      map[int32]bool // machines with failures since the last close; at most breakerMachineThreshold
 	open                bool
-	failedTrials        int           // failed since then, one at a time
-	retryAt             time.Duration // when the next task may start
-	runningSince        time.Duration // since when one of it has been seen to run; 0: none
-	requiredRuntime     time.Duration // how long that has to last
+	failedTrials        int           // failures while open that left no task active; they determine the pause
+	retryAt             time.Duration // when the next task may start; 0: no pause
+	runningSince        time.Duration // since when a task has been observed running; 0: none is
+	requiredRuntime     time.Duration // how long a task has to run for the breaker to close; at least initialTrialRuntime
 }
 
-// allowed is how many of a job's pending tasks may be started now, given how many of
+// allowedStarts returns how many of a job's pending tasks may start now, given how many of
 // its tasks are active.
 func (b *circuitBreaker) allowedStarts(pending, active int) int {
 	switch {
@@ -59,8 +61,8 @@
 	return min(1, pending)
 }
 
-// recordFailure notes that a task of a job has failed on a machine, when active and
-// running others of the job were left.
+// recordFailure records that a task of the job has failed on a machine. active and running
+// count the job's remaining tasks in these states.
 func (b *circuitBreaker) recordFailure(machine int32, active, running int, now time.Duration) {
 	b.consecutiveFailures++
 	if b.failedMachines == nil {
@@ -78,35 +80,35 @@
 	}
 }
 
-// recordSuccess notes that a task of the job ended well: all of them may start again.
+// recordSuccess records that a task of the job succeeded: all of its tasks may start again.
 func (b *circuitBreaker) recordSuccess() {
 	b.close()
 	b.consecutiveFailures = 0
 }
 
-// close lets all tasks of a job start again. The failures still count for the pauses of
+// close lets all tasks of the job start again. The failures still count for the pauses of
 // its tasks.
 func (b *circuitBreaker) close() {
 	*b = circuitBreaker{consecutiveFailures: b.consecutiveFailures, requiredRuntime: b.requiredRuntime}
 }
 
-// backOff is how long a task that has just failed waits before it is tried again.
+// backOff returns how long a task that has just failed waits before it is retried.
 func (b *circuitBreaker) backOff() time.Duration {
 	return failureBackOff(min(b.consecutiveFailures, maxTaskBackOffFailures))
 }
 
-// breakerChange is what time has changed of a circuit breaker.
+// breakerChange is the effect of elapsed time on a circuit breaker.
 type breakerChange uint8
 
 const (
 	breakerUnchanged    breakerChange = iota
-	breakerTrialAllowed               // one task may be tried
+	breakerTrialAllowed               // one task may start
 	breakerClosed                     // all tasks may start
 )
 
-// probe lets a job whose breaker is open try again once its pause is over, and trusts it
-// once a task of it has run for a while. If it fails after that all the same, the
-// next has to run for longer.
+// update lets a job whose breaker is open start one task once the pause is over, and closes
+// the breaker once tasks of the job have run for longer than the required runtime. That
+// runtime doubles with each closing, in case the job fails again all the same.
 func (b *circuitBreaker) update(running int, now time.Duration) breakerChange {
 	if !b.open {
 		return breakerUnchanged
--- a/internal/shard/circuit_breaker_test.go
+++ b/internal/shard/circuit_breaker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// openBreaker returns the breaker of a job that has failed on as many machines as open it.
+// openBreaker returns the breaker of a job that has failed on enough machines to open it.
 func openBreaker(t *testing.T) *circuitBreaker {
 	t.Helper()
 	b := &circuitBreaker{}
@@ -21,7 +21,7 @@
 func TestBreakerOpens(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		machines []int32 // that a task fails on, one after the other
+		machines []int32 // on which tasks fail, in this order
 		running  int
 		want     bool
 	}{
@@ -44,39 +44,40 @@
 	}
 }
 
-// While the breaker is open one task at a time may start, once the pause is over.
+// While the breaker is open, one task at a time may start, and only after the pause.
 func TestOpenBreakerAllowsOneTask(t *testing.T) {
 	b := openBreaker(t)
 	if n := b.allowedStarts(10, 0); n != 0 {
-		t.Errorf("%d tasks may start during the pause", n)
+		t.Errorf("%d tasks may start during the pause, want 0", n)
 	}
 	if change := b.update(0, b.retryAt-1); change != breakerUnchanged {
-		t.Errorf("a probe during the pause returned %d", change)
+		t.Errorf("an update during the pause returned %d", change)
 	}
 	if change := b.update(0, b.retryAt); change != breakerTrialAllowed {
-		t.Errorf("the probe after the pause returned %d", change)
+		t.Errorf("the update after the pause returned %d", change)
 	}
 	if n := b.allowedStarts(10, 0); n != 1 {
 		t.Errorf("%d tasks may start after the pause, want 1", n)
 	}
 	if n := b.allowedStarts(10, 1); n != 0 {
-		t.Errorf("%d tasks may start beside an active one", n)
+		t.Errorf("%d tasks may start while another is active, want 0", n)
 	}
 }
 
-// A trial that runs for long enough closes the breaker; the next has to run for twice as long.
-func TestBreakerClosesAfterATrial(t *testing.T) {
+// A trial that runs for long enough closes the breaker. The next trial has to run for twice
+// as long.
+func TestBreakerClosesAfterTrial(t *testing.T) {
 	b := openBreaker(t)
 	now := b.retryAt
 	b.update(0, now)
 	for want := initialTrialRuntime; want < time.Minute; want *= 2 {
 		b.update(1, now)
 		if change := b.update(1, now+want); change == breakerClosed {
-			t.Fatalf("closed after %v, want more", want)
+			t.Fatalf("closed after %v, want a longer trial", want)
 		}
 		now += want + 1
 		if change := b.update(1, now); change != breakerClosed {
-			t.Fatalf("open after %v", want+1)
+			t.Fatalf("still open after %v", want+1)
 		}
 		if n := b.allowedStarts(10, 1); n != 10 {
 			t.Fatalf("%d tasks may start, want 10", n)
@@ -96,16 +97,16 @@
 }
 
 func TestFailureBackOffGrowsUpToItsLimit(t *testing.T) {
-	last := time.Duration(0)
+	previous := time.Duration(0)
 	for failures := range 40 {
 		pause := failureBackOff(failures)
-		if pause < last || pause > maxFailureBackOffSeconds*time.Second {
-			t.Errorf("after %d failures: %v, before that %v", failures, pause, last)
+		if pause < previous || pause > maxFailureBackOffSeconds*time.Second {
+			t.Errorf("the pause after %d failures is %v, after one less %v", failures, pause, previous)
 		}
-		last = pause
+		previous = pause
 	}
-	if last != maxFailureBackOffSeconds*time.Second {
-		t.Errorf("the limit is %v", last)
+	if previous != maxFailureBackOffSeconds*time.Second {
+		t.Errorf("the longest pause is %v", previous)
 	}
 	var b circuitBreaker
 	for range 40 {
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -5,26 +5,28 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// clearing is how a replica is taken off its machine.
+// replicaCommand is what a machine has to do with a replica. Its values are those of
+// MachineCommand.Reap.
 type replicaCommand bool
 
 const (
-	stopCommand replicaCommand = false // it may still run
-	reapCommand replicaCommand = true  // it has exited: its end was taken note of
+	stopCommand replicaCommand = false // stop a replica that may still run
+	reapCommand replicaCommand = true  // remove a replica that has exited and whose end is recorded
 )
 
-func commandFor(s *meshpb.TaskStatus) replicaCommand {
-	return replicaCommand(protocol.TaskState(s.State) == protocol.TaskExited)
+func commandFor(status *meshpb.TaskStatus) replicaCommand {
+	return replicaCommand(protocol.TaskState(status.State) == protocol.TaskExited)
 }
 
-// command asks the leader to have a replica stopped or forgotten.
-func (o *Owner) queueCommand(machine int32, job string, task uint32, replica uint64, how replicaCommand) {
+// queueCommand queues a command about a replica on a machine for the leader. It drops the
+// command if the present leader has not named the machine.
+func (o *Owner) queueCommand(machine int32, job string, task uint32, replica uint64, command replicaCommand) {
 	if m := o.machines.entry(machine); m.hasLeaderIndex {
-		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(how)})
+		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(command)})
 	}
 }
 
-// TakeCommands returns the commands to machines that have gathered for the leader.
+// TakeCommands removes and returns the commands that are queued for the leader.
 func (o *Owner) TakeCommands() []*meshpb.MachineCommand {
 	commands := o.commands
 	o.commands = nil
--- a/internal/shard/job_lifecycle.go
+++ b/internal/shard/job_lifecycle.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// What an unfinished job takes of this process's memory, roughly.
+// Estimated memory of an unfinished job in this process.
 const (
 	bytesPerJob  = 4 << 10
 	bytesPerTask = 72
@@ -17,19 +17,19 @@
 
 func estimatedJobBytes(spec *protocol.Job) int64 { return bytesPerJob + bytesPerTask*int64(spec.Tasks) }
 
-// ErrShardLost is told to those who wait for a job's end when its shard is held no more:
-// how the job ends is the next holder's to say.
+// ErrShardLost is passed to those who wait for a job's end when its shard is no longer
+// held: the next holder determines how the job ends.
 var ErrShardLost = errors.New("the job's shard is held no more")
 
-// MemoryFull tells whether one more job would take more than new jobs may; shards that
-// are taken over need room too.
+// MemoryFull reports whether one more job would exceed the memory limit of new jobs. The
+// limit leaves room for shards that this process may acquire.
 func (o *Owner) MemoryFull(spec *protocol.Job) bool {
 	return o.estimatedMemoryBytes+estimatedJobBytes(spec) > o.config.MemoryLimit
 }
 
 // addJob adds a job whose tasks are all pending.
-func (o *Owner) addJob(shard *Shard, spec *protocol.Job, submittedMs int64, nonce string) *Job {
-	job := newJob(shard, spec, submittedMs, nonce)
+func (o *Owner) addJob(shard *Shard, spec *protocol.Job, submittedAtMs int64, nonce string) *Job {
+	job := newJob(shard, spec, submittedAtMs, nonce)
 	shard.jobs[job.id] = job
 	o.jobs[job.id] = job
 	o.estimatedMemoryBytes += estimatedJobBytes(spec)
@@ -37,16 +37,17 @@
 	return job
 }
 
-// CreateJob writes a new job to this member's own shard.
-func (o *Owner) CreateJob(spec *protocol.Job, submittedMs int64, deadline time.Duration, done func(storage.CreateResult)) {
+// CreateJob writes a new job to this member's own shard. A request for a job that is being
+// created already gets the result of that creation.
+func (o *Owner) CreateJob(spec *protocol.Job, submittedAtMs int64, deadline time.Duration, done func(storage.CreateResult)) {
 	shard := o.OwnShard()
 	if shard == nil {
 		done(storage.Unavailable)
 		return
 	}
 	if o.jobs[spec.ID] != nil {
-		// A repeat while the end is being written: in one batch with the end it
-		// ended the process.
+		// The job may be submitted again while its end is being written. A creation
+		// in the same batch as the end crashed the process.
 		done(storage.AlreadyExists)
 		return
 	}
@@ -58,10 +59,10 @@
 	nonce := o.config.ProcessNonce + "-" + strconv.FormatUint(o.lastNonce, 36)
 	pending := &pendingCreation{nonce: nonce, waiters: []func(storage.CreateResult){done}}
 	shard.pendingCreations[spec.ID] = pending
-	shard.records.CreateJob(spec, submittedMs, nonce, deadline, func(result storage.CreateResult) {
+	shard.records.CreateJob(spec, submittedAtMs, nonce, deadline, func(result storage.CreateResult) {
 		delete(shard.pendingCreations, spec.ID)
 		if result == storage.Created && shard.jobs[spec.ID] == nil {
-			o.addJob(shard, spec, submittedMs, nonce)
+			o.addJob(shard, spec, submittedAtMs, nonce)
 		}
 		for _, fn := range pending.waiters {
 			fn(result)
@@ -69,10 +70,11 @@
 	})
 }
 
-// Cancel ends a job as its user asks; done gets its final status once that is durable,
-// or ErrShardLost if it cannot be said here. The leader stops its tasks from now on: the end
-// may be written without this owner learning of it for as long as an outage
-// lasts, while others read it and tell the user (ran_cancelled).
+// Cancel ends a job at its user's request. done receives the final status once that is
+// durable, or ErrShardLost if this process cannot determine it. The leader stops the job's
+// tasks immediately: during an outage the end may be written long before this owner learns
+// of it, while others read it and tell the user, after which no task may run (rule
+// ran_cancelled).
 func (o *Owner) Cancel(job *Job, done func(status string, err error)) {
 	job.onEnd = append(job.onEnd, done)
 	o.endJob(job, protocol.StatusCancelled)
@@ -96,15 +98,15 @@
 	})
 }
 
-// endIfFinished ends a job all of whose tasks have ended well.
+// endIfFinished ends a job whose tasks have all succeeded.
 func (o *Owner) endIfFinished(job *Job) {
 	if job.allFinished() {
 		o.endJob(job, protocol.StatusDone)
 	}
 }
 
-// removeJob takes an ended job out of the tables. What is left of it on
-// machines is the leader's to clear.
+// removeJob removes an ended job from the tables. The leader cleans up what is left of it
+// on machines.
 func (o *Owner) removeJob(job *Job) {
 	if o.admission.Limited(&job.claim) {
 		o.orphans.addJob(job)
--- a/internal/shard/lease_expiry.go
+++ b/internal/shard/lease_expiry.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// machineSweepInterval is the least time between two looks for machines that only
-// earlier leaders told of.
+// machineSweepInterval is the minimum time between two sweeps for machines that only
+// earlier leaders reported.
 const machineSweepInterval = time.Minute
 
-// ExpireLeases judges losses by the leader's clock: every heartbeat that the leader
-// answered before it has been passed on already. A machine whose last heartbeat
-// on this stream lies more than a lease before it has lost its lease.
+// ExpireLeases determines lost replicas as of clockUs, in microseconds on the leader's
+// clock. The leader has already passed on every heartbeat that it answered before that
+// time, so a machine whose last heartbeat on this stream is more than a lease older has
+// lost its lease.
 func (o *Owner) ExpireLeases(clockUs int64) {
 	timeout := o.config.WorkerLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
 	for machine, refs := range o.tasksByMachine {
-		last := o.machines.entry(machine).lastHeartbeatUs
-		if clockUs-last <= timeout {
+		lastHeartbeatUs := o.machines.entry(machine).lastHeartbeatUs
+		if clockUs-lastHeartbeatUs <= timeout {
 			continue
 		}
 		var lost []taskRef
 		for _, ref := range refs {
-			if ref.job.shard.registration.leaseExpired(last, clockUs, timeout) {
+			if ref.job.shard.registration.leaseExpired(lastHeartbeatUs, clockUs, timeout) {
 				lost = append(lost, ref)
 			}
 		}
@@ -33,19 +34,19 @@
 	}
 	o.reconcileForOlderLeader(clockUs, timeout)
 	o.orphans.releaseExpired(&o.machines, clockUs, timeout)
-	if machines > 0 { // hundreds may be lost together: one line for all
+	if machines > 0 { // one log line for all, as hundreds may expire together
 		o.log.Info().Int("machines", machines).Int("tasks", tasks).Msg("machine leases expired")
 	}
 	o.removeStaleMachines()
 }
 
-// leaseExpired tells whether a machine's lease is surely over as far as a shard is
-// concerned, times being on the leader's clock.
-func (r *registration) leaseExpired(heardAtUs, clockUs, timeoutUs int64) bool {
-	return r.confirmed() && clockUs-max(heardAtUs, r.registeredAtUs) > timeoutUs
+// leaseExpired reports whether a machine's lease is guaranteed to have ended as far as a
+// shard is concerned. All times are on the leader's clock.
+func (r *registration) leaseExpired(lastHeartbeatUs, clockUs, timeoutUs int64) bool {
+	return r.confirmed() && clockUs-max(lastHeartbeatUs, r.registeredAtUs) > timeoutUs
 }
 
-// HandleMachineTerminated takes the leader's word that a machine has ended for good.
+// HandleMachineTerminated handles the leader's message that a machine has ended for good.
 func (o *Owner) HandleMachineTerminated(name string) {
 	machine, known := o.machines.byName(name)
 	if !known {
@@ -58,7 +59,8 @@
 	o.machines.remove(name, machine)
 }
 
-// removeStaleMachines forgets machines that only earlier leaders told of.
+// removeStaleMachines removes machines that only earlier leaders reported, once MachineTTL
+// has passed and unless they may hold replicas.
 func (o *Owner) removeStaleMachines() {
 	now := o.now()
 	if now < o.nextMachineSweepAt {
--- a/internal/shard/loss_proof.go
+++ b/internal/shard/loss_proof.go
@@ -9,40 +9,42 @@
 )
 
 // An owner replaces a task's replica only once the replica is proven lost. This file
-// holds what a status that the leader passes on proves by not listing a replica, and
-// the reasons for which replicas were judged lost. Its functions go by values alone.
+// defines what a status that the leader passes on proves by not listing a replica, and the
+// reasons for which replicas are judged lost. Its functions depend on their arguments only.
 
-// absenceProof is what it proves that a machine's status does not list a replica.
+// absenceProof is what the absence of a replica from a machine's status proves.
 type absenceProof uint8
 
 const (
 	absenceProvesNothing   absenceProof = iota // the status may lack replicas of the shard
-	absenceProvesNoArrival                     // the status is the one before, and complete: a start sent in between did not arrive
-	absenceProvesEnd                           // the status is complete: the replica is gone
+	absenceProvesNoArrival                     // the status is complete and equal to the previous one: a start sent in between did not arrive
+	absenceProvesEnd                           // the status is complete: the replica no longer exists
 )
 
-// machineObservation is a machine's status as the leader passed it on, with what bears
-// on its completeness.
+// machineObservation is a machine's status as the leader passed it on, with what determines
+// whether the status is complete.
 type machineObservation struct {
 	machine int32
 	status  *meshpb.MachineStatus
-	// heartbeatSinceRegistration tells whether the machine has surely sent a heartbeat since
-	// the last shard of this process was registered, see sentHeartbeatSince.
+	// heartbeatSinceRegistration reports whether the machine is guaranteed to have sent a
+	// heartbeat since the last registration of a shard of this process, see
+	// sentHeartbeatSince.
 	heartbeatSinceRegistration bool
 }
 
-// sentHeartbeatSince tells whether a machine has surely sent a heartbeat since the last shard
-// of this process was registered, by the leader's clock: the leader has told of it twice
-// since, at different times.
-func sentHeartbeatSince(lastRegisteredAtUs, heardBeforeUs int64) bool {
-	return lastRegisteredAtUs > 0 && heardBeforeUs >= lastRegisteredAtUs
+// sentHeartbeatSince reports whether a machine is guaranteed to have sent a heartbeat since
+// the last registration of a shard of this process, both times being on the leader's clock.
+// The guarantee requires that the leader has reported the machine twice since then, at
+// different times.
+func sentHeartbeatSince(lastRegisteredAtUs, previousHeartbeatUs int64) bool {
+	return lastRegisteredAtUs > 0 && previousHeartbeatUs >= lastRegisteredAtUs
 }
 
-// completeFor tells whether a status lists all that the machine holds of a shard. A
-// leader of a version that does not say so leaves out tasks of jobs that it did not know
-// when the machine sent it. It knows those of a shard once that is registered, so a
-// status of its is complete if the machine has sent one since; what it tells of a
-// machine first may be from before the registration.
+// completeFor reports whether the status lists every replica of a shard that the machine
+// holds. A leader of a version that does not say so omits tasks of jobs that it did not
+// know when the machine sent the status. It knows the jobs of a shard once the shard is
+// registered, so its status is complete if the machine has sent one since; the first status
+// that it passes on after the registration may have been sent before it.
 func (o *machineObservation) completeFor(r *registration) bool {
 	if !r.confirmed() {
 		return false
@@ -53,8 +55,8 @@
 	return o.heartbeatSinceRegistration
 }
 
-// absence tells what a status proves by what it does not list of a shard. Nothing
-// else concludes from a status that lacks a replica.
+// proofOfAbsence returns what the absence of a replica of a shard from the status proves.
+// No other code draws conclusions from such an absence.
 func (o *machineObservation) proofOfAbsence(r *registration) absenceProof {
 	switch {
 	case !o.status.Current || !o.completeFor(r):
@@ -65,15 +67,16 @@
 	return absenceProvesEnd
 }
 
-// proveLoss tells whether a status proves that the replica of an assigned or placed task
-// which it does not list is lost, and by what.
+// proveLoss returns for which reason the status proves that the replica of an assigned or
+// placed task, which it does not list, is lost. It returns notLost or lossUnproven if there
+// is no proof.
 func (o *machineObservation) proveLoss(t *supervisedTask, r *registration) lossReason {
 	status := o.status
 	if status.Epoch > t.epoch {
 		return lossLaterEpoch
 	}
 	if !status.Current || (status.Unchanged && t.state == TaskPlaced) {
-		return notLost // listed as it was before
+		return notLost // not current, or equal to the previous list, which has the replica
 	}
 	if o.proofOfAbsence(r) == absenceProvesNothing {
 		if status.Unchanged {
@@ -81,7 +84,7 @@
 		}
 		return lossUnproven
 	}
-	// Of a start on its way only a status that was sent after it says anything.
+	// About a start in flight, only a status that was sent after it proves anything.
 	sentBefore := status.Epoch < t.epoch || status.Seq <= t.sequence
 	if t.state == TaskPlaced || !sentBefore {
 		return lossNotListed
@@ -89,7 +92,7 @@
 	return notLost
 }
 
-// lossReason is why a replica was judged lost, or was not.
+// lossReason is the reason why a replica was judged lost, or was not.
 type lossReason int
 
 const (
@@ -100,11 +103,11 @@
 	lossMachineTerminated
 	lossNotSent
 	lossStopped
-	lossUnproven // none: a status lacked the replica, but proved nothing
-	notLost      // none; not counted
+	lossUnproven // not lost: a status lacked the replica, but proved nothing
+	notLost      // not lost; not counted
 )
 
-// lossReasonNames are keys of log lines.
+// lossReasonNames are field names and values in log lines.
 var lossReasonNames = [...]string{"lease_expired", "reconciled", "not_listed", "later_epoch", "machine_terminated", "not_sent", "stopped", "unproven"}
 
 func (r lossReason) String() string {
@@ -114,7 +117,7 @@
 	return "lossReason(" + strconv.Itoa(int(r)) + ")"
 }
 
-// newLossCounter counts the replicas that were judged lost, by reason.
+// newLossCounter returns a counter of the replicas that were judged lost, by reason.
 func newLossCounter() eventcount.Counter {
 	return eventcount.New("replicas lost", lossReasonNames[:]...)
 }
--- a/internal/shard/loss_proof_test.go
+++ b/internal/shard/loss_proof_test.go
@@ -6,7 +6,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-func TestProofOfLoss(t *testing.T) {
+func TestProofOfReplicaLoss(t *testing.T) {
 	const number = 7
 	current := func(change func(*meshpb.MachineStatus)) *meshpb.MachineStatus {
 		s := &meshpb.MachineStatus{Epoch: 2, Seq: 5, Current: true, CompleteForShards: []uint32{number}}
@@ -16,17 +16,17 @@
 	confirmed := registration{sent: true, registeredAtUs: 100, shardNumber: number}
 	placed := supervisedTask{state: TaskPlaced, epoch: 2, sequence: 4}
 	assigned := supervisedTask{state: TaskAssigned, epoch: 2, sequence: 4}
-	same := func(*meshpb.MachineStatus) {}
+	unmodified := func(*meshpb.MachineStatus) {}
 	for _, test := range []struct {
-		name         string
-		task         supervisedTask
-		registration registration
-		status       *meshpb.MachineStatus
-		heard        bool
-		want         lossReason
+		name           string
+		task           supervisedTask
+		registration   registration
+		status         *meshpb.MachineStatus
+		heartbeatSince bool
+		want           lossReason
 	}{
-		{"complete status", placed, confirmed, current(same), false, lossNotListed},
-		{"complete status after the start", assigned, confirmed, current(same), false, lossNotListed},
+		{"complete status", placed, confirmed, current(unmodified), false, lossNotListed},
+		{"complete status after the start", assigned, confirmed, current(unmodified), false, lossNotListed},
 		{"status sent before the start", assigned, confirmed, current(func(s *meshpb.MachineStatus) { s.Seq = 4 }), false, notLost},
 		{"status of an earlier epoch than the start", assigned, confirmed, current(func(s *meshpb.MachineStatus) { s.Epoch = 1 }), false, notLost},
 		{"later epoch", placed, confirmed, current(func(s *meshpb.MachineStatus) { s.Epoch = 3 }), false, lossLaterEpoch},
@@ -37,31 +37,31 @@
 		{"unchanged and incomplete", assigned, confirmed, current(func(s *meshpb.MachineStatus) { s.Unchanged, s.CompleteForShards = true, nil }), false, notLost},
 		{"incomplete", placed, confirmed, current(func(s *meshpb.MachineStatus) { s.CompleteForShards = nil }), true, lossUnproven},
 		{"complete for another shard", placed, confirmed, current(func(s *meshpb.MachineStatus) { s.CompleteForShards = []uint32{number + 1} }), true, lossUnproven},
-		{"registration not confirmed", placed, registration{sent: true, registeredAtUs: registrationRequested, shardNumber: number}, current(same), true, lossUnproven},
-		{"leader that gives no numbers", placed, registration{sent: true, registeredAtUs: 100}, current(same), false, lossUnproven},
-		{"leader that gives no numbers, heard since", placed, registration{sent: true, registeredAtUs: 100}, current(same), true, lossNotListed},
+		{"registration not confirmed", placed, registration{sent: true, registeredAtUs: registrationRequested, shardNumber: number}, current(unmodified), true, lossUnproven},
+		{"leader that gives no numbers", placed, registration{sent: true, registeredAtUs: 100}, current(unmodified), false, lossUnproven},
+		{"leader that gives no numbers, heartbeat since", placed, registration{sent: true, registeredAtUs: 100}, current(unmodified), true, lossNotListed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			o := machineObservation{status: test.status, heartbeatSinceRegistration: test.heard}
-			if got := o.proveLoss(&test.task, &test.registration); got != test.want {
+			observation := machineObservation{status: test.status, heartbeatSinceRegistration: test.heartbeatSince}
+			if got := observation.proveLoss(&test.task, &test.registration); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestMachineIsObservedTwiceSinceTheRegistration(t *testing.T) {
+func TestHeartbeatSinceRegistration(t *testing.T) {
 	for _, test := range []struct {
-		name                      string
-		registeredUs, heardBefore int64
-		want                      bool
+		name                              string
+		registeredUs, previousHeartbeatUs int64
+		want                              bool
 	}{
 		{"no shard is registered", 0, 10, false},
-		{"only heard once since", 10, 9, false},
-		{"heard twice since", 10, 10, true},
+		{"one heartbeat since", 10, 9, false},
+		{"two heartbeats since", 10, 10, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := sentHeartbeatSince(test.registeredUs, test.heardBefore); got != test.want {
+			if got := sentHeartbeatSince(test.registeredUs, test.previousHeartbeatUs); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
@@ -71,18 +71,18 @@
 func TestLeaseExpiry(t *testing.T) {
 	const timeout = 50
 	for _, test := range []struct {
-		name                 string
-		atUs, heardUs, nowUs int64
-		want                 bool
+		name                                   string
+		registeredAtUs, lastHeartbeatUs, nowUs int64
+		want                                   bool
 	}{
 		{"registration not confirmed", registrationRequested, 0, 1000, false},
-		{"heard within the timeout", 100, 200, 250, false},
-		{"heard longer ago", 100, 200, 251, true},
-		{"registered after it was heard", 210, 200, 251, false},
+		{"heartbeat within the timeout", 100, 200, 250, false},
+		{"heartbeat longer ago", 100, 200, 251, true},
+		{"registered after the heartbeat", 210, 200, 251, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r := registration{sent: true, registeredAtUs: test.atUs}
-			if got := r.leaseExpired(test.heardUs, test.nowUs, timeout); got != test.want {
+			r := registration{sent: true, registeredAtUs: test.registeredAtUs}
+			if got := r.leaseExpired(test.lastHeartbeatUs, test.nowUs, timeout); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
--- a/internal/shard/machine_statuses.go
+++ b/internal/shard/machine_statuses.go
@@ -2,26 +2,26 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// HandleMachineStatuses takes what the leader passes on of machines.
-func (o *Owner) HandleMachineStatuses(f *meshpb.MachineStatuses) {
-	for _, n := range f.Names {
-		o.machines.setLeaderIndex(n)
+// HandleMachineStatuses handles the statuses of machines that the leader passes on.
+func (o *Owner) HandleMachineStatuses(message *meshpb.MachineStatuses) {
+	for _, name := range message.Names {
+		o.machines.setLeaderIndex(name)
 	}
 	now := o.now()
-	for _, status := range f.Statuses {
+	for _, status := range message.Statuses {
 		machine := o.machines.localIndex(status.MachineIndex)
 		if machine == unknownMachine {
 			continue
 		}
-		o.machines.recordStatus(machine, status, f.ClockUs, now)
+		o.machines.recordStatus(machine, status, message.ClockUs, now)
 		o.handleMachineStatus(machine, status)
 	}
 }
 
-// handleMachineStatus takes what the leader passes on of a machine. Only a current status
-// tells what is on it, as it was sent by an agent that follows the present leader;
-// what its absence proves is told by machineObservation. One of a later epoch, however
-// old, proves that all that the machine held before is gone.
+// handleMachineStatus handles the status of a machine that the leader passes on. Only a
+// current status shows what is on the machine, as its agent follows the present leader;
+// machineObservation determines what the absence of a replica from it proves. A status of a
+// later epoch, however old, proves that everything that the machine held before is gone.
 func (o *Owner) handleMachineStatus(machine int32, status *meshpb.MachineStatus) {
 	var listed map[taskRef]bool
 	if status.Current && !status.Unchanged && len(status.Tasks) > 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// handleTaskStatuses takes the tasks that a machine lists, and marks as listed those whose
-// replica is the one that counts.
+// handleTaskStatuses handles the tasks that a machine lists, and adds those to listed whose
+// current replica it lists.
 func (o *Owner) handleTaskStatuses(machine int32, status *meshpb.MachineStatus, listed map[taskRef]bool) {
 	for _, s := range status.Tasks {
 		job := o.jobs[s.Job]
@@ -70,8 +70,9 @@
 	}
 }
 
-// handleTaskOfUnknownJob has what is left of a job that has ended cleared. The leader should
-// know that it has; in case it does not, its tasks must still go (ran_cancelled).
+// handleTaskOfUnknownJob cleans up a replica of a job that is known to have ended. The
+// leader should know that the job has ended; in case it does not, its tasks still have to
+// be stopped (rule ran_cancelled).
 func (o *Owner) handleTaskOfUnknownJob(machine int32, s *meshpb.TaskStatus) {
 	if o.config.FinalStatuses.Ended(s.Job) {
 		o.queueCommand(machine, s.Job, s.Task, s.Replica, commandFor(s))
--- a/internal/shard/observed_machines.go
+++ b/internal/shard/observed_machines.go
@@ -6,31 +6,32 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// unknownMachine is the index of no machine.
+// unknownMachine is the index that stands for no machine.
 const unknownMachine = int32(-1)
 
-// observedMachine is what this process has heard of a machine. Zone and images
-// outlast the stream, in case this process leads next.
+// observedMachine is what the leader has reported of a machine. Zone and images are kept
+// beyond the end of the stream, in case this process leads next.
 type observedMachine struct {
 	hasLeaderIndex      bool   // on this stream
-	leaderIndex         uint32 // the leader's index
+	leaderIndex         uint32 // valid if hasLeaderIndex is set
 	zone                string
-	lastHeartbeatUs     int64 // on the leader's clock, of the last heartbeat on this stream
-	previousHeartbeatUs int64 // the same, of the last one that came earlier than that
-	lastSeenAt          time.Duration
+	lastHeartbeatUs     int64         // time of the last heartbeat on this stream, on the leader's clock; 0: none
+	previousHeartbeatUs int64         // the last value of lastHeartbeatUs that was earlier; 0: none
+	lastSeenAt          time.Duration // of the last status, on this process's clock
 	images              []*meshpb.CachedImage
 }
 
-// observedMachines is the table of the machines of which the leader has told. It has
-// an index of its own for each, as the leader's change from leader to leader.
+// observedMachines is the table of the machines that leaders have reported. It assigns its
+// own index to each, because a leader's indices are valid for one stream.
 type observedMachines struct {
 	indices       indexAllocator
 	machines      []observedMachine // by this process's index
-	byLeaderIndex []int32
-	maxMachines   uint32 // that the leader's indices may go up to
+	byLeaderIndex []int32           // this process's index, or unknownMachine
+	maxMachines   uint32            // upper bound of a leader's indices, exclusive
 }
 
-// resetStream notes that the leader's stream has ended.
+// resetStream removes the leader's indices and the times of heartbeats when the leader's
+// stream has ended.
 func (t *observedMachines) resetStream() {
 	t.byLeaderIndex = nil
 	for i := range t.machines {
@@ -38,7 +39,7 @@
 	}
 }
 
-// at returns what is known of a machine by this process's index.
+// entry returns the entry of a machine by this process's index, and adds it if necessary.
 func (t *observedMachines) entry(machine int32) *observedMachine {
 	for int(machine) >= len(t.machines) {
 		t.machines = append(t.machines, observedMachine{})
@@ -52,7 +53,7 @@
 	return machine, known
 }
 
-// local returns this process's index for the leader's.
+// localIndex returns this process's index for the leader's, or unknownMachine.
 func (t *observedMachines) localIndex(leaderIndex uint32) int32 {
 	if int64(leaderIndex) >= int64(len(t.byLeaderIndex)) {
 		return unknownMachine
@@ -60,21 +61,23 @@
 	return t.byLeaderIndex[leaderIndex]
 }
 
-// name takes the index under which the leader tells of a machine from now on.
-func (t *observedMachines) setLeaderIndex(n *meshpb.MachineName) {
-	if n.MachineIndex >= t.maxMachines {
+// setLeaderIndex sets the index by which the leader refers to a machine from now on.
+func (t *observedMachines) setLeaderIndex(name *meshpb.MachineName) {
+	if name.MachineIndex >= t.maxMachines {
 		return
 	}
-	for int(n.MachineIndex) >= len(t.byLeaderIndex) {
+	for int(name.MachineIndex) >= len(t.byLeaderIndex) {
 		t.byLeaderIndex = append(t.byLeaderIndex, unknownMachine)
 	}
-	machine := t.indices.indexOf(n.Name)
-	t.byLeaderIndex[n.MachineIndex] = machine
+	machine := t.indices.indexOf(name.Name)
+	t.byLeaderIndex[name.MachineIndex] = machine
 	m := t.entry(machine)
-	m.hasLeaderIndex, m.leaderIndex, m.zone = true, n.MachineIndex, n.Zone
+	m.hasLeaderIndex, m.leaderIndex, m.zone = true, name.MachineIndex, name.Zone
 }
 
-// observe takes what a machine's status tells of the machine itself.
+// recordStatus records what a status reports of the machine itself. clockUs is the time of
+// the message on the leader's clock, not before the heartbeat arrived; now is on this
+// process's clock.
 func (t *observedMachines) recordStatus(machine int32, status *meshpb.MachineStatus, clockUs int64, now time.Duration) {
 	m := t.entry(machine)
 	if clockUs > m.lastHeartbeatUs {
@@ -86,7 +89,7 @@
 	}
 }
 
-// forget drops a machine, whose index may then be another's.
+// remove removes a machine; its index may then be assigned to another machine.
 func (t *observedMachines) remove(name string, machine int32) {
 	m := t.entry(machine)
 	if m.hasLeaderIndex {
@@ -98,7 +101,7 @@
 
 func (t *observedMachines) zoneOf(machine int32) string { return t.entry(machine).zone }
 
-// cachedImages is what the last leader knew to be cached on a machine.
+// cachedImages returns the images that the last leader knew to be cached on a machine.
 func (t *observedMachines) cachedImages(name string) []*meshpb.CachedImage {
 	if machine, known := t.byName(name); known {
 		return t.entry(machine).images
@@ -106,34 +109,34 @@
 	return nil
 }
 
-// indexAllocator maps names to dense indices, which are used again once released.
+// indexAllocator assigns dense indices to names, and reuses released indices.
 type indexAllocator struct {
 	byName      map[string]int32
 	freeIndices []int32
 	nextIndex   int32
 }
 
-func (r *indexAllocator) indexOf(name string) int32 {
-	if r.byName == nil {
-		r.byName = make(map[string]int32)
+func (a *indexAllocator) indexOf(name string) int32 {
+	if a.byName == nil {
+		a.byName = make(map[string]int32)
 	}
-	i, ok := r.byName[name]
+	i, ok := a.byName[name]
 	if ok {
 		return i
 	}
-	if last := len(r.freeIndices) - 1; last >= 0 {
-		i, r.freeIndices = r.freeIndices[last], r.freeIndices[:last]
+	if last := len(a.freeIndices) - 1; last >= 0 {
+		i, a.freeIndices = a.freeIndices[last], a.freeIndices[:last]
 	} else {
-		i = r.nextIndex
-		r.nextIndex++
+		i = a.nextIndex
+		a.nextIndex++
 	}
-	r.byName[name] = i
+	a.byName[name] = i
 	return i
 }
 
-func (r *indexAllocator) release(name string) {
-	if i, ok := r.byName[name]; ok {
-		delete(r.byName, name)
-		r.freeIndices = append(r.freeIndices, i)
+func (a *indexAllocator) release(name string) {
+	if i, ok := a.byName[name]; ok {
+		delete(a.byName, name)
+		a.freeIndices = append(a.freeIndices, i)
 	}
 }
--- a/internal/shard/orphaned_replicas.go
+++ b/internal/shard/orphaned_replicas.go
@@ -6,12 +6,12 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// orphans holds the replicas that may be left of jobs that have ended: they count for
-// their teams until their machines have proved them lost, by the same proofs as the
-// replicas of jobs that go on.
+// orphans holds the replicas that may be left of jobs that have ended. They count against
+// their teams' limits until they are proven lost, by the same proofs as replicas of
+// unfinished jobs.
 type orphans struct {
-	byMachine    map[int32][]*orphanedReplica // under unknownMachine those of which it is not known where they are
-	releaseClaim func(*orphanedReplica)       // gives back what one used that is proven lost
+	byMachine    map[int32][]*orphanedReplica // under unknownMachine: replicas with an unknown location
+	releaseClaim func(*orphanedReplica)       // releases what a replica that is proven lost has used of its allocation
 }
 
 // orphanedReplica is a replica of a task whose job has ended.
@@ -21,16 +21,16 @@
 	task            int32
 	replica         uint64
 	epoch, sequence uint64
-	unacknowledged  bool // its start has not been acknowledged by a status
-	knownToLeader   bool // the present leader has known the job while it went on, and tells of its replicas
+	unacknowledged  bool // no status has listed it since its start was assigned
+	knownToLeader   bool // the present leader knew the job while it was unfinished, and reports its replicas
 }
 
-func (o *orphans) init(refund func(*orphanedReplica)) {
+func (o *orphans) init(releaseClaim func(*orphanedReplica)) {
 	o.byMachine = make(map[int32][]*orphanedReplica)
-	o.releaseClaim = refund
+	o.releaseClaim = releaseClaim
 }
 
-// keep keeps what may be left of a job that is about to be removed.
+// addJob adds what may be left of a job that is about to be removed.
 func (o *orphans) addJob(job *Job) {
 	for i := range job.tasks {
 		t := &job.tasks[i]
@@ -49,7 +49,8 @@
 	}
 }
 
-// release gives back what the replicas on a machine used for which lost holds.
+// releaseWhere releases the claims of the replicas on a machine for which lost returns
+// true, and removes these replicas.
 func (o *orphans) releaseWhere(machine int32, lost func(orphan *orphanedReplica) bool) {
 	list := o.byMachine[machine]
 	if len(list) == 0 {
@@ -69,11 +70,12 @@
 	}
 }
 
-// mayExistOn tells whether a machine may hold any.
+// mayExistOn reports whether a machine may hold orphaned replicas.
 func (o *orphans) mayExistOn(machine int32) bool { return len(o.byMachine[machine]) > 0 }
 
-// markAllUnknownToLeader notes that the stream from the leader has ended. The next leader may not
-// know the jobs, and so not tell of their replicas: it says when none is left.
+// markAllUnknownToLeader records that the stream from the leader has ended. The next leader
+// may not know the jobs, and then does not report their replicas; it reports when none is
+// left.
 func (o *orphans) markAllUnknownToLeader() {
 	for _, list := range o.byMachine {
 		for _, orphan := range list {
@@ -82,10 +84,10 @@
 	}
 }
 
-// markUnreconciledUnknownToLeader detaches the replicas of a shard of which it is not known where they
-// are although the leader has known their jobs, and tells whether there are any. Their
-// jobs ended while the shard was being reconciled: only after another registration does
-// the leader's word cover them.
+// markUnreconciledUnknownToLeader clears knownToLeader of the replicas of a shard whose
+// location is unknown although the leader knew their jobs, and reports whether there are
+// any. Their jobs ended while the shard was being reconciled: the leader's report covers
+// them only after another registration.
 func (o *orphans) markUnreconciledUnknownToLeader(shard string) bool {
 	found := false
 	for _, orphan := range o.byMachine[unknownMachine] {
@@ -97,14 +99,16 @@
 }
 
 // releaseReconciled releases what was left of jobs that had ended when the shard was
-// registered with the present leader, which says that no machine holds any of it.
+// registered with the present leader. The leader has reported that no machine holds any of
+// it.
 func (o *orphans) releaseReconciled(shard string) {
 	for machine := range o.byMachine {
 		o.releaseWhere(machine, func(orphan *orphanedReplica) bool { return !orphan.knownToLeader && orphan.shard.name == shard })
 	}
 }
 
-// handleMachineStatus judges by a machine's status what is left on it.
+// handleMachineStatus determines by a machine's status which orphaned replicas on it are
+// lost.
 func (o *orphans) handleMachineStatus(observation *machineObservation) {
 	if !o.mayExistOn(observation.machine) {
 		return
@@ -119,7 +123,7 @@
 	})
 }
 
-// replicaKey names one replica of a task.
+// replicaKey identifies one replica of a task.
 type replicaKey struct {
 	job     string
 	task    uint32
@@ -141,7 +145,8 @@
 	return replicaKey{orphan.claim.Job, uint32(orphan.task), orphan.replica}
 }
 
-// provenLost tells whether a status that does not list an orphan proves that it is lost.
+// provenLost reports whether a status that does not list an orphaned replica proves that it
+// is lost.
 func (orphan *orphanedReplica) provenLost(observation *machineObservation) bool {
 	status := observation.status
 	switch {
@@ -162,30 +167,30 @@
 	o.releaseWhere(machine, func(*orphanedReplica) bool { return true })
 }
 
-// releaseExpired releases what was on machines whose leases are surely over, by the
-// leader's clock.
+// releaseExpired releases what was on machines whose leases are guaranteed to have ended.
+// Times are in microseconds on the leader's clock.
 func (o *orphans) releaseExpired(machines *observedMachines, clockUs, timeoutUs int64) {
 	for machine := range o.byMachine {
 		if machine == unknownMachine {
 			continue
 		}
-		heardAtUs := machines.entry(machine).lastHeartbeatUs
+		lastHeartbeatUs := machines.entry(machine).lastHeartbeatUs
 		o.releaseWhere(machine, func(orphan *orphanedReplica) bool {
-			return orphan.shard.registration.leaseExpired(heardAtUs, clockUs, timeoutUs)
+			return orphan.shard.registration.leaseExpired(lastHeartbeatUs, clockUs, timeoutUs)
 		})
 	}
 }
 
 // releaseUnsent releases a replica whose start was never sent.
-func (o *orphans) releaseUnsent(p *meshpb.Binding) {
+func (o *orphans) releaseUnsent(binding *meshpb.Binding) {
 	for machine := range o.byMachine {
 		o.releaseWhere(machine, func(orphan *orphanedReplica) bool {
-			return orphan.unacknowledged && orphan.key() == replicaKey{p.Job, p.Task, p.Replica}
+			return orphan.unacknowledged && orphan.key() == replicaKey{binding.Job, binding.Task, binding.Replica}
 		})
 	}
 }
 
-// removeShard forgets what is left of a shard that is held no more.
+// removeShard removes what is left of a shard that is no longer held.
 func (o *orphans) removeShard(shard string) {
 	for machine, list := range o.byMachine {
 		kept := list[:0]
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -12,14 +12,16 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Records keeps what has to outlive the process of one held shard; it is a
-// storage.Shard. Callbacks come on the owning goroutine, and none after Close.
+// Records stores what has to outlive the process for one held shard; storage.Shard
+// implements it. Callbacks are called on the owning goroutine, and none after Close.
 type Records interface {
-	// Recover reads the shard's unfinished jobs, however often that takes.
+	// Recover reads the shard's unfinished jobs, and retries until that succeeds.
 	Recover(done func([]storage.RecoveredJob))
+	// RecoveryReads returns how many times Recover has read, failures included.
 	RecoveryAttempts() int
+	// Unreadable returns the keys of the records that Recover could not read.
 	UnreadableKeys() []string
-	// Version is the present version of the shard's key, which fences all writes.
+	// Version returns the present version of the shard's key, which fences all writes.
 	Version() uint64
 	CreateJob(job *protocol.Job, submittedAtMs int64, nonce string, deadline time.Duration, done func(storage.CreateResult))
 	EndJob(job *protocol.Job, nonce, status string, done func())
@@ -31,43 +33,44 @@
 	Close()
 }
 
-// LeaderStream takes what an owner has to tell the leader. Without a leader it drops it:
-// the next one is told everything as the shards are registered.
+// LeaderStream sends an owner's messages to the leader. Without a leader it drops them: the
+// next leader receives the whole state when the shards are registered.
 type LeaderStream interface {
-	// RegisterShards registers the shards that the leader does not count yet.
+	// RegisterShards registers the shards that the present leader was not told of.
 	RegisterShards()
-	// RegisterShard registers a shard, perhaps once more.
+	// RegisterShard registers a shard, possibly once more.
 	RegisterShard(shard *Shard)
 	PublishSummaries(shard string, jobs []*meshpb.JobSummary)
 }
 
-// FinalStatuses remembers which jobs have ended and how.
+// FinalStatuses records which jobs have ended, and with which status.
 type FinalStatuses interface {
-	// Ended tells whether a job is known to have ended.
+	// Ended reports whether a job is known to have ended.
 	Ended(job string) bool
 	Remember(job, status string, tasks int)
 }
 
-// Config is what an owner needs.
+// Config has the settings and dependencies of an Owner.
 type Config struct {
-	Member             string        // the member whose own shard takes new jobs
-	ProcessNonce       string        // of this process; nonces of jobs begin with it
-	MemoryLimit        int64         // bytes that unfinished jobs may take before new ones are refused
-	WorkerLeaseTimeout time.Duration // after a heartbeat's arrival, until its machine's lease has surely ended
-	MachineTTL         time.Duration // how long machines are remembered that only earlier leaders told of
-	MaxMachines        uint32        // that a leader's indices may go up to
+	Member             string        // the member of this process; its own shard takes new jobs
+	ProcessNonce       string        // of this process; prefix of the nonces of its jobs
+	MemoryLimit        int64         // bytes that unfinished jobs may use before new ones are rejected
+	WorkerLeaseTimeout time.Duration // from a heartbeat's arrival until its machine's lease is guaranteed to have ended
+	MachineTTL         time.Duration // how long machines are kept that only earlier leaders reported
+	MaxMachines        uint32        // upper bound of a leader's machine indices, exclusive
 
 	Clock         storage.Clock
 	Log           zerolog.Logger
 	Leader        LeaderStream
 	FinalStatuses FinalStatuses
 	Admission     *admission.Control
-	// OpenRecords opens the records of a shard whose key was just written with a version.
-	// onLost is called once when it turns out to be another's.
-	OpenRecords func(shard string, lease, version uint64, onLost func()) Records
+	// OpenRecords opens the records of a shard whose key was just written under the lease,
+	// with the version. onLost is called once when the key turns out to belong to another
+	// process.
+	OpenRecords func(shard string, leaseID, version uint64, onLost func()) Records
 }
 
-// Owner holds the shards of this process.
+// Owner owns the shards that this process holds, and their jobs.
 type Owner struct {
 	config               Config
 	log                  zerolog.Logger
@@ -75,19 +78,19 @@
 	shards               map[string]*Shard
 	jobs                 map[string]*Job
 	machines             observedMachines
-	tasksByMachine       map[int32][]taskRef // assigned or placed, by machine
-	unpublished          []*Job              // since the leader was told last
+	tasksByMachine       map[int32][]taskRef // assigned or placed tasks, by machine
+	unpublished          []*Job              // changed since their summaries were last sent to the leader
 	lastNonce            uint64
 	lossCounter          eventcount.Counter // by lossReason
 	orphans              orphans
-	estimatedMemoryBytes int64 // what the unfinished jobs take, roughly
+	estimatedMemoryBytes int64 // of the unfinished jobs
 
-	lastRegisteredAtUs int64                    // the latest of the shards' registrations
-	commands           []*meshpb.MachineCommand // gathered for the leader
+	lastRegisteredAtUs int64                    // the latest registration of a shard, on the leader's clock
+	commands           []*meshpb.MachineCommand // queued for the leader
 	nextMachineSweepAt time.Duration
 }
 
-// NewOwner makes an owner that holds no shard yet.
+// NewOwner returns an owner that holds no shard yet.
 func NewOwner(config Config) *Owner {
 	o := &Owner{
 		config:         config,
@@ -123,12 +126,12 @@
 	return nil
 }
 
-// CachedImages is what the last leader knew to be cached on a machine.
+// CachedImages returns the images that the last leader knew to be cached on a machine.
 func (o *Owner) CachedImages(machine string) []*meshpb.CachedImage {
 	return o.machines.cachedImages(machine)
 }
 
-// MarkChanged has the leader told of a job with the next publish.
+// MarkChanged marks a job whose summary the next PublishChangedJobs sends to the leader.
 func (o *Owner) MarkChanged(job *Job) {
 	if !job.unpublished {
 		job.unpublished = true
@@ -136,26 +139,26 @@
 	}
 }
 
-// HasUnpublished tells whether there is anything to tell the leader.
+// HasUnpublished reports whether there are changed jobs or commands for the leader.
 func (o *Owner) HasUnpublished() bool { return len(o.unpublished) > 0 || len(o.commands) > 0 }
 
-// FlushFinishedTasks has the finished tasks written that have gathered.
+// FlushFinishedTasks writes the queued finished tasks.
 func (o *Owner) FlushFinishedTasks() {
 	for _, shard := range o.shards {
 		shard.records.FlushFinishedTasks()
 	}
 }
 
-// Tick has new and ended jobs written that have gathered, and ends the pauses of failed
-// tasks.
+// Tick writes the queued creations and ends of jobs, and ends the back-offs of failed tasks
+// and the pauses of circuit breakers that are over.
 func (o *Owner) Tick(now time.Duration) {
 	o.lossCounter.Log(now, &o.log)
 	for _, shard := range o.shards {
 		shard.records.FlushJobs()
 	}
 	for _, job := range o.jobs {
-		probed := job.breaker.update(job.running, now)
-		if ready := job.endBackOffs(now); ready || probed != breakerUnchanged {
+		change := job.breaker.update(job.running, now)
+		if ready := job.endBackOffs(now); ready || change != breakerUnchanged {
 			o.MarkChanged(job)
 		}
 	}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -17,10 +17,11 @@
 	leaseTimeout = 10 * time.Second
 	shardNumber  = 3
 	machineName  = "vm-1"
-	machineIndex = 4 // the leader's
+	machineIndex = 4 // the leader's index of the machine
 )
 
-// fixture is an owner of the shard "a" whose world the test plays.
+// fixture is an owner of the shard "a". The test plays its clock, its leader, its records
+// and one machine.
 type fixture struct {
 	*Owner
 	t       *testing.T
@@ -32,7 +33,7 @@
 // Now implements storage.Clock.
 func (f *fixture) Now() time.Duration { return f.now }
 
-// RegisterShards implements LeaderStream: the leader answers at once.
+// RegisterShards implements LeaderStream. The leader answers immediately.
 func (f *fixture) RegisterShards() {
 	for shard := range f.UnregisteredShards() {
 		f.RegisterShard(shard)
@@ -54,7 +55,7 @@
 // Remember implements FinalStatuses.
 func (f *fixture) Remember(job, status string, _ int) { f.ended[job] = status }
 
-// memoryRecords are records that are durable once flushed.
+// memoryRecords are records in memory that become durable when flushed.
 type memoryRecords struct {
 	Records
 	version        uint64
@@ -87,7 +88,8 @@
 	*list = nil
 }
 
-// newFixture acquires the shard with a fencing token; jobs are what its records hold.
+// newFixture returns a fixture that has acquired the shard under a fencing token, with the
+// given jobs in its records.
 func newFixture(t *testing.T, fencingToken uint64, jobs ...storage.RecoveredJob) *fixture {
 	t.Helper()
 	f := &fixture{t: t, now: time.Second, ended: make(map[string]string)}
@@ -104,7 +106,7 @@
 	return f
 }
 
-// submit creates a job of tasks.
+// submit creates a job with a number of tasks.
 func (f *fixture) submit(tasks int) *Job {
 	f.t.Helper()
 	f.CreateJob(&protocol.Job{ID: "wk-1", Tasks: tasks}, 0, time.Second, func(r storage.CreateResult) {
@@ -115,15 +117,16 @@
 	return f.Job("wk-1")
 }
 
-// offer binds up to n tasks of the job to the machine with the response to a heartbeat.
-func (f *fixture) bindOffered(n, seq int) []*meshpb.Binding {
+// bindOffered offers the machine for up to count tasks of the job, after its heartbeat seq,
+// and returns the bindings.
+func (f *fixture) bindOffered(count, seq int) []*meshpb.Binding {
 	var bindings meshpb.Bindings
 	f.Bind(&meshpb.Offer{MachineIndex: machineIndex, Epoch: 1, Seq: uint64(seq),
-		Items: []*meshpb.OfferItem{{Job: "wk-1", Count: uint32(n)}}}, &bindings)
+		Items: []*meshpb.OfferItem{{Job: "wk-1", Count: uint32(count)}}}, &bindings)
 	return bindings.Bindings
 }
 
-// report passes a status of the machine on, a second after the last.
+// reportStatus passes on a status of the machine, one second after the previous one.
 func (f *fixture) reportStatus(status *meshpb.MachineStatus) {
 	f.now += time.Second
 	status.MachineIndex, status.Current = machineIndex, true
@@ -131,19 +134,19 @@
 		Names: []*meshpb.MachineName{{MachineIndex: machineIndex, Name: machineName, Zone: "z1"}}})
 }
 
-// listing is a complete status of the machine.
+// completeStatus returns a complete status of the machine that lists the given tasks.
 func completeStatus(seq int, tasks ...*meshpb.TaskStatus) *meshpb.MachineStatus {
 	return &meshpb.MachineStatus{Epoch: 1, Seq: uint64(seq), CompleteForShards: []uint32{shardNumber}, Tasks: tasks}
 }
 
-func taskStatusOf(b *meshpb.Binding, state protocol.TaskState, reason protocol.ExitReason) *meshpb.TaskStatus {
-	return &meshpb.TaskStatus{Job: b.Job, Task: b.Task, Replica: b.Replica, State: uint32(state), ExitReason: uint32(reason)}
+func taskStatusOf(binding *meshpb.Binding, state protocol.TaskState, reason protocol.ExitReason) *meshpb.TaskStatus {
+	return &meshpb.TaskStatus{Job: binding.Job, Task: binding.Task, Replica: binding.Replica, State: uint32(state), ExitReason: uint32(reason)}
 }
 
-func (f *fixture) checkState(what string, job *Job, want TaskState) {
+func (f *fixture) checkState(when string, job *Job, want TaskState) {
 	f.t.Helper()
 	if got := job.TaskState(0); got != want {
-		f.t.Errorf("%s: the task is %v, want %v", what, got, want)
+		f.t.Errorf("%s: the task is %v, want %v", when, got, want)
 	}
 }
 
@@ -163,11 +166,11 @@
 	f.FlushFinishedTasks()
 	f.checkState("written", job, TaskDurable)
 	if commands := f.TakeCommands(); len(commands) != 1 || !commands[0].Reap || commands[0].Replica != bindings[0].Replica {
-		t.Errorf("commands %v, want the durable replica forgotten", commands)
+		t.Errorf("commands %v, want one that reaps the durable replica", commands)
 	}
 	f.reportStatus(completeStatus(4, taskStatusOf(bindings[1], protocol.TaskExited, protocol.ExitReasonDone)))
 	if f.ended["wk-1"] != "" {
-		t.Error("the job is told as ended before that is durable")
+		t.Error("the job is reported as ended before its end is durable")
 	}
 	f.Tick(f.now)
 	if f.ended["wk-1"] != protocol.StatusDone || f.Job("wk-1") != nil {
@@ -175,18 +178,18 @@
 	}
 }
 
-// A lost replica is replaced by one of a higher number, and a late status of it is
-// cleared and changes nothing.
+// A lost replica is replaced by one with a higher number. A late status of the lost replica
+// causes a command to remove it, and changes nothing else.
 func TestLostReplicaIsReplacedAndCleared(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
 	lost := f.bindOffered(1, 1)[0]
 	f.reportStatus(completeStatus(2, taskStatusOf(lost, protocol.TaskRunning, 0)))
 	f.reportStatus(completeStatus(3))
-	f.checkState("not listed any more", job, TaskPending)
+	f.checkState("no longer listed", job, TaskPending)
 	next := f.bindOffered(1, 4)[0]
 	if next.Replica <= lost.Replica {
-		t.Errorf("replica %d follows %d", next.Replica, lost.Replica)
+		t.Errorf("replica %d follows %d, want a higher number", next.Replica, lost.Replica)
 	}
 	f.reportStatus(completeStatus(5, taskStatusOf(lost, protocol.TaskExited, protocol.ExitReasonDone), taskStatusOf(next, protocol.TaskRunning, 0)))
 	f.checkState("listed with the lost one", job, TaskPlaced)
@@ -200,15 +203,16 @@
 	job := f.submit(1)
 	binding := f.bindOffered(1, 1)[0]
 	f.reportStatus(completeStatus(2, taskStatusOf(binding, protocol.TaskRunning, 0)))
-	heard := f.now.Microseconds()
-	f.ExpireLeases(heard + leaseTimeout.Microseconds())
+	lastHeartbeatUs := f.now.Microseconds()
+	f.ExpireLeases(lastHeartbeatUs + leaseTimeout.Microseconds())
 	f.checkState("after a lease", job, TaskPlaced)
-	f.ExpireLeases(heard + leaseTimeout.Microseconds() + 1)
+	f.ExpireLeases(lastHeartbeatUs + leaseTimeout.Microseconds() + 1)
 	f.checkState("after more than a lease", job, TaskPending)
 }
 
-// When its stream ends an owner concludes nothing until the next leader has answered.
-func TestNothingIsConcludedWithoutALeader(t *testing.T) {
+// After the end of its stream, an owner treats no replica as lost until the next leader has
+// confirmed the registration, and binds no task before the registration.
+func TestNoReplicaIsLostWithoutALeader(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
 	binding := f.bindOffered(1, 1)[0]
@@ -226,8 +230,8 @@
 	return storage.RecoveredJob{Job: protocol.Job{ID: "wk-1", Tasks: tasks}, FinishedTasks: make([]bool, tasks)}
 }
 
-// What no machine lists of a recovered shard is started only once the leader says that it
-// is reconciled.
+// A recovered task that no machine lists is started only once the leader reports the shard
+// as reconciled.
 func TestRecoveredTaskWaitsForReconciliation(t *testing.T) {
 	f := newFixture(t, 2, recoveredJob(1))
 	job := f.Job("wk-1")
@@ -241,9 +245,10 @@
 	f.checkState("after it", job, TaskPending)
 }
 
-// A replica of an earlier holder counts, though it ended; its number is below all of this
-// holder's.
-func TestInheritedReplicaCounts(t *testing.T) {
+// A replica that an earlier holder started becomes the current replica of its task,
+// although that holder has ended. Its number is below all numbers of this holder's
+// replicas.
+func TestInheritedReplicaBecomesCurrent(t *testing.T) {
 	f := newFixture(t, 2, recoveredJob(2))
 	job := f.Job("wk-1")
 	inherited := &meshpb.Binding{Job: "wk-1", Task: 0, Replica: 1<<replicaBits + 5}
@@ -257,7 +262,8 @@
 	}
 }
 
-// An inherited replica that is lost before the reconciliation may have a newer one.
+// When an inherited replica is lost before the reconciliation, a newer one may exist, so
+// the task becomes unreconciled.
 func TestLostInheritedReplicaIsUnreconciled(t *testing.T) {
 	f := newFixture(t, 2, recoveredJob(1))
 	job := f.Job("wk-1")
@@ -277,35 +283,35 @@
 	f.ReturnBindings(bindings)
 	f.checkState("returned", job, TaskPending)
 	next := f.bindOffered(1, 2)
-	f.ReturnBindings(bindings) // a repeat says nothing of the next replica
-	f.checkState("another's", job, TaskAssigned)
+	f.ReturnBindings(bindings) // a repeated return does not affect the next replica
+	f.checkState("previous binding returned again", job, TaskAssigned)
 	if next[0].Replica <= bindings[0].Replica {
-		t.Errorf("replica %d follows %d", next[0].Replica, bindings[0].Replica)
+		t.Errorf("replica %d follows %d, want a higher number", next[0].Replica, bindings[0].Replica)
 	}
 }
 
-// Those who wait for a job's end learn that it can't be said once the shard is lost.
-func TestRemovedShardAnswersThoseWhoWait(t *testing.T) {
+// Those who wait for a job's end receive ErrShardLost once the shard is removed.
+func TestRemovedShardAnswersPendingCancellations(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
-	var told []error
-	f.Cancel(job, func(_ string, err error) { told = append(told, err) })
+	var received []error
+	f.Cancel(job, func(_ string, err error) { received = append(received, err) })
 	f.RemoveShard("a")
 	f.records.FlushJobs()
-	if len(told) != 1 || !errors.Is(told[0], ErrShardLost) {
-		t.Errorf("told %v", told)
+	if len(received) != 1 || !errors.Is(received[0], ErrShardLost) {
+		t.Errorf("the callback received %v, want ErrShardLost once", received)
 	}
 	if f.Job("wk-1") != nil || f.Shard("a") != nil || f.estimatedMemoryBytes != 0 {
-		t.Errorf("%d bytes of a removed shard are left", f.estimatedMemoryBytes)
+		t.Errorf("the removed shard or its job is still held, or %d bytes are still counted for it", f.estimatedMemoryBytes)
 	}
 }
 
 func TestMemoryLimit(t *testing.T) {
 	f := newFixture(t, 1)
-	fits := (1<<20 - bytesPerJob) / bytesPerTask
-	for tasks, want := range map[int]bool{fits: false, fits + 1: true} {
+	maxTasks := (1<<20 - bytesPerJob) / bytesPerTask
+	for tasks, want := range map[int]bool{maxTasks: false, maxTasks + 1: true} {
 		if got := f.MemoryFull(&protocol.Job{Tasks: tasks}); got != want {
-			t.Errorf("%d tasks: full is %v", tasks, got)
+			t.Errorf("%d tasks: memory full is %v", tasks, got)
 		}
 	}
 }
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -2,10 +2,11 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// HandleReconciled takes the leader's word that no machine holds a replica of a shard's
-// recovered tasks that it has not told of, or none at all that is not known of.
-func (o *Owner) HandleReconciled(word *meshpb.Reconciled) {
-	shard := o.shards[word.Shard]
+// HandleReconciled handles the leader's message that no machine holds a replica of a
+// shard's recovered tasks that it has not reported. With NoUnknownReplicas set, no machine
+// holds any replica of the shard that this process does not know of.
+func (o *Owner) HandleReconciled(message *meshpb.Reconciled) {
+	shard := o.shards[message.Shard]
 	if shard == nil || !shard.registration.confirmed() {
 		return
 	}
@@ -13,13 +14,14 @@
 	if !shard.reconciled && !shard.registration.reconciledByOlderLeader {
 		o.reconcile(shard)
 	}
-	if word.NoUnknownReplicas {
+	if message.NoUnknownReplicas {
 		o.handleNoUnknownReplicas(shard)
 	}
 }
 
-// handleNoUnknownReplicas takes the leader's word that no machine holds a replica of a shard
-// that is not known of.
+// handleNoUnknownReplicas handles the leader's report that no machine holds a replica of a
+// shard that this process does not know of. If the report does not cover some jobs because
+// they ended meanwhile, the shard is registered again, for another report.
 func (o *Owner) handleNoUnknownReplicas(shard *Shard) {
 	if !o.admission.Enabled() {
 		return
@@ -32,9 +34,10 @@
 	o.admission.Complete(shard.name)
 }
 
-// reconcileForOlderLeader takes a leader's word that a shard is reconciled, which a leader of
-// a version that does not say which statuses are complete gives too early, once every
-// machine has sent a heartbeat since the shard was registered.
+// reconcileForOlderLeader reconciles the shards that a leader has reported as reconciled
+// without saying which statuses are complete. A leader of such a version reports that too
+// early, so this waits until every machine has sent a heartbeat since the shard was
+// registered.
 func (o *Owner) reconcileForOlderLeader(clockUs, timeoutUs int64) {
 	for _, shard := range o.shards {
 		if shard.registration.reconciledByOlderLeader && !shard.reconciled && o.allMachinesReportedSinceRegistration(clockUs, timeoutUs) {
@@ -43,23 +46,24 @@
 	}
 }
 
-// allMachinesReportedSinceRegistration tells whether every machine that the leader has told of
-// has sent a heartbeat since the last shard was registered, or has lost its lease.
+// allMachinesReportedSinceRegistration reports whether every machine that the leader has
+// named has sent a heartbeat since the last shard was registered, or has lost its lease.
 func (o *Owner) allMachinesReportedSinceRegistration(clockUs, timeoutUs int64) bool {
-	last := o.lastRegisteredAtUs
+	registeredAtUs := o.lastRegisteredAtUs
 	for _, machine := range o.machines.byLeaderIndex {
 		if machine == unknownMachine {
 			continue
 		}
 		m := o.machines.entry(machine)
-		if !sentHeartbeatSince(last, m.previousHeartbeatUs) && clockUs-max(m.lastHeartbeatUs, last) <= timeoutUs {
+		if !sentHeartbeatSince(registeredAtUs, m.previousHeartbeatUs) && clockUs-max(m.lastHeartbeatUs, registeredAtUs) <= timeoutUs {
 			return false
 		}
 	}
 	return true
 }
 
-// reconcile makes every recovered task pending that no machine listed.
+// reconcile marks a shard as reconciled, and makes every recovered task pending that no
+// machine has listed.
 func (o *Owner) reconcile(shard *Shard) {
 	shard.reconciled = true
 	o.log.Info().Str("shard", shard.name).Uint64("fencing_token", shard.fencingToken).Int("unlisted", shard.unreconciledTasks).Msg("shard reconciled")
--- a/internal/shard/registration.go
+++ b/internal/shard/registration.go
@@ -6,28 +6,29 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// registrationRequested is where a registration's time stands until the leader answers.
+// registrationRequested is the value of registration.registeredAtUs until the leader
+// answers.
 const registrationRequested = -1
 
-// registration is how far the present leader counts a shard.
+// registration is the state of a shard's registration with the present leader.
 type registration struct {
 	sent           bool   // the leader was told of the shard and its jobs
-	registeredAtUs int64  // on the leader's clock; 0: it was not asked, see registrationRequested
-	shardNumber    uint32 // in the leader's statuses, see MachineStatus.complete_for_shards; 0: it gave none
-	// reconciledByOlderLeader: a leader that does not say which statuses are complete has
-	// called the shard reconciled.
+	registeredAtUs int64  // on the leader's clock; 0: not requested; see also registrationRequested
+	shardNumber    uint32 // in the leader's statuses, see MachineStatus.complete_for_shards; 0: the leader gave none
+	// reconciledByOlderLeader is set once a leader that does not say which statuses are
+	// complete has reported the shard as reconciled.
 	reconciledByOlderLeader bool
 }
 
-// confirmed tells whether the leader has answered.
+// confirmed reports whether the leader has answered.
 func (r *registration) confirmed() bool { return r.registeredAtUs > 0 }
 
-// request begins a registration anew.
+// markRequested resets the registration to requested.
 func (r *registration) markRequested() {
 	*r = registration{sent: true, registeredAtUs: registrationRequested}
 }
 
-// Unregistered yields the recovered shards of which the present leader was not told.
+// UnregisteredShards yields the recovered shards that the present leader was not told of.
 func (o *Owner) UnregisteredShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
@@ -38,7 +39,8 @@
 	}
 }
 
-// Unconfirmed yields the recovered shards for which the present leader has not answered.
+// UnconfirmedShards yields the recovered shards for which the present leader has not
+// answered.
 func (o *Owner) UnconfirmedShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
@@ -49,7 +51,8 @@
 	}
 }
 
-// AllRegistrationsConfirmed tells whether the leader has answered for every recovered shard.
+// AllRegistrationsConfirmed reports whether the leader has answered for every recovered
+// shard.
 func (o *Owner) AllRegistrationsConfirmed() bool {
 	for range o.UnconfirmedShards() {
 		return false
@@ -57,8 +60,9 @@
 	return true
 }
 
-// ResetStream notes that the leader's stream has ended: the next one starts every
-// clock anew.
+// ResetStream handles the end of the leader's stream. It discards the registrations, the
+// times on the leader's clock and the queued commands, because the next stream starts all
+// of its clocks again.
 func (o *Owner) ResetStream() {
 	o.lastRegisteredAtUs = 0
 	o.commands = nil
@@ -69,8 +73,8 @@
 	o.orphans.markAllUnknownToLeader()
 }
 
-// BeginRegistration returns what the leader has to know of a shard's jobs as it is
-// registered.
+// BeginRegistration begins the registration of a shard and returns the summaries of its
+// jobs for the leader.
 func (o *Owner) BeginRegistration(shard *Shard) []*meshpb.JobSummary {
 	shard.registration.markRequested()
 	jobs := make([]*meshpb.JobSummary, 0, len(shard.jobs))
@@ -81,7 +85,7 @@
 	return jobs
 }
 
-// ConfirmRegistration takes the leader's answer to a registration.
+// ConfirmRegistration handles the leader's answer to a registration.
 func (o *Owner) ConfirmRegistration(answer *meshpb.ShardRegistered) {
 	shard := o.shards[answer.Shard]
 	if shard == nil || shard.registration.registeredAtUs == 0 {
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -6,8 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// replicaBits is how many replica numbers a holder of a shard has, as a power of
-// two. Each holder's begin at its fencing token, so they go up from holder to holder.
+// replicaBits is the number of bits of the replica numbers that a holder of a shard has.
+// The numbers of each holder begin at its fencing token, shifted by replicaBits, so they
+// increase from holder to holder.
 const replicaBits = 20
 
 // Shard is a shard that this process holds.
@@ -15,14 +16,14 @@
 	name                 string
 	records              Records
 	recovered            bool         // its unfinished jobs were read
-	registration         registration // at the present leader
+	registration         registration // with the present leader
 	jobs                 map[string]*Job
-	fencingToken         uint64 // the version that its key was taken with
-	lastReplica          uint64 // the highest replica number of the shard
-	lastInheritedReplica uint64 // replicas up to this number were started by earlier holders
-	reconciled           bool   // no replica of earlier holders is left that is not known of
-	unreconciledTasks    int    // recovered tasks that may be anywhere
-	pendingCreations     map[string]*pendingCreation
+	fencingToken         uint64                      // version of its key at the acquisition
+	lastReplica          uint64                      // highest replica number of the shard
+	lastInheritedReplica uint64                      // replicas up to this number were started by earlier holders
+	reconciled           bool                        // no unknown replica of earlier holders is left
+	unreconciledTasks    int                         // recovered tasks whose replicas may be on any machine
+	pendingCreations     map[string]*pendingCreation // by job
 }
 
 // pendingCreation is a new job that is being written.
@@ -37,27 +38,27 @@
 // KeyVersion returns the present version of the shard's key.
 func (shard *Shard) KeyVersion() uint64 { return shard.records.Version() }
 
-// Recovered tells whether the shard's unfinished jobs were read.
+// Recovered reports whether the shard's unfinished jobs were read.
 func (shard *Shard) Recovered() bool { return shard.recovered }
 
-// Registered tells whether the present leader was told of the shard.
+// Registered reports whether the present leader was told of the shard.
 func (shard *Shard) Registered() bool { return shard.registration.sent }
 
-// RegistrationConfirmed tells whether the present leader has answered that it counts the
-// shard.
+// RegistrationConfirmed reports whether the present leader has confirmed the registration
+// of the shard.
 func (shard *Shard) RegistrationConfirmed() bool { return shard.registration.confirmed() }
 
-// Reconciled tells whether no replica of earlier holders is left that is not known of.
+// Reconciled reports whether no unknown replica of earlier holders is left.
 func (shard *Shard) Reconciled() bool { return shard.reconciled }
 
-// Acquire takes a shard over whose key this process has just written, and reads what is
-// unfinished in it.
-func (o *Owner) AcquireShard(name string, lease, version uint64) {
+// AcquireShard adds a shard whose key this process has just written under the lease, with
+// the version, and reads its unfinished jobs.
+func (o *Owner) AcquireShard(name string, leaseID, version uint64) {
 	o.RemoveShard(name)
 	acquiredAt := o.now()
 	shard := &Shard{name: name, jobs: make(map[string]*Job), pendingCreations: make(map[string]*pendingCreation),
 		fencingToken: version, lastReplica: version << replicaBits, lastInheritedReplica: version << replicaBits}
-	shard.records = o.config.OpenRecords(name, lease, version, func() {
+	shard.records = o.config.OpenRecords(name, leaseID, version, func() {
 		o.log.Error().Str("shard", name).Uint64("fencing_token", version).Msg("shard lost")
 		o.RemoveShard(name)
 	})
@@ -80,19 +81,19 @@
 	})
 }
 
-func (o *Owner) recoverJob(shard *Shard, r *storage.RecoveredJob) {
-	job := o.addJob(shard, &r.Job, r.SubmittedAtMs, "")
-	job.recoverTasks(r.FinishedTasks)
+func (o *Owner) recoverJob(shard *Shard, recovered *storage.RecoveredJob) {
+	job := o.addJob(shard, &recovered.Job, recovered.SubmittedAtMs, "")
+	job.recoverTasks(recovered.FinishedTasks)
 	o.admission.ChargeInherited(&job.claim, job.active)
 }
 
-// Release gives a shard's key up and forgets the shard.
+// ReleaseShard deletes the key of a shard and removes the shard.
 func (o *Owner) ReleaseShard(name string, done func(storage.TxnResult)) {
 	o.shards[name].records.Release(done)
 	o.RemoveShard(name)
 }
 
-// RemoveShard forgets a shard that is held no more.
+// RemoveShard removes a shard that is no longer held.
 func (o *Owner) RemoveShard(name string) {
 	shard := o.shards[name]
 	if shard == nil {
@@ -124,14 +125,15 @@
 	}
 }
 
-// RemoveAllShards forgets all shards.
+// RemoveAllShards removes all shards.
 func (o *Owner) RemoveAllShards() {
 	for name := range o.shards {
 		o.RemoveShard(name)
 	}
 }
 
-// Shards yields the shards that this process holds. They may be removed meanwhile.
+// Shards yields the shards that this process holds. They may be removed during the
+// iteration.
 func (o *Owner) Shards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
--- a/internal/shard/task_state.go
+++ b/internal/shard/task_state.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// TaskState is where the owner knows a task to be (the paper's OnNode and
-// InTransition, section 4.2), with what lies before and after.
+// TaskState is the state of a task as its owner knows it: its location (the paper's OnNode
+// and InTransition, section 4.2), and the states before and after.
 type TaskState uint8
 
 // The states of a task.
 const (
-	TaskPending      TaskState = iota // no replica exists anywhere
+	TaskPending      TaskState = iota // no replica exists
 	TaskUnreconciled                  // recovered: a replica may be on any machine
 	TaskAssigned                      // a start was handed to a machine's heartbeat response
 	TaskPlaced                        // the machine's status lists it
-	TaskBackingOff                    // failed; waits for its pause to end
-	TaskFinished                      // its result is there but not yet written
+	TaskBackingOff                    // failed; waits for its back-off to end
+	TaskFinished                      // succeeded, but its result is not yet written
 	TaskDurable                       // its end is durable
 )
 
@@ -29,18 +29,18 @@
 	return "TaskState(" + strconv.Itoa(int(s)) + ")"
 }
 
-// task is one task's supervision state (the paper's SupervisedTaskState).
+// supervisedTask is the supervision state of one task (the paper's SupervisedTaskState).
 type supervisedTask struct {
 	state            TaskState
 	running          bool
 	machine          int32
-	replica          uint64        // replica number of the replica that counts
-	epoch            uint64        // of the heartbeat whose response carried the start
-	sequence         uint64        // the same heartbeat's
-	readyOrRunningAt time.Duration // backing off: when it is pending again; running: since when it is seen to
+	replica          uint64        // number of the current replica
+	epoch            uint64        // of the heartbeat whose response carried the start, then of the last status that listed it
+	sequence         uint64        // of the heartbeat whose response carried the start
+	readyOrRunningAt time.Duration // backing off: when it becomes pending again; running: when that was first observed
 }
 
-// taskRef names a task of a job in memory.
+// taskRef refers to a task of a job in memory.
 type taskRef struct {
 	job  *Job
 	task int32
--- a/internal/shard/task_status.go
+++ b/internal/shard/task_status.go
@@ -7,7 +7,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// listedTask is one task as a machine lists it.
+// listedTask is a task that a machine lists in its status.
 type listedTask struct {
 	ref     taskRef
 	machine int32
@@ -15,172 +15,176 @@
 	status  *meshpb.TaskStatus
 }
 
-func (s *listedTask) exited() bool { return protocol.TaskState(s.status.State) == protocol.TaskExited }
+func (listed *listedTask) exited() bool {
+	return protocol.TaskState(listed.status.State) == protocol.TaskExited
+}
 
-func (s *listedTask) exitReason() protocol.ExitReason {
-	return protocol.ExitReason(s.status.ExitReason)
+func (listed *listedTask) exitReason() protocol.ExitReason {
+	return protocol.ExitReason(listed.status.ExitReason)
 }
 
-// queueCleanup has the machine stop or forget the replica that it lists.
-func (o *Owner) queueCleanup(s *listedTask) {
-	o.queueCommand(s.machine, s.ref.job.id, s.status.Task, s.status.Replica, commandFor(s.status))
+// queueCleanup asks the machine to stop the replica that it lists, or to remove it if it
+// has exited.
+func (o *Owner) queueCleanup(listed *listedTask) {
+	o.queueCommand(listed.machine, listed.ref.job.id, listed.status.Task, listed.status.Replica, commandFor(listed.status))
 }
 
-// handleTaskStatus takes one listed task.
-func (o *Owner) handleTaskStatus(s *listedTask) {
-	job, i := s.ref.job, s.ref.task
-	if job.Ending() && job.tasks[i].state != TaskDurable {
-		o.confirmPlacement(s)
-		return // the leader clears machines of jobs that are over
+// handleTaskStatus handles one listed task.
+func (o *Owner) handleTaskStatus(listed *listedTask) {
+	job, task := listed.ref.job, listed.ref.task
+	if job.Ending() && job.tasks[task].state != TaskDurable {
+		o.confirmPlacement(listed)
+		return // the leader cleans up the replicas of ended jobs
 	}
-	if !o.identifyReplica(s) {
+	if !o.identifyReplica(listed) {
 		return
 	}
-	if !s.exited() {
-		o.recordProgress(s)
+	if !listed.exited() {
+		o.recordProgress(listed)
 		return
 	}
-	o.handleTaskExit(s)
+	o.handleTaskExit(listed)
 }
 
-// recordProgress notes whether a listed replica runs, or only fetches its image yet.
-func (o *Owner) recordProgress(s *listedTask) {
-	job, i := s.ref.job, s.ref.task
+// recordProgress records whether a listed replica runs or still fetches its image.
+func (o *Owner) recordProgress(listed *listedTask) {
+	job, task := listed.ref.job, listed.ref.task
 	switch {
-	case protocol.TaskState(s.status.State) == protocol.TaskFetching:
-		job.markNotRunning(i)
-	case !job.tasks[i].running:
-		job.markRunning(i, o.now())
+	case protocol.TaskState(listed.status.State) == protocol.TaskFetching:
+		job.markNotRunning(task)
+	case !job.tasks[task].running:
+		job.markRunning(task, o.now())
 	}
 }
 
-// confirmPlacement notes that a replica of a job that is ending is on its machine. Without
-// that the next status, which lists the same, would be taken for proof that the start
-// never arrived, and what the replica uses given to others while it still runs.
-func (o *Owner) confirmPlacement(s *listedTask) {
-	t := &s.ref.job.tasks[s.ref.task]
-	if t.state == TaskAssigned && t.machine == s.machine && t.replica == s.status.Replica && !s.exited() {
-		s.ref.job.setState(s.ref.task, TaskPlaced)
-		t.epoch = s.epoch
+// confirmPlacement records that a replica of a job that is ending is on its machine.
+// Otherwise the next status, which lists the same, would be taken as proof that the start
+// never arrived, and what the replica uses would be given to others while it still runs.
+func (o *Owner) confirmPlacement(listed *listedTask) {
+	t := &listed.ref.job.tasks[listed.ref.task]
+	if t.state == TaskAssigned && t.machine == listed.machine && t.replica == listed.status.Replica && !listed.exited() {
+		listed.ref.job.setState(listed.ref.task, TaskPlaced)
+		t.epoch = listed.epoch
 	}
 }
 
-// acknowledge notes where a listed replica is, and tells whether it is the one that
-// counts. Others are cleared.
-func (o *Owner) identifyReplica(s *listedTask) bool {
-	job, i := s.ref.job, s.ref.task
-	counts := false
-	switch job.tasks[i].state {
+// identifyReplica records where a listed replica is, and reports whether it is the task's
+// current replica. Other replicas are cleaned up.
+func (o *Owner) identifyReplica(listed *listedTask) bool {
+	job, task := listed.ref.job, listed.ref.task
+	current := false
+	switch job.tasks[task].state {
 	case TaskPending, TaskBackingOff, TaskDurable:
-		// Its result is written, or every replica was proven lost and this is a late
-		// status of one.
-		o.queueCleanup(s)
+		// The task's result is written, or every replica was proven lost and this is a
+		// late status of one.
+		o.queueCleanup(listed)
 	case TaskFinished:
-		// Its own replica stays listed until the result is written.
-		if s.status.Replica != job.tasks[i].replica {
-			o.queueCleanup(s)
+		// The current replica stays listed until the result is written.
+		if listed.status.Replica != job.tasks[task].replica {
+			o.queueCleanup(listed)
 		}
 	case TaskUnreconciled:
-		counts = o.identifyUnreconciledReplica(s)
+		current = o.identifyUnreconciledReplica(listed)
 	case TaskAssigned, TaskPlaced:
-		counts = o.identifyActiveReplica(s)
+		current = o.identifyActiveReplica(listed)
 	}
-	if counts {
-		o.setMachine(job, i, s.machine, TaskPlaced)
-		job.tasks[i].epoch = s.epoch
+	if current {
+		o.setMachine(job, task, listed.machine, TaskPlaced)
+		job.tasks[task].epoch = listed.epoch
 	}
-	return counts
+	return current
 }
 
-// identifyUnreconciledReplica takes a listed replica of a recovered task that may be
-// anywhere, and tells whether it counts.
-func (o *Owner) identifyUnreconciledReplica(s *listedTask) bool {
-	job, i := s.ref.job, s.ref.task
-	// A newer replica was proven lost already; or an older one that ended says
-	// nothing of a newer one, which may run on a machine that has not been
-	// heard of yet.
-	if s.status.Replica < job.tasks[i].replica || (s.exited() && s.exitReason() != protocol.ExitReasonDone) {
-		o.queueCleanup(s)
+// identifyUnreconciledReplica handles a listed replica of a recovered task whose replicas
+// may be on any machine, and reports whether it becomes the current replica.
+func (o *Owner) identifyUnreconciledReplica(listed *listedTask) bool {
+	job, task := listed.ref.job, listed.ref.task
+	// Either a newer replica was already proven lost, or this replica ended without
+	// success, which says nothing of a newer one: that may run on a machine that has not
+	// been heard from yet.
+	if listed.status.Replica < job.tasks[task].replica || (listed.exited() && listed.exitReason() != protocol.ExitReasonDone) {
+		o.queueCleanup(listed)
 		return false
 	}
-	job.setReplica(i, s.status.Replica)
-	if !s.exited() {
-		o.admission.RecordFound(&job.claim, i, s.status.Replica)
+	job.setReplica(task, listed.status.Replica)
+	if !listed.exited() {
+		o.admission.RecordFound(&job.claim, task, listed.status.Replica)
 	}
 	return true
 }
 
-// identifyActiveReplica takes a listed replica of a task that is assigned or placed, and
-// tells whether it counts.
-func (o *Owner) identifyActiveReplica(s *listedTask) bool {
-	job, i := s.ref.job, s.ref.task
-	t, replica := &job.tasks[i], s.status.Replica
+// identifyActiveReplica handles a listed replica of a task that is assigned or placed, and
+// reports whether it is the current replica.
+func (o *Owner) identifyActiveReplica(listed *listedTask) bool {
+	job, task := listed.ref.job, listed.ref.task
+	t, replica := &job.tasks[task], listed.status.Replica
 	switch {
-	case replica > t.replica && (!s.exited() || s.exitReason() == protocol.ExitReasonDone):
-		// Of a recovered task an older replica was heard of first. Earlier
-		// holders started this one once that was proven lost.
-		job.markNotRunning(i)
-		job.setReplica(i, replica)
+	case replica > t.replica && (!listed.exited() || listed.exitReason() == protocol.ExitReasonDone):
+		// An older replica of a recovered task was reported first. An earlier holder
+		// started this one after the older one was proven lost.
+		job.markNotRunning(task)
+		job.setReplica(task, replica)
 		return true
-	case replica == t.replica && t.machine == s.machine:
+	case replica == t.replica && t.machine == listed.machine:
 		return true
-	case replica < t.replica || t.machine != s.machine:
-		// Not the replica that counts: its result is ignored.
-		o.queueCleanup(s)
+	case replica < t.replica || t.machine != listed.machine:
+		// Not the current replica: its result is ignored.
+		o.queueCleanup(listed)
 	}
 	return false
 }
 
-// handleTaskExit takes the end of the replica that counts.
-func (o *Owner) handleTaskExit(s *listedTask) {
-	job, i, why := s.ref.job, s.ref.task, s.exitReason()
-	if job.spec.Service && (why == protocol.ExitReasonDone || why == protocol.ExitReasonError) {
-		o.handleServiceTaskExit(job, i, s.machine)
-		o.queueCleanup(s)
+// handleTaskExit handles the exit of a task's current replica.
+func (o *Owner) handleTaskExit(listed *listedTask) {
+	job, task, reason := listed.ref.job, listed.ref.task, listed.exitReason()
+	if job.spec.Service && (reason == protocol.ExitReasonDone || reason == protocol.ExitReasonError) {
+		o.handleServiceTaskExit(job, task, listed.machine)
+		o.queueCleanup(listed)
 		return
 	}
-	switch why {
+	switch reason {
 	case protocol.ExitReasonDone:
-		o.unassign(job, i, TaskFinished)
+		o.unassign(job, task, TaskFinished)
 		o.recordSuccess(job)
-		o.writeFinishedTask(job, i)
+		o.writeFinishedTask(job, task)
 	case protocol.ExitReasonError:
-		o.unassign(job, i, TaskBackingOff)
-		o.queueCleanup(s)
-		o.backOffFailedTask(job, i, s.machine)
+		o.unassign(job, task, TaskBackingOff)
+		o.queueCleanup(listed)
+		o.backOffFailedTask(job, task, listed.machine)
 	case protocol.ExitReasonNoResources, protocol.ExitReasonInUse, protocol.ExitReasonNoSuchTask:
-		o.unassign(job, i, TaskBackingOff)
-		o.queueCleanup(s)
-		job.backOff(i, o.now()+rejectedStartBackOff)
+		o.unassign(job, task, TaskBackingOff)
+		o.queueCleanup(listed)
+		job.backOff(task, o.now()+rejectedStartBackOff)
 	default:
-		o.queueCleanup(s)
-		o.recordReplicaLost(job, i, lossStopped)
+		o.queueCleanup(listed)
+		o.recordReplicaLost(job, task, lossStopped)
 	}
 }
 
-// rejectedStartBackOff is after how long a start that a machine refused is tried again.
+// rejectedStartBackOff is the delay before a start that a machine rejected is retried.
 const rejectedStartBackOff = time.Second
 
-// minHealthyServiceRuntime is for how long a service's task has to run until its end says
-// nothing against its job.
+// minHealthyServiceRuntime is how long a service's task has to run for its exit not to
+// count as a failure of its job.
 const minHealthyServiceRuntime = 20 * time.Second
 
-// handleServiceTaskExit has a service's task run again, though it ended by itself. One that
-// ran for a while before is back at once; one that ends again and again waits as a
-// task that fails does, and its job tries one task at a time, see circuitBreaker.
-func (o *Owner) handleServiceTaskExit(job *Job, i, machine int32) {
-	t := &job.tasks[i]
-	ran := t.running && o.now()-t.readyOrRunningAt > minHealthyServiceRuntime
-	if ran {
-		o.unassign(job, i, TaskPending)
+// handleServiceTaskExit runs a service's task again although it ended by itself. A task
+// that ran for longer than minHealthyServiceRuntime becomes pending at once. One that keeps
+// ending earlier backs off as a failed task does, and its job tries one task at a time, see
+// circuitBreaker.
+func (o *Owner) handleServiceTaskExit(job *Job, task, machine int32) {
+	t := &job.tasks[task]
+	healthy := t.running && o.now()-t.readyOrRunningAt > minHealthyServiceRuntime
+	if healthy {
+		o.unassign(job, task, TaskPending)
 		o.recordSuccess(job)
 		return
 	}
-	o.unassign(job, i, TaskBackingOff)
-	o.backOffFailedTask(job, i, machine)
+	o.unassign(job, task, TaskBackingOff)
+	o.backOffFailedTask(job, task, machine)
 }
 
-// recordSuccess notes that a task of a job ended well, or ran for long enough.
+// recordSuccess records that a task of a job succeeded, or ran for long enough.
 func (o *Owner) recordSuccess(job *Job) {
 	if job.breaker.open {
 		o.MarkChanged(job)
@@ -188,26 +192,26 @@
 	job.breaker.recordSuccess()
 }
 
-// backOffFailedTask notes that a task has failed on a machine, and has it wait before the
-// next replica.
-func (o *Owner) backOffFailedTask(job *Job, i, machine int32) {
+// backOffFailedTask records that a task has failed on a machine, and makes it wait before
+// its next replica.
+func (o *Owner) backOffFailedTask(job *Job, task, machine int32) {
 	now := o.now()
 	job.breaker.recordFailure(machine, job.active, job.running, now)
-	job.backOff(i, now+job.breaker.backOff())
+	job.backOff(task, now+job.breaker.backOff())
 }
 
-// writeFinishedTask has a finished task written, or the whole job when it was the
+// writeFinishedTask writes that a task has finished, or ends the whole job if it was the
 // last one.
-func (o *Owner) writeFinishedTask(job *Job, i int32) {
+func (o *Owner) writeFinishedTask(job *Job, task int32) {
 	o.MarkChanged(job)
 	if job.allFinished() {
 		o.endIfFinished(job)
 		return
 	}
-	job.shard.records.FinishTask(job.spec, int(i), func() {
-		if t := &job.tasks[i]; t.state == TaskFinished {
-			job.setState(i, TaskDurable)
-			o.queueCommand(t.machine, job.id, uint32(i), t.replica, reapCommand)
+	job.shard.records.FinishTask(job.spec, int(task), func() {
+		if t := &job.tasks[task]; t.state == TaskFinished {
+			job.setState(task, TaskDurable)
+			o.queueCommand(t.machine, job.id, uint32(task), t.replica, reapCommand)
 		}
 	})
 }
