--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -36,13 +36,13 @@
 		Machines:     math.Ceil(float64(spec.Tasks) / math.Max(1, tasksPerMachine(machineType, spec))),
 		FetchSeconds: fetchTime(j.image, machineType).Seconds(),
 		StartShare:   objective.Share,
-		MeanRunTime:  func() time.Duration { return l.runTimes.Mean(estimatedTask(spec)) },
+		MeanRunTime:  func() time.Duration { return l.runTimes.Mean(estimateTaskOf(spec)) },
 	})
 }
 
-// arrivalsObserved is for how long a leader elected at a time counts as having
+// arrivalObservationTime is for how long a leader elected at a time counts as having
 // seen arrivals: somewhat longer than it has, so that the first few don't make a
 // high rate.
-func arrivalsObserved(electedAt, now time.Duration) time.Duration {
+func arrivalObservationTime(electedAt, now time.Duration) time.Duration {
 	return now - electedAt + observationTime
 }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -59,9 +59,9 @@
 	case *meshpb.Frame_RegisterShard:
 		l.onRegisterShard(from, body.RegisterShard)
 	case *meshpb.Frame_JobSummaries:
-		l.onJobSummaries(from, body.JobSummaries)
+		l.handleJobSummaries(from, body.JobSummaries)
 	case *meshpb.Frame_Bindings:
-		l.onBindings(from, body.Bindings)
+		l.handleBindings(from, body.Bindings)
 	case *meshpb.Frame_MachineCommands:
 		l.onMachineCommands(from, body.MachineCommands)
 	}
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -328,7 +328,7 @@
 	scenario.play(45, quiet)
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.isService(id) && !scenario.cancelRequested[id] {
-			if n := len(scenario.machinesOfJob(id)); n != scenario.jobs[id]["pages"].(int) {
+			if n := len(scenario.machinesByTask(id)); n != scenario.jobs[id]["pages"].(int) {
 				scenario.T.Errorf("of %s (%v replicas) %d run 120 s after the last fault", id, scenario.jobs[id]["pages"], n)
 			}
 			continue
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, im := range h.imagesOf(m.name) {
-		m.useImage(h.images.get(im.Name, im.SizeGb), machineType.CacheGB, h.electedAt)
+		m.recordImageUse(h.images.get(im.Name, im.SizeGb), machineType.CacheGB, h.electedAt)
 	}
 }
 
@@ -139,7 +139,7 @@
 		}
 		exited := status.State == protocol.TaskExited
 		if replica.job != nil && replica.job.image != nil && machineType != nil && !exited {
-			m.useImage(replica.job.image, machineType.CacheGB, now)
+			m.recordImageUse(replica.job.image, machineType.CacheGB, now)
 		}
 		if exited && last != nil && last.state != protocol.TaskExited {
 			h.onReplicaExited(m, &replica, last, now)
@@ -161,7 +161,7 @@
 	case replica.exitReason == protocol.ExitReasonDone:
 		h.quarantine.recordSuccess(m, job)
 		if last.state == protocol.TaskRunning && job.spec != nil {
-			h.runTimes.Observe(estimatedTask(job.spec), now-last.since)
+			h.runTimes.Observe(estimateTaskOf(job.spec), now-last.since)
 		}
 	case replica.exitReason == protocol.ExitReasonError:
 		if failures, quarantined := h.quarantine.recordFailure(m, job, h.counts.reportedMachines); quarantined {
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -118,9 +118,9 @@
 		f.beat(intakeToken, 1, now+31*time.Second)
 		now += time.Minute
 	}
-	mean := f.runTimes.Mean(estimatedTask(f.job.spec)).Round(time.Second)
+	mean := f.runTimes.Mean(estimateTaskOf(f.job.spec)).Round(time.Second)
 	want(t, "mean run time", mean, 30*time.Second)
-	want(t, "the job does well", f.job.succeeded, true)
+	want(t, "the job does well", f.job.taskSucceeded, true)
 }
 
 func TestReclaimNoticeHoldsUntilItIsTakenBack(t *testing.T) {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -33,7 +33,7 @@
 	response := &pendingResponse{machine: m, reply: reply, receivedAt: now, connection: connection, epoch: heartbeat.Epoch, sequence: heartbeat.Seq}
 	response.commands = m.cleanupCommands(&l.shards)
 	if reachable {
-		l.scheduler.preempt(m, response, now)
+		l.scheduler.stopTasks(m, response, now)
 		l.scheduler.makeOffers(m, response, now)
 	}
 	if len(response.openOffers) == 0 {
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	longFetch       = 10 * time.Second // a fetch that others should not slow down
-	fetchPayoff     = 1.0              // how many times its length a fetch must save
-	shortFetchShare = 0.1              // of a task's run time, what a fetch may always take
-	minShortFetch   = time.Second      // and at the least
-	longestWait     = time.Hour        // that is told apart
+	longFetchThreshold     = 10 * time.Second // a fetch that others should not slow down
+	fetchPayoffFactor      = 1.0              // how many times its length a fetch must save
+	shortFetchShare        = 0.1              // of a task's run time, what a fetch may always take
+	minShortFetchThreshold = time.Second      // and at the least
+	maxExpectedWait        = time.Hour        // that is told apart
 )
 
 // image is one that tasks need, with the work that waits for it set against the
@@ -23,10 +23,10 @@
 	sizeGB float64
 
 	// Of imageTable.
-	hasPending                              bool    // work waits for it
-	cpus, memory                            float64 // of the machines that have it
-	pendingCPUSeconds, pendingMemorySeconds float64 // that wait for it
-	spotFree                                resources
+	hasPending                                bool    // work waits for it
+	machineCPUs, machineMemoryGB              float64 // of the machines that have it
+	pendingCPUSeconds, pendingMemoryGBSeconds float64 // that wait for it
+	spotFree                                  resources
 
 	// Of the shortage that preemption works out.
 	urgentCPUs   float64     // of urgent tasks that lack room
@@ -73,7 +73,7 @@
 	im.hasPending = true
 	run := runTime.Seconds()
 	im.pendingCPUSeconds += tasks * run * spec.Cpus
-	im.pendingMemorySeconds += tasks * run * spec.MemoryGb
+	im.pendingMemoryGBSeconds += tasks * run * spec.MemoryGb
 }
 
 // addMachine divides a machine among those of its images that work waits for.
@@ -87,13 +87,13 @@
 	for i := range m.images {
 		im := m.images[i].image
 		if im.hasPending {
-			im.cpus += machineType.CPUs / float64(m.wantedImages)
-			im.memory += machineType.MemoryGB / float64(m.wantedImages)
+			im.machineCPUs += machineType.CPUs / float64(m.wantedImages)
+			im.machineMemoryGB += machineType.MemoryGB / float64(m.wantedImages)
 		}
 		if m.spot {
 			im.spotFree.cpus += m.free.cpus
 			im.spotFree.gpus += m.free.gpus
-			im.spotFree.memory += m.free.memory
+			im.spotFree.memoryGB += m.free.memoryGB
 		}
 	}
 }
@@ -140,13 +140,13 @@
 // expectedWait is how long the tasks that wait for an image will wait, at the present
 // rate, for the machines that have it.
 func (im *image) expectedWait() time.Duration {
-	if im == nil || im.pendingCPUSeconds+im.pendingMemorySeconds == 0 {
+	if im == nil || im.pendingCPUSeconds+im.pendingMemoryGBSeconds == 0 {
 		return 0
 	}
-	if im.cpus == 0 || im.memory == 0 {
-		return longestWait
+	if im.machineCPUs == 0 || im.machineMemoryGB == 0 {
+		return maxExpectedWait
 	}
-	return seconds(math.Min(longestWait.Seconds(), math.Max(im.pendingCPUSeconds/im.cpus, im.pendingMemorySeconds/im.memory)))
+	return seconds(math.Min(maxExpectedWait.Seconds(), math.Max(im.pendingCPUSeconds/im.machineCPUs, im.pendingMemoryGBSeconds/im.machineMemoryGB)))
 }
 
 // fetchTime is how long a machine of a type takes to fetch an image.
@@ -160,7 +160,7 @@
 // fetchIsShort tells whether a fetch takes so little against a task's run time that
 // it is made whenever there is room.
 func fetchIsShort(fetch, runTime time.Duration) bool {
-	return fetch < max(minShortFetch, time.Duration(shortFetchShare*float64(runTime)))
+	return fetch < max(minShortFetchThreshold, time.Duration(shortFetchShare*float64(runTime)))
 }
 
 // worthFetching tells whether a machine without a job's image should fetch it. A
@@ -173,7 +173,7 @@
 	if fetchIsShort(fetch, runTime) || job.orderKey.Overdue {
 		return true
 	}
-	if m.fetchesLongBesides(job.image, machineType) {
+	if m.hasLongFetchOfAnother(job.image, machineType) {
 		return false
 	}
 	own := time.Duration(0)
@@ -182,14 +182,14 @@
 			own = max(own, m.images[i].expectedWait())
 		}
 	}
-	return job.image.expectedWait() > own+time.Duration(float64(fetch)*fetchPayoff)
+	return job.image.expectedWait() > own+time.Duration(float64(fetch)*fetchPayoffFactor)
 }
 
-// fetchesLongBesides tells whether a machine takes long to fetch another image.
-func (m *machine) fetchesLongBesides(im *image, machineType *protocol.MachineType) bool {
+// hasLongFetchOfAnother tells whether a machine takes long to fetch another image.
+func (m *machine) hasLongFetchOfAnother(im *image, machineType *protocol.MachineType) bool {
 	for i := range m.tasks {
 		t := &m.tasks[i]
-		if t.state == protocol.TaskFetching && t.job != nil && t.job.image != im && fetchTime(t.job.image, machineType) > longFetch {
+		if t.state == protocol.TaskFetching && t.job != nil && t.job.image != im && fetchTime(t.job.image, machineType) > longFetchThreshold {
 			return true
 		}
 	}
@@ -206,9 +206,9 @@
 	return false
 }
 
-// useImage notes that a machine has an image, and which it will have dropped for it:
+// recordImageUse notes that a machine has an image, and which it will have dropped for it:
 // the least recently used go first.
-func (m *machine) useImage(im *image, cacheGB float64, now time.Duration) {
+func (m *machine) recordImageUse(im *image, cacheGB float64, now time.Duration) {
 	at := -1
 	for i := range m.images {
 		if m.images[i].image == im {
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -39,8 +39,8 @@
 		Priority: uint32(job.Priority), Class: job.Class, Assigned: uint32(job.Tasks), HasSpec: true}
 }
 
-// onJobSummaries takes what a shard's owner says of its jobs.
-func (l *leader) onJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
+// handleJobSummaries takes what a shard's owner says of its jobs.
+func (l *leader) handleJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
 	shard := l.shards.get(summaries.Shard)
 	if shard == nil || shard.owner != p {
 		return
@@ -53,5 +53,5 @@
 
 // withinTeamLimit tells whether one more task keeps its team inside its limit.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	return !job.limited() || l.usage.withinLimit(job, l.knowledge())
+	return !job.hasTeamLimit() || l.usage.withinLimit(job, l.knowledge())
 }
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -38,10 +38,10 @@
 		}
 	}
 	job.shard = shard
-	if job.omitted && summary.HasSpec && !summary.Ended {
+	if job.endedByOmission && summary.HasSpec && !summary.Ended {
 		// It was being created: this leader had read its record already when the
 		// owner, which had no answer yet, registered. Ended for good it never ran.
-		job.ended, job.omitted = false, false
+		job.ended, job.endedByOmission = false, false
 	}
 	if summary.HasSpec && !job.ended {
 		t.applySpec(job, summary, now)
@@ -52,7 +52,7 @@
 	shard.jobs[summary.Job] = job
 	t.setCounts(job, summary)
 	if summary.Ended {
-		t.end(job, now)
+		t.markEnded(job, now)
 	}
 }
 
@@ -66,7 +66,7 @@
 	if !summary.HasSpec {
 		return nil
 	}
-	job := &trackedJob{id: summary.Job, failedOn: make(map[string]bool)}
+	job := &trackedJob{id: summary.Job, failedMachines: make(map[string]bool)}
 	t.byID[summary.Job] = job
 	return job
 }
@@ -86,7 +86,7 @@
 	t.usage.remove(job) // what is counted for it was of the old size
 	job.spec, job.team, job.priority = summary, t.usage.teams[summary.Team], protocol.Priority(summary.Priority)
 	job.image = t.images.get(summary.Image, summary.ImageGb)
-	job.onlyType = t.onlyFittingType(summary)
+	job.onlyMachineType = t.onlyFittingType(summary)
 	t.usage.update(job)
 }
 
@@ -102,18 +102,18 @@
 }
 
 // end notes that a job has ended: what is left of it has to go.
-func (t *jobTable) end(job *trackedJob, now time.Duration) {
+func (t *jobTable) markEnded(job *trackedJob, now time.Duration) {
 	job.ended, job.endedAt, job.pending = true, now, 0
 	delete(job.shard.jobs, job.id)
 	t.usage.update(job)
 }
 
-// endOmitted ends the jobs of a shard that its new owner does not list.
-func (t *jobTable) endOmitted(shard *shardState, now time.Duration) {
+// endOmittedJobs ends the jobs of a shard that its new owner does not list.
+func (t *jobTable) endOmittedJobs(shard *shardState, now time.Duration) {
 	for id, job := range shard.jobs {
 		if shard.arrivingJobs[id] == nil {
-			t.end(job, now)
-			job.omitted = true
+			t.markEnded(job, now)
+			job.endedByOmission = true
 		}
 	}
 }
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -11,9 +11,9 @@
 // jobTableFixture is a job table with one shard, and what it has told.
 type jobTableFixture struct {
 	*jobTable
-	shard    *shardState
-	arrivals int
-	pending  int // times that it was told that more tasks are pending
+	shard        *shardState
+	arrivalCalls int
+	pendingCalls int // times that it was told that more tasks are pending
 }
 
 func newJobTableFixture() *jobTableFixture {
@@ -22,8 +22,8 @@
 	f.jobTable = &jobTable{
 		byID: make(map[string]*trackedJob), images: &imageTable{}, usage: &usage,
 		onlyFittingType: func(*meshpb.JobSummary) string { return "" },
-		onArrival:       func(*trackedJob, time.Duration) { f.arrivals++ },
-		onPending:       func() { f.pending++ },
+		onArrival:       func(*trackedJob, time.Duration) { f.arrivalCalls++ },
+		onPending:       func() { f.pendingCalls++ },
 	}
 	return f
 }
@@ -41,13 +41,13 @@
 	job := f.get("wk-1")
 	want(t, "pending", job.unoffered(), 3)
 	want(t, "use of its team", red.cpus, 2)
-	want(t, "arrivals", f.arrivals, 1)
+	want(t, "arrivals", f.arrivalCalls, 1)
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 1, Assigned: 3}, 2*time.Second)
 	want(t, "use after a change", red.cpus, 6)
-	want(t, "told of pending tasks", f.pending, 1)
+	want(t, "told of pending tasks", f.pendingCalls, 1)
 	f.apply(f.shard, redJob(4, 1, 3), 3*time.Second)
 	want(t, "use with another spec", red.cpus, 12)
-	want(t, "arrivals of the same job", f.arrivals, 1)
+	want(t, "arrivals of the same job", f.arrivalCalls, 1)
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Ended: true}, 4*time.Second)
 	want(t, "use once it has ended", red.cpus, 0)
 	want(t, "jobs of the shard", len(f.shard.jobs), 0)
@@ -64,15 +64,15 @@
 	recovered := redJob(2, 0, 4)
 	recovered.SubmittedMs = 0
 	f.apply(f.shard, recovered, time.Second)
-	want(t, "arrivals", f.arrivals, 0)
+	want(t, "arrivals", f.arrivalCalls, 0)
 	f.apply(f.shard, redJob(2, 3, 1), 2*time.Second)
-	want(t, "arrivals once its owner has told", f.arrivals, 1)
+	want(t, "arrivals once its owner has told", f.arrivalCalls, 1)
 }
 
 func TestJobThatItsOwnerOmitsComesBackWhenItWasBeingCreated(t *testing.T) {
 	f := newJobTableFixture()
 	f.apply(f.shard, redJob(2, 3, 1), time.Second)
-	f.endOmitted(f.shard, 2*time.Second)
+	f.endOmittedJobs(f.shard, 2*time.Second)
 	job := f.get("wk-1")
 	want(t, "ended", job.ended, true)
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 3}, 3*time.Second)
--- a/internal/coordination/kind_selection.go
+++ b/internal/coordination/kind_selection.go
@@ -63,7 +63,7 @@
 // fit on no other, while this job does. Replicas of services are few and stay on
 // the machines that were created for them, whatever their type.
 func (s *kindSelector) reservedForOthers(job *trackedJob, typeName string, now time.Duration) bool {
-	return !job.spec.Service && job.onlyType != typeName && s.hasExclusiveNeed(typeName, now)
+	return !job.spec.Service && job.onlyMachineType != typeName && s.hasExclusiveNeed(typeName, now)
 }
 
 // refuse notes that the cloud has no machines of a kind for a time.
--- a/internal/coordination/kind_selection_test.go
+++ b/internal/coordination/kind_selection_test.go
@@ -73,13 +73,13 @@
 func TestTypeIsReservedForJobsThatFitOnNoOther(t *testing.T) {
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
 	needy := testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})
-	needy.onlyType = kinds.onlyFittingType(needy.spec)
-	want(t, "the type that fits", needy.onlyType, "gpu")
+	needy.onlyMachineType = kinds.onlyFittingType(needy.spec)
+	want(t, "the type that fits", needy.onlyMachineType, "gpu")
 	array := testJob(&meshpb.JobSummary{Cpus: 1})
 	want(t, "several types fit", kinds.onlyFittingType(array.spec), "")
 	service := testJob(&meshpb.JobSummary{Cpus: 1, Service: true})
 
-	kinds.noteExclusiveNeed(needy.onlyType, 0)
+	kinds.noteExclusiveNeed(needy.onlyMachineType, 0)
 	want(t, "reserved for the job that needs it", kinds.reservedForOthers(needy, "gpu", 1), false)
 	want(t, "reserved against others", kinds.reservedForOthers(array, "gpu", 1), true)
 	want(t, "reserved against services", kinds.reservedForOthers(service, "gpu", 1), false)
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -58,7 +58,7 @@
 		unfinishedJobs:    l.unfinishedJobs,
 		updateImageDemand: l.updateImageDemand,
 		warmPool:          &l.warmPool,
-		offers:            offerBook{updateUsage: l.usage.update, byID: make(map[uint64]*offer)},
+		offers:            offerTable{updateUsage: l.usage.update, byID: make(map[uint64]*offer)},
 		drainer:           drainer{warmPool: &l.warmPool, runTime: l.runTime},
 	}
 	s.placement = placement{
@@ -82,16 +82,16 @@
 		runTime:     l.runTime,
 	}
 	s.preemptor = preemptor{
-		queue:           &s.queue,
-		placement:       &s.placement,
-		kinds:           &l.kinds,
-		machines:        &l.machines,
-		images:          &l.images,
-		teams:           l.usage.teams,
-		schedulable:     l.schedulable,
-		runTime:         l.runTime,
-		withinTeamLimit: l.withinTeamLimit,
-		obtainable:      l.autoscaler.obtainable,
+		queue:             &s.queue,
+		placement:         &s.placement,
+		kinds:             &l.kinds,
+		machines:          &l.machines,
+		images:            &l.images,
+		teams:             l.usage.teams,
+		schedulable:       l.schedulable,
+		runTime:           l.runTime,
+		withinTeamLimit:   l.withinTeamLimit,
+		machineObtainable: l.autoscaler.obtainable,
 	}
 }
 
@@ -101,7 +101,7 @@
 	if len(l.env.cloud.Catalog()) == 0 {
 		return
 	}
-	l.updateExclusiveNeeds(now)
+	l.updateOnlyMachineTypes(now)
 	l.scheduler.queue.markDirty()
 	l.scheduler.rebuildQueue(now)
 	in := &autoscalerInput{
@@ -110,7 +110,7 @@
 		actingSince:   l.actingSince,
 		pending:       l.scheduler.queue.jobs,
 		requested:     l.scaler.Requested(),
-		forecast:      l.forecast.MachinesWanted(now, arrivalsObserved(l.electedAt, now)),
+		forecast:      l.forecast.MachinesWanted(now, arrivalObservationTime(l.electedAt, now)),
 		machinesKnown: l.records.machinesKnown(),
 	}
 	l.autoscaler.count(in)
@@ -128,15 +128,15 @@
 	l.scaler.SendScaleOuts(now)
 }
 
-// updateExclusiveNeeds notes which jobs fit on a single type of machine.
-func (l *leader) updateExclusiveNeeds(now time.Duration) {
+// updateOnlyMachineTypes notes which jobs fit on a single type of machine.
+func (l *leader) updateOnlyMachineTypes(now time.Duration) {
 	for job := range l.unfinishedJobs {
 		if job.spec == nil || job.pending+job.placed == 0 {
 			continue
 		}
-		job.onlyType = l.kinds.onlyFittingType(job.spec)
-		if job.onlyType != "" {
-			l.kinds.noteExclusiveNeed(job.onlyType, now)
+		job.onlyMachineType = l.kinds.onlyFittingType(job.spec)
+		if job.onlyMachineType != "" {
+			l.kinds.noteExclusiveNeed(job.onlyMachineType, now)
 		}
 	}
 }
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -20,9 +20,9 @@
 	count int
 }
 
-// offerBook holds the offers that wait for their owners' bindings. What is offered
+// offerTable holds the offers that wait for their owners' bindings. What is offered
 // counts as used by the jobs' teams until its offer is closed.
-type offerBook struct {
+type offerTable struct {
 	updateUsage func(*trackedJob)
 
 	byID   map[uint64]*offer // those that were sent
@@ -30,7 +30,7 @@
 }
 
 // add offers resources for one more task of a job.
-func (b *offerBook) add(response *pendingResponse, job *trackedJob) {
+func (b *offerTable) add(response *pendingResponse, job *trackedJob) {
 	job.offered++
 	b.updateUsage(job)
 	for _, o := range response.openOffers {
@@ -60,7 +60,7 @@
 }
 
 // send sends a response's offers to their owners.
-func (b *offerBook) send(response *pendingResponse) {
+func (b *offerTable) send(response *pendingResponse) {
 	for _, o := range response.openOffers {
 		b.byID[o.id] = o
 		o.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Offer{Offer: o.message()}})
@@ -77,7 +77,7 @@
 
 // find returns the offer of an ID that waits for the bindings of a member; nil if
 // it was closed.
-func (b *offerBook) find(id uint64, p *peer) *offer {
+func (b *offerTable) find(id uint64, p *peer) *offer {
 	if o := b.byID[id]; o != nil && o.link == p.link {
 		return o
 	}
@@ -85,7 +85,7 @@
 }
 
 // close ends an offer: its resources are offered no more.
-func (b *offerBook) close(o *offer) {
+func (b *offerTable) close(o *offer) {
 	delete(b.byID, o.id)
 	for _, item := range o.items {
 		item.job.offered -= item.count
@@ -94,15 +94,15 @@
 }
 
 // closeAll ends all offers for a response.
-func (b *offerBook) closeAll(response *pendingResponse) {
+func (b *offerTable) closeAll(response *pendingResponse) {
 	for _, o := range response.openOffers {
 		b.close(o)
 	}
 	response.openOffers = nil
 }
 
-// closeLink ends the offers for a response that went to a link.
-func (b *offerBook) closeLink(response *pendingResponse, link Link) {
+// closeForLink ends the offers for a response that went to a link.
+func (b *offerTable) closeForLink(response *pendingResponse, link Link) {
 	if link == nil {
 		return
 	}
@@ -127,9 +127,9 @@
 	}
 }
 
-// onBindings takes an owner's bindings. Those for an offer that was closed are
+// handleBindings takes an owner's bindings. Those for an offer that was closed are
 // returned: its response has gone out without them.
-func (l *leader) onBindings(p *peer, f *meshpb.Bindings) {
+func (l *leader) handleBindings(p *peer, f *meshpb.Bindings) {
 	o := l.scheduler.offers.find(f.OfferId, p)
 	if o == nil {
 		sendReturnedBindings(p, f.Bindings)
@@ -159,15 +159,15 @@
 	return j != nil && j.shard != nil && j.shard.owner == p
 }
 
-// rescindOffers withdraws the offers and unsent bindings of a shard whose owner is
+// withdrawOffers withdraws the offers and unsent bindings of a shard whose owner is
 // being replaced: what it bound and was not sent yet never will be.
-func (l *leader) rescindOffers(shard *shardState) {
+func (l *leader) withdrawOffers(shard *shardState) {
 	for _, response := range l.pendingResponses {
 		if response.finished {
 			continue
 		}
 		response.dropBindings(shard)
-		l.scheduler.offers.closeLink(response, shard.link)
+		l.scheduler.offers.closeForLink(response, shard.link)
 		if len(response.openOffers) == 0 {
 			l.sendResponse(response)
 		}
--- a/internal/coordination/offers_test.go
+++ b/internal/coordination/offers_test.go
@@ -17,7 +17,7 @@
 // one offer with its own jobs.
 func TestOffersCountUntilTheyAreClosed(t *testing.T) {
 	updates := 0
-	book := offerBook{updateUsage: func(*trackedJob) { updates++ }, byID: make(map[uint64]*offer)}
+	book := offerTable{updateUsage: func(*trackedJob) { updates++ }, byID: make(map[uint64]*offer)}
 	var jobs []*trackedJob
 	var links []*recordingLink
 	for range 2 {
@@ -42,7 +42,7 @@
 	want(t, "from its owner", book.find(sent.Id, jobs[0].shard.owner) != nil, true)
 	want(t, "from another member", book.find(sent.Id, jobs[1].shard.owner) == nil, true)
 
-	book.closeLink(response, links[0])
+	book.closeForLink(response, links[0])
 	want(t, "offered after one was closed", [2]int{jobs[0].offered, jobs[1].offered}, [2]int{0, 1})
 	want(t, "it is not found", book.find(sent.Id, jobs[0].shard.owner) == nil, true)
 	book.closeAll(response)
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -35,12 +35,12 @@
 	orderKeyOf func(*trackedJob, int64) priority.Key
 	runTime    func(*meshpb.JobSummary) time.Duration
 
-	dirty          bool // a task has become pending
-	rebuiltAt      time.Duration
-	byKind         map[machineKind]*machineKindQueue
-	jobs           []*trackedJob   // all that are pending, ordered as if every team used the same share
-	exclusiveTypes map[string]bool // types that some pending job needs, as it fits on no other
-	inspected      uint64          // jobs and queues that heartbeats have looked at
+	dirty            bool // a task has become pending
+	rebuiltAt        time.Duration
+	byKind           map[machineKind]*machineKindQueue
+	jobs             []*trackedJob   // all that are pending, ordered as if every team used the same share
+	exclusiveTypes   map[string]bool // types that some pending job needs, as it fits on no other
+	entriesInspected uint64          // jobs and queues that heartbeats have looked at
 }
 
 // machineKindQueue holds the jobs that a kind of machine may take.
@@ -82,7 +82,7 @@
 	d.collectPending(unfinished, wallMs)
 	d.exclusiveTypes = make(map[string]bool)
 	for _, job := range d.jobs {
-		d.exclusiveTypes[job.onlyType] = true
+		d.exclusiveTypes[job.onlyMachineType] = true
 	}
 	d.byKind = make(map[machineKind]*machineKindQueue)
 	for name, t := range d.catalog.Catalog() {
@@ -131,7 +131,7 @@
 	for _, images := range q.images {
 		fetch := fetchTime(images.image, t)
 		short := fetchIsShort(fetch, d.runTime(images.teams[0].jobs[0].spec))
-		pays := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoff)
+		pays := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoffFactor)
 		images.mayFetch = images.mayFetch || short || pays
 	}
 	return q
@@ -142,7 +142,7 @@
 	q.jobCount++
 	q.smallestTask.cpus = min(q.smallestTask.cpus, job.spec.Cpus)
 	q.smallestTask.gpus = min(q.smallestTask.gpus, job.spec.Gpus)
-	q.smallestTask.memory = min(q.smallestTask.memory, job.spec.MemoryGb)
+	q.smallestTask.memoryGB = min(q.smallestTask.memoryGB, job.spec.MemoryGb)
 	images := q.byImage[job.image]
 	if images == nil {
 		images = &imageQueue{image: job.image}
@@ -172,12 +172,12 @@
 
 // mayFit tells whether some task of the queue may fit into free resources.
 func (q *machineKindQueue) mayFit(free resources) bool {
-	return q.jobCount > 0 && free.cpus >= q.smallestTask.cpus && free.memory >= q.smallestTask.memory
+	return q.jobCount > 0 && free.cpus >= q.smallestTask.cpus && free.memoryGB >= q.smallestTask.memoryGB
 }
 
 // candidates are the queues that a machine may be served from: those of the images
 // that it has, and the first of those that it might fetch.
-func (q *machineKindQueue) candidates(m *machine) []*teamQueue {
+func (q *machineKindQueue) candidateQueues(m *machine) []*teamQueue {
 	var queues []*teamQueue
 	for i := range m.images {
 		if images := q.byImage[m.images[i].image]; images != nil {
@@ -200,13 +200,13 @@
 
 // head returns the job of a team's queue that a machine is offered to next, if any
 // of the first few suits it. Jobs that are no longer pending leave the queue.
-func (d *pendingQueue) head(q *teamQueue, rules *placement, m *machine, free resources, now time.Duration) *trackedJob {
+func (d *pendingQueue) firstOfferable(q *teamQueue, rules *placement, m *machine, free resources, now time.Duration) *trackedJob {
 	for len(q.jobs) > 0 && q.jobs[0].unoffered() == 0 {
 		q.jobs = q.jobs[1:]
-		d.inspected++
+		d.entriesInspected++
 	}
 	for i := 0; i < len(q.jobs) && i < queueLookAhead; i++ {
-		d.inspected++
+		d.entriesInspected++
 		if rules.canOffer(q.jobs[i], m, free, now) {
 			return q.jobs[i]
 		}
@@ -215,7 +215,7 @@
 }
 
 // overdue yields the overdue jobs, the oldest first.
-func (d *pendingQueue) overdue(yield func(*trackedJob) bool) {
+func (d *pendingQueue) overdueJobs(yield func(*trackedJob) bool) {
 	for _, job := range d.jobs {
 		if !job.orderKey.Overdue || !yield(job) {
 			return
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -60,11 +60,11 @@
 	start := replicaOnMachine{
 		key:   replicaKey{binding.Job, binding.Task, binding.Replica},
 		state: protocol.TaskFetching, job: job, since: now,
-		preemptionExempt: job.overdueStarts > 0 || (job.priority == protocol.PriorityBestEffort && !job.startSent),
+		preemptionExempt: job.unsentOverdueStarts > 0 || (job.priority == protocol.PriorityBestEffort && !job.startSent),
 	}
 	response.commands = append(response.commands, start.command(protocol.CommandStart))
 	m.sentStarts = append(m.sentStarts, start)
-	job.overdueStarts, job.startSent = max(0, job.overdueStarts-1), true
+	job.unsentOverdueStarts, job.startSent = max(0, job.unsentOverdueStarts-1), true
 	if m.replicasCounted {
 		job.liveReplicas++
 	}
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -7,9 +7,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// jobFaultMachines is on how many machines a job fails before the fault counts as
+// minMachinesForJobFault is on how many machines a job fails before the fault counts as
 // its own.
-const jobFaultMachines = 3
+const minMachinesForJobFault = 3
 
 // placement holds the rules by which tasks may be placed on machines. It owns no
 // state: it reads what is known of jobs and machines, and changes neither.
@@ -42,9 +42,9 @@
 	return m.hasImage(job.image) || p.worthFetching(job, m)
 }
 
-// suitsWhenEmpty tells whether a job would be offered a machine's resources if
+// canOfferWhenEmpty tells whether a job would be offered a machine's resources if
 // all of them were free.
-func (p *placement) suitsWhenEmpty(m *machine, job *trackedJob, now time.Duration) bool {
+func (p *placement) canOfferWhenEmpty(m *machine, job *trackedJob, now time.Duration) bool {
 	t := p.catalog.Type(m.typeName)
 	if t == nil || !permits(job.spec, m.machineKind) || job.shouldAvoid(m, p.counts.reportedMachines) || p.kinds.reservedForOthers(job, m.typeName, now) {
 		return false
@@ -61,13 +61,13 @@
 // for all of a job's pending tasks.
 func (im *image) spotCapacityFits(job *trackedJob) bool {
 	n := float64(job.unoffered())
-	return n*job.spec.Cpus <= im.spotFree.cpus && n*job.spec.Gpus <= im.spotFree.gpus && n*job.spec.MemoryGb <= im.spotFree.memory
+	return n*job.spec.Cpus <= im.spotFree.cpus && n*job.spec.Gpus <= im.spotFree.gpus && n*job.spec.MemoryGb <= im.spotFree.memoryGB
 }
 
 // shouldAvoid tells whether a job has failed on a machine and should rather be
 // tried on others, of which there are enough.
 func (j *trackedJob) shouldAvoid(m *machine, reportedMachines int) bool {
-	return j.failedOn[m.name] && !j.failsEverywhere(reportedMachines)
+	return j.failedMachines[m.name] && !j.failsEverywhere(reportedMachines)
 }
 
 // isUrgent tells whether a job may preempt tasks of lower priority.
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// nearlyFinished is how close to its end a task is not preempted any more.
-	nearlyFinished = 3 * time.Second
+	// nearlyFinishedWindow is how close to its end a task is not preempted any more.
+	nearlyFinishedWindow = 3 * time.Second
 	// checkpointMarginS is how many seconds longer than stated a checkpoint may
 	// take.
 	checkpointMarginS = 1.0
@@ -29,16 +29,16 @@
 // preemptions and the team's use that is being stopped. Stopping is left to the
 // caller.
 type preemptor struct {
-	queue           *pendingQueue
-	placement       *placement
-	kinds           *kindSelector
-	machines        *machineTable
-	images          *imageTable
-	teams           map[string]*teamUsage
-	schedulable     func(*machine, time.Duration) bool
-	runTime         func(*meshpb.JobSummary) time.Duration
-	withinTeamLimit func(*trackedJob) bool
-	obtainable      func(*trackedJob, time.Duration) bool
+	queue             *pendingQueue
+	placement         *placement
+	kinds             *kindSelector
+	machines          *machineTable
+	images            *imageTable
+	teams             map[string]*teamUsage
+	schedulable       func(*machine, time.Duration) bool
+	runTime           func(*meshpb.JobSummary) time.Duration
+	withinTeamLimit   func(*trackedJob) bool
+	machineObtainable func(*trackedJob, time.Duration) bool
 
 	shortage shortage
 }
@@ -48,7 +48,7 @@
 
 // victims chooses the tasks to stop on a machine that sends a heartbeat, and marks
 // them so.
-func (p *preemptor) victims(m *machine, now time.Duration) []*replicaOnMachine {
+func (p *preemptor) chooseVictims(m *machine, now time.Duration) []*replicaOnMachine {
 	if queue := p.queue.byKind[m.machineKind]; p.shortage.urgentCPUs > 0 && queue != nil {
 		return p.victimsForUrgent(m, queue, now)
 	}
@@ -63,7 +63,7 @@
 		if !q.mayPreempt || q.image.urgentCPUs <= 0 || (!q.mayFetch && !m.hasImage(q.image)) {
 			continue
 		}
-		chosen, cpus := p.cheapest(m, math.Min(q.image.urgentCPUs, s.urgentCPUs), s.urgentCostLimit, now, q.outranks)
+		chosen, cpus := p.chooseCheapest(m, math.Min(q.image.urgentCPUs, s.urgentCPUs), s.urgentCostLimit, now, q.outranks)
 		q.image.urgentCPUs -= cpus
 		s.urgentCPUs -= cpus
 		victims = append(victims, chosen...)
@@ -82,7 +82,7 @@
 		if im.standardCPUs <= 0 {
 			continue
 		}
-		chosen, cpus := p.idleVictims(m, im.standardJob, math.Min(im.standardCPUs, s.standardCPUs), now)
+		chosen, cpus := p.chooseBestEffort(m, im.standardJob, math.Min(im.standardCPUs, s.standardCPUs), now)
 		im.standardCPUs -= cpus
 		s.standardCPUs -= cpus
 		victims = append(victims, chosen...)
@@ -96,8 +96,8 @@
 		return nil
 	}
 	for _, job := range s.belowGuarantee {
-		if p.placement.suitsWhenEmpty(m, job, now) {
-			victims, cpus := p.cheapest(m, s.guaranteeCPUs, s.guaranteeCostLimit, now, exceedsGuarantee)
+		if p.placement.canOfferWhenEmpty(m, job, now) {
+			victims, cpus := p.chooseCheapest(m, s.guaranteeCPUs, s.guaranteeCostLimit, now, exceedsGuarantee)
 			s.guaranteeCPUs -= cpus
 			return victims
 		}
@@ -120,24 +120,24 @@
 		return false
 	}
 	team := r.job.team
-	return team != nil && team.cpus-team.stopping-r.job.spec.Cpus >= team.cfg.CPUs
+	return team != nil && team.cpus-team.stoppingCPUs-r.job.spec.Cpus >= team.cfg.CPUs
 }
 
 // cheapest chooses the tasks on a machine that lose least until enough CPUs become
 // free, and none that loses more than has to be lost on any machine. It returns
 // the CPUs that become free, too.
-func (p *preemptor) cheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, eligible victimFilter) ([]*replicaOnMachine, float64) {
+func (p *preemptor) chooseCheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, eligible victimFilter) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
 	cpus := 0.0
 	for cpus < neededCPUs {
-		victim := p.cheapestOne(m, costLimit, now, eligible)
+		victim := p.cheapestVictim(m, costLimit, now, eligible)
 		if victim == nil {
 			break
 		}
 		victim.stopRequested = true
 		victim.job.preemptions++
 		if victim.job.team != nil {
-			victim.job.team.stopping += victim.job.spec.Cpus
+			victim.job.team.stoppingCPUs += victim.job.spec.Cpus
 		}
 		cpus += victim.job.spec.Cpus
 		victims = append(victims, victim)
@@ -145,7 +145,7 @@
 	return victims, cpus
 }
 
-func (p *preemptor) cheapestOne(m *machine, costLimit, now time.Duration, eligible victimFilter) *replicaOnMachine {
+func (p *preemptor) cheapestVictim(m *machine, costLimit, now time.Duration, eligible victimFilter) *replicaOnMachine {
 	var victim *replicaOnMachine
 	least := costLimit
 	for i := range m.tasks {
@@ -160,11 +160,11 @@
 	return victim
 }
 
-// idleVictims chooses tasks that only run in idle time, as far as whole tasks of a
+// chooseBestEffort chooses tasks that only run in idle time, as far as whole tasks of a
 // job find room in their place, and returns the CPUs of these tasks, too.
-func (p *preemptor) idleVictims(m *machine, job *trackedJob, neededCPUs float64, now time.Duration) ([]*replicaOnMachine, float64) {
+func (p *preemptor) chooseBestEffort(m *machine, job *trackedJob, neededCPUs float64, now time.Duration) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
-	free, idle := p.idleTasks(m, job, now)
+	free, idle := p.bestEffortTasks(m, job, now)
 	cpus := 0.0
 	for cpus < neededCPUs {
 		room, n := free, 0
@@ -186,10 +186,10 @@
 	return victims, cpus
 }
 
-// idleTasks returns what a machine has free once the tasks that are being stopped
+// bestEffortTasks returns what a machine has free once the tasks that are being stopped
 // have ended, and the tasks that may be preempted for a standard job, those first
 // that lose least.
-func (p *preemptor) idleTasks(m *machine, job *trackedJob, now time.Duration) (resources, []*replicaOnMachine) {
+func (p *preemptor) bestEffortTasks(m *machine, job *trackedJob, now time.Duration) (resources, []*replicaOnMachine) {
 	free := m.free
 	var idle []*replicaOnMachine
 	for i := range m.tasks {
@@ -227,14 +227,14 @@
 		return false
 	}
 	left := p.runTime(r.job.spec) - (now - r.since)
-	return left < nearlyFinished && left > -nearlyFinished/2
+	return left < nearlyFinishedWindow && left > -nearlyFinishedWindow/2
 }
 
 // preemptionCost is the work that is lost if a task is stopped. A fetch that
 // another task on the machine waits for goes on, and a task with checkpoints
 // saves its progress first.
 func preemptionCost(m *machine, r *replicaOnMachine, now time.Duration) time.Duration {
-	if r.state == protocol.TaskFetching && m.fetchesFor(r) {
+	if r.state == protocol.TaskFetching && m.fetchesImageForAnother(r) {
 		return 0
 	}
 	lost := now - r.since
@@ -244,8 +244,8 @@
 	return min(lost, seconds(r.job.spec.CheckpointDurationS+checkpointMarginS))
 }
 
-// fetchesFor tells whether a machine fetches a task's image for another task, too.
-func (m *machine) fetchesFor(r *replicaOnMachine) bool {
+// fetchesImageForAnother tells whether a machine fetches a task's image for another task, too.
+func (m *machine) fetchesImageForAnother(r *replicaOnMachine) bool {
 	for i := range m.tasks {
 		other := &m.tasks[i]
 		if other != r && other.state == protocol.TaskFetching && !other.stopRequested && other.sizeKnown() && other.job.image == r.job.image {
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -39,13 +39,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p, m := preemptionFixture(now, protocol.PriorityStandard, 30*time.Second, 10*time.Second, 20*time.Second)
-			victims, cpus := p.cheapest(m, test.neededCPUs, test.limit, now, anyTask)
+			victims, cpus := p.chooseCheapest(m, test.neededCPUs, test.limit, now, anyTask)
 			var got []uint32
 			for _, victim := range victims {
 				got = append(got, victim.key.task)
 				want(t, "stop requested", victim.stopRequested, true)
 				want(t, "preemptions", victim.job.preemptions, 1)
-				want(t, "given back", victim.job.team.stopping, 2.0)
+				want(t, "given back", victim.job.team.stoppingCPUs, 2.0)
 			}
 			want(t, "victims", fmt.Sprint(got), fmt.Sprint(test.want))
 			want(t, "CPUs", cpus, test.cpus)
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -1,8 +1,8 @@
 package coordination
 
 const (
-	quarantineJobs   = 2 // jobs whose tasks a machine fails, at which it is quarantined
-	quarantineErrors = 3 // failures there of jobs that do well elsewhere
+	quarantineJobThreshold     = 2 // jobs whose tasks a machine fails, at which it is quarantined
+	quarantineFailureThreshold = 3 // failures there of jobs that do well elsewhere
 )
 
 // quarantine decides which machines get no more tasks because they fail them: those
@@ -11,7 +11,7 @@
 // that has failed on most of the few that there are: once that shows, machines that
 // were quarantined for it come back.
 //
-// It owns machine.failuresByJob and quarantined, and trackedJob.failedOn and succeeded.
+// It owns machine.failuresByJob and quarantined, and trackedJob.failedMachines and succeeded.
 type quarantine struct {
 	machines *machineTable
 	jobs     map[string]*trackedJob // the leader's
@@ -20,13 +20,13 @@
 // recordSuccess notes that a task has ended well on a machine.
 func (q *quarantine) recordSuccess(m *machine, job *trackedJob) {
 	m.failuresByJob = nil
-	job.succeeded = true
-	job.failedOn = nil
+	job.taskSucceeded = true
+	job.failedMachines = nil
 }
 
 // recordServiceEnd notes that a service's task has ended by itself. The machine keeps
 // the result: started there again the task would end at once.
-func (q *quarantine) recordServiceEnd(m *machine, job *trackedJob) { job.setFailedOn(m) }
+func (q *quarantine) recordServiceEnd(m *machine, job *trackedJob) { job.recordFailedMachine(m) }
 
 // recordFailure notes that a task has failed on a machine, of as many as have sent
 // heartbeats. It tells whether the machine has just been quarantined, and for how
@@ -36,12 +36,12 @@
 		m.failuresByJob = make(map[string]int)
 	}
 	m.failuresByJob[job.id]++
-	known := job.failedOn[m.name]
-	job.setFailedOn(m)
+	known := job.failedMachines[m.name]
+	job.recordFailedMachine(m)
 	before := m.quarantined
 	failures = q.update(m, heardMachines)
 	quarantined = m.quarantined && !before
-	if !known && !job.succeeded && job.failsEverywhere(heardMachines) {
+	if !known && !job.taskSucceeded && job.failsEverywhere(heardMachines) {
 		q.reconsider(job, heardMachines)
 	}
 	return failures, quarantined
@@ -49,7 +49,7 @@
 
 // reconsider decides anew on the quarantined machines that a job has failed on.
 func (q *quarantine) reconsider(job *trackedJob, heardMachines int) {
-	for name := range job.failedOn {
+	for name := range job.failedMachines {
 		if m := q.machines.get(name); m != nil && m.quarantined {
 			q.update(m, heardMachines)
 		}
@@ -62,28 +62,28 @@
 	jobs := 0
 	for id, n := range m.failuresByJob {
 		job := q.jobs[id]
-		if job != nil && !job.succeeded && job.failsEverywhere(heardMachines) {
+		if job != nil && !job.taskSucceeded && job.failsEverywhere(heardMachines) {
 			continue
 		}
 		jobs++
-		if job != nil && job.succeeded {
+		if job != nil && job.taskSucceeded {
 			failures += n
 		}
 	}
-	m.quarantined = jobs >= quarantineJobs || failures >= quarantineErrors
+	m.quarantined = jobs >= quarantineJobThreshold || failures >= quarantineFailureThreshold
 	return failures
 }
 
-// setFailedOn notes a machine on which a job should not be started again.
-func (j *trackedJob) setFailedOn(m *machine) {
-	if j.failedOn == nil {
-		j.failedOn = make(map[string]bool)
+// recordFailedMachine notes a machine on which a job should not be started again.
+func (j *trackedJob) recordFailedMachine(m *machine) {
+	if j.failedMachines == nil {
+		j.failedMachines = make(map[string]bool)
 	}
-	j.failedOn[m.name] = true
+	j.failedMachines[m.name] = true
 }
 
 // failsEverywhere tells whether a job has failed on so many machines, or so great a
 // part of them, that the fault is its own.
 func (j *trackedJob) failsEverywhere(machines int) bool {
-	return len(j.failedOn) >= jobFaultMachines || (len(j.failedOn) > 1 && 2*len(j.failedOn) > machines)
+	return len(j.failedMachines) >= minMachinesForJobFault || (len(j.failedMachines) > 1 && 2*len(j.failedMachines) > machines)
 }
--- a/internal/coordination/quarantine_test.go
+++ b/internal/coordination/quarantine_test.go
@@ -14,7 +14,7 @@
 			q.recordFailure(m, a, many)
 		}, false},
 		{"again and again the same job", many, func(q *quarantine, m, _ *machine, a, _ *trackedJob) {
-			for range quarantineErrors {
+			for range quarantineFailureThreshold {
 				q.recordFailure(m, a, many)
 			}
 		}, false},
@@ -24,7 +24,7 @@
 		}, true},
 		{"a job that does well elsewhere", many, func(q *quarantine, m, other *machine, a, _ *trackedJob) {
 			q.recordSuccess(other, a)
-			for range quarantineErrors {
+			for range quarantineFailureThreshold {
 				q.recordFailure(m, a, many)
 			}
 		}, true},
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -61,7 +61,7 @@
 }
 
 // decide returns the shards that have just become reconciled, each of them once.
-func (r *reconciler) decide(shards *shardRegistry, known knowledge, now time.Duration) []reconciliation {
+func (r *reconciler) decide(shards *shardRegistry, known recoveryProgress, now time.Duration) []reconciliation {
 	var decisions []reconciliation
 	for _, shard := range shards.byName {
 		switch {
@@ -80,8 +80,8 @@
 }
 
 // proofsFor counts the machines by their proof. It stops at the first that has none.
-func (r *reconciler) proofsFor(shard *shardState, known knowledge, now time.Duration) (proofs proofCounts, complete bool) {
-	if !known.machines && now-shard.registeredAt <= r.leases.timeout {
+func (r *reconciler) proofsFor(shard *shardState, known recoveryProgress, now time.Duration) (proofs proofCounts, complete bool) {
+	if !known.machinesKnown && now-shard.registeredAt <= r.leases.timeout {
 		return proofs, false // there may be more machines than are known
 	}
 	for m := range r.machines.all {
@@ -100,7 +100,7 @@
 // to name, and that has not had its fencing token, holds nothing: waited for, the
 // machines that come up all the time kept a shard from being reconciled. Which
 // machines those are is known only once the records of earlier leaders were read.
-func (r *reconciler) proofFor(m *machine, shard *shardState, known knowledge, now time.Duration) machineProof {
+func (r *reconciler) proofFor(m *machine, shard *shardState, known recoveryProgress, now time.Duration) machineProof {
 	switch {
 	case m.terminated:
 		return provenTerminated
@@ -108,7 +108,7 @@
 		return provenLeaseExpired
 	case m.lastCurrentHeartbeat > shard.registeredAt:
 		return provenByHeartbeat
-	case m.lastCurrentHeartbeat == 0 && known.machines && !m.fromEarlierLeader:
+	case m.lastCurrentHeartbeat == 0 && known.machinesKnown && !m.fromEarlierLeader:
 		return provenEmpty
 	case m.lastCurrentHeartbeat == 0 || m.hasUnacknowledgedStartOf(shard):
 		return notProven
--- a/internal/coordination/reservations.go
+++ b/internal/coordination/reservations.go
@@ -14,9 +14,9 @@
 	// by their number, and by this part of all machines.
 	maxReservedMachines     = 16
 	reservedMachinesDivisor = 8
-	// farOff is how long a machine counts as taking that will not have room by the
+	// noFitDelay is how long a machine counts as taking that will not have room by the
 	// end of its tasks.
-	farOff = time.Hour
+	noFitDelay = time.Hour
 )
 
 // reservations reserves machines for overdue jobs: room that becomes free bit by
@@ -41,19 +41,19 @@
 			return
 		}
 		left--
-		if m := r.soonestFor(job, now); m != nil {
+		if m := r.soonestMachineFor(job, now); m != nil {
 			m.reservedFor = job
 		}
 	}
 }
 
-// soonestFor returns the machine that should have room for a job's task first and
+// soonestMachineFor returns the machine that should have room for a job's task first and
 // is not reserved, or nil if none suits the job.
-func (r *reservations) soonestFor(job *trackedJob, now time.Duration) *machine {
+func (r *reservations) soonestMachineFor(job *trackedJob, now time.Duration) *machine {
 	var best *machine
 	soonest := time.Duration(-1)
 	for m := range r.machines.all {
-		if m.reservedFor != nil || !r.schedulable(m, now) || !r.placement.suitsWhenEmpty(m, job, now) {
+		if m.reservedFor != nil || !r.schedulable(m, now) || !r.placement.canOfferWhenEmpty(m, job, now) {
 			continue
 		}
 		if in := r.timeUntilFits(m, job, now); best == nil || in < soonest || (in == soonest && m.index < best.index) {
@@ -76,18 +76,18 @@
 			live = append(live, replica)
 		}
 	}
-	sort.Slice(live, func(i, k int) bool { return r.timeLeft(live[i], now) < r.timeLeft(live[k], now) })
+	sort.Slice(live, func(i, k int) bool { return r.remainingRunTime(live[i], now) < r.remainingRunTime(live[k], now) })
 	for _, replica := range live {
 		free.add(replica.job.spec)
 		if free.fits(job.spec) {
-			return r.timeLeft(replica, now)
+			return r.remainingRunTime(replica, now)
 		}
 	}
-	return farOff
+	return noFitDelay
 }
 
-// timeLeft is how long a replica should still run: a second at the least.
-func (r *reservations) timeLeft(replica *replicaOnMachine, now time.Duration) time.Duration {
+// remainingRunTime is how long a replica should still run: a second at the least.
+func (r *reservations) remainingRunTime(replica *replicaOnMachine, now time.Duration) time.Duration {
 	left := r.runTime(replica.job.spec)
 	if replica.state == protocol.TaskRunning {
 		left -= now - replica.since
--- a/internal/coordination/resources.go
+++ b/internal/coordination/resources.go
@@ -9,34 +9,34 @@
 )
 
 // resources is an amount of what tasks need of a machine; memory is in GB.
-type resources struct{ cpus, gpus, memory float64 }
+type resources struct{ cpus, gpus, memoryGB float64 }
 
 // fits tells whether one task of a job finds room.
 func (r resources) fits(s *meshpb.JobSummary) bool {
 	const slack = 1e-9 // for rounding
-	return s.Cpus <= r.cpus+slack && s.Gpus <= r.gpus+slack && s.MemoryGb <= r.memory+slack
+	return s.Cpus <= r.cpus+slack && s.Gpus <= r.gpus+slack && s.MemoryGb <= r.memoryGB+slack
 }
 
 // subtract takes out what one task of a job needs.
 func (r *resources) subtract(s *meshpb.JobSummary) {
 	r.cpus -= s.Cpus
 	r.gpus -= s.Gpus
-	r.memory -= s.MemoryGb
+	r.memoryGB -= s.MemoryGb
 }
 
 // add puts back what one task of a job needs.
 func (r *resources) add(s *meshpb.JobSummary) {
 	r.cpus += s.Cpus
 	r.gpus += s.Gpus
-	r.memory += s.MemoryGb
+	r.memoryGB += s.MemoryGb
 }
 
 // capacityOf is what an empty machine of a type has.
 func capacityOf(t *protocol.MachineType) resources { return resources{t.CPUs, t.GPUs, t.MemoryGB} }
 
-// largestCapacity is the capacity of a type, or of the largest one while a machine's
+// capacityOrLargest is the capacity of a type, or of the largest one while a machine's
 // type is not known.
-func largestCapacity(catalog cloud.Catalog, typeName string) resources {
+func capacityOrLargest(catalog cloud.Catalog, typeName string) resources {
 	if t := catalog[typeName]; t != nil {
 		return capacityOf(t)
 	}
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -29,7 +29,7 @@
 	placement    placement
 	queue        pendingQueue
 	reservations reservations
-	offers       offerBook
+	offers       offerTable
 	preemptor    preemptor
 	drainer      drainer
 }
@@ -42,7 +42,7 @@
 	}
 	s.updateImageDemand(now)
 	s.queue.rebuild(s.unfinishedJobs, s.wallMs(), now)
-	s.reservations.renew(s.queue.overdue, now)
+	s.reservations.renew(s.queue.overdueJobs, now)
 }
 
 // orderKeyOf returns a job's position in the order of service at a Unix time in
@@ -60,21 +60,21 @@
 
 // preempt stops tasks on a machine, in a response to it: those that make room for
 // others, or all that have to leave if the machine is to go.
-func (s *scheduler) preempt(m *machine, response *pendingResponse, now time.Duration) {
+func (s *scheduler) stopTasks(m *machine, response *pendingResponse, now time.Duration) {
 	if !s.schedulable(m, now) {
-		response.stop(m, s.drainer.victims(m, now))
+		response.addStopCommands(m, s.drainer.victims(m, now))
 		return
 	}
 	if s.preemptor.shortageDue(now) {
 		s.rebuildQueue(now)
 		s.preemptor.findShortage(now)
 	}
-	response.stop(m, s.preemptor.victims(m, now))
+	response.addStopCommands(m, s.preemptor.chooseVictims(m, now))
 }
 
 // stop commands a machine to have tasks write a checkpoint, if they can, and stop.
 // The commands are repeated until the machine's list shows their end.
-func (r *pendingResponse) stop(m *machine, victims []*replicaOnMachine) {
+func (r *pendingResponse) addStopCommands(m *machine, victims []*replicaOnMachine) {
 	for _, replica := range victims {
 		key, graceS := replica.key, 0.0
 		if replica.job.spec.CheckpointIntervalS > 0 {
@@ -99,19 +99,19 @@
 		return
 	}
 	m.offeringFor = response
-	s.fillOffers(m, queue, response, now)
+	s.offerFreeResources(m, queue, response, now)
 	m.offeringFor = nil
 	s.offers.send(response)
 }
 
-// fillOffers offers a machine's free resources to one task after another, each time
+// offerFreeResources offers a machine's free resources to one task after another, each time
 // to the one that is served first by what the teams use by then.
-func (s *scheduler) fillOffers(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
+func (s *scheduler) offerFreeResources(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
 	free := m.free
-	queues := queue.candidates(m)
+	queues := queue.candidateQueues(m)
 	heads := make([]*trackedJob, len(queues))
 	for i, q := range queues {
-		heads[i] = s.queue.head(q, &s.placement, m, free, now)
+		heads[i] = s.queue.firstOfferable(q, &s.placement, m, free, now)
 	}
 	for range s.tuning.StartsPerResponse {
 		job := firstServed(heads)
@@ -125,7 +125,7 @@
 		s.offerTask(response, job)
 		for i, q := range queues {
 			if heads[i] != nil && !s.placement.canOffer(heads[i], m, free, now) {
-				heads[i] = s.queue.head(q, &s.placement, m, free, now)
+				heads[i] = s.queue.firstOfferable(q, &s.placement, m, free, now)
 			}
 		}
 	}
@@ -147,7 +147,7 @@
 func (s *scheduler) offerTask(response *pendingResponse, job *trackedJob) {
 	s.offers.add(response, job)
 	if job.orderKey.Overdue {
-		job.overdueStarts++
+		job.unsentOverdueStarts++
 		job.orderKey = s.orderKeyOf(&trackedJob{spec: job.spec, priority: job.priority, started: true}, s.wallMs())
 	}
 }
--- a/internal/coordination/service_spread.go
+++ b/internal/coordination/service_spread.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// spreadMachines is over how many machines of a zone the replicas of a service
+	// spreadMachinesPerZone is over how many machines of a zone the replicas of a service
 	// are spread at the least.
-	spreadMachines = 3
-	// promptSpreadMachines is the same where starts are wanted within a heartbeat
+	spreadMachinesPerZone = 3
+	// promptSpreadMachinesPerZone is the same where starts are wanted within a heartbeat
 	// interval: the last replica waits for as many heartbeats.
-	promptSpreadMachines = 2
-	// dueFetchDivisor: another machine's heartbeat is waited for rather than an
+	promptSpreadMachinesPerZone = 2
+	// heartbeatWaitDivisor: another machine's heartbeat is waited for rather than an
 	// image fetched if it is due within this part of the fetch.
-	dueFetchDivisor = 2
+	heartbeatWaitDivisor = 2
 )
 
-// minSpread is over how many machines of a zone a service's replicas are spread
+// minSpreadPerZone is over how many machines of a zone a service's replicas are spread
 // at the least.
-func (p *warmPool) minSpread(class string) int {
+func (p *warmPool) minSpreadPerZone(class string) int {
 	if within := p.startWithin(class); within > 0 && within < p.settings.Workers.HeartbeatIntervalS {
-		return promptSpreadMachines
+		return promptSpreadMachinesPerZone
 	}
-	return spreadMachines
+	return spreadMachinesPerZone
 }
 
 // hasRoomFor tells whether a machine could be offered to a replica of a service
@@ -61,7 +61,7 @@
 		if !p.hasRoomFor(job, other, now) || p.exceedsSpread(job, other, now) {
 			continue
 		}
-		if fetch > interval || other.lastHeartbeat+interval-now < fetch/dueFetchDivisor {
+		if fetch > interval || other.lastHeartbeat+interval-now < fetch/heartbeatWaitDivisor {
 			return true
 		}
 	}
@@ -75,7 +75,7 @@
 	if !job.spec.Service {
 		return false
 	}
-	machines, enough := 1, p.minSpread(job.spec.Class)
+	machines, enough := 1, p.minSpreadPerZone(job.spec.Class)
 	for _, other := range p.serviceCapable {
 		if machines == enough {
 			break
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -15,8 +15,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// machinesOfJob tells where a job's tasks run.
-func (sim *simulation) machinesOfJob(id string) map[string]string {
+// machinesByTask tells where a job's tasks run.
+func (sim *simulation) machinesByTask(id string) map[string]string {
 	out := make(map[string]string)
 	for _, agent := range sim.Agents {
 		for _, name := range agent.Running() {
@@ -37,10 +37,10 @@
 	sim.Run(2 * time.Second)
 	want(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "replicas", len(sim.machinesOfJob("wk-1")), 3)
+	want(t, "replicas", len(sim.machinesByTask("wk-1")), 3)
 	for _, why := range []string{"done", "error", "halted"} {
 		sim.Run(25 * time.Second)
-		was := sim.machinesOfJob("wk-1")["wk-1/0"]
+		was := sim.machinesByTask("wk-1")["wk-1/0"]
 		starts := sim.Agents[was].Starts
 		for _, task := range sim.Agents[was].Tasks {
 			if task.Name == "wk-1/0" && task.State == "running" {
@@ -60,7 +60,7 @@
 			}
 		}
 		sim.Run(4 * time.Second)
-		want(t, "replicas after "+why, len(sim.machinesOfJob("wk-1")), 3)
+		want(t, "replicas after "+why, len(sim.machinesByTask("wk-1")), 3)
 		for _, name := range sim.Names {
 			code, s := sim.Nodes[name].Status("wk-1")
 			want(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
@@ -74,7 +74,7 @@
 	code, status := sim.Follower().Cancel("wk-1")
 	want(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
 	sim.Run(3 * time.Second)
-	want(t, "replicas that are left", len(sim.machinesOfJob("wk-1")), 0)
+	want(t, "replicas that are left", len(sim.machinesByTask("wk-1")), 0)
 	want(t, "repeat", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
 	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 }
@@ -108,7 +108,7 @@
 		sim.Run(time.Second)
 		sim.BootMachines(0)
 	}
-	want(t, "replicas", len(sim.machinesOfJob("wk-1")), 2)
+	want(t, "replicas", len(sim.machinesByTask("wk-1")), 2)
 }
 
 // Whoever ends, replicas that run are taken up as they are.
@@ -204,10 +204,10 @@
 	want(t, "running", sim.runningTasks(), 8)
 	want(t, "service", n.Submit(simtest.ServiceJob("wk-2", 3)).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "replicas", len(sim.machinesOfJob("wk-2")), 3)
+	want(t, "replicas", len(sim.machinesByTask("wk-2")), 3)
 	want(t, "second service", n.Submit(simtest.ServiceJob("wk-3", 8)).Status, 201)
 	sim.Run(10 * time.Second)
-	want(t, "replicas of the first", len(sim.machinesOfJob("wk-2")), 3)
+	want(t, "replicas of the first", len(sim.machinesByTask("wk-2")), 3)
 	want(t, "replicas in all", sim.runningTasks(), 8)
 }
 
@@ -233,14 +233,14 @@
 			for left := 14; left > 1; left-- {
 				first.PreemptionNotice = float64(left)
 				sim.Run(time.Second)
-				least = min(least, len(sim.machinesOfJob("wk-1")))
+				least = min(least, len(sim.machinesByTask("wk-1")))
 				if !room && left > 5 {
 					want(t, "replicas that stay while there is no room", len(first.Running()), 3)
 				}
 			}
 			want(t, "left on the machine", len(first.Running()), 0)
 			if room {
-				want(t, "moved", len(sim.machinesOfJob("wk-1")), 3)
+				want(t, "moved", len(sim.machinesByTask("wk-1")), 3)
 				want(t, "served all the while", least >= 2, true)
 			}
 		})
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -39,8 +39,8 @@
 // machine last listed.
 func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
 	now, jobsKnown := l.now(), shard.jobsKnown
-	l.rescindOffers(shard)
-	l.jobs.endOmitted(shard, now)
+	l.withdrawOffers(shard)
+	l.jobs.endOmittedJobs(shard, now)
 	l.setShardOwner(shard, p)
 	shard.version, shard.registeredAt = version, now
 	shard.reconciled, shard.fullyReconciled = false, false
@@ -78,7 +78,7 @@
 		if shard.owner != p {
 			continue
 		}
-		l.rescindOffers(shard)
+		l.withdrawOffers(shard)
 		l.setShardOwner(shard, nil)
 		shard.arrivingJobs = nil
 		for _, job := range shard.jobs {
@@ -113,6 +113,6 @@
 }
 
 // knowledge is what is known of the work that earlier leaders may have left.
-func (l *leader) knowledge() knowledge {
-	return knowledge{jobs: l.shards.allJobsKnown(), machines: l.records.machinesKnown()}
+func (l *leader) knowledge() recoveryProgress {
+	return recoveryProgress{jobsKnown: l.shards.allJobsKnown(), machinesKnown: l.records.machinesKnown()}
 }
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -155,7 +155,7 @@
 		cpus := float64(job.unoffered()) * job.spec.Cpus
 		job.image.standardCPUs += cpus
 		s.standardCPUs += cpus
-		if p.obtainable(job, now) {
+		if p.machineObtainable(job, now) {
 			s.idleCostLimit = max(s.idleCostLimit, p.kinds.leadTime(job))
 		} else {
 			s.idleCostLimit = noCostLimit
@@ -172,7 +172,7 @@
 		return
 	}
 	for _, team := range p.teams {
-		team.stopping = 0
+		team.stoppingCPUs = 0
 	}
 	for m := range p.machines.all {
 		if p.schedulable(m, now) {
@@ -196,7 +196,7 @@
 func (p *preemptor) sumBelowGuarantee(now time.Duration) float64 {
 	pending := make(map[*teamUsage]float64)
 	for _, job := range p.queue.jobs {
-		if job.unoffered() > 0 && job.team.cfg.CPUs > job.team.cpus && !p.obtainable(job, now) {
+		if job.unoffered() > 0 && job.team.cfg.CPUs > job.team.cpus && !p.machineObtainable(job, now) {
 			pending[job.team] += float64(job.unoffered()) * job.spec.Cpus
 			p.shortage.belowGuarantee = append(p.shortage.belowGuarantee, job)
 		}
@@ -219,7 +219,7 @@
 			continue
 		}
 		if replica.stopRequested && replica.job.team != nil {
-			replica.job.team.stopping += replica.job.spec.Cpus
+			replica.job.team.stoppingCPUs += replica.job.spec.Cpus
 		}
 		if replica.stopRequested || p.endsSoon(replica, now) {
 			s.guaranteeCPUs -= replica.job.spec.Cpus
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -10,8 +10,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// newFleet is a deployment whose machines are all there is.
-func newFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *simtest.Node) {
+// newFixedFleet is a deployment whose machines are all there is.
+func newFixedFleet(t *testing.T, machines int, takes time.Duration) (*simulation, *simtest.Node) {
 	t.Helper()
 	sim := newSimulation(t, "a")
 	sim.Cloud.RefusesScaleOut = true
@@ -22,9 +22,9 @@
 	return sim, sim.Nodes["a"]
 }
 
-// timeToStart submits a job and returns how long until a task of it runs, while
+// measureTimeToStart submits a job and returns how long until a task of it runs, while
 // every second more is submitted besides.
-func (sim *simulation) timeToStart(n *simtest.Node, request simtest.JobRequest, limit time.Duration, besides func(second int)) time.Duration {
+func (sim *simulation) measureTimeToStart(n *simtest.Node, request simtest.JobRequest, limit time.Duration, besides func(second int)) time.Duration {
 	sim.T.Helper()
 	id := request["nameId"].(string)
 	if r := n.Submit(request); r.Status != 201 {
@@ -42,12 +42,12 @@
 	return 0
 }
 
-const startLimit = 240 * time.Second
+const startTimeout = 240 * time.Second
 
 // Urgent work that asks for more than there is, for good, must not keep
 // standard work out: users count a class as served when its jobs begin.
 func TestUrgentWorkDoesNotStarveStandardWork(t *testing.T) {
-	sim, n := newFleet(t, 4, 5*time.Second)
+	sim, n := newFixedFleet(t, 4, 5*time.Second)
 	flood := func(s int) {
 		n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("urgency", "urgent").With("plate", "u"))
 	}
@@ -55,7 +55,7 @@
 		flood(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, simtest.BatchJob("wk-1", 4), startLimit, flood)
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-1", 4), startTimeout, flood)
 	for s := range 60 { // it began for good, not to be stopped at once
 		flood(300 + s)
 		sim.Run(time.Second)
@@ -63,13 +63,13 @@
 	if _, st := n.Status("wk-1"); *st.Done == 0 {
 		t.Fatal("no task of the standard job came to its end")
 	}
-	sim.timeToStart(n, simtest.BatchJob("wk-2", 40).With("vcpus", 8.0), startLimit, func(s int) { flood(500 + s) })
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-2", 40).With("vcpus", 8.0), startTimeout, func(s int) { flood(500 + s) })
 }
 
 // Room that frees bit by bit must not go to small tasks for ever while a task
 // that needs a whole machine waits, though both are of one priority.
 func TestPackingDoesNotStarveLargeTasks(t *testing.T) {
-	sim, n := newFleet(t, 3, 6*time.Second)
+	sim, n := newFixedFleet(t, 3, 6*time.Second)
 	for _, agent := range sim.Agents {
 		agent.DurationSpread = 900 * time.Millisecond
 	}
@@ -78,13 +78,13 @@
 		small(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, simtest.BatchJob("wk-1", 3).With("vcpus", 8.0).With("ramGb", 60.0), startLimit, small)
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-1", 3).With("vcpus", 8.0).With("ramGb", 60.0), startTimeout, small)
 }
 
 // Work whose image no machine has must not wait for ever behind work whose
 // image all of them have, even if fetching takes longer than running.
 func TestImageAffinityDoesNotStarve(t *testing.T) {
-	sim, n := newFleet(t, 3, 6*time.Second)
+	sim, n := newFixedFleet(t, 3, 6*time.Second)
 	usual := func(s int) {
 		n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("plate", "usual").With("imageGb", 40.0))
 	}
@@ -92,7 +92,7 @@
 		usual(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, simtest.BatchJob("wk-1", 1).With("vcpus", 8.0).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-1", 1).With("vcpus", 8.0).With("plate", "rare").With("imageGb", 40.0), startTimeout, usual)
 
 	// Nor behind the one machine that has its image, while that is busy for long.
 	for _, agent := range sim.Agents {
@@ -103,25 +103,25 @@
 		}
 	}
 	sim.Run(20 * time.Second)
-	sim.timeToStart(n, simtest.BatchJob("wk-2", 1).With("plate", "rare").With("imageGb", 40.0), startLimit, usual)
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-2", 1).With("plate", "rare").With("imageGb", 40.0), startTimeout, usual)
 }
 
 // A team with a small guarantee gets its turn while another with a large one
 // asks for more than there is; so does its largest array.
 func TestSmallSharesDoNotStarve(t *testing.T) {
-	sim, n := newFleet(t, 3, 5*time.Second)
+	sim, n := newFixedFleet(t, 3, 5*time.Second)
 	flood := func(s int) { n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 12).With("crew", "red")) }
 	for s := range 20 {
 		flood(1000 + s)
 		sim.Run(time.Second)
 	}
-	sim.timeToStart(n, simtest.BatchJob("wk-1", 100), startLimit, flood)
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-1", 100), startTimeout, flood)
 }
 
 // A job whose tasks made room for urgent work as often as it has tasks is left
 // alone from then on, so that it ends.
 func TestPreemptionOfAJobIsBounded(t *testing.T) {
-	sim, n := newFleet(t, 2, 20*time.Second)
+	sim, n := newFixedFleet(t, 2, 20*time.Second)
 	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	for s := range 240 {
@@ -163,13 +163,13 @@
 		}
 	}
 	n := sim.Leader()
-	sim.timeToStart(n, simtest.BatchJob("wk-5", 2).With("crew", "red"), startLimit, func(int) {})
+	sim.measureTimeToStart(n, simtest.BatchJob("wk-5", 2).With("crew", "red"), startTimeout, func(int) {})
 }
 
 // The work of a heartbeat does not grow with machines or jobs.
 func TestCostOfAHeartbeatIsIndependentOfFleetSize(t *testing.T) {
 	perReport := func(machines, jobs int) float64 {
-		sim, n := newFleet(t, machines, 0)
+		sim, n := newFixedFleet(t, machines, 0)
 		want(t, "submit", n.Submit(simtest.BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
 		sim.Run(3 * time.Second)
 		want(t, "running", sim.runningTasks(), machines)
@@ -190,14 +190,14 @@
 		delete(sim.Agents, "vm-last")
 		d := &controllerOf(n).leader.scheduler.queue
 		controllerOf(n).leader.scheduler.rebuildQueue(sim.Now())
-		before, at := d.inspected, d.rebuiltAt
+		before, at := d.entriesInspected, d.rebuiltAt
 		for _, name := range sim.AgentNames() {
 			sim.Agents[name].Heartbeat()
 		}
 		if d.rebuiltAt != at {
 			t.Fatal("the order was worked out anew meanwhile")
 		}
-		return float64(d.inspected-before) / float64(machines)
+		return float64(d.entriesInspected-before) / float64(machines)
 	}
 	// One image is on the machine, the others it might fetch.
 	const limit = (1 + maxFetchCandidates) * queueLookAhead
--- a/internal/coordination/supply_test.go
+++ b/internal/coordination/supply_test.go
@@ -31,7 +31,7 @@
 			kinds := newKindSelector(testCatalog(), &a.counts)
 			a.kinds = &kinds
 			m := &machine{inWarmPool: test.inWarmPool}
-			s := supply{kind: {{machine: m, free: resources{cpus: 8, memory: 64}, partitioned: test.partitioned}}}
+			s := supply{kind: {{machine: m, free: resources{cpus: 8, memoryGB: 64}, partitioned: test.partitioned}}}
 			job := testJob(&meshpb.JobSummary{Cpus: 2, Service: test.service})
 			if test.urgent {
 				job.priority = protocol.PriorityUrgent
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -17,14 +17,14 @@
 const unknownMachinesShare = 0.5
 
 // knowledge is what a leader knows of the work that earlier ones may have left.
-type knowledge struct {
-	jobs     bool // all unfinished jobs
-	machines bool // every machine that may hold a task
+type recoveryProgress struct {
+	jobsKnown     bool // all unfinished jobs
+	machinesKnown bool // every machine that may hold a task
 }
 
 // usageAccounting keeps what teams use and what may run that no owner accounts for.
 // It is told of every change of a job or a machine, and owns the counts by which it
-// knows what it has counted already: trackedJob.counted and liveReplicas, and
+// knows what it has counted already: trackedJob.countedTasks and liveReplicas, and
 // machine.replicasCounted and unreconciled.
 type usageAccounting struct {
 	leases       machineLeases
@@ -39,7 +39,7 @@
 	cpus float64
 	gpus float64
 	// stopping is the part of cpus that was told to stop.
-	stopping float64
+	stoppingCPUs float64
 }
 
 // newUsageAccounting returns an account of teams that use nothing yet.
@@ -72,19 +72,19 @@
 	if job.ended {
 		n = job.liveReplicas
 	}
-	if change := float64(n - job.counted); change != 0 && job.team != nil && job.spec != nil {
+	if change := float64(n - job.countedTasks); change != 0 && job.team != nil && job.spec != nil {
 		job.team.charge(job, change)
 	}
-	job.counted = n
+	job.countedTasks = n
 }
 
 // remove takes out what is counted for a job: before its spec or its team changes.
 func (u *usageAccounting) remove(job *trackedJob) {
 	if job.spec != nil && job.team != nil {
-		job.team.cpus -= float64(job.counted) * job.spec.Cpus
-		job.team.gpus -= float64(job.counted) * job.spec.Gpus
+		job.team.cpus -= float64(job.countedTasks) * job.spec.Cpus
+		job.team.gpus -= float64(job.countedTasks) * job.spec.Gpus
 	}
-	job.counted = 0
+	job.countedTasks = 0
 }
 
 // recompute adds everything up anew, so that rounding errors of many small changes
@@ -95,7 +95,7 @@
 	}
 	for _, job := range jobs {
 		if job.team != nil && job.spec != nil {
-			job.team.charge(job, float64(job.counted))
+			job.team.charge(job, float64(job.countedTasks))
 		}
 	}
 	u.unreconciled = resources{}
@@ -147,7 +147,7 @@
 	most := resources{}
 	if !m.terminated && !u.leases.expired(m, now) {
 		if m.mayRunUnreconciled() {
-			most = largestCapacity(catalog, m.typeName)
+			most = capacityOrLargest(catalog, m.typeName)
 		}
 	} else {
 		u.uncountReplicas(m)
@@ -159,22 +159,22 @@
 
 // limited tells whether a limit of its team applies to a job: of most teams none does,
 // and the question is asked for each job that is looked at.
-func (j *trackedJob) limited() bool {
+func (j *trackedJob) hasTeamLimit() bool {
 	return (j.team.cfg.CPUsMax > 0 && j.spec.Cpus != 0) || (j.team.cfg.GPUsMax > 0 && j.spec.Gpus != 0)
 }
 
 // withinLimit tells whether one more task keeps a job's team inside its limit,
 // whatever may be running that no owner accounts for. While not all unfinished jobs
 // are known, no limit can be kept for sure.
-func (u *usageAccounting) withinLimit(job *trackedJob, known knowledge) bool {
+func (u *usageAccounting) withinLimit(job *trackedJob, known recoveryProgress) bool {
 	within := func(limit, used, unreconciled, need float64) bool {
 		if limit <= 0 || need == 0 {
 			return true
 		}
-		if !known.jobs {
+		if !known.jobsKnown {
 			return false
 		}
-		if !known.machines {
+		if !known.machinesKnown {
 			unreconciled += limit * unknownMachinesShare
 		}
 		return used+unreconciled+need <= limit+limitTolerance
--- a/internal/coordination/team_usage_test.go
+++ b/internal/coordination/team_usage_test.go
@@ -32,20 +32,20 @@
 }
 
 func TestTeamLimit(t *testing.T) {
-	all := knowledge{jobs: true, machines: true}
+	all := recoveryProgress{jobsKnown: true, machinesKnown: true}
 	for _, c := range []struct {
 		name         string
 		placed       int
 		unreconciled float64
-		known        knowledge
+		known        recoveryProgress
 		want         bool
 	}{
 		{"room for one more", 3, 0, all, true},
 		{"full", 4, 0, all, false},
 		{"what no owner accounts for counts", 3, 1, all, false},
-		{"jobs not known", 0, 0, knowledge{machines: true}, false},
-		{"machines not known", 1, 0, knowledge{jobs: true}, true},
-		{"machines not known, half used", 2, 0, knowledge{jobs: true}, false},
+		{"jobs not known", 0, 0, recoveryProgress{machinesKnown: true}, false},
+		{"machines not known", 1, 0, recoveryProgress{jobsKnown: true}, true},
+		{"machines not known, half used", 2, 0, recoveryProgress{jobsKnown: true}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u, job := newTestUsage()
--- a/internal/coordination/tracked_job.go
+++ b/internal/coordination/tracked_job.go
@@ -11,37 +11,37 @@
 // trackedJob is a job as its owner describes it, with what the leader knows of its
 // tasks.
 type trackedJob struct {
-	id       string
-	shard    *shardState
-	spec     *meshpb.JobSummary // nil until a summary with its spec has come
-	team     *teamUsage
-	priority protocol.Priority
-	image    *image
-	onlyType string // the one machine type that its tasks fit on; "": there are none or several
+	id              string
+	shard           *shardState
+	spec            *meshpb.JobSummary // nil until a summary with its spec has come
+	team            *teamUsage
+	priority        protocol.Priority
+	image           *image
+	onlyMachineType string // the one machine type that its tasks fit on; "": there are none or several
 
 	// Of its owner's summaries.
-	pending    int
-	placed     int
-	cancelling bool // its user wants it cancelled: nothing is started, what runs is stopped
-	started    bool // a task of it was placed
-	ended      bool
-	endedAt    time.Duration
-	omitted    bool // it has ended only because its shard's owner did not list it
+	pending         int
+	placed          int
+	cancelling      bool // its user wants it cancelled: nothing is started, what runs is stopped
+	started         bool // a task of it was placed
+	ended           bool
+	endedAt         time.Duration
+	endedByOmission bool // it has ended only because its shard's owner did not list it
 
 	// Of offers and preemption.
-	offered       int  // in offers that are not answered yet
-	startSent     bool // this leader has sent a start of it
-	overdueStarts int  // offered only because it waited for too long, and not sent yet
-	preemptions   int  // how often a task of it made room for others
-	orderKey      priority.Key
+	offered             int  // in offers that are not answered yet
+	startSent           bool // this leader has sent a start of it
+	unsentOverdueStarts int  // offered only because it waited for too long, and not sent yet
+	preemptions         int  // how often a task of it made room for others
+	orderKey            priority.Key
 
 	// See usageAccounting.
 	liveReplicas int // that machines list, or were sent
-	counted      int // tasks in its team's use
+	countedTasks int // tasks in its team's use
 
 	// See quarantine.
-	failedOn  map[string]bool // machines
-	succeeded bool
+	failedMachines map[string]bool // machines
+	taskSucceeded  bool
 }
 
 // unoffered is how many tasks wait and are not on offer.
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -253,7 +253,7 @@
 
 // sizeForShape wants headroom for the services of a shape.
 func (p *warmPool) sizeForShape(load *serviceLoad, now time.Duration) {
-	job := &trackedJob{spec: load.spec, image: load.image, onlyType: p.kinds.onlyFittingType(load.spec)}
+	job := &trackedJob{spec: load.spec, image: load.image, onlyMachineType: p.kinds.onlyFittingType(load.spec)}
 	// Kinds that the cloud refuses at present count: then what is there has to be
 	// kept all the more.
 	kind, ok := p.kinds.best(kindQuery{job: job, now: now, includeRefused: true})
@@ -261,7 +261,7 @@
 		return
 	}
 	t := p.catalog.Type(kind.typeName)
-	demand := load.arrivals.Demand(now, arrivalsObserved(p.electedAt, now), t.BootS)
+	demand := load.arrivals.Demand(now, arrivalObservationTime(p.electedAt, now), t.BootS)
 	prompt := min(p.machinesForPromptStart(load.spec.Class, demand.Largest), p.affordableMachines(t, kind, now))
 	spread := min(minSpreadMachines, int(demand.Largest))
 	wanted := headroom{machines: max(prompt, spread), replicas: int(math.Ceil(demand.Replicas))}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -39,19 +39,19 @@
 	for range 10 {
 		sim.Run(time.Second)
 	}
-	array := len(sim.machinesOfJob("wk-2"))
+	array := len(sim.machinesByTask("wk-2"))
 	if array == 0 {
 		t.Fatal("nothing of the array runs")
 	}
 	began := sim.Now()
 	want(t, "next", n.Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
-	for len(sim.machinesOfJob("wk-3")) < 2 && sim.Now()-began < 20*time.Second {
+	for len(sim.machinesByTask("wk-3")) < 2 && sim.Now()-began < 20*time.Second {
 		sim.Run(time.Second)
 	}
 	if took := sim.Now() - began; took > 3*time.Second {
 		t.Fatalf("its replicas began after %s beside an array", took)
 	}
-	if now := len(sim.machinesOfJob("wk-2")); now < array {
+	if now := len(sim.machinesByTask("wk-2")); now < array {
 		t.Fatalf("%d of the array's %d tasks run on", now, array)
 	}
 }
@@ -70,8 +70,8 @@
 	sim.Run(4 * time.Second)
 	want(t, "in one zone that has one machine with room", n.Submit(simtest.ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "its replicas", len(sim.machinesOfJob("wk-3")), 2)
-	on := sim.machinesOfJob("wk-2")
+	want(t, "its replicas", len(sim.machinesByTask("wk-3")), 2)
+	on := sim.machinesByTask("wk-2")
 	want(t, "replicas", len(on), 4)
 	per := make(map[string]int)
 	for _, m := range on {
@@ -98,7 +98,7 @@
 			want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
 			sim.Agents["vm-0"].Heartbeat()
 			sim.Agents["vm-1"].Heartbeat()
-			want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesOfJob("wk-2")), started)
+			want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesByTask("wk-2")), started)
 		})
 	}
 }
@@ -116,13 +116,13 @@
 			sim.Run(4 * time.Second)
 			second := sim.AddMachine("vm-1", "z1")
 			sim.Run(4 * time.Second)
-			want(t, "where the image is", sim.machinesOfJob("wk-1")["wk-1/0"], "vm-0")
+			want(t, "where the image is", sim.machinesByTask("wk-1")["wk-1/0"], "vm-0")
 			first.Heartbeat()
 			sim.Advance(since - tickInterval)
 			want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
 			second.Heartbeat()
 			first.Heartbeat()
-			want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesOfJob("wk-2")["wk-2/0"], goesTo)
+			want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesByTask("wk-2")["wk-2/0"], goesTo)
 		})
 	}
 }
@@ -195,7 +195,7 @@
 	sim.Run(2 * time.Second)
 	want(t, "second", n.Submit(simtest.ServiceJob("wk-3", 3)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "replicas", fmt.Sprint(len(sim.machinesOfJob("wk-1")), len(sim.machinesOfJob("wk-3"))), "2 3")
+	want(t, "replicas", fmt.Sprint(len(sim.machinesByTask("wk-1")), len(sim.machinesByTask("wk-3"))), "2 3")
 }
 
 // Machines are not kept for prompt starts while the cloud has too few of their type
