--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -7,8 +7,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
 )
 
-// observeArrival tells the forecasts of a job that has just become known. Only
-// jobs that should start sooner than a machine boots concern them.
+// observeArrival reports a job that has just become known to the forecasts: services to
+// the warm pool, and of the other jobs those that should start sooner than a machine boots
+// to the forecast of machines.
 func (l *leader) observeArrival(j *trackedJob, now time.Duration) {
 	l.warmPool.classSeen(j.spec.Class)
 	age := time.Duration(l.wallMs()-j.spec.SubmittedMs) * time.Millisecond
@@ -40,9 +41,9 @@
 	})
 }
 
-// arrivalObservationTime is for how long a leader elected at a time counts as having
-// seen arrivals: somewhat longer than it has, so that the first few don't make a
-// high rate.
+// arrivalObservationTime is the time for which a leader elected at a time is assumed to
+// have observed arrivals. It is longer by observationTime than the actual time, so that
+// the first few arrivals do not yield a high rate.
 func arrivalObservationTime(electedAt, now time.Duration) time.Duration {
 	return now - electedAt + observationTime
 }
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -9,8 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// failJobs ends the running tasks of some jobs with an error, wherever they run, and
-// returns how many.
+// failJobs ends all running tasks of some jobs with an error and returns their number.
 func (sim *simulation) failJobs(jobs ...string) int {
 	n := 0
 	for _, agent := range sim.Agents {
@@ -27,10 +26,10 @@
 	return n
 }
 
-// Jobs submitted with a mistake fail on every machine until their users cancel
-// them. Several at once, on many machines or on few, and right after a change of
-// leader, they quarantine no machine for good, have none rented, stop nobody's
-// tasks, and each tries a task now and then.
+// Jobs that were submitted with a mistake fail on every machine until their users cancel
+// them. Several such jobs at once, on many machines or on few, also right after a change
+// of leader, must not quarantine a machine permanently, cause a scale-out, or stop tasks of
+// other jobs. Each of them starts a task only now and then.
 func TestAlwaysFailingJobsHarmNothingElse(t *testing.T) {
 	for _, machines := range []int{2, 5} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
@@ -42,7 +41,7 @@
 			bad := []string{"wk-1", "wk-2", "wk-3"}
 			for i, id := range bad {
 				urgency := []string{"urgent", "standard", "standard"}[i]
-				want(t, "bad job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
+				want(t, "failing job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
 			}
 			fails := 0
 			seconds := func(n int) {
@@ -58,7 +57,7 @@
 			if fails > 3*12 {
 				t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
 			}
-			want(t, "requests for machines", len(sim.Cloud.ScaleOutRequests)-rented, 0)
+			want(t, "scale-out requests", len(sim.Cloud.ScaleOutRequests)-rented, 0)
 			sim.Crash(sim.Leader().Name)
 			seconds(30)
 			fails = 0
@@ -66,22 +65,22 @@
 			if fails > 3*30 {
 				t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
 			}
-			want(t, "machines that are left", len(sim.Agents), machines)
-			want(t, "good tasks that run on", sim.runningTasks(), machines)
+			want(t, "machines that remain", len(sim.Agents), machines)
+			want(t, "good tasks that still run", sim.runningTasks(), machines)
 			for _, id := range bad {
 				code, _ := sim.Follower().Cancel(id)
 				want(t, "abort", code, 200)
 			}
 			sim.Run(5 * time.Second)
-			want(t, "good job after", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
+			want(t, "good job after the failing ones", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
 			sim.Run(6 * time.Second)
 			want(t, "running", sim.runningTasks(), 2*machines)
 		})
 	}
 }
 
-// If the mistake was the machines', the job is trusted again as soon as a task of
-// it has run for a while, and all of it runs.
+// If the machines caused the failures, the job's breaker closes as soon as a task of the
+// job has run for a while, and all its tasks run.
 func TestOpenBreakerClosesAgain(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachines(6)
@@ -96,8 +95,8 @@
 	want(t, "running", sim.runningTasks(), 20)
 }
 
-// The only machine that there is fails everything: it is quarantined and another is
-// rented, instead of taking every job for a mistaken one.
+// If all tasks fail on the only machine, it is quarantined and replaced. The failures must
+// not count as faults of the jobs.
 func TestOnlyFailingMachineIsReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachine("vm-1", "z1")
@@ -109,7 +108,7 @@
 		sim.Run(time.Second)
 		sim.failJobs("wk-1", "wk-2", "wk-3")
 	}
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(20 * time.Second)
 	want(t, "running", sim.runningTasks(), 3)
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -9,45 +9,51 @@
 )
 
 const (
-	longFetchThreshold     = 10 * time.Second // a fetch that others should not slow down
-	fetchPayoffFactor      = 1.0              // how many times its length a fetch must save
-	shortFetchShare        = 0.1              // of a task's run time, what a fetch may always take
-	minShortFetchThreshold = time.Second      // and at the least
-	maxExpectedWait        = time.Hour        // that is told apart
+	// longFetchThreshold is the fetch time above which a machine starts no other fetch at
+	// the same time that is not short, because it would slow down the first.
+	longFetchThreshold = 10 * time.Second
+	// fetchPayoffFactor is how many times its own duration a fetch must save in waiting.
+	fetchPayoffFactor = 1.0
+	// shortFetchShare is the part of a task's run time below which a fetch counts as short.
+	shortFetchShare = 0.1
+	// minShortFetchThreshold is the time below which a fetch counts as short for any task.
+	minShortFetchThreshold = time.Second
+	// maxExpectedWait caps expected waits; longer ones are not distinguished.
+	maxExpectedWait = time.Hour
 )
 
-// image is one that tasks need, with the work that waits for it set against the
-// machines that have it.
+// image is an image that tasks run from, with the work that waits for it and the capacity
+// of the machines that have it.
 type image struct {
 	name   string
 	sizeGB float64
 
-	// Of imageTable.
-	hasPending                                bool    // work waits for it
-	machineCPUs, machineMemoryGB              float64 // of the machines that have it
-	pendingCPUSeconds, pendingMemoryGBSeconds float64 // that wait for it
-	spotFree                                  resources
+	// Owned by imageTable.
+	hasPending                                bool      // some pending task needs it
+	machineCPUs, machineMemoryGB              float64   // shares of the machines that have it, see addMachine
+	pendingCPUSeconds, pendingMemoryGBSeconds float64   // of the pending tasks, over their run times
+	spotFree                                  resources // free on spot machines that have it
 
-	// Of the shortage that preemption works out.
-	urgentCPUs   float64     // of urgent tasks that lack room
-	standardCPUs float64     // the same of standard tasks, where idle-time work runs
-	standardJob  *trackedJob // the first of these
+	// Owned by preemptor, as parts of the shortage.
+	urgentCPUs   float64     // of urgent tasks for which there is no room
+	standardCPUs float64     // of pending standard tasks, which may preempt best-effort ones
+	standardJob  *trackedJob // the first job with such standard tasks
 }
 
-// cachedImage is an image that a machine has, or is fetching.
+// cachedImage is an image that a machine has or is fetching.
 type cachedImage struct {
 	*image
 	lastUsed time.Duration
 }
 
-// imageTable holds the images that jobs or machines name, and what waits for them.
-// The latter is worked out anew with the order of pending jobs: resetDemand, then
-// addPending for every job and addMachine for every machine.
+// imageTable holds the images that jobs or machines name, and the demand for them. The
+// demand is recomputed whenever the scheduling order is rebuilt: by resetDemand, then
+// addPending for every job, then addMachine for every machine.
 type imageTable struct {
 	byName map[string]*image
 }
 
-// get returns the image of a name, which it makes known.
+// get returns the image with a name. It adds the image if the table does not have it.
 func (t *imageTable) get(name string, sizeGB float64) *image {
 	im := t.byName[name]
 	if im == nil {
@@ -61,14 +67,14 @@
 	return im
 }
 
-// resetDemand forgets what waits for images and which machines have them.
+// resetDemand clears the demand for all images, and the capacity that has them.
 func (t *imageTable) resetDemand() {
 	for _, im := range t.byName {
 		*im = image{name: im.name, sizeGB: im.sizeGB, urgentCPUs: im.urgentCPUs, standardCPUs: im.standardCPUs, standardJob: im.standardJob}
 	}
 }
 
-// addPending counts the tasks of a job that wait for an image.
+// addPending adds pending tasks of a job to the demand for an image.
 func (im *image) addPending(tasks float64, spec *meshpb.JobSummary, runTime time.Duration) {
 	im.hasPending = true
 	run := runTime.Seconds()
@@ -76,7 +82,8 @@
 	im.pendingMemoryGBSeconds += tasks * run * spec.MemoryGb
 }
 
-// addMachine divides a machine among those of its images that work waits for.
+// addMachine divides a machine's capacity equally among those of its images that pending
+// tasks need. If it is a spot machine, its free resources are added to each of its images.
 func (t *imageTable) addMachine(m *machine, machineType *protocol.MachineType) {
 	m.wantedImages = 0
 	for i := range m.images {
@@ -98,7 +105,7 @@
 	}
 }
 
-// removeUnused forgets the images that no unfinished job and no machine names.
+// removeUnused removes the images that no unfinished job and no machine names.
 func (t *imageTable) removeUnused(shards *shardRegistry, machines *machineTable) {
 	named := make(map[*image]bool, len(t.byName))
 	for _, shard := range shards.byName {
@@ -118,8 +125,8 @@
 	}
 }
 
-// updateImageDemand sets the work that waits for each image against the machines that
-// have it.
+// updateImageDemand recomputes for each image the work that waits for it and the capacity
+// of the machines that have it.
 func (l *leader) updateImageDemand(now time.Duration) {
 	l.images.resetDemand()
 	for _, shard := range l.shards.byName {
@@ -137,8 +144,8 @@
 	}
 }
 
-// expectedWait is how long the tasks that wait for an image will wait, at the present
-// rate, for the machines that have it.
+// expectedWait is how long it takes the machines that have an image to run all pending
+// tasks that need it, at most maxExpectedWait.
 func (im *image) expectedWait() time.Duration {
 	if im == nil || im.pendingCPUSeconds+im.pendingMemoryGBSeconds == 0 {
 		return 0
@@ -149,7 +156,8 @@
 	return seconds(math.Min(maxExpectedWait.Seconds(), math.Max(im.pendingCPUSeconds/im.machineCPUs, im.pendingMemoryGBSeconds/im.machineMemoryGB)))
 }
 
-// fetchTime is how long a machine of a type takes to fetch an image.
+// fetchTime is how long a machine of a type takes to fetch an image; 0 if that is not
+// known.
 func fetchTime(im *image, machineType *protocol.MachineType) time.Duration {
 	if im == nil || machineType == nil || machineType.FetchRate <= 0 {
 		return 0
@@ -157,17 +165,18 @@
 	return seconds(im.sizeGB / machineType.FetchRate)
 }
 
-// fetchIsShort tells whether a fetch takes so little against a task's run time that
-// it is made whenever there is room.
+// fetchIsShort reports whether a fetch is so short compared to a task's run time that the
+// image is fetched whenever there is room.
 func fetchIsShort(fetch, runTime time.Duration) bool {
 	return fetch < max(minShortFetchThreshold, time.Duration(shortFetchShare*float64(runTime)))
 }
 
-// worthFetching tells whether a machine without a job's image should fetch it. A
-// fetch holds the room of the tasks that wait for it, so it has to pay: the job's
-// tasks must face a wait that is longer, by a good part of the fetch, than that of
-// the work whose images the machine has already. Two fetches at once would only slow
-// each other down. One that is short against the run is made whenever there is room.
+// worthFetching reports whether a machine without a job's image should fetch it. A short
+// fetch, or one for an overdue job, is always worth it. A fetch occupies the resources of
+// the tasks that wait for it, so a longer one has to pay off: the expected wait for the
+// image must exceed that of the work whose images the machine has already, which urgent
+// jobs disregard, by fetchPayoffFactor times the fetch time. While a machine makes a long
+// fetch it starts no such fetch of another image: they would slow each other down.
 func worthFetching(job *trackedJob, m *machine, machineType *protocol.MachineType, runTime time.Duration) bool {
 	fetch := fetchTime(job.image, machineType)
 	if fetchIsShort(fetch, runTime) || job.orderKey.Overdue {
@@ -176,16 +185,17 @@
 	if m.hasLongFetchOfAnother(job.image, machineType) {
 		return false
 	}
-	own := time.Duration(0)
+	ownWait := time.Duration(0)
 	if job.priority < protocol.PriorityUrgent {
 		for i := range m.images {
-			own = max(own, m.images[i].expectedWait())
+			ownWait = max(ownWait, m.images[i].expectedWait())
 		}
 	}
-	return job.image.expectedWait() > own+time.Duration(float64(fetch)*fetchPayoffFactor)
+	return job.image.expectedWait() > ownWait+time.Duration(float64(fetch)*fetchPayoffFactor)
 }
 
-// hasLongFetchOfAnother tells whether a machine takes long to fetch another image.
+// hasLongFetchOfAnother reports whether a machine is fetching another image and the whole
+// fetch takes longer than longFetchThreshold.
 func (m *machine) hasLongFetchOfAnother(im *image, machineType *protocol.MachineType) bool {
 	for i := range m.tasks {
 		t := &m.tasks[i]
@@ -196,7 +206,7 @@
 	return false
 }
 
-// hasImage tells whether a machine has an image, or is fetching it.
+// hasImage reports whether a machine has an image or is fetching it.
 func (m *machine) hasImage(im *image) bool {
 	for i := range m.images {
 		if m.images[i].image == im {
@@ -206,26 +216,26 @@
 	return false
 }
 
-// recordImageUse notes that a machine has an image, and which it will have dropped for it:
-// the least recently used go first.
+// recordImageUse records that a machine has an image and uses it now, and removes the
+// images that the machine evicts from its cache for it.
 func (m *machine) recordImageUse(im *image, cacheGB float64, now time.Duration) {
-	at := -1
+	index := -1
 	for i := range m.images {
 		if m.images[i].image == im {
-			at = i
+			index = i
 		}
 	}
-	if at < 0 {
+	if index < 0 {
 		m.images = append(m.images, cachedImage{image: im})
-		at = len(m.images) - 1
+		index = len(m.images) - 1
 		m.imagesChanged = true
 	}
-	m.images[at].lastUsed = now
+	m.images[index].lastUsed = now
 	m.evictImages(im, cacheGB)
 }
 
-// evictImages drops the least recently used images, but for one, until the rest fits
-// into a cache. A cache of size 0 has no limit.
+// evictImages removes the least recently used images, except one that is kept, until the
+// rest fits into a cache of a size in GB. A size of 0 means no limit.
 func (m *machine) evictImages(kept *image, cacheGB float64) {
 	for len(m.images) > 1 && cacheGB > 0 {
 		sum, oldest := 0.0, -1
@@ -242,7 +252,7 @@
 	}
 }
 
-// imageStatuses lists what a machine has cached.
+// imageStatuses lists the images that a machine has cached.
 func (m *machine) imageStatuses() []*meshpb.CachedImage {
 	out := make([]*meshpb.CachedImage, 0, len(m.images))
 	for i := range m.images {
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -6,9 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// readUnfinishedJobs reads the unfinished jobs of a shard that nobody has registered
-// yet: all their tasks may be running and count against their teams. It tries until
-// it has read them, or an owner has told them.
+// readUnfinishedJobs reads from the state service the unfinished jobs of a shard that no
+// owner has registered yet: all their tasks may be running, and count towards the limits
+// of their teams. It retries until it has read the jobs or an owner has reported them.
 func (l *leader) readUnfinishedJobs(shard *shardState) {
 	shard.readAttempts++
 	l.env.store.UnfinishedJobs(shard.name, func(jobs []storage.RecoveredJob, revision uint64, err error) {
@@ -33,13 +33,14 @@
 	})
 }
 
-// recoveredSummary is what a job's record says of it: any of its tasks may be placed.
+// recoveredSummary returns a summary of a job made from its record. It counts all tasks as
+// assigned, since any of them may be on a machine.
 func recoveredSummary(job *protocol.Job) *meshpb.JobSummary {
 	return &meshpb.JobSummary{Job: job.ID, Team: job.Team, Cpus: job.CPUs, Gpus: job.GPUs, MemoryGb: job.MemoryGB,
 		Priority: uint32(job.Priority), Class: job.Class, Assigned: uint32(job.Tasks), HasSpec: true}
 }
 
-// handleJobSummaries takes what a shard's owner says of its jobs.
+// handleJobSummaries applies the job summaries of a shard's owner.
 func (l *leader) handleJobSummaries(p *peer, summaries *meshpb.JobSummaries) {
 	shard := l.shards.get(summaries.Shard)
 	if shard == nil || shard.owner != p {
@@ -51,7 +52,7 @@
 	}
 }
 
-// withinTeamLimit tells whether one more task keeps its team inside its limit.
+// withinTeamLimit reports whether a job's team stays within its limit with one more task.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
 	return !job.hasTeamLimit() || l.usage.withinLimit(job, l.knowledge())
 }
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -7,29 +7,31 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const tombstoneTTL = 10 * time.Minute // how long the leader remembers what has ended
+// tombstoneTTL is how long the leader keeps the entries of ended jobs and of terminated
+// machines.
+const tombstoneTTL = 10 * time.Minute
 
-// jobTable owns what the leader knows of jobs from their shards' owners, or from
-// records. It keeps the account of teams' use with them, and tells by three functions
-// what others have to hear.
+// jobTable owns the leader's copy of the jobs, as reported by the owners of their shards
+// or read from records of the state service. It updates the teams' use with each change.
 type jobTable struct {
 	byID   map[string]*trackedJob
 	images *imageTable
 	usage  *usageAccounting
 
-	// onlyFittingType returns the one machine type that a job's tasks fit on, or "".
+	// onlyFittingType returns the only machine type that a job's tasks fit on, or "" if
+	// there are none or several.
 	onlyFittingType func(*meshpb.JobSummary) string
-	// onArrival hears of each job that an owner tells of for the first time.
+	// onArrival is called for each job that an owner reports for the first time.
 	onArrival func(*trackedJob, time.Duration)
-	// onPending hears that more tasks of some job are pending.
+	// onPending is called when more tasks of some job are pending.
 	onPending func()
 }
 
 // get returns a job, or nil if it is not known.
 func (t *jobTable) get(id string) *trackedJob { return t.byID[id] }
 
-// apply takes what is said of a job. One that has ended stays so, whatever a late
-// message says.
+// apply applies a summary of a job. A job that has ended stays ended whatever a late
+// message says, except as described for endedByOmission.
 func (t *jobTable) apply(shard *shardState, summary *meshpb.JobSummary, now time.Duration) {
 	job := t.byID[summary.Job]
 	if job == nil {
@@ -39,8 +41,9 @@
 	}
 	job.shard = shard
 	if job.endedByOmission && summary.HasSpec && !summary.Ended {
-		// It was being created: this leader had read its record already when the
-		// owner, which had no answer yet, registered. Ended for good it never ran.
+		// The job was being created: this leader had already read its record when the
+		// owner registered, which had no response to the write yet and did not list the
+		// job. If it stayed ended it would never run.
 		job.ended, job.endedByOmission = false, false
 	}
 	if summary.HasSpec && !job.ended {
@@ -56,8 +59,8 @@
 	}
 }
 
-// add makes a job known. It returns nil if no more is to be said of it: it has ended
-// already, or its spec is yet to come.
+// add adds a job that is not known yet. It returns nil if nothing more of the summary
+// applies: the job has ended already, or its spec has not arrived yet.
 func (t *jobTable) add(shard *shardState, summary *meshpb.JobSummary, now time.Duration) *trackedJob {
 	if summary.Ended {
 		t.byID[summary.Job] = &trackedJob{id: summary.Job, shard: shard, ended: true, endedAt: now, team: t.usage.teams[summary.Team]}
@@ -71,27 +74,27 @@
 	return job
 }
 
-// applySpec takes a job's spec, and notes its arrival if its owner tells of it for
-// the first time; records don't say when a job was submitted.
+// applySpec applies a job's spec, and reports the arrival if the job's owner reports the
+// job for the first time. Summaries from records have no time of submission.
 func (t *jobTable) applySpec(job *trackedJob, summary *meshpb.JobSummary, now time.Duration) {
-	told := job.spec != nil && job.spec.SubmittedMs > 0
+	reportedBefore := job.spec != nil && job.spec.SubmittedMs > 0
 	t.setSpec(job, summary)
-	if !told && summary.SubmittedMs > 0 {
+	if !reportedBefore && summary.SubmittedMs > 0 {
 		t.onArrival(job, now)
 	}
 }
 
-// setSpec takes a job's spec, and counts the job by it.
+// setSpec replaces a job's spec, and updates the use of its team.
 func (t *jobTable) setSpec(job *trackedJob, summary *meshpb.JobSummary) {
-	t.usage.remove(job) // what is counted for it was of the old size
+	t.usage.remove(job) // it was counted with the old size
 	job.spec, job.team, job.priority = summary, t.usage.teams[summary.Team], protocol.Priority(summary.Priority)
 	job.image = t.images.get(summary.Image, summary.ImageGb)
 	job.onlyMachineType = t.onlyFittingType(summary)
 	t.usage.update(job)
 }
 
-// setCounts takes what the owner says of a job: how many tasks wait, and how many may
-// be on machines.
+// setCounts records an owner's counts of a job's tasks: how many are pending, and how many
+// may be on machines.
 func (t *jobTable) setCounts(job *trackedJob, summary *meshpb.JobSummary) {
 	if int(summary.Pending) > job.pending {
 		t.onPending()
@@ -101,14 +104,14 @@
 	t.usage.update(job)
 }
 
-// end notes that a job has ended: what is left of it has to go.
+// markEnded records that a job has ended. Replicas of it that are left have to stop.
 func (t *jobTable) markEnded(job *trackedJob, now time.Duration) {
 	job.ended, job.endedAt, job.pending = true, now, 0
 	delete(job.shard.jobs, job.id)
 	t.usage.update(job)
 }
 
-// endOmittedJobs ends the jobs of a shard that its new owner does not list.
+// endOmittedJobs marks the jobs of a shard as ended that its new owner does not list.
 func (t *jobTable) endOmittedJobs(shard *shardState, now time.Duration) {
 	for id, job := range shard.jobs {
 		if shard.arrivingJobs[id] == nil {
@@ -118,7 +121,8 @@
 	}
 }
 
-// removeTombstones forgets the jobs that ended long ago.
+// removeTombstones removes jobs that ended more than tombstoneTTL ago, have no live
+// replicas and are not on offer.
 func (t *jobTable) removeTombstones(now time.Duration) {
 	for id, job := range t.byID {
 		if job.ended && job.liveReplicas == 0 && job.offered == 0 && now-job.endedAt > tombstoneTTL {
--- a/internal/coordination/job_table_test.go
+++ b/internal/coordination/job_table_test.go
@@ -8,12 +8,12 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// jobTableFixture is a job table with one shard, and what it has told.
+// jobTableFixture is a job table with one shard, and the numbers of calls to its callbacks.
 type jobTableFixture struct {
 	*jobTable
 	shard        *shardState
 	arrivalCalls int
-	pendingCalls int // times that it was told that more tasks are pending
+	pendingCalls int // of onPending
 }
 
 func newJobTableFixture() *jobTableFixture {
@@ -32,7 +32,7 @@
 	return &meshpb.JobSummary{Job: "wk-1", Team: "red", Cpus: cpus, HasSpec: true, SubmittedMs: 1, Pending: pending, Assigned: assigned}
 }
 
-func TestSummariesOfAJob(t *testing.T) {
+func TestJobSummaries(t *testing.T) {
 	f := newJobTableFixture()
 	red := f.usage.teams["red"]
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 5}, time.Second)
@@ -43,33 +43,33 @@
 	want(t, "use of its team", red.cpus, 2)
 	want(t, "arrivals", f.arrivalCalls, 1)
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Pending: 1, Assigned: 3}, 2*time.Second)
-	want(t, "use after a change", red.cpus, 6)
-	want(t, "told of pending tasks", f.pendingCalls, 1)
+	want(t, "use after its counts changed", red.cpus, 6)
+	want(t, "reports of pending tasks", f.pendingCalls, 1)
 	f.apply(f.shard, redJob(4, 1, 3), 3*time.Second)
 	want(t, "use with another spec", red.cpus, 12)
 	want(t, "arrivals of the same job", f.arrivalCalls, 1)
 	f.apply(f.shard, &meshpb.JobSummary{Job: "wk-1", Ended: true}, 4*time.Second)
-	want(t, "use once it has ended", red.cpus, 0)
+	want(t, "use after it has ended", red.cpus, 0)
 	want(t, "jobs of the shard", len(f.shard.jobs), 0)
 	f.apply(f.shard, redJob(4, 1, 3), 5*time.Second)
-	want(t, "ended for good", job.ended, true)
+	want(t, "still ended after a late summary", job.ended, true)
 	f.removeTombstones(4*time.Second + tombstoneTTL)
-	want(t, "remembered", f.get("wk-1") == job, true)
+	want(t, "kept until the TTL", f.get("wk-1") == job, true)
 	f.removeTombstones(4*time.Second + tombstoneTTL + 1)
-	want(t, "forgotten", f.get("wk-1") == nil, true)
+	want(t, "removed after the TTL", f.get("wk-1") == nil, true)
 }
 
-func TestRecordsTellOfNoArrival(t *testing.T) {
+func TestRecordsReportNoArrival(t *testing.T) {
 	f := newJobTableFixture()
 	recovered := redJob(2, 0, 4)
 	recovered.SubmittedMs = 0
 	f.apply(f.shard, recovered, time.Second)
 	want(t, "arrivals", f.arrivalCalls, 0)
 	f.apply(f.shard, redJob(2, 3, 1), 2*time.Second)
-	want(t, "arrivals once its owner has told", f.arrivalCalls, 1)
+	want(t, "arrivals after its owner has reported it", f.arrivalCalls, 1)
 }
 
-func TestJobThatItsOwnerOmitsComesBackWhenItWasBeingCreated(t *testing.T) {
+func TestOmittedJobReturnsIfItWasBeingCreated(t *testing.T) {
 	f := newJobTableFixture()
 	f.apply(f.shard, redJob(2, 3, 1), time.Second)
 	f.endOmittedJobs(f.shard, 2*time.Second)
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// initScheduling connects the components that decide what runs where and how many
-// machines there are. Each reads the leader's tables through what it is given
-// here, and nothing else.
+// initScheduling connects the components that place tasks and size the fleet. Each
+// of them reads the leader's tables only through the pointers and functions that it is
+// given here.
 func (l *leader) initScheduling() {
 	l.initAutoscaling()
 	l.initScheduler()
 }
 
-// initAutoscaling connects what sizes the fleet.
+// initAutoscaling connects the components that size the fleet.
 func (l *leader) initAutoscaling() {
 	env := &l.env
 	l.kinds = newKindSelector(env.cloud, &l.autoscaler.counts)
@@ -46,7 +46,8 @@
 	l.warmPool.init()
 }
 
-// initScheduler connects what stops tasks on machines and offers machines to jobs.
+// initScheduler connects the components that stop tasks on machines and offer machines
+// to jobs.
 func (l *leader) initScheduler() {
 	env, s := &l.env, &l.scheduler
 	*s = scheduler{
@@ -95,8 +96,8 @@
 	}
 }
 
-// autoscale sizes the fleet once a second: it releases machines and requests new
-// ones. Until the catalogue was read it does nothing.
+// autoscale, which runs once a second, releases machines and requests new ones. It
+// does nothing until the catalog of machine types was read.
 func (l *leader) autoscale(now time.Duration) {
 	if len(l.env.cloud.Catalog()) == 0 {
 		return
@@ -128,7 +129,7 @@
 	l.scaler.SendScaleOuts(now)
 }
 
-// updateOnlyMachineTypes notes which jobs fit on a single type of machine.
+// updateOnlyMachineTypes records which jobs fit on a single type of machine.
 func (l *leader) updateOnlyMachineTypes(now time.Duration) {
 	for job := range l.unfinishedJobs {
 		if job.spec == nil || job.pending+job.placed == 0 {
@@ -141,7 +142,8 @@
 	}
 }
 
-// unfinishedJobs yields the jobs of all shards that have not ended, in no order.
+// unfinishedJobs yields the jobs of all shards that have not ended, in no particular
+// order.
 func (l *leader) unfinishedJobs(yield func(*trackedJob) bool) {
 	for _, shard := range l.shards.byName {
 		for _, job := range shard.jobs {
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -4,8 +4,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// offer is resources of a machine that one owner may bind tasks to, for one
-// heartbeat response.
+// offer is a set of resources of one machine to which one owner may bind tasks, for
+// one heartbeat response.
 type offer struct {
 	id       uint64
 	response *pendingResponse
@@ -14,34 +14,34 @@
 	items    []offerItem
 }
 
-// offerItem is for how many tasks of a job the resources are meant.
+// offerItem states how many tasks of a job the resources are offered to.
 type offerItem struct {
 	job   *trackedJob
 	count int
 }
 
-// offerTable holds the offers that wait for their owners' bindings. What is offered
-// counts as used by the jobs' teams until its offer is closed.
+// offerTable holds the offers that wait for their owners' bindings. Offered resources
+// count as used by the jobs' teams until the offer is closed.
 type offerTable struct {
 	updateUsage func(*trackedJob)
 
-	byID   map[uint64]*offer // those that were sent
+	byID   map[uint64]*offer // sent and not closed
 	lastID uint64
 }
 
-// add offers resources for one more task of a job.
-func (b *offerTable) add(response *pendingResponse, job *trackedJob) {
+// add adds one task of a job to the offers that belong to a response.
+func (t *offerTable) add(response *pendingResponse, job *trackedJob) {
 	job.offered++
-	b.updateUsage(job)
+	t.updateUsage(job)
 	for _, o := range response.openOffers {
 		if o.link == job.shard.link {
 			o.add(job)
 			return
 		}
 	}
-	b.lastID++
+	t.lastID++
 	response.openOffers = append(response.openOffers, &offer{
-		id:       b.lastID,
+		id:       t.lastID,
 		response: response,
 		link:     job.shard.link,
 		owner:    job.shard.owner,
@@ -60,9 +60,9 @@
 }
 
 // send sends a response's offers to their owners.
-func (b *offerTable) send(response *pendingResponse) {
+func (t *offerTable) send(response *pendingResponse) {
 	for _, o := range response.openOffers {
-		b.byID[o.id] = o
+		t.byID[o.id] = o
 		o.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Offer{Offer: o.message()}})
 	}
 }
@@ -75,34 +75,34 @@
 	return message
 }
 
-// find returns the offer of an ID that waits for the bindings of a member; nil if
-// it was closed.
-func (b *offerTable) find(id uint64, p *peer) *offer {
-	if o := b.byID[id]; o != nil && o.link == p.link {
+// find returns the offer with an ID that waits for bindings from a peer, or nil if it
+// was closed.
+func (t *offerTable) find(id uint64, p *peer) *offer {
+	if o := t.byID[id]; o != nil && o.link == p.link {
 		return o
 	}
 	return nil
 }
 
-// close ends an offer: its resources are offered no more.
-func (b *offerTable) close(o *offer) {
-	delete(b.byID, o.id)
+// close removes an offer: its resources no longer count as offered.
+func (t *offerTable) close(o *offer) {
+	delete(t.byID, o.id)
 	for _, item := range o.items {
 		item.job.offered -= item.count
-		b.updateUsage(item.job)
+		t.updateUsage(item.job)
 	}
 }
 
-// closeAll ends all offers for a response.
-func (b *offerTable) closeAll(response *pendingResponse) {
+// closeAll closes all offers for a response.
+func (t *offerTable) closeAll(response *pendingResponse) {
 	for _, o := range response.openOffers {
-		b.close(o)
+		t.close(o)
 	}
 	response.openOffers = nil
 }
 
-// closeForLink ends the offers for a response that went to a link.
-func (b *offerTable) closeForLink(response *pendingResponse, link Link) {
+// closeForLink closes the offers for a response that were sent on a link.
+func (t *offerTable) closeForLink(response *pendingResponse, link Link) {
 	if link == nil {
 		return
 	}
@@ -112,12 +112,12 @@
 			i++
 			continue
 		}
-		b.close(o)
+		t.close(o)
 		response.removeOffer(o)
 	}
 }
 
-// removeOffer takes an offer out of its response.
+// removeOffer removes an offer from its response.
 func (r *pendingResponse) removeOffer(o *offer) {
 	for i, other := range r.openOffers {
 		if other == o {
@@ -127,8 +127,8 @@
 	}
 }
 
-// handleBindings takes an owner's bindings. Those for an offer that was closed are
-// returned: its response has gone out without them.
+// handleBindings handles an owner's bindings. Bindings for a closed offer are returned,
+// because its response was sent without them.
 func (l *leader) handleBindings(p *peer, f *meshpb.Bindings) {
 	o := l.scheduler.offers.find(f.OfferId, p)
 	if o == nil {
@@ -143,7 +143,7 @@
 	}
 	response := o.response
 	for _, binding := range f.Bindings {
-		// The present owner of a job knows nothing of what an earlier one bound.
+		// The current owner of a job does not know what an earlier owner bound.
 		if job := l.jobs.get(binding.Job); job.ownedBy(p) {
 			response.bindings = append(response.bindings, shardBinding{job.shard, binding})
 		}
@@ -154,13 +154,13 @@
 	}
 }
 
-// ownedBy tells whether a job is known and a member owns it.
+// ownedBy reports whether a job is known and a peer owns its shard.
 func (j *trackedJob) ownedBy(p *peer) bool {
 	return j != nil && j.shard != nil && j.shard.owner == p
 }
 
 // withdrawOffers withdraws the offers and unsent bindings of a shard whose owner is
-// being replaced: what it bound and was not sent yet never will be.
+// being replaced: bindings of the old owner that were not sent yet are never sent.
 func (l *leader) withdrawOffers(shard *shardState) {
 	for _, response := range l.pendingResponses {
 		if response.finished {
@@ -174,7 +174,7 @@
 	}
 }
 
-// dropBindings drops the bindings of a shard's tasks.
+// dropBindings removes the bindings of a shard's tasks.
 func (r *pendingResponse) dropBindings(shard *shardState) {
 	kept := r.bindings[:0]
 	for _, binding := range r.bindings {
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -11,101 +11,102 @@
 )
 
 const (
-	// rebuildInterval is how often the order is rebuilt though no task became
-	// pending: it changes with time alone.
+	// rebuildInterval is how often the order is rebuilt while no task becomes pending,
+	// since the order also changes with time.
 	rebuildInterval = 500 * time.Millisecond
-	// minRebuildInterval is how often it is rebuilt at the most.
+	// minRebuildInterval is the least time between two rebuilds.
 	minRebuildInterval = 50 * time.Millisecond
-	// queueLookAhead is how many jobs of one team's queue an offer looks at.
+	// queueLookAhead is how many jobs of one team's queue are considered for an offer.
 	queueLookAhead = 8
-	// maxFetchCandidates is how many images an offer considers having fetched.
+	// maxFetchCandidates is how many images that the machine does not have are considered
+	// for an offer.
 	maxFetchCandidates = 8
 )
 
-// pendingQueue holds the jobs with pending tasks in the order of service: for each
-// kind of machine and each image a queue for each team. A heartbeat finds its
-// machine's next tasks at the heads of a few queues, however many jobs are
+// pendingQueue holds the jobs with pending tasks in the scheduling order: for each kind
+// of machine and each image it has one queue for each team. The next tasks for a machine
+// that sends a heartbeat are found at the heads of a few queues, however many jobs are
 // pending.
 //
-// It owns the queues and the order. Whether a job's head of a queue may be placed
-// on a machine is for placement to say.
+// It owns the queues and the order. Whether a job from a queue may be placed on a machine
+// is decided by placement.
 type pendingQueue struct {
 	catalog    catalog
 	kinds      *kindSelector
 	orderKeyOf func(*trackedJob, int64) priority.Key
 	runTime    func(*meshpb.JobSummary) time.Duration
 
-	dirty            bool // a task has become pending
+	dirty            bool // a task became pending since the last rebuild
 	rebuiltAt        time.Duration
 	byKind           map[machineKind]*machineKindQueue
-	jobs             []*trackedJob   // all that are pending, ordered as if every team used the same share
-	exclusiveTypes   map[string]bool // types that some pending job needs, as it fits on no other
-	entriesInspected uint64          // jobs and queues that heartbeats have looked at
+	jobs             []*trackedJob   // with pending tasks, ordered as if all teams had the same share
+	exclusiveTypes   map[string]bool // types that a pending job needs because it fits on no other
+	entriesInspected uint64          // jobs and queue heads that were examined for heartbeats
 }
 
-// machineKindQueue holds the jobs that a kind of machine may take.
+// machineKindQueue holds the pending jobs that may run on a kind of machine.
 type machineKindQueue struct {
-	images       []*imageQueue // in the order of the first job in them
+	images       []*imageQueue // in the order of their first jobs
 	byImage      map[*image]*imageQueue
 	jobCount     int
-	smallestTask resources // of each resource, what the least demanding task needs
+	smallestTask resources // for each resource, the least that any task needs
 }
 
-// imageQueue holds the jobs of one image.
+// imageQueue holds the jobs that need one image.
 type imageQueue struct {
 	image           *image
-	mayFetch        bool              // a machine of the kind might fetch the image for them
-	mayPreempt      bool              // some are urgent, and may preempt others on machines of the kind
-	highestPriority protocol.Priority // of any of them
+	mayFetch        bool              // machines of the kind may fetch the image for these jobs
+	mayPreempt      bool              // some jobs are urgent and may preempt others on machines of the kind
+	highestPriority protocol.Priority // of any job in the queue
 	teams           []*teamQueue
 }
 
-// teamQueue holds the jobs of one team, the first to be served first.
+// teamQueue holds the jobs of one team in the scheduling order.
 type teamQueue struct {
 	team *teamUsage
 	jobs []*trackedJob
 }
 
-// markDirty notes that a task has become pending.
-func (d *pendingQueue) markDirty() { d.dirty = true }
+// markDirty records that a task became pending.
+func (p *pendingQueue) markDirty() { p.dirty = true }
 
-// rebuildDue tells whether the order is to be rebuilt.
-func (d *pendingQueue) rebuildDue(now time.Duration) bool {
-	age := now - d.rebuiltAt
-	return age >= minRebuildInterval && (d.dirty || age >= rebuildInterval)
+// rebuildDue reports whether it is time to rebuild the order.
+func (p *pendingQueue) rebuildDue(now time.Duration) bool {
+	age := now - p.rebuiltAt
+	return age >= minRebuildInterval && (p.dirty || age >= rebuildInterval)
 }
 
-// rebuild takes the pending ones of the unfinished jobs, orders them and queues
-// them for each kind of machine.
-func (d *pendingQueue) rebuild(unfinished iter.Seq[*trackedJob], wallMs int64, now time.Duration) {
-	d.dirty, d.rebuiltAt = false, now
-	d.collectPending(unfinished, wallMs)
-	d.exclusiveTypes = make(map[string]bool)
-	for _, job := range d.jobs {
-		d.exclusiveTypes[job.onlyMachineType] = true
+// rebuild orders those of the unfinished jobs that have pending tasks, and queues them
+// for each kind of machine.
+func (p *pendingQueue) rebuild(unfinished iter.Seq[*trackedJob], wallMs int64, now time.Duration) {
+	p.dirty, p.rebuiltAt = false, now
+	p.collectPending(unfinished, wallMs)
+	p.exclusiveTypes = make(map[string]bool)
+	for _, job := range p.jobs {
+		p.exclusiveTypes[job.onlyMachineType] = true
 	}
-	d.byKind = make(map[machineKind]*machineKindQueue)
-	for name, t := range d.catalog.Catalog() {
+	p.byKind = make(map[machineKind]*machineKindQueue)
+	for name, t := range p.catalog.Catalog() {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				kind := machineKind{name, zone, spot}
-				d.byKind[kind] = d.queueFor(kind, t, now)
+				p.byKind[kind] = p.queueFor(kind, t, now)
 			}
 		}
 	}
 }
 
 // collectPending sorts the jobs with pending tasks by their order keys.
-func (d *pendingQueue) collectPending(unfinished iter.Seq[*trackedJob], wallMs int64) {
-	d.jobs = d.jobs[:0]
+func (p *pendingQueue) collectPending(unfinished iter.Seq[*trackedJob], wallMs int64) {
+	p.jobs = p.jobs[:0]
 	for job := range unfinished {
 		if job.unoffered() > 0 {
-			job.orderKey = d.orderKeyOf(job, wallMs)
-			d.jobs = append(d.jobs, job)
+			job.orderKey = p.orderKeyOf(job, wallMs)
+			p.jobs = append(p.jobs, job)
 		}
 	}
-	sort.Slice(d.jobs, func(i, k int) bool {
-		a, b := d.jobs[i], d.jobs[k]
+	sort.Slice(p.jobs, func(i, k int) bool {
+		a, b := p.jobs[i], p.jobs[k]
 		if a.orderKey == b.orderKey {
 			return a.id < b.id
 		}
@@ -113,31 +114,31 @@
 	})
 }
 
-// queueFor queues the jobs that a kind of machine may take. Types that are
-// reserved for jobs that fit on no other still take others while none of the
-// former is pending, which then may not preempt.
-func (d *pendingQueue) queueFor(kind machineKind, t *protocol.MachineType, now time.Duration) *machineKindQueue {
-	whole := capacityOf(t)
-	q := &machineKindQueue{byImage: make(map[*image]*imageQueue), smallestTask: whole}
-	for _, job := range d.jobs {
-		if !whole.fits(job.spec) || !permits(job.spec, kind) {
+// queueFor queues the jobs that may run on a kind of machine. A type that is reserved for
+// jobs that fit on no other still accepts other jobs while none of the former is pending;
+// these others may not preempt there.
+func (p *pendingQueue) queueFor(kind machineKind, t *protocol.MachineType, now time.Duration) *machineKindQueue {
+	capacity := capacityOf(t)
+	q := &machineKindQueue{byImage: make(map[*image]*imageQueue), smallestTask: capacity}
+	for _, job := range p.jobs {
+		if !capacity.fits(job.spec) || !permits(job.spec, kind) {
 			continue
 		}
-		reserved := d.kinds.reservedForOthers(job, kind.typeName, now)
-		if !reserved || !d.exclusiveTypes[kind.typeName] {
+		reserved := p.kinds.reservedForOthers(job, kind.typeName, now)
+		if !reserved || !p.exclusiveTypes[kind.typeName] {
 			q.add(job, !reserved)
 		}
 	}
 	for _, images := range q.images {
 		fetch := fetchTime(images.image, t)
-		short := fetchIsShort(fetch, d.runTime(images.teams[0].jobs[0].spec))
-		pays := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoffFactor)
-		images.mayFetch = images.mayFetch || short || pays
+		short := fetchIsShort(fetch, p.runTime(images.teams[0].jobs[0].spec))
+		paysOff := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoffFactor)
+		images.mayFetch = images.mayFetch || short || paysOff
 	}
 	return q
 }
 
-// add appends a job, the last in order so far.
+// add appends a job, which comes after all earlier ones in the order.
 func (q *machineKindQueue) add(job *trackedJob, mayPreempt bool) {
 	q.jobCount++
 	q.smallestTask.cpus = min(q.smallestTask.cpus, job.spec.Cpus)
@@ -165,18 +166,18 @@
 	q.teams = append(q.teams, &teamQueue{team: job.team, jobs: []*trackedJob{job}})
 }
 
-// outranks tells whether a task may be preempted for a job of the queue.
+// outranks reports whether a task has a lower priority than some job of the queue.
 func (q *imageQueue) outranks(replica *replicaOnMachine) bool {
 	return replica.job.priority < q.highestPriority
 }
 
-// mayFit tells whether some task of the queue may fit into free resources.
+// mayFit reports whether some task of the queue may fit into free resources.
 func (q *machineKindQueue) mayFit(free resources) bool {
 	return q.jobCount > 0 && free.cpus >= q.smallestTask.cpus && free.memoryGB >= q.smallestTask.memoryGB
 }
 
-// candidates are the queues that a machine may be served from: those of the images
-// that it has, and the first of those that it might fetch.
+// candidateQueues returns the queues whose jobs a machine may be offered to: those of the
+// images that it has, and those of the first maxFetchCandidates images that it may fetch.
 func (q *machineKindQueue) candidateQueues(m *machine) []*teamQueue {
 	var queues []*teamQueue
 	for i := range m.images {
@@ -198,15 +199,16 @@
 	return queues
 }
 
-// head returns the job of a team's queue that a machine is offered to next, if any
-// of the first few suits it. Jobs that are no longer pending leave the queue.
-func (d *pendingQueue) firstOfferable(q *teamQueue, rules *placement, m *machine, free resources, now time.Duration) *trackedJob {
+// firstOfferable returns the first job among the first queueLookAhead of a team's queue
+// to which a machine's free resources can be offered, or nil. It removes jobs without
+// unoffered tasks from the head of the queue.
+func (p *pendingQueue) firstOfferable(q *teamQueue, rules *placement, m *machine, free resources, now time.Duration) *trackedJob {
 	for len(q.jobs) > 0 && q.jobs[0].unoffered() == 0 {
 		q.jobs = q.jobs[1:]
-		d.entriesInspected++
+		p.entriesInspected++
 	}
 	for i := 0; i < len(q.jobs) && i < queueLookAhead; i++ {
-		d.entriesInspected++
+		p.entriesInspected++
 		if rules.canOffer(q.jobs[i], m, free, now) {
 			return q.jobs[i]
 		}
@@ -214,17 +216,17 @@
 	return nil
 }
 
-// overdue yields the overdue jobs, the oldest first.
-func (d *pendingQueue) overdueJobs(yield func(*trackedJob) bool) {
-	for _, job := range d.jobs {
+// overdueJobs yields the overdue jobs, the oldest first.
+func (p *pendingQueue) overdueJobs(yield func(*trackedJob) bool) {
+	for _, job := range p.jobs {
 		if !job.orderKey.Overdue || !yield(job) {
 			return
 		}
 	}
 }
 
-// servedBefore tells whether a job is served before another by what their teams
-// use now.
+// servedBefore reports whether a job precedes another in the scheduling order, given
+// what their teams use now.
 func (j *trackedJob) servedBefore(other *trackedJob) bool {
 	if j.orderKey == other.orderKey && j.team == other.team {
 		return j.id < other.id
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -7,22 +7,22 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// minMachinesForJobFault is on how many machines a job fails before the fault counts as
-// its own.
+// minMachinesForJobFault is the number of machines on which a job must have failed for
+// its failures to count as the job's own fault.
 const minMachinesForJobFault = 3
 
 // placement holds the rules by which tasks may be placed on machines. It owns no
-// state: it reads what is known of jobs and machines, and changes neither.
+// state: it reads jobs and machines, and changes neither.
 type placement struct {
 	catalog         catalog
 	kinds           *kindSelector
 	warmPool        *warmPool
-	counts          *fleetCounts // the autoscaler's last count, only read here
+	counts          *fleetCounts // read-only; the autoscaler updates it
 	withinTeamLimit func(*trackedJob) bool
 	runTime         func(*meshpb.JobSummary) time.Duration
 }
 
-// canOffer tells whether a task of a job may be offered a machine's free resources.
+// canOffer reports whether a machine's free resources may be offered to a task of a job.
 func (p *placement) canOffer(job *trackedJob, m *machine, free resources, now time.Duration) bool {
 	if job.unoffered() == 0 || !free.fits(job.spec) || job.shouldAvoid(m, p.counts.reportedMachines) || !p.withinTeamLimit(job) {
 		return false
@@ -37,12 +37,14 @@
 		return false
 	}
 	if !m.spot && m.empty() && !job.isUrgent() && job.image.spotCapacityFits(job) {
-		return false // the machine can be scaled in: cheaper ones that have the image hold all of it
+		// Spot machines, which cost less, have the image and room for all pending tasks of
+		// the job. This machine can be released.
+		return false
 	}
 	return m.hasImage(job.image) || p.worthFetching(job, m)
 }
 
-// canOfferWhenEmpty tells whether a job would be offered a machine's resources if
+// canOfferWhenEmpty reports whether a machine's resources could be offered to a job if
 // all of them were free.
 func (p *placement) canOfferWhenEmpty(m *machine, job *trackedJob, now time.Duration) bool {
 	t := p.catalog.Type(m.typeName)
@@ -52,23 +54,24 @@
 	return capacityOf(t).fits(job.spec) && (m.hasImage(job.image) || p.worthFetching(job, m))
 }
 
-// worthFetching tells whether a machine should fetch a job's image.
+// worthFetching reports whether a machine should fetch a job's image.
 func (p *placement) worthFetching(job *trackedJob, m *machine) bool {
 	return worthFetching(job, m, p.catalog.Type(m.typeName), p.runTime(job.spec))
 }
 
-// spotCapacityFits tells whether the spot machines that have an image have room
-// for all of a job's pending tasks.
+// spotCapacityFits reports whether the spot machines that have an image have room, in
+// sum, for all of a job's pending tasks.
 func (im *image) spotCapacityFits(job *trackedJob) bool {
 	n := float64(job.unoffered())
 	return n*job.spec.Cpus <= im.spotFree.cpus && n*job.spec.Gpus <= im.spotFree.gpus && n*job.spec.MemoryGb <= im.spotFree.memoryGB
 }
 
-// shouldAvoid tells whether a job has failed on a machine and should rather be
-// tried on others, of which there are enough.
+// shouldAvoid reports whether a job should not start on a machine because it has failed
+// there. It returns false once the job has failed on so many machines that the fault is
+// its own.
 func (j *trackedJob) shouldAvoid(m *machine, reportedMachines int) bool {
 	return j.failedMachines[m.name] && !j.failsEverywhere(reportedMachines)
 }
 
-// isUrgent tells whether a job may preempt tasks of lower priority.
+// isUrgent reports whether a job may preempt tasks of lower priority.
 func (j *trackedJob) isUrgent() bool { return j.priority >= protocol.PriorityUrgent }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -27,7 +27,7 @@
 			t.Fatalf("standard work still runs: %v", agent.Running())
 		}
 	}
-	want(t, "urgent work is not stopped for urgent work", strings.Join(agent.Running()[:2], " "), "wk-2/0 wk-2/1")
+	want(t, "tasks of the first urgent job that still run", strings.Join(agent.Running()[:2], " "), "wk-2/0 wk-2/1")
 }
 
 func TestFairShareBetweenTeams(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 6).With("together", true)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "zones of a job that stays together", len(zones("wk-1")), 1)
+	want(t, "zones of a job with all tasks in one zone", len(zones("wk-1")), 1)
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 5).With("apart", true)).Status, 201)
 	sim.Run(5 * time.Second)
 	for z, n := range zones("wk-2") {
@@ -84,21 +84,21 @@
 	agent1.PreemptionNotice = 10.0
 	sim.Run(5 * time.Second)
 	want(t, "moved", len(agent2.Running()), 2)
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
 }
 
 func TestFailingMachineIsQuarantinedForSeveralJobsOnly(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
-	want(t, "bad job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	want(t, "failing job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	for range 40 {
 		for _, agent := range sim.Agents {
 			agent.FinishTasks("error")
 		}
 		sim.Run(time.Second)
 	}
-	want(t, "machines returned for a bad job", len(sim.Cloud.Released), 0)
+	want(t, "machines released because of a failing job", len(sim.Cloud.Released), 0)
 	starts := 0
 	for _, agent := range sim.Agents {
 		starts += agent.Starts
@@ -112,12 +112,12 @@
 	for i := range 8 {
 		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
 	}
-	sick := sim.Agents["vm-2"]
+	failing := sim.Agents["vm-2"]
 	for range 10 {
-		sick.FinishTasks("error")
+		failing.FinishTasks("error")
 		sim.Run(time.Second)
 	}
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
 }
 
 func TestScaleOutForDemandAndScaleInWhenIdle(t *testing.T) {
@@ -134,7 +134,7 @@
 	for _, n := range names {
 		total += n
 	}
-	want(t, "machines asked for while requests go unanswered", total, 4)
+	want(t, "machines requested while all responses are lost", total, 4)
 	sim.Cloud.LosesResponses = false
 	sim.Advance(8 * time.Second)
 	for _, m := range append([]simtest.CloudMachine(nil), sim.Cloud.Machines...) {
@@ -144,38 +144,40 @@
 	want(t, "running", sim.runningTasks(), 16)
 	sim.FinishAllTasks()
 	sim.Run(2 * time.Minute)
-	want(t, "returned", len(sim.Cloud.Released), 4)
+	want(t, "released machines", len(sim.Cloud.Released), 4)
 	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
-// A boot that never ends is charged until the machine is returned.
+// A machine whose boot never ends is charged until it is released, so it has to be
+// released and replaced.
 func TestFailedBootsAreReturnedAndReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Advance(3 * time.Minute)
-	want(t, "returned", sim.Cloud.Released[0], "vm-900001")
+	want(t, "released machines", sim.Cloud.Released[0], "vm-900001")
 	if sim.Cloud.Created < 2 {
 		t.Fatal("no other machine was rented")
 	}
 }
 
-// Urgent work that would not be offered the room must not stop anything for
-// it: the stopped tasks would start again and be stopped again for ever.
+// Urgent work must not preempt tasks on a machine that it would not be offered: the
+// preempted tasks would start there again and be preempted again forever.
 func TestNoPreemptionForWorkPlacedElsewhere(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "s2", CPUs: 2, MemoryGB: 8, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 30, Zones: []string{"z1"}}}
 	agent := sim.AddMachine("vm-1", "z1")
-	sim.Run(15 * time.Second) // the leader reads prices anew
+	sim.Run(15 * time.Second) // until the leader has read the catalog again
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
 	sim.Run(5 * time.Second)
 	want(t, "running", len(agent.Running()), 2)
 	want(t, "urgent", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 4).With("urgency", "urgent")).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "standard work runs on", strings.Join(agent.Running(), " "), "wk-1/0 wk-1/1")
+	want(t, "standard tasks that still run", strings.Join(agent.Running(), " "), "wk-1/0 wk-1/1")
 	want(t, "starts", agent.Starts, 2)
 }
 
-// A shard that nobody answers for may have all its tasks running.
+// While a shard is not registered, all tasks of its jobs count towards the limits of their
+// teams, since all of them may be running.
 func TestUnregisteredShardsCountInFull(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -185,12 +187,12 @@
 	sim.Run(3 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
 	sim.Crash(follower.Name)
-	want(t, "CPUs counted after the owner's end", controllerOf(lead).leader.usage.teams["red"].cpus, 24)
+	want(t, "CPUs counted after the owner has crashed", controllerOf(lead).leader.usage.teams["red"].cpus, 24)
 	sim.State.HiddenPrefix = "own/" + follower.Name
 	sim.Crash(lead.Name)
 	sim.Advance(4 * time.Second)
 	next := sim.Leader()
-	status := 503 // as long as the last request to the state service was refused
+	status := 503 // while the last request to the state service was rejected
 	for range 20 {
 		if status == 503 {
 			status = next.Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status
@@ -199,14 +201,14 @@
 	want(t, "submit", status, 201)
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.Run(3 * time.Second)
-	want(t, "running while a shard is unread", sim.runningTasks(), 0)
+	want(t, "running while a shard's jobs are not read", sim.runningTasks(), 0)
 	sim.State.HiddenPrefix = ""
 	sim.Run(12 * time.Second)
 	want(t, "running", sim.runningTasks(), 4)
 }
 
-// A team gives back what it has borrowed beyond its guarantee when another
-// lacks part of its own and no machine can be had, but nothing more.
+// A team releases what it has borrowed beyond its guarantee, and no more than that, when
+// another team uses less than its own guarantee and no machine can be created.
 func TestBorrowedCapacityIsReturned(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Cloud.RefusesScaleOut = true
@@ -228,5 +230,5 @@
 	for _, agent := range sim.Agents {
 		starts -= agent.Starts
 	}
-	want(t, "starts once each has its guarantee", starts, 0)
+	want(t, "starts after each team has its guarantee", starts, 0)
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// nearlyFinishedWindow is how close to its end a task is not preempted any more.
+	// nearlyFinishedWindow is the expected remaining run time below which a task is not
+	// preempted.
 	nearlyFinishedWindow = 3 * time.Second
-	// checkpointMarginS is how many seconds longer than stated a checkpoint may
-	// take.
+	// checkpointMarginS, in seconds, is how much longer than stated in the job's spec a
+	// checkpoint may take.
 	checkpointMarginS = 1.0
 )
 
-// noCostLimit lets any task be preempted, whatever it loses.
+// noCostLimit allows a task to be preempted however much work is lost.
 const noCostLimit = time.Duration(math.MaxInt64)
 
-// preemptor chooses the tasks that are stopped to make room for others: tasks of
-// lower priority for urgent ones, tasks that only run in idle time for standard
-// ones, and tasks of teams that use more than their guarantee for teams that lack
+// preemptor chooses the victims, which are the tasks that are stopped to make room for
+// others: tasks of lower priority for urgent ones, best-effort tasks for standard ones,
+// and tasks of teams that use more than their guarantee for teams that use less than
 // theirs.
 //
-// It owns the shortage, and with each victim the mark stopRequested, the job's
-// preemptions and the team's use that is being stopped. Stopping is left to the
-// caller.
+// It owns the shortage, the mark stopRequested of its victims, the jobs' counts of
+// preemptions and the teams' stoppingCPUs. The caller sends the stop commands.
 type preemptor struct {
 	queue             *pendingQueue
 	placement         *placement
@@ -43,11 +43,11 @@
 	shortage shortage
 }
 
-// victimFilter tells whether a task may be preempted for the work at hand.
+// victimFilter reports whether a task may be preempted for the work that lacks room.
 type victimFilter func(*replicaOnMachine) bool
 
-// victims chooses the tasks to stop on a machine that sends a heartbeat, and marks
-// them so.
+// chooseVictims chooses the tasks to stop on a machine that sends a heartbeat, and sets
+// their mark stopRequested.
 func (p *preemptor) chooseVictims(m *machine, now time.Duration) []*replicaOnMachine {
 	if queue := p.queue.byKind[m.machineKind]; p.shortage.urgentCPUs > 0 && queue != nil {
 		return p.victimsForUrgent(m, queue, now)
@@ -105,16 +105,17 @@
 	return nil
 }
 
-// yieldsTo tells whether a task only runs in idle time, and its job would not be
-// served before the one that it makes room for.
+// yieldsTo reports whether a task is best-effort and may be preempted for a standard job:
+// its team is the same or has the higher dominant share. Otherwise its job would be
+// scheduled before the job that it made room for.
 func (r *replicaOnMachine) yieldsTo(job *trackedJob) bool {
 	team := r.job.team
 	return r.job.priority == protocol.PriorityBestEffort && team != nil && (team == job.team || team.dominantShare() > job.team.dominantShare())
 }
 
-// exceedsGuarantee tells whether a task uses what its team has beyond its
-// guarantee: a team gives back what it has borrowed, and no more. Production
-// services are never stopped for a guarantee.
+// exceedsGuarantee reports whether a task can be stopped without taking its team below
+// its guarantee: a team releases what it has borrowed, and no more. Production services
+// are never stopped for a guarantee.
 func exceedsGuarantee(r *replicaOnMachine) bool {
 	if r.job.spec.Service && r.job.priority == protocol.PriorityProduction {
 		return false
@@ -123,9 +124,9 @@
 	return team != nil && team.cpus-team.stoppingCPUs-r.job.spec.Cpus >= team.cfg.CPUs
 }
 
-// cheapest chooses the tasks on a machine that lose least until enough CPUs become
-// free, and none that loses more than has to be lost on any machine. It returns
-// the CPUs that become free, too.
+// chooseCheapest chooses and marks the tasks on a machine that lose the least work until
+// enough CPUs become free, but none that loses more than costLimit, the most that has to
+// be lost on any machine. It returns them and the CPUs that become free.
 func (p *preemptor) chooseCheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, eligible victimFilter) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
 	cpus := 0.0
@@ -160,8 +161,9 @@
 	return victim
 }
 
-// chooseBestEffort chooses tasks that only run in idle time, as far as whole tasks of a
-// job find room in their place, and returns the CPUs of these tasks, too.
+// chooseBestEffort chooses and marks best-effort tasks to stop for a standard job, only
+// as far as whole tasks of the job fit in their place. It returns them and the CPUs of
+// the tasks that fit.
 func (p *preemptor) chooseBestEffort(m *machine, job *trackedJob, neededCPUs float64, now time.Duration) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
 	free, idle := p.bestEffortTasks(m, job, now)
@@ -187,8 +189,8 @@
 }
 
 // bestEffortTasks returns what a machine has free once the tasks that are being stopped
-// have ended, and the tasks that may be preempted for a standard job, those first
-// that lose least.
+// have ended, and the best-effort tasks that may be preempted for a standard job, ordered
+// by the work that they would lose, least first.
 func (p *preemptor) bestEffortTasks(m *machine, job *trackedJob, now time.Duration) (resources, []*replicaOnMachine) {
 	free := m.free
 	var idle []*replicaOnMachine
@@ -206,10 +208,11 @@
 	return free, idle
 }
 
-// preemptible tells whether a task can be stopped to make room. Left alone are
-// tasks that were started out of turn, since their jobs had waited too long or had
-// not begun, and tasks of jobs that made room as often as they have tasks, which
-// would otherwise make room for ever; unless they save their progress.
+// preemptible reports whether a task can be stopped to make room. Two groups are exempt:
+// tasks marked preemptionExempt, which were started out of turn since their jobs had
+// waited too long or, best-effort ones, had not started; and tasks of jobs that were
+// preempted as often as they have tasks and write no checkpoints, since these jobs could
+// otherwise be preempted forever.
 func (p *preemptor) preemptible(m *machine, r *replicaOnMachine, now time.Duration) bool {
 	if r.stopRequested || !r.sizeKnown() || r.job.ended || m.commands[r.key] != nil || r.preemptionExempt {
 		return false
@@ -220,8 +223,9 @@
 	return r.state == protocol.TaskFetching || (r.state == protocol.TaskRunning && !p.endsSoon(r, now))
 }
 
-// endsSoon tells whether a task is expected to end within moments. One that should
-// have ended a while ago may run for long.
+// endsSoon reports whether a running task is expected to end within
+// nearlyFinishedWindow. A task that is overdue by half of that window or more does not
+// count, since it may run for long.
 func (p *preemptor) endsSoon(r *replicaOnMachine, now time.Duration) bool {
 	if r.state != protocol.TaskRunning || !r.sizeKnown() {
 		return false
@@ -230,9 +234,9 @@
 	return left < nearlyFinishedWindow && left > -nearlyFinishedWindow/2
 }
 
-// preemptionCost is the work that is lost if a task is stopped. A fetch that
-// another task on the machine waits for goes on, and a task with checkpoints
-// saves its progress first.
+// preemptionCost is the work, as a run time, that is lost if a task is stopped. A fetch
+// that another task on the machine also waits for continues and costs nothing. A task
+// with checkpoints writes one before it stops, and loses at most the time for that.
 func preemptionCost(m *machine, r *replicaOnMachine, now time.Duration) time.Duration {
 	if r.state == protocol.TaskFetching && m.fetchesImageForAnother(r) {
 		return 0
@@ -244,7 +248,8 @@
 	return min(lost, seconds(r.job.spec.CheckpointDurationS+checkpointMarginS))
 }
 
-// fetchesImageForAnother tells whether a machine fetches a task's image for another task, too.
+// fetchesImageForAnother reports whether a machine fetches a task's image for another
+// task as well.
 func (m *machine) fetchesImageForAnother(r *replicaOnMachine) bool {
 	for i := range m.tasks {
 		other := &m.tasks[i]
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -10,7 +10,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// preemptionFixture is a machine with tasks that have run for so long each.
+// preemptionFixture returns a preemptor and a machine with one running task for each given
+// duration, which has run for that long at the given time.
 func preemptionFixture(now time.Duration, priority protocol.Priority, ranFor ...time.Duration) (*preemptor, *machine) {
 	p := &preemptor{runTime: func(*meshpb.JobSummary) time.Duration { return time.Hour }}
 	m := &machine{name: "vm-1"}
@@ -22,7 +23,7 @@
 	return p, m
 }
 
-func TestVictimsAreThoseThatLoseLeast(t *testing.T) {
+func TestCheapestVictimsAreChosen(t *testing.T) {
 	const now = time.Hour
 	anyTask := func(*replicaOnMachine) bool { return true }
 	for _, test := range []struct {
@@ -34,7 +35,7 @@
 	}{
 		{"the cheapest one is enough", 2, noCostLimit, []uint32{1}, 2},
 		{"two are needed", 3, noCostLimit, []uint32{1, 2}, 4},
-		{"the third costs more than need be lost", 6, 20 * time.Second, []uint32{1, 2}, 4},
+		{"the third one costs more than the limit", 6, 20 * time.Second, []uint32{1, 2}, 4},
 		{"nothing is needed", 0, noCostLimit, nil, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,7 +46,7 @@
 				got = append(got, victim.key.task)
 				want(t, "stop requested", victim.stopRequested, true)
 				want(t, "preemptions", victim.job.preemptions, 1)
-				want(t, "given back", victim.job.team.stoppingCPUs, 2.0)
+				want(t, "CPUs that are being stopped", victim.job.team.stoppingCPUs, 2.0)
 			}
 			want(t, "victims", fmt.Sprint(got), fmt.Sprint(test.want))
 			want(t, "CPUs", cpus, test.cpus)
@@ -61,21 +62,21 @@
 		want   bool
 	}{
 		{"a running task", func(*preemptor, *machine, *replicaOnMachine) {}, true},
-		{"one that is stopped already", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.stopRequested = true }, false},
-		{"one that was started out of turn", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.preemptionExempt = true }, false},
-		{"of a job that ended", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.ended = true }, false},
-		{"of a job that made room often enough", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.preemptions = 10 }, false},
+		{"one that is being stopped", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.stopRequested = true }, false},
+		{"one that is exempt", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.preemptionExempt = true }, false},
+		{"of an ended job", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.ended = true }, false},
+		{"of a job that was preempted as often as it has tasks", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.job.preemptions = 10 }, false},
 		{"the same with checkpoints", func(_ *preemptor, _ *machine, r *replicaOnMachine) {
 			r.job.preemptions, r.job.spec.CheckpointIntervalS = 10, 30
 		}, true},
 		{"one with a command", func(_ *preemptor, m *machine, r *replicaOnMachine) {
 			m.commands = map[replicaKey]*meshpb.MachineCommand{r.key: {}}
 		}, false},
-		{"one that writes its checkpoint", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.state = protocol.TaskCheckpointing }, false},
+		{"one that is writing its checkpoint", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.state = protocol.TaskCheckpointing }, false},
 		{"one that is nearly finished", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
 			p.runTime = func(*meshpb.JobSummary) time.Duration { return 12 * time.Second }
 		}, false},
-		{"one that should have ended long ago", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
+		{"one that is overdue", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
 			p.runTime = func(*meshpb.JobSummary) time.Duration { return 5 * time.Second }
 		}, true},
 	} {
@@ -91,13 +92,13 @@
 	const now = time.Hour
 	_, m := preemptionFixture(now, protocol.PriorityStandard, 50*time.Second, 20*time.Second)
 	running, other := &m.tasks[0], &m.tasks[1]
-	want(t, "what it did", preemptionCost(m, running, now), 50*time.Second)
+	want(t, "its run time", preemptionCost(m, running, now), 50*time.Second)
 	running.job.spec.CheckpointIntervalS, running.job.spec.CheckpointDurationS = 60, 3
-	want(t, "its checkpoint", preemptionCost(m, running, now), 4*time.Second)
+	want(t, "its checkpoint and the margin", preemptionCost(m, running, now), 4*time.Second)
 	other.state = protocol.TaskFetching
-	want(t, "a fetch of its own", preemptionCost(m, other, now), 20*time.Second)
+	want(t, "a fetch for it alone", preemptionCost(m, other, now), 20*time.Second)
 	running.state, running.job.image = protocol.TaskFetching, other.job.image
-	want(t, "a fetch that goes on for another", preemptionCost(m, other, now), time.Duration(0))
+	want(t, "a fetch that another task also waits for", preemptionCost(m, other, now), time.Duration(0))
 }
 
 func TestCostLimit(t *testing.T) {
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -1,37 +1,42 @@
 package coordination
 
 const (
-	quarantineJobThreshold     = 2 // jobs whose tasks a machine fails, at which it is quarantined
-	quarantineFailureThreshold = 3 // failures there of jobs that do well elsewhere
+	// quarantineJobThreshold is the number of jobs with failures on a machine at which it
+	// is quarantined.
+	quarantineJobThreshold = 2
+	// quarantineFailureThreshold is the number of failures on a machine, of jobs that
+	// succeed elsewhere, at which it is quarantined.
+	quarantineFailureThreshold = 3
 )
 
-// quarantine decides which machines get no more tasks because they fail them: those
-// that fail the tasks of several jobs, or again and again those of one that does well
-// elsewhere. A job that fails everywhere does not count against any machine, nor one
-// that has failed on most of the few that there are: once that shows, machines that
-// were quarantined for it come back.
+// quarantine decides which machines get no more tasks because tasks fail there: machines
+// on which tasks of several jobs fail, or on which tasks of jobs that succeed elsewhere
+// fail repeatedly. A job that fails everywhere does not count against any machine, nor
+// does one that has failed on most machines of a small fleet. Once a job turns out to be
+// such a job, the machines that were quarantined because of it are used again.
 //
-// It owns machine.failuresByJob and quarantined, and trackedJob.failedMachines and succeeded.
+// It owns machine.failuresByJob and quarantined, and trackedJob.failedMachines and
+// taskSucceeded.
 type quarantine struct {
 	machines *machineTable
-	jobs     map[string]*trackedJob // the leader's
+	jobs     map[string]*trackedJob // the leader's jobs, by ID
 }
 
-// recordSuccess notes that a task has ended well on a machine.
+// recordSuccess records that a task has succeeded on a machine.
 func (q *quarantine) recordSuccess(m *machine, job *trackedJob) {
 	m.failuresByJob = nil
 	job.taskSucceeded = true
 	job.failedMachines = nil
 }
 
-// recordServiceEnd notes that a service's task has ended by itself. The machine keeps
-// the result: started there again the task would end at once.
+// recordServiceEnd records that a service's task has ended by itself on a machine. The
+// machine keeps the result, so the task would end at once if it were started there again.
 func (q *quarantine) recordServiceEnd(m *machine, job *trackedJob) { job.recordFailedMachine(m) }
 
-// recordFailure notes that a task has failed on a machine, of as many as have sent
-// heartbeats. It tells whether the machine has just been quarantined, and for how
-// many failures of jobs that do well elsewhere.
-func (q *quarantine) recordFailure(m *machine, job *trackedJob, heardMachines int) (failures int, quarantined bool) {
+// recordFailure records that a task has failed on a machine; reportedMachines is how many
+// machines have sent heartbeats. It returns the number of failures on the machine of jobs
+// that succeed elsewhere, and whether this failure has caused the machine's quarantine.
+func (q *quarantine) recordFailure(m *machine, job *trackedJob, reportedMachines int) (failures int, quarantined bool) {
 	if m.failuresByJob == nil {
 		m.failuresByJob = make(map[string]int)
 	}
@@ -39,30 +44,30 @@
 	known := job.failedMachines[m.name]
 	job.recordFailedMachine(m)
 	before := m.quarantined
-	failures = q.update(m, heardMachines)
+	failures = q.update(m, reportedMachines)
 	quarantined = m.quarantined && !before
-	if !known && !job.taskSucceeded && job.failsEverywhere(heardMachines) {
-		q.reconsider(job, heardMachines)
+	if !known && !job.taskSucceeded && job.failsEverywhere(reportedMachines) {
+		q.reconsider(job, reportedMachines)
 	}
 	return failures, quarantined
 }
 
-// reconsider decides anew on the quarantined machines that a job has failed on.
-func (q *quarantine) reconsider(job *trackedJob, heardMachines int) {
+// reconsider repeats the decision for the quarantined machines on which a job has failed.
+func (q *quarantine) reconsider(job *trackedJob, reportedMachines int) {
 	for name := range job.failedMachines {
 		if m := q.machines.get(name); m != nil && m.quarantined {
-			q.update(m, heardMachines)
+			q.update(m, reportedMachines)
 		}
 	}
 }
 
-// update decides on a machine, and returns its failures of jobs that do well
-// elsewhere.
-func (q *quarantine) update(m *machine, heardMachines int) (failures int) {
+// update decides whether a machine is quarantined, and returns the number of failures on
+// it of jobs that succeed elsewhere.
+func (q *quarantine) update(m *machine, reportedMachines int) (failures int) {
 	jobs := 0
 	for id, n := range m.failuresByJob {
 		job := q.jobs[id]
-		if job != nil && !job.taskSucceeded && job.failsEverywhere(heardMachines) {
+		if job != nil && !job.taskSucceeded && job.failsEverywhere(reportedMachines) {
 			continue
 		}
 		jobs++
@@ -74,7 +79,7 @@
 	return failures
 }
 
-// recordFailedMachine notes a machine on which a job should not be started again.
+// recordFailedMachine records a machine on which a job should not be started again.
 func (j *trackedJob) recordFailedMachine(m *machine) {
 	if j.failedMachines == nil {
 		j.failedMachines = make(map[string]bool)
@@ -82,8 +87,8 @@
 	j.failedMachines[m.name] = true
 }
 
-// failsEverywhere tells whether a job has failed on so many machines, or so great a
-// part of them, that the fault is its own.
+// failsEverywhere reports whether a job has failed on minMachinesForJobFault machines, or
+// on more than one and more than half of all machines, so that the fault is its own.
 func (j *trackedJob) failsEverywhere(machines int) bool {
 	return len(j.failedMachines) >= minMachinesForJobFault || (len(j.failedMachines) > 1 && 2*len(j.failedMachines) > machines)
 }
--- a/internal/coordination/quarantine_test.go
+++ b/internal/coordination/quarantine_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestQuarantine(t *testing.T) {
-	const many = 100 // machines
+	const many = 100 // machines that have sent heartbeats
 	for _, c := range []struct {
 		name     string
 		machines int // that have sent heartbeats
@@ -13,7 +13,7 @@
 		{"one failure", many, func(q *quarantine, m, _ *machine, a, _ *trackedJob) {
 			q.recordFailure(m, a, many)
 		}, false},
-		{"again and again the same job", many, func(q *quarantine, m, _ *machine, a, _ *trackedJob) {
+		{"repeated failures of one job", many, func(q *quarantine, m, _ *machine, a, _ *trackedJob) {
 			for range quarantineFailureThreshold {
 				q.recordFailure(m, a, many)
 			}
@@ -22,7 +22,7 @@
 			q.recordFailure(m, a, many)
 			q.recordFailure(m, b, many)
 		}, true},
-		{"a job that does well elsewhere", many, func(q *quarantine, m, other *machine, a, _ *trackedJob) {
+		{"a job that succeeds elsewhere", many, func(q *quarantine, m, other *machine, a, _ *trackedJob) {
 			q.recordSuccess(other, a)
 			for range quarantineFailureThreshold {
 				q.recordFailure(m, a, many)
@@ -36,7 +36,7 @@
 		{"a job that fails on most of the few machines", 3, func(q *quarantine, m, other *machine, a, b *trackedJob) {
 			q.recordFailure(m, a, 3)
 			q.recordFailure(m, b, 3)
-			q.recordFailure(other, a, 3) // now its fault shows
+			q.recordFailure(other, a, 3) // 2 of 3 machines: the fault is the job's own
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestQuarantineIsToldOnce(t *testing.T) {
+func TestQuarantineIsReportedOnce(t *testing.T) {
 	var machines machineTable
 	machines.init()
 	a, b := &trackedJob{id: "a"}, &trackedJob{id: "b"}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -10,23 +10,23 @@
 type Request struct {
 	Method, Path string
 	Body         []byte
-	Conn         uint64        // the connection that it came on; 0: not known
-	ReceivedAt   time.Duration // when it came, on Env.Clock; 0: just now
+	Conn         uint64        // the connection on which it arrived; 0: not known
+	ReceivedAt   time.Duration // when it arrived, on Env.Clock; 0: just now
 }
 
-// heartbeatPath is where machines' agents send their heartbeats.
+// heartbeatPath is the path to which the agents on machines send their heartbeats.
 const heartbeatPath = "/checkin"
 
-// RequestClass tells which queue of the event loop a request waits in.
+// RequestClass is the class of a request. Each class has its own queue in the event loop.
 type RequestClass uint8
 
-// The classes.
+// The classes of requests.
 const (
 	ClassHeartbeat RequestClass = iota // heartbeats of machines
-	ClassOther                         // whatever comes from users and from health checks
+	ClassOther                         // requests of users and health checks
 )
 
-// Class tells which queue the request waits in.
+// Class returns the class of the request.
 func (r *Request) Class() RequestClass {
 	if r.Path == heartbeatPath {
 		return ClassHeartbeat
@@ -34,5 +34,5 @@
 	return ClassOther
 }
 
-// Response answers a request of a user or of an agent.
+// Response is the response to a request of a user or of an agent.
 type Response = api.Response
--- a/internal/coordination/reservations.go
+++ b/internal/coordination/reservations.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// maxReservedMachines and reservedMachinesDivisor bound the reserved machines:
-	// by their number, and by this part of all machines.
+	// maxReservedMachines bounds the number of reserved machines. They are also at most
+	// 1 plus the number of all machines divided by reservedMachinesDivisor.
 	maxReservedMachines     = 16
 	reservedMachinesDivisor = 8
-	// noFitDelay is how long a machine counts as taking that will not have room by the
-	// end of its tasks.
+	// noFitDelay is the assumed time until a job's task fits on a machine that will have
+	// no room for it even when its listed tasks have ended.
 	noFitDelay = time.Hour
 )
 
-// reservations reserves machines for overdue jobs: room that becomes free bit by
-// bit would otherwise go to smaller tasks for ever. It owns the mark reservedFor
-// of machines.
+// reservations reserves machines for overdue jobs, since room that becomes free in small
+// parts would otherwise always go to smaller tasks. It owns the field reservedFor of
+// machines.
 type reservations struct {
 	machines    *machineTable
 	placement   *placement
@@ -29,26 +29,26 @@
 	runTime     func(*meshpb.JobSummary) time.Duration
 }
 
-// renew drops all reservations and reserves for each overdue job the machine that
-// should have room for one of its tasks first.
+// renew replaces all reservations: it reserves for each overdue job, up to the limits
+// above, the machine that is expected to have room for one of its tasks first.
 func (r *reservations) renew(overdue iter.Seq[*trackedJob], now time.Duration) {
 	for m := range r.machines.all {
 		m.reservedFor = nil
 	}
-	left := min(maxReservedMachines, 1+len(r.machines.byName)/reservedMachinesDivisor)
+	remaining := min(maxReservedMachines, 1+len(r.machines.byName)/reservedMachinesDivisor)
 	for job := range overdue {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
-		left--
+		remaining--
 		if m := r.soonestMachineFor(job, now); m != nil {
 			m.reservedFor = job
 		}
 	}
 }
 
-// soonestMachineFor returns the machine that should have room for a job's task first and
-// is not reserved, or nil if none suits the job.
+// soonestMachineFor returns the unreserved machine that is expected to have room for a
+// job's task first, or nil if no machine could be offered to the job.
 func (r *reservations) soonestMachineFor(job *trackedJob, now time.Duration) *machine {
 	var best *machine
 	soonest := time.Duration(-1)
@@ -56,15 +56,15 @@
 		if m.reservedFor != nil || !r.schedulable(m, now) || !r.placement.canOfferWhenEmpty(m, job, now) {
 			continue
 		}
-		if in := r.timeUntilFits(m, job, now); best == nil || in < soonest || (in == soonest && m.index < best.index) {
-			best, soonest = m, in
+		if delay := r.timeUntilFits(m, job, now); best == nil || delay < soonest || (delay == soonest && m.index < best.index) {
+			best, soonest = m, delay
 		}
 	}
 	return best
 }
 
-// timeUntilFits is how long it should take until a machine has room for a job's
-// task if nothing else is started there.
+// timeUntilFits is the expected time until a machine has room for a job's task if
+// nothing else is started there.
 func (r *reservations) timeUntilFits(m *machine, job *trackedJob, now time.Duration) time.Duration {
 	free := m.free
 	if free.fits(job.spec) {
@@ -86,7 +86,7 @@
 	return noFitDelay
 }
 
-// remainingRunTime is how long a replica should still run: a second at the least.
+// remainingRunTime is how long a replica is expected to run from now, at least a second.
 func (r *reservations) remainingRunTime(replica *replicaOnMachine, now time.Duration) time.Duration {
 	left := r.runTime(replica.job.spec)
 	if replica.state == protocol.TaskRunning {
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -13,13 +13,13 @@
 // scheduler decides what a machine that sends a heartbeat does next: which of its
 // tasks are stopped, and which owners are offered its free resources.
 //
-// It owns the order of service, the reservations, the open offers and the choice
-// of tasks to stop. It starts nothing: owners bind tasks to what they are offered,
-// and the leader sends the starts.
+// It owns the scheduling order, the reservations, the open offers and the choice
+// of tasks to stop. It starts no tasks: owners bind tasks to the offered resources,
+// and the leader sends the start commands.
 type scheduler struct {
 	settings          *settings.Settings
 	tuning            *settings.Tuning
-	wallMs            func() int64 // Unix time
+	wallMs            func() int64 // Unix time in milliseconds
 	schedulable       func(*machine, time.Duration) bool
 	runTime           func(*meshpb.JobSummary) time.Duration
 	unfinishedJobs    iter.Seq[*trackedJob]
@@ -34,8 +34,9 @@
 	drainer      drainer
 }
 
-// rebuildQueue rebuilds the order of service, if it is due, with the demand for
-// images that it goes by and the reservations that follow from it.
+// rebuildQueue rebuilds the scheduling order, if that is due, after updating the
+// demand for images, on which the order depends. It then renews the reservations,
+// which depend on the order.
 func (s *scheduler) rebuildQueue(now time.Duration) {
 	if !s.queue.rebuildDue(now) {
 		return
@@ -45,7 +46,7 @@
 	s.reservations.renew(s.queue.overdueJobs, now)
 }
 
-// orderKeyOf returns a job's position in the order of service at a Unix time in
+// orderKeyOf returns a job's position in the scheduling order at a Unix time in
 // milliseconds.
 func (s *scheduler) orderKeyOf(job *trackedJob, wallMs int64) priority.Key {
 	return priority.KeyOf(priority.Job{
@@ -58,8 +59,8 @@
 	}, wallMs, s.settings.Objectives)
 }
 
-// preempt stops tasks on a machine, in a response to it: those that make room for
-// others, or all that have to leave if the machine is to go.
+// stopTasks adds to a response the commands that stop tasks on its machine: those that
+// are preempted or, if the machine is being drained, those that have to leave it.
 func (s *scheduler) stopTasks(m *machine, response *pendingResponse, now time.Duration) {
 	if !s.schedulable(m, now) {
 		response.addStopCommands(m, s.drainer.victims(m, now))
@@ -72,8 +73,8 @@
 	response.addStopCommands(m, s.preemptor.chooseVictims(m, now))
 }
 
-// stop commands a machine to have tasks write a checkpoint, if they can, and stop.
-// The commands are repeated until the machine's list shows their end.
+// addStopCommands adds commands that stop tasks, after a checkpoint if they write
+// checkpoints. The commands are repeated until the machine reports the tasks as ended.
 func (r *pendingResponse) addStopCommands(m *machine, victims []*replicaOnMachine) {
 	for _, replica := range victims {
 		key, graceS := replica.key, 0.0
@@ -104,8 +105,8 @@
 	s.offers.send(response)
 }
 
-// offerFreeResources offers a machine's free resources to one task after another, each time
-// to the one that is served first by what the teams use by then.
+// offerFreeResources offers a machine's free resources task by task, each time to the
+// job that is first in the scheduling order given what the teams use by then.
 func (s *scheduler) offerFreeResources(m *machine, queue *machineKindQueue, response *pendingResponse, now time.Duration) {
 	free := m.free
 	queues := queue.candidateQueues(m)
@@ -131,7 +132,8 @@
 	}
 }
 
-// firstServed returns the job that is served first, or nil if all are nil.
+// firstServed returns the job that is first in the scheduling order, or nil if all are
+// nil.
 func firstServed(jobs []*trackedJob) *trackedJob {
 	var first *trackedJob
 	for _, job := range jobs {
@@ -142,8 +144,8 @@
 	return first
 }
 
-// offerTask adds one task of a job to the offers. A job that was overdue is served
-// in its turn once a task of it is on offer.
+// offerTask adds one task of a job to the offers. Once a task of an overdue job is on
+// offer, the job no longer precedes all others.
 func (s *scheduler) offerTask(response *pendingResponse, job *trackedJob) {
 	s.offers.add(response, job)
 	if job.orderKey.Overdue {
--- a/internal/coordination/service_spread.go
+++ b/internal/coordination/service_spread.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// spreadMachinesPerZone is over how many machines of a zone the replicas of a service
-	// are spread at the least.
+	// spreadMachinesPerZone is the least number of machines of a zone over which the
+	// replicas of a service are spread, if as many have room.
 	spreadMachinesPerZone = 3
-	// promptSpreadMachinesPerZone is the same where starts are wanted within a heartbeat
-	// interval: the last replica waits for as many heartbeats.
+	// promptSpreadMachinesPerZone replaces spreadMachinesPerZone for classes whose tasks
+	// should start in less than a heartbeat interval, since the last replica has to wait
+	// for the heartbeats of that many machines.
 	promptSpreadMachinesPerZone = 2
-	// heartbeatWaitDivisor: another machine's heartbeat is waited for rather than an
-	// image fetched if it is due within this part of the fetch.
+	// heartbeatWaitDivisor limits the wait for the heartbeat of a machine that has an
+	// image: it must be due within the fetch time of the image divided by this.
 	heartbeatWaitDivisor = 2
 )
 
-// minSpreadPerZone is over how many machines of a zone a service's replicas are spread
-// at the least.
+// minSpreadPerZone is the least number of machines of a zone over which the replicas of
+// a service of a class are spread.
 func (p *warmPool) minSpreadPerZone(class string) int {
 	if within := p.startWithin(class); within > 0 && within < p.settings.Workers.HeartbeatIntervalS {
 		return promptSpreadMachinesPerZone
@@ -27,14 +28,14 @@
 	return spreadMachinesPerZone
 }
 
-// hasRoomFor tells whether a machine could be offered to a replica of a service
-// next.
+// hasRoomFor reports whether a machine could be offered to another replica of a service
+// now.
 func (p *warmPool) hasRoomFor(job *trackedJob, m *machine, now time.Duration) bool {
 	return m.free.fits(job.spec) && permits(job.spec, m.machineKind) && p.schedulable(m, now) && !job.shouldAvoid(m, p.counts.reportedMachines)
 }
 
-// hasRoomElsewhere tells whether a member besides the given machine has room for
-// a service's replica.
+// hasRoomElsewhere reports whether a machine of the warm pool other than the given one
+// has room for a service's replica.
 func (p *warmPool) hasRoomElsewhere(job *trackedJob, m *machine, now time.Duration) bool {
 	for _, other := range p.members {
 		if other != m && p.hasRoomFor(job, other, now) {
@@ -44,10 +45,10 @@
 	return false
 }
 
-// shouldWaitForImage tells whether a service's replica should rather wait for the
-// heartbeat of another member of the zone, which has its image, than have the
-// image fetched here: a fetch takes longer than all heartbeats come apart, or the
-// other's next one is due within a part of the fetch.
+// shouldWaitForImage reports whether a service's replica should wait for the heartbeat
+// of another machine of the warm pool in the zone that has the image, instead of having
+// the image fetched by this machine: the fetch takes longer than the heartbeat interval,
+// or the other machine's next heartbeat is due within a part of the fetch time.
 func (p *warmPool) shouldWaitForImage(job *trackedJob, m *machine, now time.Duration) bool {
 	if !job.spec.Service || m.hasImage(job.image) {
 		return false
@@ -68,16 +69,16 @@
 	return false
 }
 
-// exceedsSpread tells whether a machine has its part of a service's tasks while
-// others of its zone have room too: the loss of one machine should not take most
-// of them.
+// exceedsSpread reports whether a machine already has its part of a service's tasks while
+// other machines of its zone have room: the loss of one machine should not stop most of
+// the tasks.
 func (p *warmPool) exceedsSpread(job *trackedJob, m *machine, now time.Duration) bool {
 	if !job.spec.Service {
 		return false
 	}
-	machines, enough := 1, p.minSpreadPerZone(job.spec.Class)
+	machines, minSpread := 1, p.minSpreadPerZone(job.spec.Class)
 	for _, other := range p.serviceCapable {
-		if machines == enough {
+		if machines == minSpread {
 			break
 		}
 		if other != m && other.zone == m.zone && p.hasRoomFor(job, other, now) {
@@ -90,8 +91,8 @@
 	return m.replicasOf(job) >= divideUp(int(job.spec.Tasks), machines)
 }
 
-// replicasOf counts the live replicas of a job on a machine, on their way to it
-// and in the offers that are being made for it.
+// replicasOf counts the replicas of a job that are live on a machine, were sent to it, or
+// are in the offers that are being made for it.
 func (m *machine) replicasOf(job *trackedJob) int {
 	n := 0
 	for _, replicas := range [][]replicaOnMachine{m.tasks, m.sentStarts} {
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -15,7 +15,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// machinesByTask tells where a job's tasks run.
+// machinesByTask returns the machines on which a job's tasks run, by the tasks' names.
 func (sim *simulation) machinesByTask(id string) map[string]string {
 	out := make(map[string]string)
 	for _, agent := range sim.Agents {
@@ -28,9 +28,9 @@
 	return out
 }
 
-// A service runs until its user cancels it. A replica that ends, however that
-// comes, runs again under a higher number, and not where its result is kept; no
-// task of it ever counts as done.
+// A service runs until its user cancels it. A task of it that ends, for whatever reason,
+// is started again as a replica with a higher number, but not on the machine that keeps
+// its result. No task of a service ever counts as done.
 func TestServiceRunsUntilItIsCancelled(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(4)
@@ -38,29 +38,29 @@
 	want(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 	sim.Run(4 * time.Second)
 	want(t, "replicas", len(sim.machinesByTask("wk-1")), 3)
-	for _, why := range []string{"done", "error", "halted"} {
+	for _, cause := range []string{"done", "error", "halted"} {
 		sim.Run(25 * time.Second)
 		was := sim.machinesByTask("wk-1")["wk-1/0"]
 		starts := sim.Agents[was].Starts
 		for _, task := range sim.Agents[was].Tasks {
 			if task.Name == "wk-1/0" && task.State == "running" {
-				task.State, task.Cause = "ended", why
+				task.State, task.Cause = "ended", cause
 			}
 		}
-		if why == "done" { // for a while only the machine that keeps the result sends heartbeats
+		if cause == "done" { // for 4 s only the machine that keeps the result sends heartbeats
 			for _, agent := range sim.Agents {
 				agent.Silent = agent.Name != was
 			}
 			sim.Run(4 * time.Second)
 			if sim.Agents[was].Starts > starts {
-				t.Fatal("it is started where its result is kept")
+				t.Fatal("the task was started on the machine that keeps its result")
 			}
 			for _, agent := range sim.Agents {
 				agent.Silent = false
 			}
 		}
 		sim.Run(4 * time.Second)
-		want(t, "replicas after "+why, len(sim.machinesByTask("wk-1")), 3)
+		want(t, "replicas after "+cause, len(sim.machinesByTask("wk-1")), 3)
 		for _, name := range sim.Names {
 			code, s := sim.Nodes[name].Status("wk-1")
 			want(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
@@ -68,19 +68,19 @@
 	}
 	for key := range sim.State.Keys {
 		if strings.HasPrefix(key, "done/") {
-			t.Fatalf("%s is written for a service", key)
+			t.Fatalf("%s was written for a service", key)
 		}
 	}
 	code, status := sim.Follower().Cancel("wk-1")
 	want(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
 	sim.Run(3 * time.Second)
-	want(t, "replicas that are left", len(sim.machinesByTask("wk-1")), 0)
-	want(t, "repeat", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
+	want(t, "replicas that remain", len(sim.machinesByTask("wk-1")), 0)
+	want(t, "repeated submission", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
 	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 }
 
-// A service whose tasks end at once is no hot loop, and harms no machine; once
-// they run on, it is served as any other.
+// A service whose tasks end at once is restarted with a delay instead of in a tight loop,
+// and causes no quarantine. Once its tasks keep running, all of them run.
 func TestServiceThatEndsAtOnceIsBackedOff(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 6 {
@@ -96,7 +96,7 @@
 		sim.BootMachines(time.Second)
 	}
 	if starts < 5 || starts > 40 {
-		t.Fatalf("%d starts in 90 s of a service that ends at once", starts)
+		t.Fatalf("%d starts in 90 s of a service that ends at once, want 5 to 40", starts)
 	}
 	for m := range controllerOf(n).leader.machines.all {
 		want(t, "quarantined", m.quarantined, false)
@@ -111,7 +111,8 @@
 	want(t, "replicas", len(sim.machinesByTask("wk-1")), 2)
 }
 
-// Whoever ends, replicas that run are taken up as they are.
+// Replicas of services keep running, without being started again, when leaders crash one
+// after the other and when all controllers crash.
 func TestServiceSurvivesTakeovers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(4)
@@ -132,15 +133,15 @@
 	sim.Advance(5 * time.Second)
 	sim.StartMembers()
 	sim.Run(15 * time.Second)
-	want(t, "replicas that run on", sim.runningTasks(), 6)
+	want(t, "replicas that still run", sim.runningTasks(), 6)
 	want(t, "starts", sim.startCount(), 6)
 	for i := range sim.Names {
 		sim.wantStatus(sim.Nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
 	}
 }
 
-// What can never run is refused, whatever limit it breaks.
-func TestServiceBeyondTeamLimitIsRefused(t *testing.T) {
+// A service that can never run is rejected, whichever limit it exceeds.
+func TestServiceBeyondTeamLimitIsRejected(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
@@ -158,12 +159,12 @@
 	want(t, "fits no machine", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
 	want(t, "no allowed type", n.Submit(simtest.ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
 	want(t, "unknown team", n.Submit(simtest.ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
-	want(t, "a retry, whatever it says", n.Submit(simtest.ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
+	want(t, "a retry with another spec", n.Submit(simtest.ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
 }
 
-// While some member runs the version before, which would take a service for an
-// array, services are refused with a time to come back; arrays are not. A member
-// of that version that is down for long keeps nobody from them.
+// While a member runs the previous version, which would treat a service as an array, new
+// services are rejected with a time after which to retry; arrays are accepted. A member of
+// that version that has been down for long does not block services.
 func TestServicesWaitForTheUpgrade(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -176,22 +177,22 @@
 	want(t, "array", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Crash("c")
 	sim.Run(30 * time.Second)
-	want(t, "it may come back as it was", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 503)
+	want(t, "service while the member may return with the previous version", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 503)
 	sim.Run(50 * time.Second)
-	want(t, "down for long", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
+	want(t, "service after the member was down for long", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "back as it was", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 503)
-	want(t, "known all the same", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 200)
+	want(t, "service after the member returned with the previous version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 503)
+	want(t, "repeated submission of the known service", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 200)
 	sim.Crash("c")
 	delete(sim.PreviousVersion, "c")
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "all have the new one", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
+	want(t, "service when all members run this version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
 }
 
-// A replica gets room from anything of lower priority, urgent work too, when all
-// machines that it may use are full; nothing is stopped for its like.
+// When all machines that it may use are full, a service preempts tasks of any lower
+// priority, urgent ones included, but no tasks of other services of its own priority.
 func TestServicePreemptsLowerPriorities(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Cloud.RefusesScaleOut = true
@@ -208,11 +209,12 @@
 	want(t, "second service", n.Submit(simtest.ServiceJob("wk-3", 8)).Status, 201)
 	sim.Run(10 * time.Second)
 	want(t, "replicas of the first", len(sim.machinesByTask("wk-2")), 3)
-	want(t, "replicas in all", sim.runningTasks(), 8)
+	want(t, "replicas of both", sim.runningTasks(), 8)
 }
 
-// From a machine that is to be taken away replicas of a service move one after the
-// other, each once there is room kept for it; from the last moment on whatever comes.
+// Replicas of a service leave a machine that the cloud is about to reclaim one after the
+// other, each once there is room for it on another machine; shortly before the end of the
+// machine they are stopped even without room.
 func TestReplicasMoveOffADrainingMachine(t *testing.T) {
 	for _, room := range []bool{true, false} {
 		t.Run(fmt.Sprint("room: ", room), func(t *testing.T) {
@@ -235,20 +237,20 @@
 				sim.Run(time.Second)
 				least = min(least, len(sim.machinesByTask("wk-1")))
 				if !room && left > 5 {
-					want(t, "replicas that stay while there is no room", len(first.Running()), 3)
+					want(t, "replicas that stay without room elsewhere", len(first.Running()), 3)
 				}
 			}
-			want(t, "left on the machine", len(first.Running()), 0)
+			want(t, "replicas that remain on the machine", len(first.Running()), 0)
 			if room {
-				want(t, "moved", len(sim.machinesByTask("wk-1")), 3)
-				want(t, "served all the while", least >= 2, true)
+				want(t, "moved replicas", len(sim.machinesByTask("wk-1")), 3)
+				want(t, "at least 2 replicas at all times", least >= 2, true)
 			}
 		})
 	}
 }
 
-// What this version sends is read by the schema of the version before, and says
-// the same there; and the other way round.
+// A frame of this version can be read with the schema of the previous version with the same
+// content, and the other way round.
 func TestFramesOfThePreviousVersion(t *testing.T) {
 	read := func(name string) []byte {
 		t.Helper()
@@ -265,12 +267,12 @@
 		t.Fatal(err)
 	}
 	j := f.GetRegisterShard().GetJobs()[0]
-	want(t, "read of a registration", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
+	want(t, "content of a registration", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "written as it was", bytes.Equal(again, raw), true)
+	want(t, "same bytes when encoded again", bytes.Equal(again, raw), true)
 	j.Service = true
 	if again, err = proto.Marshal(&f); err != nil {
 		t.Fatal(err)
@@ -282,11 +284,11 @@
 	if again, err = (proto.MarshalOptions{Deterministic: true}).Marshal(old); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "what the version before reads of a service is an array", bytes.Equal(again, raw), true)
+	want(t, "the previous version reads a service as an array", bytes.Equal(again, raw), true)
 }
 
-// Frames of kinds that this version does not know, or without what it expects, are
-// passed over; the stream goes on.
+// Frames of unknown kinds, or without the expected content, are ignored, and the stream
+// continues.
 func TestUnknownFramesAreIgnored(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	sim.AddMachine("vm-1", "z1")
@@ -295,10 +297,10 @@
 	for _, raw := range [][]byte{
 		{0xba, 0x06, 0x02, 0x08, 0x01},             // body 103
 		{0x1a, 0x00},                               // an empty registration
-		{0x2a, 0x04, 0x12, 0x02, 0xd8, 0x07},       // a demand with a job of an unknown field, cut short
-		{0x3a, 0x06, 0x10, 0xff, 0xff, 0xff, 0x0f}, // an offer of a machine that nobody has
+		{0x2a, 0x04, 0x12, 0x02, 0xd8, 0x07},       // a demand with a job with an unknown field, truncated
+		{0x3a, 0x06, 0x10, 0xff, 0xff, 0xff, 0x0f}, // an offer of an unknown machine
 		{0x52, 0x04, 0x0a, 0x02, 0x08, 0x63},       // a command for another
-		{0x8a, 0x01, 0x02, 0x08, 0x07},             // a question for extensions without keys
+		{0x8a, 0x01, 0x02, 0x08, 0x07},             // a request for extensions without keys
 	} {
 		var f meshpb.Frame
 		if proto.Unmarshal(raw, &f) != nil {
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -9,40 +9,41 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// limitTolerance is by how much rounding may carry a team's use over its limit.
+// limitTolerance is how far a team's use may exceed its limit because of rounding errors.
 const limitTolerance = 1e-9
 
-// unknownMachinesShare is the part of a team's limit that counts as used while
-// machines may exist that the leader has never heard of.
+// unknownMachinesShare is the part of a team's limit that counts as used while machines
+// may exist that the leader does not know.
 const unknownMachinesShare = 0.5
 
-// knowledge is what a leader knows of the work that earlier ones may have left.
+// recoveryProgress states what a leader knows of the work that earlier leaders may have
+// left behind.
 type recoveryProgress struct {
-	jobsKnown     bool // all unfinished jobs
-	machinesKnown bool // every machine that may hold a task
+	jobsKnown     bool // it knows all unfinished jobs
+	machinesKnown bool // it knows every machine that may hold a task
 }
 
-// usageAccounting keeps what teams use and what may run that no owner accounts for.
-// It is told of every change of a job or a machine, and owns the counts by which it
-// knows what it has counted already: trackedJob.countedTasks and liveReplicas, and
-// machine.replicasCounted and unreconciled.
+// usageAccounting records what teams use, and the resources of replicas that may run but
+// that no owner accounts for. Its methods are called at every change of a job or a
+// machine. It owns the fields that hold what it has counted already:
+// trackedJob.countedTasks and liveReplicas, and machine.replicasCounted and unreconciled.
 type usageAccounting struct {
 	leases       machineLeases
 	teams        map[string]*teamUsage
 	unreconciled resources
 }
 
-// teamUsage is a team with what it uses: what its owners have placed, what is on
-// offer, and what is left of jobs that have ended.
+// teamUsage is a team and what it uses: tasks of its jobs that owners have placed, tasks
+// on offer, and live replicas of jobs that have ended.
 type teamUsage struct {
 	cfg  *settings.Team
 	cpus float64
 	gpus float64
-	// stopping is the part of cpus that was told to stop.
+	// stoppingCPUs is the part of cpus whose tasks were told to stop.
 	stoppingCPUs float64
 }
 
-// newUsageAccounting returns an account of teams that use nothing yet.
+// newUsageAccounting returns the accounting for teams that use nothing yet.
 func newUsageAccounting(teams []settings.Team, leases machineLeases) usageAccounting {
 	u := usageAccounting{leases: leases, teams: make(map[string]*teamUsage)}
 	for i := range teams {
@@ -51,7 +52,8 @@
 	return u
 }
 
-// dominantShare is how much of its guarantee a team uses; the lowest is served first.
+// dominantShare is the part of its guarantee that a team uses, of CPUs or of GPUs,
+// whichever is larger. Teams with a lower share come first in the scheduling order.
 func (t *teamUsage) dominantShare() float64 {
 	share := t.cpus / math.Max(t.cfg.CPUs, 1)
 	if t.cfg.GPUs > 0 {
@@ -60,13 +62,13 @@
 	return share
 }
 
-// charge adds the use of a number of a job's tasks, which may be negative.
+// charge adds what a number of a job's tasks use. The number may be negative.
 func (t *teamUsage) charge(job *trackedJob, tasks float64) {
 	t.cpus += tasks * job.spec.Cpus
 	t.gpus += tasks * job.spec.Gpus
 }
 
-// update counts a job anew after its numbers have changed.
+// update adjusts the use of a job's team after the job's task counts have changed.
 func (u *usageAccounting) update(job *trackedJob) {
 	n := job.placed + job.offered
 	if job.ended {
@@ -78,7 +80,8 @@
 	job.countedTasks = n
 }
 
-// remove takes out what is counted for a job: before its spec or its team changes.
+// remove subtracts what is counted for a job. It is called before the job's spec or team
+// changes.
 func (u *usageAccounting) remove(job *trackedJob) {
 	if job.spec != nil && job.team != nil {
 		job.team.cpus -= float64(job.countedTasks) * job.spec.Cpus
@@ -87,8 +90,8 @@
 	job.countedTasks = 0
 }
 
-// recompute adds everything up anew, so that rounding errors of many small changes
-// cannot accumulate.
+// recompute computes all sums from scratch, so that the rounding errors of many small
+// changes do not accumulate.
 func (u *usageAccounting) recompute(jobs map[string]*trackedJob, machines *machineTable) {
 	for _, team := range u.teams {
 		team.cpus, team.gpus = 0, 0
@@ -105,8 +108,8 @@
 	}
 }
 
-// countReplicas counts the live replicas that a machine lists, or was sent, with
-// their jobs: of a job that has ended, they are what its team still uses.
+// countReplicas adds the live replicas that a machine lists, or was sent, to the counts of
+// their jobs. For a job that has ended, its live replicas are what its team still uses.
 func (u *usageAccounting) countReplicas(m *machine) {
 	if !m.replicasCounted {
 		m.replicasCounted = true
@@ -114,8 +117,8 @@
 	}
 }
 
-// uncountReplicas takes them out again: before the list changes, or when the
-// machine's lease has surely expired.
+// uncountReplicas subtracts them again: before the machine's list changes, or when the
+// machine's lease is guaranteed to have expired.
 func (u *usageAccounting) uncountReplicas(m *machine) {
 	if m.replicasCounted {
 		m.replicasCounted = false
@@ -123,8 +126,8 @@
 	}
 }
 
-// addLiveReplicas changes the numbers of live replicas of the jobs on a machine by
-// 1 or -1 for each.
+// addLiveReplicas adds 1 or -1 to a job's count of live replicas for each replica of it on
+// a machine.
 func (u *usageAccounting) addLiveReplicas(m *machine, by int) {
 	for _, replicas := range [...][]replicaOnMachine{m.tasks, m.sentStarts} {
 		for i := range replicas {
@@ -140,32 +143,33 @@
 	}
 }
 
-// updateUnreconciled notes how much may run on a machine that no owner accounts
-// for: replicas of unknown jobs, or whatever is on a machine that has not yet
-// responded to this leader.
+// updateUnreconciled records how much may run on a machine that no owner accounts for:
+// its whole capacity if it lists replicas of unknown jobs, or if an earlier leader may
+// have given it tasks and it has not responded to this leader yet.
 func (u *usageAccounting) updateUnreconciled(m *machine, catalog cloud.Catalog, now time.Duration) {
-	most := resources{}
+	mayRun := resources{}
 	if !m.terminated && !u.leases.expired(m, now) {
 		if m.mayRunUnreconciled() {
-			most = capacityOrLargest(catalog, m.typeName)
+			mayRun = capacityOrLargest(catalog, m.typeName)
 		}
 	} else {
 		u.uncountReplicas(m)
 	}
-	u.unreconciled.cpus += most.cpus - m.unreconciled.cpus
-	u.unreconciled.gpus += most.gpus - m.unreconciled.gpus
-	m.unreconciled = most
+	u.unreconciled.cpus += mayRun.cpus - m.unreconciled.cpus
+	u.unreconciled.gpus += mayRun.gpus - m.unreconciled.gpus
+	m.unreconciled = mayRun
 }
 
-// limited tells whether a limit of its team applies to a job: of most teams none does,
-// and the question is asked for each job that is looked at.
+// hasTeamLimit reports whether a limit of its team applies to a job. Most teams have no
+// limit, so this cheap check, made for each examined job, saves the full one.
 func (j *trackedJob) hasTeamLimit() bool {
 	return (j.team.cfg.CPUsMax > 0 && j.spec.Cpus != 0) || (j.team.cfg.GPUsMax > 0 && j.spec.Gpus != 0)
 }
 
-// withinLimit tells whether one more task keeps a job's team inside its limit,
-// whatever may be running that no owner accounts for. While not all unfinished jobs
-// are known, no limit can be kept for sure.
+// withinLimit reports whether a job's team stays within its limit with one more task,
+// even if everything runs that may run and that no owner accounts for. It returns false
+// for a limited resource while not all unfinished jobs are known, since the limit can't
+// be guaranteed then.
 func (u *usageAccounting) withinLimit(job *trackedJob, known recoveryProgress) bool {
 	within := func(limit, used, unreconciled, need float64) bool {
 		if limit <= 0 || need == 0 {
--- a/internal/coordination/team_usage_test.go
+++ b/internal/coordination/team_usage_test.go
@@ -19,16 +19,16 @@
 	job.placed, job.offered = 1, 1
 	u.update(job)
 	want(t, "placed and on offer", job.team.cpus, 8)
-	want(t, "share of the guarantee", job.team.dominantShare(), 1)
+	want(t, "dominant share", job.team.dominantShare(), 1)
 	m := &machine{tasks: []replicaOnMachine{{job: job, state: protocol.TaskRunning}, {job: job, state: protocol.TaskExited}}}
 	u.countReplicas(m)
 	u.countReplicas(m) // counted already
 	want(t, "live replicas", job.liveReplicas, 1)
 	job.ended = true
 	u.update(job)
-	want(t, "what is left of it", job.team.cpus, 4)
+	want(t, "use by live replicas of the ended job", job.team.cpus, 4)
 	u.uncountReplicas(m)
-	want(t, "once that is gone", job.team.cpus, 0)
+	want(t, "use without live replicas", job.team.cpus, 0)
 }
 
 func TestTeamLimit(t *testing.T) {
@@ -41,8 +41,8 @@
 		want         bool
 	}{
 		{"room for one more", 3, 0, all, true},
-		{"full", 4, 0, all, false},
-		{"what no owner accounts for counts", 3, 1, all, false},
+		{"at the limit", 4, 0, all, false},
+		{"unreconciled use counts", 3, 1, all, false},
 		{"jobs not known", 0, 0, recoveryProgress{machinesKnown: true}, false},
 		{"machines not known", 1, 0, recoveryProgress{jobsKnown: true}, true},
 		{"machines not known, half used", 2, 0, recoveryProgress{jobsKnown: true}, false},
@@ -70,11 +70,11 @@
 	m.tasks = []replicaOnMachine{{job: job, state: protocol.TaskRunning}}
 	u.countReplicas(m)
 	u.updateUnreconciled(m, catalog, 3*time.Second)
-	want(t, "of known jobs alone", u.unreconciled.cpus, 0)
+	want(t, "with known jobs only", u.unreconciled.cpus, 0)
 	m.tasks = append(m.tasks, replicaOnMachine{state: protocol.TaskRunning})
 	u.updateUnreconciled(m, catalog, 3*time.Second)
 	want(t, "with an unknown job", u.unreconciled.cpus, 8)
 	u.updateUnreconciled(m, catalog, m.lastHeartbeat+time.Minute+1)
-	want(t, "after the lease", u.unreconciled.cpus, 0)
-	want(t, "live replicas after the lease", job.liveReplicas, 0)
+	want(t, "after the lease has expired", u.unreconciled.cpus, 0)
+	want(t, "live replicas after the lease has expired", job.liveReplicas, 0)
 }
--- a/internal/coordination/tracked_job.go
+++ b/internal/coordination/tracked_job.go
@@ -8,43 +8,42 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// trackedJob is a job as its owner describes it, with what the leader knows of its
-// tasks.
+// trackedJob is a job as its owner reports it, with the leader's own data on its tasks.
 type trackedJob struct {
 	id              string
 	shard           *shardState
-	spec            *meshpb.JobSummary // nil until a summary with its spec has come
+	spec            *meshpb.JobSummary // nil until a summary with its spec has arrived
 	team            *teamUsage
 	priority        protocol.Priority
 	image           *image
-	onlyMachineType string // the one machine type that its tasks fit on; "": there are none or several
+	onlyMachineType string // the only machine type that its tasks fit on; "": none or several
 
-	// Of its owner's summaries.
+	// From its owner's summaries.
 	pending         int
 	placed          int
-	cancelling      bool // its user wants it cancelled: nothing is started, what runs is stopped
-	started         bool // a task of it was placed
+	cancelling      bool // its user has cancelled it: no task is started, running ones are stopped
+	started         bool // a task of it has been placed
 	ended           bool
 	endedAt         time.Duration
-	endedByOmission bool // it has ended only because its shard's owner did not list it
+	endedByOmission bool // its shard's owner did not list it; a summary with its spec undoes this
 
-	// Of offers and preemption.
-	offered             int  // in offers that are not answered yet
-	startSent           bool // this leader has sent a start of it
-	unsentOverdueStarts int  // offered only because it waited for too long, and not sent yet
-	preemptions         int  // how often a task of it made room for others
+	// Owned by the scheduler and the preemptor.
+	offered             int  // tasks in offers that are not closed yet
+	startSent           bool // this leader has sent a start command for it
+	unsentOverdueStarts int  // tasks offered out of turn because the job was overdue, and not sent yet
+	preemptions         int  // how often a task of it was stopped to make room for others
 	orderKey            priority.Key
 
 	// See usageAccounting.
-	liveReplicas int // that machines list, or were sent
-	countedTasks int // tasks in its team's use
+	liveReplicas int // replicas that machines list or were sent
+	countedTasks int // tasks counted in its team's use
 
 	// See quarantine.
-	failedMachines map[string]bool // machines
+	failedMachines map[string]bool // by machine name
 	taskSucceeded  bool
 }
 
-// unoffered is how many tasks wait and are not on offer.
+// unoffered is how many pending tasks are not on offer and may be started.
 func (j *trackedJob) unoffered() int {
 	if j.ended || j.cancelling || j.team == nil || j.shard.owner == nil {
 		return 0
@@ -52,7 +51,7 @@
 	return max(0, j.pending-j.offered)
 }
 
-// permits tells whether a job may run on a kind of machine.
+// permits reports whether a job may run on a kind of machine.
 func permits(s *meshpb.JobSummary, kind machineKind) bool {
 	if (kind.spot && !s.Spot) || (s.Zone != "" && s.Zone != kind.zone) {
 		return false
