--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -102,7 +102,7 @@
 		identity:       newIdentity(cfg.Member, incarnation),
 		peers:          make(map[string]*peer),
 		peerByLink:     make(map[Link]*peer),
-		responseEvents: newResponseCounter(),
+		responseEvents: newResponseEventCounter(),
 	}
 	c.store = storage.NewStore(env.State, env.Clock, codec, c.stateServiceLimits(), c.runLater)
 	for i, p := range cfg.Peers {
--- a/internal/coordination/deliveries_test.go
+++ b/internal/coordination/deliveries_test.go
@@ -15,20 +15,20 @@
 		want       delivery
 	}{
 		{"fencing token for the first time", machine{}, 0, time.Second, deliveryProven},
-		{"same connection", machine{lastCurrentHeartbeat: 1, connection: connection}, connection, time.Second, deliveryProven},
+		{"same connection", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection, time.Second, deliveryProven},
 		{"connections not known", machine{lastCurrentHeartbeat: 1}, 0, time.Second, deliveryUnknown},
-		{"another connection, soon", machine{lastCurrentHeartbeat: 1, connection: connection}, connection + 1, retryWithin, deliveryUnknown},
-		{"another connection, later", machine{lastCurrentHeartbeat: 1, connection: connection}, connection + 1, retryWithin + 1, deliveryPresumed},
-		{"presumed before", machine{lastCurrentHeartbeat: 1, connection: connection, reachPresumed: true}, connection + 1, retryWithin + 1, deliveryUnknown},
-		{"presumed before, then proven", machine{lastCurrentHeartbeat: 1, connection: connection, reachPresumed: true}, connection, time.Second, deliveryProven},
+		{"another connection, soon", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay, deliveryUnknown},
+		{"another connection, later", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay + 1, deliveryPresumed},
+		{"presumed before", machine{lastCurrentHeartbeat: 1, responseConnection: connection, reachabilityPresumed: true}, connection + 1, maxRetryDelay + 1, deliveryUnknown},
+		{"presumed before, then proven", machine{lastCurrentHeartbeat: 1, responseConnection: connection, reachabilityPresumed: true}, connection, time.Second, deliveryProven},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const now = time.Hour
 			var d deliveryTracker
 			m := c.machine
-			want(t, "delivery", d.observe(&m, c.connection, c.gap, now), c.want)
+			want(t, "delivery", d.observeHeartbeat(&m, c.connection, c.gap, now), c.want)
 			want(t, "reachable now", m.lastReachable == now, c.want != deliveryUnknown)
-			want(t, "proof now", d.silentFor(now) == 0, c.want == deliveryProven)
+			want(t, "proof now", d.sinceLastProof(now) == 0, c.want == deliveryProven)
 		})
 	}
 }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -27,9 +27,9 @@
 	case *meshpb.Frame_JobQueryResult:
 		c.userAPI.HandleJobQueryResult(from.member, body.JobQueryResult)
 	case *meshpb.Frame_ForwardedHeartbeats:
-		c.onForwardedHeartbeats(from, body.ForwardedHeartbeats)
+		c.handleForwardedHeartbeats(from, body.ForwardedHeartbeats)
 	case *meshpb.Frame_HeartbeatResponses:
-		c.forwarder.onResponses(from, body.HeartbeatResponses)
+		c.forwarder.handleResponses(from, body.HeartbeatResponses)
 	case *meshpb.Frame_QuotaDemands:
 		c.onQuotaDemands(from, body.QuotaDemands)
 	}
@@ -57,13 +57,13 @@
 func (l *leader) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_RegisterShard:
-		l.onRegisterShard(from, body.RegisterShard)
+		l.handleRegisterShard(from, body.RegisterShard)
 	case *meshpb.Frame_JobSummaries:
 		l.handleJobSummaries(from, body.JobSummaries)
 	case *meshpb.Frame_Bindings:
 		l.handleBindings(from, body.Bindings)
 	case *meshpb.Frame_MachineCommands:
-		l.onMachineCommands(from, body.MachineCommands)
+		l.handleMachineCommands(from, body.MachineCommands)
 	}
 }
 
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// forcedDrainLead is how long before the end of a machine replicas of services
+	// forcedStopLead is how long before the end of a machine replicas of services
 	// are stopped whether or not there is room for them elsewhere.
-	forcedDrainLead = 4 * time.Second
+	forcedStopLead = 4 * time.Second
 	// reclaimMargin is how long before the end of a machine a task should end that
 	// is left to run.
 	reclaimMargin = time.Second
@@ -27,17 +27,17 @@
 }
 
 // victims chooses the tasks to stop on a machine, and marks them so.
-func (d *drainer) victims(m *machine, now time.Duration) []*replicaOnMachine {
+func (d *drainer) selectVictims(m *machine, now time.Duration) []*replicaOnMachine {
 	if m.reclaimAt == 0 && !m.quarantined {
 		return nil
 	}
 	var victims []*replicaOnMachine
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if replica.stopRequested || !replica.sizeKnown() || replica.job.ended || replica.state == protocol.TaskExited || m.commands[replica.key] != nil {
+		if replica.stopRequested || !replica.requirementsKnown() || replica.job.ended || replica.state == protocol.TaskExited || m.ownerCommands[replica.key] != nil {
 			continue
 		}
-		if d.endsInTime(m, replica, now) || d.shouldStay(m, replica, now) {
+		if d.endsBeforeReclaim(m, replica, now) || d.shouldStay(m, replica, now) {
 			continue
 		}
 		replica.stopRequested = true
@@ -46,11 +46,11 @@
 	return victims
 }
 
-// endsInTime tells whether a task should end before its machine does.
-func (d *drainer) endsInTime(m *machine, r *replicaOnMachine, now time.Duration) bool {
+// endsBeforeReclaim tells whether a task should end before its machine does.
+func (d *drainer) endsBeforeReclaim(m *machine, r *replicaOnMachine, now time.Duration) bool {
 	left := d.runTime(r.job.spec)
 	if r.state == protocol.TaskRunning {
-		left -= now - r.since
+		left -= now - r.stateSince
 	}
 	return m.reclaimAt > 0 && now+max(left, 0) < m.reclaimAt-reclaimMargin
 }
@@ -59,7 +59,7 @@
 // move once there is room elsewhere, and one after another, unless the end of the
 // machine is near.
 func (d *drainer) shouldStay(m *machine, r *replicaOnMachine, now time.Duration) bool {
-	if !r.job.spec.Service || (m.reclaimAt > 0 && now >= m.reclaimAt-forcedDrainLead) {
+	if !r.job.spec.Service || (m.reclaimAt > 0 && now >= m.reclaimAt-forcedStopLead) {
 		return false
 	}
 	return r.job.pending > 0 || m.isStoppingTaskOf(r.job) || !d.warmPool.hasRoomElsewhere(r.job, m, now)
--- a/internal/coordination/draining_test.go
+++ b/internal/coordination/draining_test.go
@@ -25,7 +25,7 @@
 		{"tasks don't end in time", false, false, run / 2, 2},
 		{"replicas without room elsewhere", true, false, run / 2, 0},
 		{"replicas move one after another", true, true, run / 2, 1},
-		{"the end is near", true, false, forcedDrainLead, 2},
+		{"the end is near", true, false, forcedStopLead, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			pool := &warmPool{counts: &fleetCounts{}, schedulable: func(*machine, time.Duration) bool { return true }}
@@ -39,14 +39,14 @@
 				m.reclaimAt = now + test.reclaimIn
 			}
 			for i := range 2 {
-				m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, since: now, job: job})
+				m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, stateSince: now, job: job})
 			}
-			victims := d.victims(m, now)
+			victims := d.selectVictims(m, now)
 			want(t, "victims", len(victims), test.want)
 			for _, victim := range victims {
 				want(t, "stop requested", victim.stopRequested, true)
 			}
-			want(t, "chosen again", len(d.victims(m, now)), 0)
+			want(t, "chosen again", len(d.selectVictims(m, now)), 0)
 		})
 	}
 }
--- a/internal/coordination/heartbeat_balancing_test.go
+++ b/internal/coordination/heartbeat_balancing_test.go
@@ -8,7 +8,7 @@
 )
 
 // connected is a peer that a stream leads to.
-func connected(member string) *peer {
+func connectedPeer(member string) *peer {
 	return &peer{member: member, link: loopbackLink{}}
 }
 
@@ -29,8 +29,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHeartbeatBalancer(0)
-			b.receiveRate, b.received = test.rate, int(test.rate)
-			b.observeLoad(connected("b"), test.load)
+			b.receiveRate, b.receivedHeartbeats = test.rate, int(test.rate)
+			b.observeLoad(connectedPeer("b"), test.load)
 			b.rebalance(time.Second, test.leads)
 			want(t, "budget", b.redirectBudget, test.budget)
 			want(t, "target", b.redirectTarget(), test.target)
@@ -40,11 +40,11 @@
 
 func TestRedirectsToAMemberWithoutHeartbeatsBackOff(t *testing.T) {
 	b := newHeartbeatBalancer(0)
-	other := connected("b")
+	other := connectedPeer("b")
 	b.observeLoad(other, 0)
 	var at []time.Duration
 	for now := time.Second; now <= 20*time.Second; now += time.Second {
-		b.receiveRate, b.received = 100, 100
+		b.receiveRate, b.receivedHeartbeats = 100, 100
 		b.rebalance(now, false)
 		for b.redirectTarget() != "" {
 			at = append(at, now)
@@ -52,9 +52,9 @@
 	}
 	want(t, "redirects in 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
 	want(t, "last of them", at[len(at)-1], 16*time.Second)
-	b.peerDown(other)
+	b.handlePeerDown(other)
 	b.observeLoad(other, 0)
-	b.receiveRate, b.received = 100, 100
+	b.receiveRate, b.receivedHeartbeats = 100, 100
 	b.rebalance(21*time.Second, false)
 	want(t, "after its stream has ended", b.redirectTarget(), "b")
 }
@@ -70,19 +70,19 @@
 		status int
 	}{
 		{"by the leader", func(f *heartbeatForwarder, leader, _ *peer) {
-			f.onResponses(leader, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
+			f.handleResponses(leader, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
 		}, 200},
 		{"by another", func(f *heartbeatForwarder, _, other *peer) {
-			f.onResponses(other, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
+			f.handleResponses(other, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
 		}, 0},
-		{"stream ended", func(f *heartbeatForwarder, leader, _ *peer) { f.peerDown(leader) }, 503},
+		{"stream ended", func(f *heartbeatForwarder, leader, _ *peer) { f.handlePeerDown(leader) }, 503},
 		{"in time still", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout) }, 0},
 		{"too late", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout + 1) }, 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var clock fixedClock
 			f := newHeartbeatForwarder(&clock, func(string) Response { return Response{Status: 503} })
-			leader, other := connected("a"), connected("b")
+			leader, other := connectedPeer("a"), connectedPeer("b")
 			answers, last := 0, 0
 			f.forward(leader, &Request{Body: []byte{1}}, func(r Response) { answers, last = answers+1, r.Status })
 			want(t, "frames to the leader", len(leader.forwardedHeartbeats), 1)
--- a/internal/coordination/heartbeat_forwarding.go
+++ b/internal/coordination/heartbeat_forwarding.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	forwardTimeout = 3500 * time.Millisecond // workers give up after 4 s
-	maxForwarded   = maxMachines             // each machine has one heartbeat in flight
+	forwardTimeout         = 3500 * time.Millisecond // workers give up after 4 s
+	maxForwardedHeartbeats = maxMachines             // each machine has one heartbeat in flight
 )
 
 // heartbeatForwarder takes heartbeats on the leader's behalf.
 type heartbeatForwarder struct {
-	clock   storage.Clock
-	refuse  func(why string) Response // for now
-	pending map[uint64]forwardedHeartbeat
-	lastID  uint64
+	clock       storage.Clock
+	unavailable func(why string) Response // for now
+	pending     map[uint64]forwardedHeartbeat
+	lastID      uint64
 }
 
 // forwardedHeartbeat is a heartbeat whose answer is awaited from the leader.
@@ -28,13 +28,13 @@
 }
 
 func newHeartbeatForwarder(clock storage.Clock, refuse func(why string) Response) heartbeatForwarder {
-	return heartbeatForwarder{clock: clock, refuse: refuse, pending: make(map[uint64]forwardedHeartbeat)}
+	return heartbeatForwarder{clock: clock, unavailable: refuse, pending: make(map[uint64]forwardedHeartbeat)}
 }
 
 // forward sends a heartbeat on to the member that leads.
 func (forwarder *heartbeatForwarder) forward(to *peer, req *Request, reply func(Response)) {
-	if len(forwarder.pending) >= maxForwarded {
-		reply(forwarder.refuse("too many reports"))
+	if len(forwarder.pending) >= maxForwardedHeartbeats {
+		reply(forwarder.unavailable("too many reports"))
 		return
 	}
 	forwarder.lastID++
@@ -42,8 +42,8 @@
 	to.forwardedHeartbeats = append(to.forwardedHeartbeats, &meshpb.ForwardedHeartbeat{Id: forwarder.lastID, ConnectionId: req.Conn, Body: req.Body})
 }
 
-// onResponses passes the leader's responses on to those who wait for them.
-func (forwarder *heartbeatForwarder) onResponses(p *peer, f *meshpb.HeartbeatResponses) {
+// handleResponses passes the leader's responses on to those who wait for them.
+func (forwarder *heartbeatForwarder) handleResponses(p *peer, f *meshpb.HeartbeatResponses) {
 	for _, a := range f.Responses {
 		if forwarded, ok := forwarder.pending[a.Id]; ok && forwarded.to == p {
 			delete(forwarder.pending, a.Id)
@@ -52,8 +52,8 @@
 	}
 }
 
-// peerDown answers what was sent to a member whose stream has ended.
-func (forwarder *heartbeatForwarder) peerDown(p *peer) {
+// handlePeerDown answers what was sent to a member whose stream has ended.
+func (forwarder *heartbeatForwarder) handlePeerDown(p *peer) {
 	forwarder.failPending(func(forwarded forwardedHeartbeat) bool { return forwarded.to == p }, "the leader is out of reach")
 }
 
@@ -67,7 +67,7 @@
 	for id, forwarded := range forwarder.pending {
 		if which(forwarded) {
 			delete(forwarder.pending, id)
-			forwarded.reply(forwarder.refuse(why))
+			forwarded.reply(forwarder.unavailable(why))
 		}
 	}
 }
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-func (sim *simulation) redirectTarget(r *simtest.HTTPResponse) string {
+func (sim *simulation) statusAndRedirect(r *simtest.HTTPResponse) string {
 	var to protocol.Redirect
 	if r.Status == 421 {
 		if err := sim.Codec.Decode(r.Body, &to); err != nil {
@@ -49,7 +49,7 @@
 	want(t, "answers before the stream breaks", out.Status, 0)
 	sim.Disconnect(follower.Name, lead.Name)
 	want(t, "answer when the stream breaks", out.Status, 503)
-	want(t, "without a stream to the leader", sim.redirectTarget(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
+	want(t, "without a stream to the leader", sim.statusAndRedirect(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
 }
 
 // A member that gets a forwarded heartbeat and does not lead forwards it no
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -44,10 +44,10 @@
 func (h *heartbeatIntake) apply(m *machine, heartbeat *protocol.Heartbeat, connection uint64, now time.Duration) (reachable bool) {
 	newEpoch := m.lastCurrentHeartbeat == 0 || heartbeat.Epoch != m.epoch
 	gap := now - m.lastHeartbeat
-	h.identify(m, heartbeat, now)
+	h.applyHeader(m, heartbeat, now)
 	if heartbeat.FencingToken != h.fencingToken {
 		if m.createdAt != 0 {
-			h.records.request(m) // so that its next heartbeat, half a second on, gets starts
+			h.records.requestRecord(m) // so that its next heartbeat, half a second on, gets starts
 		}
 		h.usage.updateUnreconciled(m, h.catalog.Catalog(), now)
 		h.publisher.publish(m, statusPresence, now)
@@ -61,17 +61,17 @@
 		content = statusFull
 	}
 	h.updateTasks(m, heartbeat.Tasks, content, now)
-	if m.runsAny() {
+	if m.runsAnyReplica() {
 		m.idleSince = now
 	}
-	h.records.request(m)
+	h.records.requestRecord(m)
 	h.usage.updateUnreconciled(m, h.catalog.Catalog(), now)
 	h.publisher.publish(m, content, now)
 	return reachable
 }
 
 // identify takes what every heartbeat says, whatever fencing token it carries.
-func (h *heartbeatIntake) identify(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
+func (h *heartbeatIntake) applyHeader(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
 	if kind := (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}); m.machineKind != kind {
 		m.machineKind = kind
 		m.updateFree(h.catalog.Type(m.typeName))
@@ -79,7 +79,7 @@
 	if !m.heartbeatSeen {
 		h.inheritImages(m)
 		m.idleSince = now
-		h.deliveries.begin(m, now)
+		h.deliveries.recordFirstHeartbeat(m, now)
 	}
 	if m.heartbeatSeen && heartbeat.Epoch > m.epoch {
 		h.usage.uncountReplicas(m)
@@ -101,9 +101,9 @@
 
 // observeDelivery tells whether a heartbeat shows that responses reach its machine.
 func (h *heartbeatIntake) observeDelivery(m *machine, connection uint64, gap, now time.Duration) bool {
-	seen := h.deliveries.observe(m, connection, gap, now)
+	seen := h.deliveries.observeHeartbeat(m, connection, gap, now)
 	if seen == deliveryPresumed {
-		h.countResponse(startPresumed)
+		h.countResponse(startDeliveryPresumed)
 	}
 	return seen != deliveryUnknown
 }
@@ -129,28 +129,28 @@
 	machineType := h.catalog.Type(m.typeName)
 	for _, status := range statuses {
 		replica := replicaOnMachine{key: replicaKey{status.Job, uint32(status.Task), status.Replica},
-			state: status.State, exitReason: status.ExitReason, since: now, job: h.jobs.get(status.Job)}
+			state: status.State, exitReason: status.ExitReason, stateSince: now, job: h.jobs.get(status.Job)}
 		last := findReplica(before, replica.key)
 		if last == nil {
 			last = findReplica(m.sentStarts, replica.key) // it may have ended before it was ever listed
 		}
 		if last != nil {
-			replica.succeed(last)
+			replica.inheritFrom(last)
 		}
 		exited := status.State == protocol.TaskExited
 		if replica.job != nil && replica.job.image != nil && machineType != nil && !exited {
 			m.recordImageUse(replica.job.image, machineType.CacheGB, now)
 		}
 		if exited && last != nil && last.state != protocol.TaskExited {
-			h.onReplicaExited(m, &replica, last, now)
+			h.handleReplicaExited(m, &replica, last, now)
 		}
 		m.tasks = append(m.tasks, replica)
 	}
-	m.removeDoneCommands()
+	m.removeDoneOwnerCommands()
 }
 
-// onReplicaExited draws conclusions from a task that has just ended on a machine.
-func (h *heartbeatIntake) onReplicaExited(m *machine, replica, last *replicaOnMachine, now time.Duration) {
+// handleReplicaExited draws conclusions from a task that has just ended on a machine.
+func (h *heartbeatIntake) handleReplicaExited(m *machine, replica, last *replicaOnMachine, now time.Duration) {
 	job := replica.job
 	if job == nil {
 		return
@@ -161,7 +161,7 @@
 	case replica.exitReason == protocol.ExitReasonDone:
 		h.quarantine.recordSuccess(m, job)
 		if last.state == protocol.TaskRunning && job.spec != nil {
-			h.runTimes.Observe(estimateTaskOf(job.spec), now-last.since)
+			h.runTimes.Observe(estimateTaskOf(job.spec), now-last.stateSince)
 		}
 	case replica.exitReason == protocol.ExitReasonError:
 		if failures, quarantined := h.quarantine.recordFailure(m, job, h.counts.reportedMachines); quarantined {
@@ -208,10 +208,10 @@
 }
 
 // succeed takes over what the last list's entry of the same replica holds.
-func (r *replicaOnMachine) succeed(last *replicaOnMachine) {
+func (r *replicaOnMachine) inheritFrom(last *replicaOnMachine) {
 	r.stopRequested, r.preemptionExempt = last.stopRequested, last.preemptionExempt
 	if last.state == r.state {
-		r.since = last.since
+		r.stateSince = last.stateSince
 	}
 }
 
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	intakeToken   = 7
-	intakeElected = time.Minute
+	intakeFencingToken = 7
+	intakeElectedAt    = time.Minute
 )
 
 // intakeFixture is an intake with one machine and one job, which is a part of no
 // simulation.
 type intakeFixture struct {
 	heartbeatIntake
-	machines machineTable
-	machine  *machine
-	job      *trackedJob
-	presumed int
-	seq      uint64
+	machines           machineTable
+	machine            *machine
+	job                *trackedJob
+	presumedDeliveries int
+	sequence           uint64
 }
 
 func newIntakeFixture(t *testing.T) *intakeFixture {
@@ -34,12 +34,12 @@
 	f := &intakeFixture{}
 	f.machines.init()
 	f.machine = f.machines.add("vm-1")
-	leases := machineLeases{electedAt: intakeElected, timeout: time.Minute}
+	leases := machineLeases{electedAt: intakeElectedAt, timeout: time.Minute}
 	usage := newUsageAccounting(nil, leases)
 	f.job = &trackedJob{id: "wk-1", spec: &meshpb.JobSummary{Cpus: 2, Class: "c", EstimateS: 10}, image: &image{name: "img", sizeGB: 1}}
 	jobs := map[string]*trackedJob{f.job.id: f.job}
 	f.heartbeatIntake = heartbeatIntake{
-		fencingToken: intakeToken, electedAt: intakeElected, jobs: &jobTable{byID: jobs}, catalog: fixedCatalog{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1}},
+		fencingToken: intakeFencingToken, electedAt: intakeElectedAt, jobs: &jobTable{byID: jobs}, catalog: fixedCatalog{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1}},
 		images: &imageTable{}, usage: &usage, records: &machineRecorder{machines: &f.machines},
 		publisher: &statusPublisher{members: 1}, deliveries: &deliveryTracker{},
 		quarantine: &quarantine{machines: &f.machines, jobs: jobs}, runTimes: &estimate.RunTimes{},
@@ -48,8 +48,8 @@
 			return []*meshpb.CachedImage{{Name: "old", SizeGb: 2}}
 		},
 		countResponse: func(e responseEvent) {
-			if e == startPresumed {
-				f.presumed++
+			if e == startDeliveryPresumed {
+				f.presumedDeliveries++
 			}
 		},
 	}
@@ -57,9 +57,9 @@
 }
 
 // beat takes the machine's next heartbeat.
-func (f *intakeFixture) beat(token, epoch uint64, now time.Duration, tasks ...protocol.TaskStatus) bool {
-	f.seq++
-	return f.apply(f.machine, &protocol.Heartbeat{Machine: "vm-1", Epoch: epoch, Seq: f.seq, FencingToken: token, Type: "m8", Zone: "z1", Tasks: tasks}, 0, now)
+func (f *intakeFixture) heartbeat(token, epoch uint64, now time.Duration, tasks ...protocol.TaskStatus) bool {
+	f.sequence++
+	return f.apply(f.machine, &protocol.Heartbeat{Machine: "vm-1", Epoch: epoch, Seq: f.sequence, FencingToken: token, Type: "m8", Zone: "z1", Tasks: tasks}, 0, now)
 }
 
 func taskStatus(state protocol.TaskState, reason protocol.ExitReason) protocol.TaskStatus {
@@ -69,12 +69,12 @@
 func TestHeartbeatWithoutTheFencingTokenSaysOnlyThatTheMachineIsThere(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
-	want(t, "reachable", f.beat(intakeToken-1, 1, now, taskStatus(protocol.TaskRunning, 0)), false)
+	want(t, "reachable", f.heartbeat(intakeFencingToken-1, 1, now, taskStatus(protocol.TaskRunning, 0)), false)
 	want(t, "heartbeat seen", f.machine.heartbeatSeen, true)
 	want(t, "current heartbeat", f.machine.lastCurrentHeartbeat, 0)
 	want(t, "tasks", len(f.machine.tasks), 0)
 	want(t, "image that an earlier leader knew of", f.machine.images[0].name, "old")
-	want(t, "reachable with the token", f.beat(intakeToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
+	want(t, "reachable with the token", f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
 	want(t, "tasks then", len(f.machine.tasks), 1)
 	want(t, "free CPUs", f.machine.free.cpus, 6)
 	want(t, "live replicas", f.job.liveReplicas, 1)
@@ -85,14 +85,14 @@
 func TestListAnswersWhatTheMachineWasSent(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
-	f.beat(intakeToken, 1, now)
-	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 0, 1}, job: f.job, state: protocol.TaskFetching, since: now, preemptionExempt: true}}
-	f.beat(intakeToken, 1, now+time.Second, taskStatus(protocol.TaskFetching, 0))
+	f.heartbeat(intakeFencingToken, 1, now)
+	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 0, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now, preemptionExempt: true}}
+	f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskFetching, 0))
 	want(t, "starts on their way", len(f.machine.sentStarts), 0)
-	want(t, "in its state since it was sent", f.machine.tasks[0].since, now)
+	want(t, "in its state since it was sent", f.machine.tasks[0].stateSince, now)
 	want(t, "exempt as it was sent", f.machine.tasks[0].preemptionExempt, true)
-	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 1, 1}, job: f.job, state: protocol.TaskFetching, since: now}}
-	f.beat(intakeToken, 1, now+2*time.Second, taskStatus(protocol.TaskFetching, 0))
+	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 1, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now}}
+	f.heartbeat(intakeFencingToken, 1, now+2*time.Second, taskStatus(protocol.TaskFetching, 0))
 	want(t, "starts that did not arrive", len(f.machine.sentStarts), 0)
 	want(t, "free CPUs", f.machine.free.cpus, 6)
 }
@@ -100,11 +100,11 @@
 func TestNewEpochEndsWhatWasListed(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
-	f.beat(intakeToken, 1, now, taskStatus(protocol.TaskRunning, 0))
-	f.machine.commands = map[replicaKey]*meshpb.MachineCommand{{"wk-1", 0, 1}: {}}
-	f.beat(intakeToken-1, 2, now+time.Second)
+	f.heartbeat(intakeFencingToken, 1, now, taskStatus(protocol.TaskRunning, 0))
+	f.machine.ownerCommands = map[replicaKey]*meshpb.MachineCommand{{"wk-1", 0, 1}: {}}
+	f.heartbeat(intakeFencingToken-1, 2, now+time.Second)
 	want(t, "tasks", len(f.machine.tasks), 0)
-	want(t, "commands", len(f.machine.commands), 0)
+	want(t, "commands", len(f.machine.ownerCommands), 0)
 	want(t, "live replicas", f.job.liveReplicas, 0)
 	want(t, "free CPUs", f.machine.free.cpus, 8)
 }
@@ -113,9 +113,9 @@
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
 	for range 10 {
-		f.beat(intakeToken, 1, now, taskStatus(protocol.TaskRunning, 0))
-		f.beat(intakeToken, 1, now+30*time.Second, taskStatus(protocol.TaskExited, protocol.ExitReasonDone))
-		f.beat(intakeToken, 1, now+31*time.Second)
+		f.heartbeat(intakeFencingToken, 1, now, taskStatus(protocol.TaskRunning, 0))
+		f.heartbeat(intakeFencingToken, 1, now+30*time.Second, taskStatus(protocol.TaskExited, protocol.ExitReasonDone))
+		f.heartbeat(intakeFencingToken, 1, now+31*time.Second)
 		now += time.Minute
 	}
 	mean := f.runTimes.Mean(estimateTaskOf(f.job.spec)).Round(time.Second)
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -5,11 +5,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// onForwardedHeartbeats decides, as the leader, on heartbeats that a member forwards.
-func (c *Controller) onForwardedHeartbeats(p *peer, f *meshpb.ForwardedHeartbeats) {
+// handleForwardedHeartbeats decides, as the leader, on heartbeats that a member forwards.
+func (c *Controller) handleForwardedHeartbeats(p *peer, f *meshpb.ForwardedHeartbeats) {
 	link := p.link
 	for _, k := range f.Heartbeats {
-		c.handleAsLeader(k.Body, p.connectionID(k.ConnectionId), func(r Response) {
+		c.handleHeartbeatAsLeader(k.Body, p.connectionID(k.ConnectionId), func(r Response) {
 			if p.link == link {
 				p.heartbeatResponses = append(p.heartbeatResponses, &meshpb.HeartbeatResponse{Id: k.Id, HttpStatus: uint32(r.Status), Body: r.Body, RetryAfterS: uint32(r.RetryAfterS)})
 			}
@@ -28,7 +28,7 @@
 
 // handleHeartbeat handles a worker's heartbeat that came in here.
 func (c *Controller) handleHeartbeat(req *Request, reply func(Response)) {
-	c.balancer.received++
+	c.balancer.receivedHeartbeats++
 	if req.ReceivedAt > 0 && c.now()-req.ReceivedAt > forwardTimeout {
 		reply(c.errorResponse(503, "the report has waited for too long", 1)) // its worker has given up
 		return
@@ -38,7 +38,7 @@
 			reply(c.redirectResponse(to))
 			return
 		}
-		c.handleAsLeader(req.Body, req.Conn, reply)
+		c.handleHeartbeatAsLeader(req.Body, req.Conn, reply)
 		return
 	}
 	leadership, _ := c.election.Leader()
@@ -63,8 +63,8 @@
 	return Response{Status: 421, Body: c.codec.Encode(protocol.Redirect{HeartbeatTo: member})}
 }
 
-// handleAsLeader handles a heartbeat as the leader, wherever it came in.
-func (c *Controller) handleAsLeader(body []byte, conn uint64, reply func(Response)) {
+// handleHeartbeatAsLeader handles a heartbeat as the leader, wherever it came in.
+func (c *Controller) handleHeartbeatAsLeader(body []byte, conn uint64, reply func(Response)) {
 	var w protocol.WireHeartbeat
 	if err := c.codec.Decode(body, &w); err != nil {
 		reply(c.errorResponse(400, err.Error(), 0))
@@ -80,5 +80,5 @@
 		reply(c.errorResponse(503, "not entitled to act at present", 1))
 		return
 	}
-	c.leader.onHeartbeat(r, conn, now, reply)
+	c.leader.handleHeartbeat(r, conn, now, reply)
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -7,9 +7,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// onHeartbeat takes a machine's heartbeat and responds to it, at once or when the
+// handleHeartbeat takes a machine's heartbeat and responds to it, at once or when the
 // owners of waiting tasks have answered what they are offered.
-func (l *leader) onHeartbeat(heartbeat *protocol.Heartbeat, connection uint64, now time.Duration, reply func(Response)) {
+func (l *leader) handleHeartbeat(heartbeat *protocol.Heartbeat, connection uint64, now time.Duration, reply func(Response)) {
 	m := l.machines.add(heartbeat.Machine)
 	switch {
 	case m == nil:
@@ -26,8 +26,8 @@
 		reply(l.env.errorResponse(503, "report is older than one before", 1))
 		return
 	}
-	if m.pending != nil {
-		l.abandonResponse(m.pending)
+	if m.pendingResponse != nil {
+		l.abandonResponse(m.pendingResponse)
 	}
 	reachable := l.intake.apply(m, heartbeat, connection, now)
 	response := &pendingResponse{machine: m, reply: reply, receivedAt: now, connection: connection, epoch: heartbeat.Epoch, sequence: heartbeat.Seq}
@@ -40,7 +40,7 @@
 		l.sendResponse(response)
 		return
 	}
-	m.pending = response
+	m.pendingResponse = response
 	l.pendingResponses = append(l.pendingResponses, response)
 }
 
@@ -56,8 +56,8 @@
 		return
 	}
 	m.terminated = true
-	if m.pending != nil {
-		l.abandonResponse(m.pending)
+	if m.pendingResponse != nil {
+		l.abandonResponse(m.pendingResponse)
 	}
 	l.usage.uncountReplicas(m)
 	m.clear()
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -85,17 +85,17 @@
 // addMachine divides a machine's capacity equally among those of its images that pending
 // tasks need. If it is a spot machine, its free resources are added to each of its images.
 func (t *imageTable) addMachine(m *machine, machineType *protocol.MachineType) {
-	m.wantedImages = 0
+	m.imagesWithPendingTasks = 0
 	for i := range m.images {
 		if m.images[i].hasPending {
-			m.wantedImages++
+			m.imagesWithPendingTasks++
 		}
 	}
 	for i := range m.images {
 		im := m.images[i].image
 		if im.hasPending {
-			im.machineCPUs += machineType.CPUs / float64(m.wantedImages)
-			im.machineMemoryGB += machineType.MemoryGB / float64(m.wantedImages)
+			im.machineCPUs += machineType.CPUs / float64(m.imagesWithPendingTasks)
+			im.machineMemoryGB += machineType.MemoryGB / float64(m.imagesWithPendingTasks)
 		}
 		if m.spot {
 			im.spotFree.cpus += m.free.cpus
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// forLeaderVersions are the versions of the member a, which is to lead; the owners have
+// withLeaderVersions are the versions of the member a, which is to lead; the owners have
 // this one. What a leader of the version before forwards lacks the same tasks as
 // ever, see withoutUnknownTasks, and it calls shards reconciled as it did.
-func forLeaderVersions(t *testing.T, test func(t *testing.T, sim *simulation)) {
+func withLeaderVersions(t *testing.T, test func(t *testing.T, sim *simulation)) {
 	t.Helper()
 	t.Run("this version", func(t *testing.T) { test(t, newSimulation(t, "a", "b", "c")) })
 	t.Run("the version before", func(t *testing.T) { test(t, newSimulationWith(t, "", []string{"a"}, "a", "b", "c")) })
@@ -51,9 +51,9 @@
 // the unfinished jobs fails, a machine sends it a heartbeat, and then the owner that has
 // acquired the shard registers.
 func TestRecoveredTaskOfAJobUnknownToTheLeader(t *testing.T) {
-	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
+	withLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
-		sim.restartAllWithHidden("own/")
+		sim.restartAllWithHiddenKeys("own/")
 		sim.allowOnlyLeader("a")
 		sim.Advance(4 * time.Second)
 		sim.HeartbeatFor(3, busy, idle)
@@ -72,13 +72,13 @@
 // The same of an owner that lives on through the change of leader: its stream to
 // the new leader comes up after a machine has sent a heartbeat there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
-	forLeaderVersions(t, func(t *testing.T, sim *simulation) {
+	withLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		controllerOf(sim.Nodes["b"]).election.Abstain(sim.Now() + time.Hour) // it owns the task
 		if sim.Leader().Name != "c" {
 			controllerOf(sim.Nodes["a"]).election.Abstain(sim.Now() + 4*time.Second)
 			sim.Crash(sim.Leader().Name)
 			sim.Advance(4 * time.Second)
-			sim.startDown()
+			sim.startDownMembers()
 			sim.Advance(6 * time.Second)
 		}
 		want(t, "first leader", sim.Leader().Name, "c")
@@ -180,7 +180,7 @@
 func TestUnreadRecordsProveNoLossOfAnAnsweredMachine(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	busy, idle := startOneTask(t, sim, sim.Nodes["a"])
-	sim.restartAllWithHidden("fleet/")
+	sim.restartAllWithHiddenKeys("fleet/")
 	sim.Advance(3 * time.Second)
 	sim.HeartbeatFor(9, idle)
 	busy.Heartbeat() // its first here, with the fencing token of before; its lease begins anew
@@ -192,8 +192,8 @@
 	want(t, "still running", len(busy.Running()), 1)
 }
 
-// startDown starts the members that are down.
-func (sim *simulation) startDown() {
+// startDownMembers starts the members that are down.
+func (sim *simulation) startDownMembers() {
 	for _, name := range sim.Names {
 		if !sim.Nodes[name].Up {
 			sim.Start(name)
@@ -201,11 +201,11 @@
 	}
 }
 
-// restartAllWithHidden ends all members and starts them 4 s later, while listings of the
+// restartAllWithHiddenKeys ends all members and starts them 4 s later, while listings of the
 // keys with a prefix are refused.
-func (sim *simulation) restartAllWithHidden(prefix string) {
+func (sim *simulation) restartAllWithHiddenKeys(prefix string) {
 	sim.CrashAll()
 	sim.Advance(4 * time.Second)
 	sim.State.HiddenPrefix = prefix
-	sim.startDown()
+	sim.startDownMembers()
 }
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -114,7 +114,7 @@
 // endOmittedJobs marks the jobs of a shard as ended that its new owner does not list.
 func (t *jobTable) endOmittedJobs(shard *shardState, now time.Duration) {
 	for id, job := range shard.jobs {
-		if shard.arrivingJobs[id] == nil {
+		if shard.registrationJobs[id] == nil {
 			t.markEnded(job, now)
 			job.endedByOmission = true
 		}
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -82,7 +82,7 @@
 		shards:       newShardRegistry(),
 	}
 	l.machines.init()
-	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, escrow: env.tuning.QuotaEscrow}
+	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, quotaEscrow: env.tuning.QuotaEscrow}
 	l.publisher.members = env.members
 	l.jobs = jobTable{
 		byID:            make(map[string]*trackedJob),
@@ -108,7 +108,7 @@
 	l.records.stop()
 	l.scaler.Stop()
 	for _, pending := range l.pendingResponses {
-		if !pending.finished {
+		if !pending.closed {
 			pending.reply(Response{Status: 503, RetryAfterS: 1})
 		}
 	}
@@ -117,7 +117,7 @@
 
 // tick does what time asks for, ten times a second.
 func (l *leader) tick(now time.Duration) {
-	l.expireResponses(now)
+	l.sendDueResponses(now)
 	mayAct := l.env.authority.MayAct(now)
 	if !mayAct {
 		// Heartbeats are refused meanwhile, so silence means nothing.
@@ -126,7 +126,7 @@
 	}
 	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now) })
 	if mayAct {
-		l.records.writeDue(now)
+		l.records.writeIfDue(now)
 	}
 	if now < l.nextSlowTick {
 		return
@@ -154,7 +154,7 @@
 // it the responses that name this member would keep every machine trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
 	timeout := max(seconds(deliveryTimeoutHeartbeats*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
-	if l.deliveries.silentFor(now) < timeout || l.env.members == 1 {
+	if l.deliveries.sinceLastProof(now) < timeout || l.env.members == 1 {
 		return true
 	}
 	for m := range l.machines.all {
@@ -172,7 +172,7 @@
 		for _, m := range loaded.machines {
 			l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now)
 		}
-		l.env.log.Info().Int("records", loaded.records).Uint64("revision", loaded.revision).Int("reads", loaded.reads).
+		l.env.log.Info().Int("records", loaded.recordCount).Uint64("revision", loaded.revision).Int("reads", loaded.attempts).
 			Int64("after_ms", (now - l.electedAt).Milliseconds()).Msg("machine records read")
 	})
 }
--- a/internal/coordination/listed_machines.go
+++ b/internal/coordination/listed_machines.go
@@ -7,11 +7,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// In heartbeatJitter times their interval all machines that are up have sent a
+// In heartbeatJitterFactor times their interval all machines that are up have sent a
 // heartbeat, once they have found a new leader.
 const (
-	heartbeatJitter  = 1.25
-	leaderSearchTime = 2 * time.Second
+	heartbeatJitterFactor = 1.25
+	leaderSearchTime      = 2 * time.Second
 )
 
 // MachinesListed takes in the cloud's machine list. Lists lag and may go back in
@@ -38,9 +38,9 @@
 // leader's term ended; terminating it once more is proof. Until then a recovered
 // shard's tasks wait for it.
 func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
-	if m.heartbeatSeen || !m.fromEarlierLeader || l.env.cloud.ListedAt() <= l.electedAt {
+	if m.heartbeatSeen || !m.recordedByEarlierLeader || l.env.cloud.ListedAt() <= l.electedAt {
 		return false
 	}
 	_, inList := l.env.cloud.Listed(m.name)
-	return !inList && now-l.electedAt > seconds(heartbeatJitter*l.env.settings.Workers.HeartbeatIntervalS)+leaderSearchTime
+	return !inList && now-l.electedAt > seconds(heartbeatJitterFactor*l.env.settings.Workers.HeartbeatIntervalS)+leaderSearchTime
 }
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -19,14 +19,14 @@
 	key              replicaKey
 	state            protocol.TaskState
 	exitReason       protocol.ExitReason
-	since            time.Duration // when it was first seen in its state
+	stateSince       time.Duration // when it was first seen in its state
 	job              *trackedJob   // nil if no registered owner knows it
 	stopRequested    bool          // to make room for others, or as the machine is to go
 	preemptionExempt bool          // see preemptible
 }
 
-// sizeKnown tells whether it is known what a replica needs.
-func (r *replicaOnMachine) sizeKnown() bool { return r.job != nil && r.job.spec != nil }
+// requirementsKnown tells whether it is known what a replica needs.
+func (r *replicaOnMachine) requirementsKnown() bool { return r.job != nil && r.job.spec != nil }
 
 // machineKind is a kind of machine that the cloud offers.
 type machineKind struct {
@@ -51,24 +51,24 @@
 	idleSince            time.Duration
 
 	// Of the last response.
-	connection uint64             // that the heartbeat came on
-	sentStarts []replicaOnMachine // not yet listed
-	pending    *pendingResponse   // nil: none waits for bindings
-	free       resources          // what tasks and sentStarts leave
-	commands   map[replicaKey]*meshpb.MachineCommand
+	responseConnection uint64             // that the heartbeat came on
+	sentStarts         []replicaOnMachine // not yet listed
+	pendingResponse    *pendingResponse   // nil: none waits for bindings
+	free               resources          // what tasks and sentStarts leave
+	ownerCommands      map[replicaKey]*meshpb.MachineCommand
 
 	// See deliveryTracker.
-	lastReachable time.Duration // last heartbeat that showed that a response had arrived
-	reachPresumed bool          // it showed that only by how late it came
+	lastReachable        time.Duration // last heartbeat that showed that a response had arrived
+	reachabilityPresumed bool          // it showed that only by how late it came
 
 	// See usageAccounting.
 	replicasCounted bool      // its replicas are counted with their jobs
 	unreconciled    resources // what may run on it that no owner accounts for
 
 	// See machineRecorder.
-	recordKey         string // of the record that names it; without one it gets no starts
-	recordPending     bool
-	fromEarlierLeader bool // an earlier leader named it, and may have given it tasks
+	recordKey               string // of the record that names it; without one it gets no starts
+	recordPending           bool
+	recordedByEarlierLeader bool // an earlier leader named it, and may have given it tasks
 
 	// See statusPublisher.
 	statusStreams  []uint64 // by member: the stream on which its last status was published
@@ -76,22 +76,22 @@
 	imagesChanged  bool // since the last status
 
 	// See imageTable.
-	images       []cachedImage
-	wantedImages int // of these, how many have work waiting
+	images                 []cachedImage
+	imagesWithPendingTasks int // of these, how many have work waiting
 
 	// See quarantine.
 	failuresByJob map[string]int // since the last success
 	quarantined   bool
 
 	// Of the autoscaler, the warm pool and the scheduler.
-	createdAt         time.Duration // 0: not known
-	terminating       bool          // it gets no offers any more
-	terminateInFlight bool
-	terminated        bool
-	needed            bool             // waiting tasks can use it
-	inWarmPool        bool             // its room is kept for services
-	reservedFor       *trackedJob      // its room gathers for this job
-	offeringFor       *pendingResponse // that offers are being made for
+	createdAt            time.Duration // 0: not known
+	terminating          bool          // it gets no offers any more
+	terminateInFlight    bool
+	terminated           bool
+	neededByPendingTasks bool             // waiting tasks can use it
+	inWarmPool           bool             // its room is kept for services
+	reservedFor          *trackedJob      // its room gathers for this job
+	offeringResponse     *pendingResponse // that offers are being made for
 }
 
 // listsReplica tells whether a machine lists a replica, ended or not.
@@ -107,14 +107,14 @@
 // empty tells whether nothing is on the machine or on its way there. An ended task
 // counts: its result may not be durable yet.
 func (m *machine) empty() bool {
-	return len(m.tasks)+len(m.sentStarts) == 0 && m.pending == nil
+	return len(m.tasks)+len(m.sentStarts) == 0 && m.pendingResponse == nil
 }
 
 // starting tells whether a machine has not come so far that it may get starts.
 func (m *machine) starting() bool { return m.lastCurrentHeartbeat == 0 || m.recordKey == "" }
 
-// runsAny tells whether the machine lists a replica that has not ended.
-func (m *machine) runsAny() bool {
+// runsAnyReplica tells whether the machine lists a replica that has not ended.
+func (m *machine) runsAnyReplica() bool {
 	for i := range m.tasks {
 		if m.tasks[i].state != protocol.TaskExited {
 			return true
@@ -127,7 +127,7 @@
 // accounts for: it lists some of unknown jobs, or an earlier leader may have given
 // it some and it has not responded to this one yet.
 func (m *machine) mayRunUnreconciled() bool {
-	if m.lastCurrentHeartbeat == 0 && m.fromEarlierLeader {
+	if m.lastCurrentHeartbeat == 0 && m.recordedByEarlierLeader {
 		return true
 	}
 	for i := range m.tasks {
@@ -151,7 +151,7 @@
 		if replica.state == protocol.TaskExited {
 			continue
 		}
-		if !replica.sizeKnown() {
+		if !replica.requirementsKnown() {
 			return
 		}
 		free.subtract(replica.job.spec)
@@ -166,12 +166,12 @@
 // of it is gone. Nobody may be told of it any more: who acquires a shard would think
 // that it counts, and that the replica does not (ran_twice).
 func (m *machine) endEpoch(machineType *protocol.MachineType) {
-	m.tasks, m.sentStarts, m.commands = nil, nil, nil
+	m.tasks, m.sentStarts, m.ownerCommands = nil, nil, nil
 	m.updateFree(machineType)
 }
 
 // clear forgets what was on a machine that is terminated.
 func (m *machine) clear() {
-	m.tasks, m.sentStarts, m.commands, m.images, m.reservedFor = nil, nil, nil, nil, nil
+	m.tasks, m.sentStarts, m.ownerCommands, m.images, m.reservedFor = nil, nil, nil, nil, nil
 	m.free = resources{}
 }
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -35,22 +35,22 @@
 	fencingToken uint64
 	maxBytes     int // of one record
 
-	unrecorded []*machine
-	nextWrite  time.Duration
-	writing    bool
-	written    int // records so far, which numbers them
-	rewriting  bool
-	reads      int  // how often earlier leaders' records were asked for
-	loaded     bool // see machinesKnown
-	stopped    bool
+	unrecorded     []*machine
+	nextWrite      time.Duration
+	writing        bool
+	recordsWritten int // records so far, which numbers them
+	rewriting      bool
+	loadAttempts   int  // how often earlier leaders' records were asked for
+	loaded         bool // see machinesKnown
+	stopped        bool
 }
 
 // loadedRecords is what a read of all machine records found.
 type loadedRecords struct {
-	records  int
-	revision uint64
-	reads    int // that it took
-	machines []*machine
+	recordCount int
+	revision    uint64
+	attempts    int // that it took
+	machines    []*machine
 }
 
 // machinesKnown tells whether every machine is known that may hold a task.
@@ -62,7 +62,7 @@
 // load learns the machines that earlier leaders may have given tasks. It tries until
 // it has read them and then calls done.
 func (r *machineRecorder) load(done func(loadedRecords)) {
-	r.reads++
+	r.loadAttempts++
 	r.store.MachineRecords(func(records map[string][]string, revision uint64, ok bool) {
 		if r.stopped {
 			return
@@ -77,7 +77,7 @@
 		}
 		found := r.addRecorded(records)
 		r.loaded = true
-		done(loadedRecords{records: len(records), revision: revision, reads: r.reads, machines: found})
+		done(loadedRecords{recordCount: len(records), revision: revision, attempts: r.loadAttempts, machines: found})
 	})
 }
 
@@ -86,7 +86,7 @@
 	for key, names := range records {
 		for _, name := range names {
 			if m := r.machines.add(name); m != nil {
-				m.recordKey, m.fromEarlierLeader = key, true
+				m.recordKey, m.recordedByEarlierLeader = key, true
 				found = append(found, m)
 			}
 		}
@@ -95,16 +95,16 @@
 }
 
 // request has a machine recorded that was not yet.
-func (r *machineRecorder) request(m *machine) {
+func (r *machineRecorder) requestRecord(m *machine) {
 	if m.recordKey == "" && !m.recordPending {
 		r.unrecorded = append(r.unrecorded, m)
 		m.recordPending = true
 	}
 }
 
-// writeDue records the machines that were requested, when a record is due. One that
+// writeIfDue records the machines that were requested, when a record is due. One that
 // has not come up holds nothing, and is nothing to wait for.
-func (r *machineRecorder) writeDue(now time.Duration) {
+func (r *machineRecorder) writeIfDue(now time.Duration) {
 	if r.writing || len(r.unrecorded) == 0 || now < r.nextWrite {
 		return
 	}
@@ -115,8 +115,8 @@
 	}
 	sort.Strings(names)
 	r.writing, r.nextWrite = true, now+recordInterval
-	r.written++
-	r.store.RecordMachines(r.fencingToken, r.written, names, func(key string, result storage.TxnResult) {
+	r.recordsWritten++
+	r.store.RecordMachines(r.fencingToken, r.recordsWritten, names, func(key string, result storage.TxnResult) {
 		if r.stopped {
 			return
 		}
@@ -144,16 +144,16 @@
 	return batch
 }
 
-// recordContent is how many machines a record names that are there, and how many
+// recordCounts is how many machines a record names that are there, and how many
 // that are terminated.
-type recordContent struct {
+type recordCounts struct {
 	live, terminated int
 	liveBytes        int // of the record without the terminated ones
 }
 
 // contents counts what each record names.
-func (r *machineRecorder) contents() map[string]recordContent {
-	contents := make(map[string]recordContent)
+func (r *machineRecorder) countByRecord() map[string]recordCounts {
+	contents := make(map[string]recordCounts)
 	for m := range r.machines.all {
 		if m.recordKey == "" {
 			continue
@@ -177,12 +177,12 @@
 	if r.rewriting {
 		return
 	}
-	worst, of := "", recordContent{}
-	for key, c := range r.contents() {
+	worst, of := "", recordCounts{}
+	for key, c := range r.countByRecord() {
 		if c.terminated == 0 || c.liveBytes > r.maxBytes {
 			continue // written under larger limits, it stays until fewer are left
 		}
-		if worst == "" || c.before(key, of, worst) {
+		if worst == "" || c.compactsBefore(key, of, worst) {
 			worst, of = key, c
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // before tells whether a record is compacted before another.
-func (c recordContent) before(key string, other recordContent, otherKey string) bool {
+func (c recordCounts) compactsBefore(key string, other recordCounts, otherKey string) bool {
 	switch droppable, otherDroppable := c.live == 0, other.live == 0; {
 	case droppable != otherDroppable:
 		return droppable
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -11,32 +11,34 @@
 
 // fakeRecordStore holds calls until the test answers them.
 type fakeRecordStore struct {
-	writes  []string
-	answer  []func(storage.TxnResult)
-	reads   []func(map[string][]string, uint64, bool)
-	delayed []func()
+	writes        []string
+	pendingWrites []func(storage.TxnResult)
+	pendingReads  []func(map[string][]string, uint64, bool)
+	delayedCalls  []func()
 }
 
 func (s *fakeRecordStore) RecordMachines(_ uint64, number int, names []string, done func(string, storage.TxnResult)) {
 	key := fmt.Sprint("record-", number)
 	s.writes = append(s.writes, key+": "+strings.Join(names, " "))
-	s.answer = append(s.answer, func(r storage.TxnResult) { done(key, r) })
+	s.pendingWrites = append(s.pendingWrites, func(r storage.TxnResult) { done(key, r) })
 }
 
 func (s *fakeRecordStore) RewriteMachineRecord(_ uint64, key string, names []string, done func(storage.TxnResult)) {
 	s.writes = append(s.writes, key+": "+strings.Join(names, " "))
-	s.answer = append(s.answer, done)
+	s.pendingWrites = append(s.pendingWrites, done)
 }
 
 func (s *fakeRecordStore) MachineRecords(done func(map[string][]string, uint64, bool)) {
-	s.reads = append(s.reads, done)
+	s.pendingReads = append(s.pendingReads, done)
 }
 
-func (s *fakeRecordStore) After(_ time.Duration, fn func()) { s.delayed = append(s.delayed, fn) }
+func (s *fakeRecordStore) After(_ time.Duration, fn func()) {
+	s.delayedCalls = append(s.delayedCalls, fn)
+}
 
 func (s *fakeRecordStore) complete(outcome storage.Outcome) {
-	done := s.answer[0]
-	s.answer = s.answer[1:]
+	done := s.pendingWrites[0]
+	s.pendingWrites = s.pendingWrites[1:]
 	done(storage.TxnResult{Outcome: outcome})
 }
 
@@ -50,23 +52,23 @@
 func TestMachinesAreRecordedInBatchesThatFitOneRecord(t *testing.T) {
 	r, store := newTestRecorder(2 * (len("vm-1") + nameOverheadBytes))
 	for _, name := range []string{"vm-3", "vm-1", "vm-2"} {
-		r.request(r.machines.add(name))
-		r.request(r.machines.get(name)) // asked for again
+		r.requestRecord(r.machines.add(name))
+		r.requestRecord(r.machines.get(name)) // asked for again
 	}
 	now := time.Minute
-	r.writeDue(now)
-	r.writeDue(now + time.Hour) // one write at a time
+	r.writeIfDue(now)
+	r.writeIfDue(now + time.Hour) // one write at a time
 	want(t, "writes", fmt.Sprint(store.writes), "[record-1: vm-1 vm-3]")
 	store.complete(storage.Applied)
 	want(t, "record of the first", r.machines.get("vm-1").recordKey, "record-1")
-	r.writeDue(now + recordInterval - 1)
+	r.writeIfDue(now + recordInterval - 1)
 	want(t, "writes within the interval", len(store.writes), 1)
-	r.writeDue(now + recordInterval)
+	r.writeIfDue(now + recordInterval)
 	want(t, "last write", store.writes[len(store.writes)-1], "record-2: vm-2")
 	store.complete(storage.Rejected)
 	want(t, "record after a refusal", r.machines.get("vm-2").recordKey, "")
-	r.request(r.machines.get("vm-2"))
-	r.writeDue(now + 2*recordInterval)
+	r.requestRecord(r.machines.get("vm-2"))
+	r.writeIfDue(now + 2*recordInterval)
 	want(t, "it is asked for again", store.writes[len(store.writes)-1], "record-3: vm-2")
 }
 
@@ -74,26 +76,26 @@
 	r, store := newTestRecorder(1000)
 	var loaded []loadedRecords
 	r.load(func(l loadedRecords) { loaded = append(loaded, l) })
-	store.reads[0](nil, 0, false)
+	store.pendingReads[0](nil, 0, false)
 	want(t, "known after a failed read", r.machinesKnown(), false)
-	store.delayed[0]()
-	store.reads[1](map[string][]string{"record-9": {"vm-1", "vm-2"}}, 5, true)
+	store.delayedCalls[0]()
+	store.pendingReads[1](map[string][]string{"record-9": {"vm-1", "vm-2"}}, 5, true)
 	want(t, "known", r.machinesKnown(), true)
-	want(t, "reads", loaded[0].reads, 2)
+	want(t, "reads", loaded[0].attempts, 2)
 	want(t, "machines", len(loaded[0].machines), 2)
-	want(t, "from an earlier leader", r.machines.get("vm-2").fromEarlierLeader, true)
+	want(t, "from an earlier leader", r.machines.get("vm-2").recordedByEarlierLeader, true)
 	want(t, "record", r.machines.get("vm-2").recordKey, "record-9")
 }
 
 func TestStoppedRecorderChangesNothing(t *testing.T) {
 	r, store := newTestRecorder(1000)
 	m := r.machines.add("vm-1")
-	r.request(m)
-	r.writeDue(time.Minute)
+	r.requestRecord(m)
+	r.writeIfDue(time.Minute)
 	r.load(func(loadedRecords) { t.Error("records are loaded after the end") })
 	r.stop()
 	store.complete(storage.Applied)
-	store.reads[0](map[string][]string{"record-9": {"vm-2"}}, 5, true)
+	store.pendingReads[0](map[string][]string{"record-9": {"vm-2"}}, 5, true)
 	want(t, "record", m.recordKey, "")
 	want(t, "machine of an old record", r.machines.get("vm-2") == nil, true)
 	want(t, "known", r.machinesKnown(), false)
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -10,7 +10,7 @@
 	byName      map[string]*machine
 	byIndex     []*machine // nil where an index is free
 	freeIndexes []uint32
-	cursor      int // of the work that goes through all machines in slices
+	sliceCursor int // of the work that goes through all machines in slices
 }
 
 // init prepares an empty table.
@@ -68,11 +68,11 @@
 func (t *machineTable) nextSlice(parts int, yield func(*machine)) {
 	n := len(t.byIndex)
 	for range (n + parts - 1) / parts {
-		t.cursor++
-		if t.cursor >= n {
-			t.cursor = 0
+		t.sliceCursor++
+		if t.sliceCursor >= n {
+			t.sliceCursor = 0
 		}
-		if m := t.byIndex[t.cursor]; m != nil {
+		if m := t.byIndex[t.sliceCursor]; m != nil {
 			yield(m)
 		}
 	}
--- a/internal/coordination/offers.go
+++ b/internal/coordination/offers.go
@@ -163,7 +163,7 @@
 // being replaced: bindings of the old owner that were not sent yet are never sent.
 func (l *leader) withdrawOffers(shard *shardState) {
 	for _, response := range l.pendingResponses {
-		if response.finished {
+		if response.closed {
 			continue
 		}
 		response.dropBindings(shard)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -133,14 +133,14 @@
 	p.stateServiceReachable = false
 	c.election.PeerDisconnected(p.member)
 	if c.leader != nil {
-		c.leader.subscriberDown(p)
+		c.leader.handleSubscriberDown(p)
 	}
 	if c.subscription.leader == p {
 		c.subscription.reset()
 	}
 	c.userAPI.MemberDown(p.member)
-	c.balancer.peerDown(p)
-	c.forwarder.peerDown(p)
+	c.balancer.handlePeerDown(p)
+	c.forwarder.handlePeerDown(p)
 }
 
 // LinkFrame takes one frame of a stream.
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -17,7 +17,7 @@
 	commands        []protocol.Command
 	openOffers      []*offer
 	bindings        []shardBinding
-	finished        bool
+	closed          bool
 }
 
 // shardBinding is a binding and the shard whose owner made it.
@@ -30,11 +30,11 @@
 // member may not act any more.
 func (l *leader) sendResponse(response *pendingResponse) {
 	m := response.machine
-	if m.pending == response {
-		m.pending = nil
+	if m.pendingResponse == response {
+		m.pendingResponse = nil
 	}
 	l.scheduler.offers.closeAll(response)
-	response.finished = true
+	response.closed = true
 	now := l.now()
 	if l.ended || !l.env.authority.MayAct(now) || m.terminated {
 		l.returnBindings(response)
@@ -50,7 +50,7 @@
 			l.addStart(response, job, b.binding, now)
 		}
 	}
-	m.connection = response.connection
+	m.responseConnection = response.connection
 	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.env.authority.MayActUntil())))
 }
 
@@ -59,10 +59,10 @@
 	m := response.machine
 	start := replicaOnMachine{
 		key:   replicaKey{binding.Job, binding.Task, binding.Replica},
-		state: protocol.TaskFetching, job: job, since: now,
+		state: protocol.TaskFetching, job: job, stateSince: now,
 		preemptionExempt: job.unsentOverdueStarts > 0 || (job.priority == protocol.PriorityBestEffort && !job.startSent),
 	}
-	response.commands = append(response.commands, start.command(protocol.CommandStart))
+	response.commands = append(response.commands, start.newCommand(protocol.CommandStart))
 	m.sentStarts = append(m.sentStarts, start)
 	job.unsentOverdueStarts, job.startSent = max(0, job.unsentOverdueStarts-1), true
 	if m.replicasCounted {
@@ -84,21 +84,21 @@
 // abandonResponse ends a response that its machine no longer waits for.
 func (l *leader) abandonResponse(response *pendingResponse) {
 	l.scheduler.offers.closeAll(response)
-	response.finished = true
-	response.machine.pending = nil
+	response.closed = true
+	response.machine.pendingResponse = nil
 	l.returnBindings(response)
 	l.countResponse(responseSuperseded)
 	response.reply(l.env.errorResponse(503, "superseded", 1))
 }
 
-// expireResponses sends the responses that have waited long enough for bindings.
-func (l *leader) expireResponses(now time.Duration) {
+// sendDueResponses sends the responses that have waited long enough for bindings.
+func (l *leader) sendDueResponses(now time.Duration) {
 	kept := l.pendingResponses[:0]
 	for _, response := range l.pendingResponses {
-		if !response.finished && now-response.receivedAt > l.env.tuning.OfferWait {
+		if !response.closed && now-response.receivedAt > l.env.tuning.OfferWait {
 			l.sendResponse(response)
 		}
-		if !response.finished {
+		if !response.closed {
 			kept = append(kept, response)
 		}
 	}
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -196,7 +196,7 @@
 	var idle []*replicaOnMachine
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if replica.sizeKnown() && replica.stopRequested && replica.state != protocol.TaskExited {
+		if replica.requirementsKnown() && replica.stopRequested && replica.state != protocol.TaskExited {
 			free.add(replica.job.spec)
 			continue
 		}
@@ -214,7 +214,7 @@
 // preempted as often as they have tasks and write no checkpoints, since these jobs could
 // otherwise be preempted forever.
 func (p *preemptor) preemptible(m *machine, r *replicaOnMachine, now time.Duration) bool {
-	if r.stopRequested || !r.sizeKnown() || r.job.ended || m.commands[r.key] != nil || r.preemptionExempt {
+	if r.stopRequested || !r.requirementsKnown() || r.job.ended || m.ownerCommands[r.key] != nil || r.preemptionExempt {
 		return false
 	}
 	if r.job.preemptions >= int(r.job.spec.Tasks) && r.job.spec.CheckpointIntervalS <= 0 {
@@ -227,10 +227,10 @@
 // nearlyFinishedWindow. A task that is overdue by half of that window or more does not
 // count, since it may run for long.
 func (p *preemptor) endsSoon(r *replicaOnMachine, now time.Duration) bool {
-	if r.state != protocol.TaskRunning || !r.sizeKnown() {
+	if r.state != protocol.TaskRunning || !r.requirementsKnown() {
 		return false
 	}
-	left := p.runTime(r.job.spec) - (now - r.since)
+	left := p.runTime(r.job.spec) - (now - r.stateSince)
 	return left < nearlyFinishedWindow && left > -nearlyFinishedWindow/2
 }
 
@@ -241,7 +241,7 @@
 	if r.state == protocol.TaskFetching && m.fetchesImageForAnother(r) {
 		return 0
 	}
-	lost := now - r.since
+	lost := now - r.stateSince
 	if r.job.spec.CheckpointIntervalS <= 0 {
 		return lost
 	}
@@ -253,7 +253,7 @@
 func (m *machine) fetchesImageForAnother(r *replicaOnMachine) bool {
 	for i := range m.tasks {
 		other := &m.tasks[i]
-		if other != r && other.state == protocol.TaskFetching && !other.stopRequested && other.sizeKnown() && other.job.image == r.job.image {
+		if other != r && other.state == protocol.TaskFetching && !other.stopRequested && other.requirementsKnown() && other.job.image == r.job.image {
 			return true
 		}
 	}
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -18,7 +18,7 @@
 	for i, ran := range ranFor {
 		job := testJob(&meshpb.JobSummary{Cpus: 2, Tasks: 10, Priority: uint32(priority)})
 		job.team = &teamUsage{cfg: &settings.Team{}}
-		m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, since: now - ran, job: job})
+		m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, stateSince: now - ran, job: job})
 	}
 	return p, m
 }
@@ -70,7 +70,7 @@
 			r.job.preemptions, r.job.spec.CheckpointIntervalS = 10, 30
 		}, true},
 		{"one with a command", func(_ *preemptor, m *machine, r *replicaOnMachine) {
-			m.commands = map[replicaKey]*meshpb.MachineCommand{r.key: {}}
+			m.ownerCommands = map[replicaKey]*meshpb.MachineCommand{r.key: {}}
 		}, false},
 		{"one that is writing its checkpoint", func(_ *preemptor, _ *machine, r *replicaOnMachine) { r.state = protocol.TaskCheckpointing }, false},
 		{"one that is nearly finished", func(p *preemptor, _ *machine, _ *replicaOnMachine) {
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -16,7 +16,7 @@
 	provenByHeartbeat                    // it has sent a heartbeat since the shard was registered
 	provenByPublishedStatus              // the owner was told its last status, and it was sent nothing of the shard since
 	provenEmpty                          // no earlier leader can have given it tasks
-	machineProofs
+	machineProofCount
 )
 
 // String names a proof as logs do.
@@ -37,7 +37,7 @@
 }
 
 // proofCounts is how many machines there are by their proof.
-type proofCounts [machineProofs]int
+type proofCounts [machineProofCount]int
 
 // reconciliation is the decision that a shard is reconciled.
 type reconciliation struct {
@@ -45,23 +45,23 @@
 	// full: no machine holds any replica of the shard that its owner does not know
 	// of. Otherwise no replica of its recovered tasks can be left that the owner was
 	// not told of, and proofs tells why.
-	full   bool
-	proofs proofCounts
+	noUnknownReplicas bool
+	proofs            proofCounts
 }
 
 // reconciler decides when a shard's owner knows all replicas that can be left of its
 // recovered tasks, by the proofs of all machines. It owns shardState.reconciled and
-// fullyReconciled, and only reads machines.
+// noUnknownReplicas, and only reads machines.
 type reconciler struct {
 	leases   machineLeases
 	machines *machineTable
 	// escrow: owners have to know when no unknown replica is left, as these count
 	// against what their teams may use.
-	escrow bool
+	quotaEscrow bool
 }
 
 // decide returns the shards that have just become reconciled, each of them once.
-func (r *reconciler) decide(shards *shardRegistry, known recoveryProgress, now time.Duration) []reconciliation {
+func (r *reconciler) updateReconciled(shards *shardRegistry, known recoveryProgress, now time.Duration) []reconciliation {
 	var decisions []reconciliation
 	for _, shard := range shards.byName {
 		switch {
@@ -71,9 +71,9 @@
 				shard.reconciled = true
 				decisions = append(decisions, reconciliation{shard: shard, proofs: proofs})
 			}
-		case r.escrow && !shard.fullyReconciled && !r.anyUnknownReplica(shard, now):
-			shard.fullyReconciled = true
-			decisions = append(decisions, reconciliation{shard: shard, full: true})
+		case r.quotaEscrow && !shard.noUnknownReplicas && !r.anyUnknownReplica(shard, now):
+			shard.noUnknownReplicas = true
+			decisions = append(decisions, reconciliation{shard: shard, noUnknownReplicas: true})
 		}
 	}
 	return decisions
@@ -108,7 +108,7 @@
 		return provenLeaseExpired
 	case m.lastCurrentHeartbeat > shard.registeredAt:
 		return provenByHeartbeat
-	case m.lastCurrentHeartbeat == 0 && known.machinesKnown && !m.fromEarlierLeader:
+	case m.lastCurrentHeartbeat == 0 && known.machinesKnown && !m.recordedByEarlierLeader:
 		return provenEmpty
 	case m.lastCurrentHeartbeat == 0 || m.hasUnacknowledgedStartOf(shard):
 		return notProven
@@ -135,16 +135,16 @@
 		if m.terminated || r.leases.expired(m, now) {
 			continue
 		}
-		if holdsEndedReplica(m.tasks, shard) || holdsEndedReplica(m.sentStarts, shard) {
+		if holdsUnknownReplica(m.tasks, shard) || holdsUnknownReplica(m.sentStarts, shard) {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsEndedReplica tells whether a list has live replicas of unknown jobs, or of
+// holdsUnknownReplica tells whether a list has live replicas of unknown jobs, or of
 // jobs of a shard that have ended.
-func holdsEndedReplica(list []replicaOnMachine, shard *shardState) bool {
+func holdsUnknownReplica(list []replicaOnMachine, shard *shardState) bool {
 	for i := range list {
 		replica := &list[i]
 		if replica.state != protocol.TaskExited && (replica.job == nil || (replica.job.ended && replica.job.shard == shard)) {
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -10,7 +10,7 @@
 const testLeaseTimeout = time.Minute
 
 func newTestReconciler(machines *machineTable) *reconciler {
-	return &reconciler{leases: machineLeases{electedAt: 100 * time.Second, timeout: testLeaseTimeout}, machines: machines, escrow: true}
+	return &reconciler{leases: machineLeases{electedAt: 100 * time.Second, timeout: testLeaseTimeout}, machines: machines, quotaEscrow: true}
 }
 
 func TestMachineProofs(t *testing.T) {
@@ -25,12 +25,12 @@
 		known   recoveryProgress
 		want    machineProof
 	}{
-		{"terminated", machine{terminated: true, fromEarlierLeader: true}, recoveryProgress{}, provenTerminated},
+		{"terminated", machine{terminated: true, recordedByEarlierLeader: true}, recoveryProgress{}, provenTerminated},
 		{"heartbeat since the registration", machine{lastHeartbeat: 111 * time.Second, lastCurrentHeartbeat: 111 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, provenByHeartbeat},
 		{"status told at the registration", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second}, recoveryProgress{}, provenByPublishedStatus},
 		{"start of the shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, notProven},
 		{"start of another shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(other)}, recoveryProgress{}, provenByPublishedStatus},
-		{"heartbeat without the fencing token", machine{lastHeartbeat: 111 * time.Second, fromEarlierLeader: true}, recoveryProgress{machinesKnown: true}, notProven},
+		{"heartbeat without the fencing token", machine{lastHeartbeat: 111 * time.Second, recordedByEarlierLeader: true}, recoveryProgress{machinesKnown: true}, notProven},
 		{"first named by this leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{machinesKnown: true}, provenEmpty},
 		{"perhaps named by an earlier leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{}, notProven},
 	} {
@@ -52,23 +52,23 @@
 	shard := shards.add("a")
 	r := newTestReconciler(&machines)
 	m := machines.add("vm-1")
-	m.lastHeartbeat, m.fromEarlierLeader = 105*time.Second, true
+	m.lastHeartbeat, m.recordedByEarlierLeader = 105*time.Second, true
 	now := 120 * time.Second
-	want(t, "without an owner", len(r.decide(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "without an owner", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	shards.setOwner(shard, &peer{member: "a"})
 	shard.registeredAt = 110 * time.Second
-	want(t, "with a machine of an earlier leader", len(r.decide(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "with a machine of an earlier leader", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.lastHeartbeat, m.lastCurrentHeartbeat = now, now
 	m.tasks = []replicaOnMachine{{state: protocol.TaskRunning}} // of a job that nobody knows
-	want(t, "while machines may be unknown", len(r.decide(&shards, recoveryProgress{}, now)), 0)
-	decisions := r.decide(&shards, recoveryProgress{machinesKnown: true}, now)
+	want(t, "while machines may be unknown", len(r.updateReconciled(&shards, recoveryProgress{}, now)), 0)
+	decisions := r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
 	want(t, "decisions", len(decisions), 1)
-	want(t, "full", decisions[0].full, false)
+	want(t, "full", decisions[0].noUnknownReplicas, false)
 	want(t, "machines by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
-	want(t, "with an unknown replica", len(r.decide(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "with an unknown replica", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.tasks[0].state = protocol.TaskExited
-	decisions = r.decide(&shards, recoveryProgress{machinesKnown: true}, now)
+	decisions = r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
 	want(t, "decisions once it has ended", len(decisions), 1)
-	want(t, "full now", decisions[0].full, true)
-	want(t, "decisions after that", len(r.decide(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "full now", decisions[0].noUnknownReplicas, true)
+	want(t, "decisions after that", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 }
--- a/internal/coordination/reservations.go
+++ b/internal/coordination/reservations.go
@@ -72,7 +72,7 @@
 	}
 	live := make([]*replicaOnMachine, 0, len(m.tasks))
 	for i := range m.tasks {
-		if replica := &m.tasks[i]; replica.state != protocol.TaskExited && replica.sizeKnown() {
+		if replica := &m.tasks[i]; replica.state != protocol.TaskExited && replica.requirementsKnown() {
 			live = append(live, replica)
 		}
 	}
@@ -90,7 +90,7 @@
 func (r *reservations) remainingRunTime(replica *replicaOnMachine, now time.Duration) time.Duration {
 	left := r.runTime(replica.job.spec)
 	if replica.state == protocol.TaskRunning {
-		left -= now - replica.since
+		left -= now - replica.stateSince
 	}
 	return max(left, time.Second)
 }
--- a/internal/coordination/response_events.go
+++ b/internal/coordination/response_events.go
@@ -12,8 +12,8 @@
 	responseSuperseded                             // the machine has sent another heartbeat meanwhile
 	responseNotAuthorized                          // this member may not act at present
 	startNotSent                                   // a start was bound, and returned to its owner
-	startPresumed                                  // offers were made though only the heartbeat's time shows that responses arrive
-	responseEvents
+	startDeliveryPresumed                          // offers were made though only the heartbeat's time shows that responses arrive
+	responseEventCount
 )
 
 // String names an event as logs do.
@@ -29,16 +29,16 @@
 		return "not_authorized"
 	case startNotSent:
 		return "starts_not_sent"
-	case startPresumed:
+	case startDeliveryPresumed:
 		return "starts_presumed"
 	}
 	return "unknown"
 }
 
-// newResponseCounter returns a counter of responseEvents.
-func newResponseCounter() eventcount.Counter {
+// newResponseEventCounter returns a counter of responseEventCount.
+func newResponseEventCounter() eventcount.Counter {
 	var keys []string
-	for e := range responseEvents {
+	for e := range responseEventCount {
 		keys = append(keys, e.String())
 	}
 	return eventcount.New("heartbeat responses refused or in doubt", keys...)
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -38,7 +38,7 @@
 		if !m.terminating && a.shouldRelease(m, in) {
 			m.terminating = true
 		}
-		if m.terminating && !m.terminateInFlight && m.pending == nil {
+		if m.terminating && !m.terminateInFlight && m.pendingResponse == nil {
 			names = append(names, m.name)
 		}
 	}
@@ -85,7 +85,7 @@
 // machines that had sent none by then were taken for failed boots, and released
 // with their tasks.
 func (a *autoscaler) firstHeartbeatsTime() time.Duration {
-	return max(bootTimeoutGrace, seconds(heartbeatJitter*a.settings.Workers.HeartbeatIntervalS)+leaderSearchTime)
+	return max(bootTimeoutGrace, seconds(heartbeatJitterFactor*a.settings.Workers.HeartbeatIntervalS)+leaderSearchTime)
 }
 
 // runsEndedJob tells whether a machine still runs a task of a job that ended long
@@ -162,7 +162,7 @@
 		idleLimit /= ordinaryIdleDivisor
 	}
 	switch {
-	case m.needed || m.inWarmPool:
+	case m.neededByPendingTasks || m.inWarmPool:
 		return false
 	case in.now-m.idleSince <= idleLimit || in.now-m.createdAt <= minChargedTime:
 		return false
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -63,7 +63,7 @@
 // are preempted or, if the machine is being drained, those that have to leave it.
 func (s *scheduler) stopTasks(m *machine, response *pendingResponse, now time.Duration) {
 	if !s.schedulable(m, now) {
-		response.addStopCommands(m, s.drainer.victims(m, now))
+		response.addStopCommands(m, s.drainer.selectVictims(m, now))
 		return
 	}
 	if s.preemptor.shortageDue(now) {
@@ -81,8 +81,8 @@
 		if replica.job.spec.CheckpointIntervalS > 0 {
 			graceS = replica.job.spec.CheckpointDurationS + checkpointMarginS
 		}
-		m.setCommand(&meshpb.MachineCommand{MachineIndex: m.index, Job: key.job, Task: key.task, Replica: key.replica, GraceS: graceS})
-		stop := replica.command(protocol.CommandStop)
+		m.setOwnerCommand(&meshpb.MachineCommand{MachineIndex: m.index, Job: key.job, Task: key.task, Replica: key.replica, GraceS: graceS})
+		stop := replica.newCommand(protocol.CommandStop)
 		stop.GraceS = &graceS
 		r.commands = append(r.commands, stop)
 	}
@@ -99,9 +99,9 @@
 	if queue == nil || !queue.mayFit(m.free) {
 		return
 	}
-	m.offeringFor = response
+	m.offeringResponse = response
 	s.offerFreeResources(m, queue, response, now)
-	m.offeringFor = nil
+	m.offeringResponse = nil
 	s.offers.send(response)
 }
 
--- a/internal/coordination/service_spread.go
+++ b/internal/coordination/service_spread.go
@@ -102,10 +102,10 @@
 			}
 		}
 	}
-	if m.offeringFor == nil {
+	if m.offeringResponse == nil {
 		return n
 	}
-	for _, o := range m.offeringFor.openOffers {
+	for _, o := range m.offeringResponse.openOffers {
 		for _, item := range o.items {
 			if item.job == job {
 				n += item.count
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -6,9 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// onRegisterShard takes an owner's shard with all its unfinished jobs, which may
+// handleRegisterShard takes an owner's shard with all its unfinished jobs, which may
 // come in several frames.
-func (l *leader) onRegisterShard(p *peer, request *meshpb.RegisterShard) {
+func (l *leader) handleRegisterShard(p *peer, request *meshpb.RegisterShard) {
 	if request.FencingToken != l.fencingToken {
 		return
 	}
@@ -19,19 +19,19 @@
 	if request.Version < shard.version {
 		return
 	}
-	shard.collect(request.Jobs)
+	shard.addRegistrationJobs(request.Jobs)
 	if !request.More {
 		l.registerShard(p, shard, request.Version)
 	}
 }
 
 // collect keeps the jobs of a registration until it is whole.
-func (s *shardState) collect(jobs []*meshpb.JobSummary) {
-	if s.arrivingJobs == nil {
-		s.arrivingJobs = make(map[string]*meshpb.JobSummary)
+func (s *shardState) addRegistrationJobs(jobs []*meshpb.JobSummary) {
+	if s.registrationJobs == nil {
+		s.registrationJobs = make(map[string]*meshpb.JobSummary)
 	}
 	for _, summary := range jobs {
-		s.arrivingJobs[summary.Job] = summary
+		s.registrationJobs[summary.Job] = summary
 	}
 }
 
@@ -43,12 +43,12 @@
 	l.jobs.endOmittedJobs(shard, now)
 	l.setShardOwner(shard, p)
 	shard.version, shard.registeredAt = version, now
-	shard.reconciled, shard.fullyReconciled = false, false
+	shard.reconciled, shard.noUnknownReplicas = false, false
 	l.shards.setJobsKnown(shard)
-	for _, summary := range shard.arrivingJobs {
+	for _, summary := range shard.registrationJobs {
 		l.jobs.apply(shard, summary, now)
 	}
-	shard.arrivingJobs = nil
+	shard.registrationJobs = nil
 	l.scheduler.queue.markDirty()
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
 		Shard: shard.name, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
@@ -65,8 +65,8 @@
 	l.publisher.setCompleteFor(l.shards.numbersOwnedBy)
 }
 
-// subscriberDown forgets a member whose stream has ended.
-func (l *leader) subscriberDown(p *peer) {
+// handleSubscriberDown forgets a member whose stream has ended.
+func (l *leader) handleSubscriberDown(p *peer) {
 	l.publisher.unsubscribe(p)
 	l.unregisterShards(p)
 }
@@ -80,7 +80,7 @@
 		}
 		l.withdrawOffers(shard)
 		l.setShardOwner(shard, nil)
-		shard.arrivingJobs = nil
+		shard.registrationJobs = nil
 		for _, job := range shard.jobs {
 			job.placed += job.pending
 			job.pending = 0
@@ -91,13 +91,13 @@
 
 // reconcileShards tells owners that their shards are reconciled.
 func (l *leader) reconcileShards(now time.Duration) {
-	for _, decision := range l.reconciler.decide(&l.shards, l.knowledge(), now) {
+	for _, decision := range l.reconciler.updateReconciled(&l.shards, l.knowledge(), now) {
 		shard := decision.shard
-		if !decision.full {
+		if !decision.noUnknownReplicas {
 			l.logReconciled(decision, now)
 		}
 		shard.owner.send(&meshpb.Frame{Body: &meshpb.Frame_Reconciled{Reconciled: &meshpb.Reconciled{
-			Shard: shard.name, FencingToken: l.fencingToken, NoUnknownReplicas: decision.full}}})
+			Shard: shard.name, FencingToken: l.fencingToken, NoUnknownReplicas: decision.noUnknownReplicas}}})
 	}
 }
 
@@ -106,7 +106,7 @@
 func (l *leader) logReconciled(decision reconciliation, now time.Duration) {
 	shard := decision.shard
 	line := l.env.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
-	for proof := notProven + 1; proof < machineProofs; proof++ {
+	for proof := notProven + 1; proof < machineProofCount; proof++ {
 		line.Int(proof.String(), decision.proofs[proof])
 	}
 	line.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
--- a/internal/coordination/shard_registry.go
+++ b/internal/coordination/shard_registry.go
@@ -9,24 +9,24 @@
 
 // shardState is what the leader knows of a shard, and the member that owns it now.
 type shardState struct {
-	name            string
-	number          uint32 // in the statuses that are published, from 1
-	owner           *peer  // nil while nobody has registered it; see shardRegistry.setOwner
-	link            Link
-	version         uint64
-	registeredAt    time.Duration
-	reconciled      bool // its owner was told of all replicas that may be left of it
-	fullyReconciled bool // and that no machine holds any that it does not know of
-	jobsKnown       bool // its unfinished jobs are known, from its owner or by reading
-	readAttempts    int  // how often they were asked for
-	jobs            map[string]*trackedJob
-	arrivingJobs    map[string]*meshpb.JobSummary
+	name              string
+	number            uint32 // in the statuses that are published, from 1
+	owner             *peer  // nil while nobody has registered it; see shardRegistry.setOwner
+	link              Link
+	version           uint64
+	registeredAt      time.Duration
+	reconciled        bool // its owner was told of all replicas that may be left of it
+	noUnknownReplicas bool // and that no machine holds any that it does not know of
+	jobsKnown         bool // its unfinished jobs are known, from its owner or by reading
+	readAttempts      int  // how often they were asked for
+	jobs              map[string]*trackedJob
+	registrationJobs  map[string]*meshpb.JobSummary
 }
 
 // shardRegistry owns the leader's shards: which there are, and who owns them.
 type shardRegistry struct {
-	byName      map[string]*shardState
-	unknownJobs int // shards whose unfinished jobs are not known
+	byName                map[string]*shardState
+	shardsWithUnknownJobs int // shards whose unfinished jobs are not known
 }
 
 // newShardRegistry returns a registry without shards.
@@ -41,7 +41,7 @@
 func (r *shardRegistry) add(name string) *shardState {
 	shard := &shardState{name: name, number: uint32(len(r.byName) + 1), jobs: make(map[string]*trackedJob)}
 	r.byName[name] = shard
-	r.unknownJobs++
+	r.shardsWithUnknownJobs++
 	return shard
 }
 
@@ -57,12 +57,12 @@
 func (r *shardRegistry) setJobsKnown(shard *shardState) {
 	if !shard.jobsKnown {
 		shard.jobsKnown = true
-		r.unknownJobs--
+		r.shardsWithUnknownJobs--
 	}
 }
 
 // allJobsKnown tells whether the unfinished jobs of every shard are known.
-func (r *shardRegistry) allJobsKnown() bool { return r.unknownJobs == 0 }
+func (r *shardRegistry) allJobsKnown() bool { return r.shardsWithUnknownJobs == 0 }
 
 // allRegistered tells whether every shard has an owner.
 func (r *shardRegistry) allRegistered() bool {
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -129,7 +129,7 @@
 	free := math.Max(0, m.free.cpus)
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if replica.state != protocol.TaskExited && replica.sizeKnown() && (replica.stopRequested || p.endsSoon(replica, now)) {
+		if replica.state != protocol.TaskExited && replica.requirementsKnown() && (replica.stopRequested || p.endsSoon(replica, now)) {
 			free += replica.job.spec.Cpus
 		}
 	}
@@ -215,7 +215,7 @@
 	s.guaranteeCPUs -= math.Max(0, m.free.cpus)
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if replica.state == protocol.TaskExited || !replica.sizeKnown() {
+		if replica.state == protocol.TaskExited || !replica.requirementsKnown() {
 			continue
 		}
 		if replica.stopRequested && replica.job.team != nil {
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -25,7 +25,7 @@
 		}
 		var kept []*meshpb.TaskStatus
 		for _, t := range r.Tasks {
-			if p := m.reportedTask(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == from.peers[to] {
+			if p := m.listedReplica(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == from.peers[to] {
 				kept = append(kept, t)
 			}
 		}
@@ -34,8 +34,8 @@
 	return f
 }
 
-// reportedTask finds a task in what a machine last listed.
-func (m *machine) reportedTask(t *meshpb.TaskStatus) *replicaOnMachine {
+// listedReplica finds a task in what a machine last listed.
+func (m *machine) listedReplica(t *meshpb.TaskStatus) *replicaOnMachine {
 	for i := range m.tasks {
 		if p := &m.tasks[i]; p.key == (replicaKey{t.Job, t.Task, t.Replica}) {
 			return p
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -37,7 +37,7 @@
 		if t == nil || m.terminated || m.terminating || m.quarantined {
 			continue
 		}
-		m.needed = false
+		m.neededByPendingTasks = false
 		if found := a.supplyOf(m, t, in); found.free.cpus > 0 && found.free.cpus >= smallest {
 			added := found // so that only what is added is allocated
 			s.add(m.machineKind, &added)
@@ -141,7 +141,7 @@
 		s.free.subtract(job.spec)
 		taken++
 		if s.machine != nil {
-			s.machine.needed = true
+			s.machine.neededByPendingTasks = true
 		}
 	}
 	return taken
@@ -165,10 +165,10 @@
 	boot := seconds(t.BootS)
 	for i := range m.tasks {
 		replica := &m.tasks[i]
-		if replica.state != protocol.TaskRunning || !replica.sizeKnown() {
+		if replica.state != protocol.TaskRunning || !replica.requirementsKnown() {
 			continue
 		}
-		if left := a.runTime(replica.job.spec) - (now - replica.since); left < boot && left > -boot {
+		if left := a.runTime(replica.job.spec) - (now - replica.stateSince); left < boot && left > -boot {
 			free.add(replica.job.spec)
 		}
 	}
--- a/internal/coordination/supply_test.go
+++ b/internal/coordination/supply_test.go
@@ -37,7 +37,7 @@
 				job.priority = protocol.PriorityUrgent
 			}
 			want(t, "without room", a.takeSupply(job, test.tasks, s, 0), test.want)
-			want(t, "the machine is needed", m.needed, test.needed)
+			want(t, "the machine is needed", m.neededByPendingTasks, test.needed)
 		})
 	}
 }
--- a/internal/coordination/team_usage_test.go
+++ b/internal/coordination/team_usage_test.go
@@ -60,7 +60,7 @@
 func TestUnreconciledUseEndsWithTheLease(t *testing.T) {
 	u, job := newTestUsage()
 	catalog := map[string]*protocol.MachineType{"m8": {Name: "m8", CPUs: 8}, "m16": {Name: "m16", CPUs: 16}}
-	m := &machine{fromEarlierLeader: true, lastHeartbeat: time.Second}
+	m := &machine{recordedByEarlierLeader: true, lastHeartbeat: time.Second}
 	u.updateUnreconciled(m, catalog, 2*time.Second)
 	want(t, "of an unknown type", u.unreconciled.cpus, 16)
 	m.typeName = "m8"
