--- a/internal/coordination/deliveries_test.go
+++ b/internal/coordination/deliveries_test.go
@@ -16,9 +16,9 @@
 	}{
 		{"fencing token for the first time", machine{}, 0, time.Second, deliveryProven},
 		{"same connection", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection, time.Second, deliveryProven},
-		{"connections not known", machine{lastCurrentHeartbeat: 1}, 0, time.Second, deliveryUnknown},
-		{"another connection, soon", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay, deliveryUnknown},
-		{"another connection, later", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay + 1, deliveryPresumed},
+		{"unknown connections", machine{lastCurrentHeartbeat: 1}, 0, time.Second, deliveryUnknown},
+		{"another connection, within the retry delay", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay, deliveryUnknown},
+		{"another connection, after the retry delay", machine{lastCurrentHeartbeat: 1, responseConnection: connection}, connection + 1, maxRetryDelay + 1, deliveryPresumed},
 		{"presumed before", machine{lastCurrentHeartbeat: 1, responseConnection: connection, reachabilityPresumed: true}, connection + 1, maxRetryDelay + 1, deliveryUnknown},
 		{"presumed before, then proven", machine{lastCurrentHeartbeat: 1, responseConnection: connection, reachabilityPresumed: true}, connection, time.Second, deliveryProven},
 	} {
@@ -27,8 +27,8 @@
 			var d deliveryTracker
 			m := c.machine
 			want(t, "delivery", d.observeHeartbeat(&m, c.connection, c.gap, now), c.want)
-			want(t, "reachable now", m.lastReachable == now, c.want != deliveryUnknown)
-			want(t, "proof now", d.sinceLastProof(now) == 0, c.want == deliveryProven)
+			want(t, "last reachable now", m.lastReachable == now, c.want != deliveryUnknown)
+			want(t, "last proof now", d.sinceLastProof(now) == 0, c.want == deliveryProven)
 		})
 	}
 }
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// forcedStopLead is how long before the end of a machine replicas of services
-	// are stopped whether or not there is room for them elsewhere.
+	// forcedStopLead is the time before a machine is reclaimed at which replicas of services
+	// are stopped even if no other machine has room for them.
 	forcedStopLead = 4 * time.Second
-	// reclaimMargin is how long before the end of a machine a task should end that
-	// is left to run.
+	// reclaimMargin is the time before a machine is reclaimed by which a task must be
+	// expected to end, or else it is stopped.
 	reclaimMargin = time.Second
 )
 
-// drainer chooses the tasks to stop on machines that the cloud reclaims soon or
-// that are quarantined. A task that is stopped may start elsewhere as soon as the
-// machine confirms it, and not only after the machine's lease.
+// drainer selects the tasks to stop on machines that the cloud reclaims soon or that are
+// quarantined. A stopped task may start elsewhere as soon as the machine confirms the stop,
+// instead of after the machine's lease has expired.
 //
-// Of state it owns the mark stopRequested of the tasks that it chooses.
+// It sets stopRequested on the tasks that it selects, and owns no other state.
 type drainer struct {
 	warmPool *warmPool
 	runTime  func(*meshpb.JobSummary) time.Duration
 }
 
-// victims chooses the tasks to stop on a machine, and marks them so.
+// selectVictims selects the tasks to stop on a machine and sets stopRequested on them.
 func (d *drainer) selectVictims(m *machine, now time.Duration) []*replicaOnMachine {
 	if m.reclaimAt == 0 && !m.quarantined {
 		return nil
@@ -46,18 +46,19 @@
 	return victims
 }
 
-// endsBeforeReclaim tells whether a task should end before its machine does.
+// endsBeforeReclaim reports whether a task is expected to end at least reclaimMargin before its
+// machine is reclaimed.
 func (d *drainer) endsBeforeReclaim(m *machine, r *replicaOnMachine, now time.Duration) bool {
-	left := d.runTime(r.job.spec)
+	remaining := d.runTime(r.job.spec)
 	if r.state == protocol.TaskRunning {
-		left -= now - r.stateSince
+		remaining -= now - r.stateSince
 	}
-	return m.reclaimAt > 0 && now+max(left, 0) < m.reclaimAt-reclaimMargin
+	return m.reclaimAt > 0 && now+max(remaining, 0) < m.reclaimAt-reclaimMargin
 }
 
-// shouldStay tells whether a service's replica is not to be stopped yet: replicas
-// move once there is room elsewhere, and one after another, unless the end of the
-// machine is near.
+// shouldStay reports whether a service's replica is not to be stopped yet: replicas move one
+// at a time, once another machine has room, unless the machine is reclaimed within
+// forcedStopLead.
 func (d *drainer) shouldStay(m *machine, r *replicaOnMachine, now time.Duration) bool {
 	if !r.job.spec.Service || (m.reclaimAt > 0 && now >= m.reclaimAt-forcedStopLead) {
 		return false
@@ -65,9 +66,9 @@
 	return r.job.pending > 0 || m.isStoppingTaskOf(r.job) || !d.warmPool.hasRoomElsewhere(r.job, m, now)
 }
 
-// isStoppingTaskOf tells whether a machine still reports a task of a job that was
-// told to stop: one that has exited is reported until its owner knows, and has it
-// started elsewhere.
+// isStoppingTaskOf reports whether a machine still lists a task of a job that was told to stop.
+// A machine lists an exited task until the owner knows of the exit and has the task started
+// elsewhere.
 func (m *machine) isStoppingTaskOf(job *trackedJob) bool {
 	for i := range m.tasks {
 		if replica := &m.tasks[i]; replica.job == job && replica.stopRequested {
--- a/internal/coordination/draining_test.go
+++ b/internal/coordination/draining_test.go
@@ -8,9 +8,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// On a machine that is to go, tasks are stopped that don't end before it does;
-// replicas of services once there is room elsewhere, one after another, or when
-// the end is near.
+// On a machine that is to be reclaimed, tasks that would not end in time are stopped.
+// Replicas of services are stopped one at a time once another machine has room, or all of
+// them when the reclaim is near.
 func TestDrainerVictims(t *testing.T) {
 	const now, run = time.Hour, time.Minute
 	for _, test := range []struct {
@@ -18,14 +18,14 @@
 		service   bool
 		spare     bool // another machine has room
 		reclaimIn time.Duration
-		want      int // of two tasks of one job
+		want      int // victims among two tasks of one job
 	}{
 		{"no notice", false, false, 0, 0},
 		{"tasks end in time", false, false, run + 2*time.Second, 0},
 		{"tasks don't end in time", false, false, run / 2, 2},
 		{"replicas without room elsewhere", true, false, run / 2, 0},
 		{"replicas move one after another", true, true, run / 2, 1},
-		{"the end is near", true, false, forcedStopLead, 2},
+		{"the reclaim is near", true, false, forcedStopLead, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			pool := &warmPool{counts: &fleetCounts{}, schedulable: func(*machine, time.Duration) bool { return true }}
@@ -46,7 +46,7 @@
 			for _, victim := range victims {
 				want(t, "stop requested", victim.stopRequested, true)
 			}
-			want(t, "chosen again", len(d.selectVictims(m, now)), 0)
+			want(t, "victims selected again", len(d.selectVictims(m, now)), 0)
 		})
 	}
 }
--- a/internal/coordination/heartbeat_balancing.go
+++ b/internal/coordination/heartbeat_balancing.go
@@ -5,28 +5,37 @@
 )
 
 const (
-	leaderCostFactor     = 2.0              // what a heartbeat costs the leader, in heartbeats of a member that forwards
-	imbalanceFactor      = 1.5              // times another's load, from which on workers are sent there
-	minLoadToRedirect    = 20.0             // heartbeats a second that nobody minds
-	redirectedLoadShare  = 0.1              // of the difference, each second
-	initialRedirectDelay = time.Second      // until another worker is sent to a member that takes no heartbeats
-	maxRedirectDelay     = 30 * time.Second // it doubles up to this
+	// leaderCostFactor is the cost of a heartbeat to the leader, in heartbeats that a member
+	// forwards.
+	leaderCostFactor = 2.0
+	// imbalanceFactor is the ratio of this member's load to a peer's above which machines are
+	// redirected there.
+	imbalanceFactor = 1.5
+	// minLoadToRedirect is the load, in heartbeats a second, up to which no machines are
+	// redirected.
+	minLoadToRedirect = 20.0
+	// redirectedLoadShare is the share of the difference in load that is redirected each second.
+	redirectedLoadShare = 0.1
+	// initialRedirectDelay is the time between the first two machines that are redirected to a
+	// peer that receives no heartbeats. It doubles with each one, up to maxRedirectDelay.
+	initialRedirectDelay = time.Second
+	maxRedirectDelay     = 30 * time.Second
 )
 
-// heartbeatBalancer shares workers out among the members by the heartbeats that each
-// takes; see "Who takes heartbeats" in docs/design.md.
+// heartbeatBalancer spreads machines over the members by redirecting some from this member
+// to a peer with a much lower heartbeat load; see "Who takes heartbeats" in docs/design.md.
 type heartbeatBalancer struct {
-	receivedHeartbeats int // since the last heartbeat to the peers
-	receiveRate        float64
+	receivedHeartbeats int     // since the last rebalance
+	receiveRate        float64 // heartbeats a second, exponentially smoothed
 	rebalancedAt       time.Duration
-	redirectBudget     float64 // workers that may be sent elsewhere by now
-	redirectPeer       *peer   // the member that they are sent to
-	peerLoad           map[*peer]float64
+	redirectBudget     float64           // machines that may still be redirected until the next rebalance
+	redirectPeer       *peer             // that they are redirected to; nil: none
+	peerLoad           map[*peer]float64 // as the peers reported it
 	redirectBackoffs   map[*peer]*redirectBackoff
 }
 
-// redirectBackoff is when a worker may next be sent to a member that takes no heartbeats:
-// workers may be cut off from it while other members are not.
+// redirectBackoff limits how often a machine is redirected to a peer that receives no
+// heartbeats: machines may be cut off from a peer that other members can reach.
 type redirectBackoff struct {
 	delay, nextAttempt time.Duration
 }
@@ -35,10 +44,10 @@
 	return heartbeatBalancer{rebalancedAt: now, peerLoad: make(map[*peer]float64), redirectBackoffs: make(map[*peer]*redirectBackoff)}
 }
 
-// observeLoad takes what another member says that its heartbeats cost it.
+// observeLoad records the load that a peer reported.
 func (b *heartbeatBalancer) observeLoad(p *peer, load float64) { b.peerLoad[p] = load }
 
-// handlePeerDown forgets a member whose stream has ended.
+// handlePeerDown removes a peer whose stream has ended.
 func (b *heartbeatBalancer) handlePeerDown(p *peer) {
 	delete(b.peerLoad, p)
 	delete(b.redirectBackoffs, p)
@@ -47,7 +56,7 @@
 	}
 }
 
-// load is what taking heartbeats costs this member at present.
+// load returns the cost of this member's heartbeats, in forwarded heartbeats a second.
 func (b *heartbeatBalancer) load(leads bool) float64 {
 	if leads {
 		return b.receiveRate * leaderCostFactor
@@ -55,23 +64,24 @@
 	return b.receiveRate
 }
 
-// rebalance counts the heartbeats taken, with each sent to the peers, and finds out whether
-// another member has far fewer.
+// rebalance updates the rate of received heartbeats, selects the peer to redirect machines to
+// and sets the budget of redirects. It is called with each heartbeat to the peers, every
+// peerHeartbeatInterval.
 func (b *heartbeatBalancer) rebalance(now time.Duration, leads bool) {
 	span := (now - b.rebalancedAt).Seconds()
 	if span <= 0 {
 		return
 	}
-	const smooth = 0.3
-	b.receiveRate += smooth * (float64(b.receivedHeartbeats)/span - b.receiveRate)
+	const smoothing = 0.3 // weight of the newest interval
+	b.receiveRate += smoothing * (float64(b.receivedHeartbeats)/span - b.receiveRate)
 	if b.receivedHeartbeats == 0 {
-		b.receiveRate = 0 // nobody should count on heartbeats that come no more
+		b.receiveRate = 0 // peers back off from a member with load 0, see mayRedirect
 	}
 	b.receivedHeartbeats, b.rebalancedAt = 0, now
 	b.redirectPeer, b.redirectBudget = nil, 0
-	mine := b.load(leads)
+	ownLoad := b.load(leads)
 	for p, load := range b.peerLoad {
-		if p.link != nil && mine > minLoadToRedirect && mine > imbalanceFactor*load && b.mayRedirect(p, load, now) &&
+		if p.link != nil && ownLoad > minLoadToRedirect && ownLoad > imbalanceFactor*load && b.mayRedirect(p, load, now) &&
 			(b.redirectPeer == nil || load < b.peerLoad[b.redirectPeer]) {
 			b.redirectPeer = p
 		}
@@ -79,36 +89,37 @@
 	if b.redirectPeer == nil {
 		return
 	}
-	other := b.peerLoad[b.redirectPeer]
-	if other > 0 {
-		b.redirectBudget = max(1, (mine-other)*redirectedLoadShare)
+	otherLoad := b.peerLoad[b.redirectPeer]
+	if otherLoad > 0 {
+		b.redirectBudget = max(1, (ownLoad-otherLoad)*redirectedLoadShare)
 		return
 	}
-	t := b.redirectBackoffs[b.redirectPeer]
-	t.nextAttempt = now + t.delay
-	t.delay = min(2*t.delay, maxRedirectDelay)
+	backoff := b.redirectBackoffs[b.redirectPeer]
+	backoff.nextAttempt = now + backoff.delay
+	backoff.delay = min(2*backoff.delay, maxRedirectDelay)
 	b.redirectBudget = 1
 }
 
-// mayRedirect tells whether workers may be sent to a member. One that takes no heartbeats
-// may have just come back, or workers can't reach it although this member can:
-// whoever is sent there loses its lease's better part, so only one at a time
-// finds out, ever more seldom.
+// mayRedirect reports whether machines may be redirected to a peer. A peer that receives no
+// heartbeats may just have restarted, or machines can't reach it although this member can.
+// A machine redirected to an unreachable peer loses most of its lease time, so only one
+// machine at a time is redirected there, at exponentially growing intervals.
 func (b *heartbeatBalancer) mayRedirect(p *peer, load float64, now time.Duration) bool {
 	if load > 0 {
 		delete(b.redirectBackoffs, p)
 		return true
 	}
-	t := b.redirectBackoffs[p]
-	if t == nil {
-		t = &redirectBackoff{delay: initialRedirectDelay}
-		b.redirectBackoffs[p] = t
+	backoff := b.redirectBackoffs[p]
+	if backoff == nil {
+		backoff = &redirectBackoff{delay: initialRedirectDelay}
+		b.redirectBackoffs[p] = backoff
 	}
-	return now >= t.nextAttempt
+	return now >= backoff.nextAttempt
 }
 
-// statusAndRedirect names the member that a worker should rather send heartbeats to, if any.
-// A member that can't forward heartbeats to the leader gets none.
+// redirectTarget returns the member that a machine is to send its heartbeats to instead of
+// this one, or "". It spends one unit of the budget. A peer without a stream to this member
+// gets none: if this member leads, the peer can't forward heartbeats to it.
 func (b *heartbeatBalancer) redirectTarget() string {
 	if b.redirectBudget < 1 || b.redirectPeer == nil || b.redirectPeer.link == nil {
 		return ""
--- a/internal/coordination/heartbeat_balancing_test.go
+++ b/internal/coordination/heartbeat_balancing_test.go
@@ -7,17 +7,17 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// connected is a peer that a stream leads to.
+// connectedPeer returns a peer with an open stream.
 func connectedPeer(member string) *peer {
 	return &peer{member: member, link: loopbackLink{}}
 }
 
-func TestWorkersAreSentToALessLoadedMember(t *testing.T) {
+func TestMachinesAreRedirectedToLessLoadedMember(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		rate   float64 // heartbeats a second here
+		rate   float64 // heartbeats a second at this member
 		leads  bool
-		load   float64 // of the other
+		load   float64 // reported by the peer
 		target string
 		budget float64
 	}{
@@ -25,7 +25,7 @@
 		{"little load", 20, false, 1, "", 0},
 		{"uneven", 300, false, 100, "b", 20},
 		{"a leader's heartbeats cost more", 100, true, 100, "b", 10},
-		{"the other takes none", 300, false, 0, "b", 1},
+		{"the peer receives none", 300, false, 0, "b", 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHeartbeatBalancer(0)
@@ -50,13 +50,13 @@
 			at = append(at, now)
 		}
 	}
-	want(t, "redirects in 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
-	want(t, "last of them", at[len(at)-1], 16*time.Second)
+	want(t, "redirects within 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
+	want(t, "time of the last redirect", at[len(at)-1], 16*time.Second)
 	b.handlePeerDown(other)
 	b.observeLoad(other, 0)
 	b.receiveRate, b.receivedHeartbeats = 100, 100
 	b.rebalance(21*time.Second, false)
-	want(t, "after its stream has ended", b.redirectTarget(), "b")
+	want(t, "redirect target after the peer's stream has ended", b.redirectTarget(), "b")
 }
 
 type fixedClock time.Duration
@@ -72,12 +72,12 @@
 		{"by the leader", func(f *heartbeatForwarder, leader, _ *peer) {
 			f.handleResponses(leader, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
 		}, 200},
-		{"by another", func(f *heartbeatForwarder, _, other *peer) {
+		{"by another peer", func(f *heartbeatForwarder, _, other *peer) {
 			f.handleResponses(other, &meshpb.HeartbeatResponses{Responses: []*meshpb.HeartbeatResponse{{Id: 1, HttpStatus: 200}}})
 		}, 0},
 		{"stream ended", func(f *heartbeatForwarder, leader, _ *peer) { f.handlePeerDown(leader) }, 503},
-		{"in time still", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout) }, 0},
-		{"too late", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout + 1) }, 503},
+		{"before the timeout", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout) }, 0},
+		{"after the timeout", func(f *heartbeatForwarder, _, _ *peer) { f.tick(forwardTimeout + 1) }, 503},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var clock fixedClock
@@ -88,8 +88,8 @@
 			want(t, "frames to the leader", len(leader.forwardedHeartbeats), 1)
 			test.answer(&f, leader, other)
 			test.answer(&f, leader, other)
-			want(t, "answer", last, test.status)
-			want(t, "answers", answers, min(test.status, 1))
+			want(t, "status of the answer", last, test.status)
+			want(t, "number of answers", answers, min(test.status, 1))
 		})
 	}
 }
--- a/internal/coordination/heartbeat_forwarding.go
+++ b/internal/coordination/heartbeat_forwarding.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	forwardTimeout         = 3500 * time.Millisecond // workers give up after 4 s
+	forwardTimeout         = 3500 * time.Millisecond // machines time out after 4 s
 	maxForwardedHeartbeats = maxMachines             // each machine has one heartbeat in flight
 )
 
-// heartbeatForwarder takes heartbeats on the leader's behalf.
+// heartbeatForwarder forwards machines' heartbeats to the leader and passes the leader's
+// responses back.
 type heartbeatForwarder struct {
 	clock       storage.Clock
-	unavailable func(why string) Response // for now
-	pending     map[uint64]forwardedHeartbeat
+	unavailable func(reason string) Response  // builds a 503 response that asks the machine to retry
+	pending     map[uint64]forwardedHeartbeat // by the id sent to the leader
 	lastID      uint64
 }
 
-// forwardedHeartbeat is a heartbeat whose answer is awaited from the leader.
+// forwardedHeartbeat is a heartbeat that awaits the leader's response.
 type forwardedHeartbeat struct {
 	reply  func(Response)
 	to     *peer
 	sentAt time.Duration
 }
 
-func newHeartbeatForwarder(clock storage.Clock, refuse func(why string) Response) heartbeatForwarder {
-	return heartbeatForwarder{clock: clock, unavailable: refuse, pending: make(map[uint64]forwardedHeartbeat)}
+func newHeartbeatForwarder(clock storage.Clock, unavailable func(reason string) Response) heartbeatForwarder {
+	return heartbeatForwarder{clock: clock, unavailable: unavailable, pending: make(map[uint64]forwardedHeartbeat)}
 }
 
-// forward sends a heartbeat on to the member that leads.
+// forward sends a heartbeat to the leader.
 func (forwarder *heartbeatForwarder) forward(to *peer, req *Request, reply func(Response)) {
 	if len(forwarder.pending) >= maxForwardedHeartbeats {
 		reply(forwarder.unavailable("too many reports"))
@@ -42,32 +43,33 @@
 	to.forwardedHeartbeats = append(to.forwardedHeartbeats, &meshpb.ForwardedHeartbeat{Id: forwarder.lastID, ConnectionId: req.Conn, Body: req.Body})
 }
 
-// handleResponses passes the leader's responses on to those who wait for them.
+// handleResponses passes the leader's responses to the machines that wait for them.
 func (forwarder *heartbeatForwarder) handleResponses(p *peer, f *meshpb.HeartbeatResponses) {
-	for _, a := range f.Responses {
-		if forwarded, ok := forwarder.pending[a.Id]; ok && forwarded.to == p {
-			delete(forwarder.pending, a.Id)
-			forwarded.reply(Response{Status: int(a.HttpStatus), Body: a.Body, RetryAfterS: int(a.RetryAfterS), ValidUntil: forwarded.sentAt + forwardTimeout})
+	for _, response := range f.Responses {
+		if forwarded, ok := forwarder.pending[response.Id]; ok && forwarded.to == p {
+			delete(forwarder.pending, response.Id)
+			forwarded.reply(Response{Status: int(response.HttpStatus), Body: response.Body, RetryAfterS: int(response.RetryAfterS), ValidUntil: forwarded.sentAt + forwardTimeout})
 		}
 	}
 }
 
-// handlePeerDown answers what was sent to a member whose stream has ended.
+// handlePeerDown fails the heartbeats sent to a peer whose stream has ended.
 func (forwarder *heartbeatForwarder) handlePeerDown(p *peer) {
 	forwarder.failPending(func(forwarded forwardedHeartbeat) bool { return forwarded.to == p }, "the leader is out of reach")
 }
 
-// tick answers what has waited for too long.
+// tick fails the heartbeats that have waited longer than forwardTimeout.
 func (forwarder *heartbeatForwarder) tick(now time.Duration) {
 	forwarder.failPending(func(forwarded forwardedHeartbeat) bool { return now-forwarded.sentAt > forwardTimeout }, "the leader does not answer")
 }
 
-// failPending answers the heartbeats that will get no answer from the leader any more.
-func (forwarder *heartbeatForwarder) failPending(which func(forwardedHeartbeat) bool, why string) {
+// failPending responds 503, with a reason, to the selected heartbeats, whose response from
+// the leader is no longer awaited.
+func (forwarder *heartbeatForwarder) failPending(selected func(forwardedHeartbeat) bool, reason string) {
 	for id, forwarded := range forwarder.pending {
-		if which(forwarded) {
+		if selected(forwarded) {
 			delete(forwarder.pending, id)
-			forwarded.reply(forwarder.unavailable(why))
+			forwarded.reply(forwarder.unavailable(reason))
 		}
 	}
 }
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -9,6 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
+// statusAndRedirect returns a response's status and the member that it redirects to, if any.
 func (sim *simulation) statusAndRedirect(r *simtest.HTTPResponse) string {
 	var to protocol.Redirect
 	if r.Status == 421 {
@@ -19,7 +20,7 @@
 	return fmt.Sprintf("%d %s", r.Status, to.HeartbeatTo)
 }
 
-// A member that does not lead forwards heartbeats, and the answers back.
+// A member that does not lead forwards heartbeats to the leader and its responses back.
 func TestFollowersForwardHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
@@ -41,118 +42,118 @@
 	}
 	sim.wantStatus(lead, "wk-1", 200, "done")
 
-	// The answer that a heartbeat waits for when the stream breaks comes at once:
-	// held back until its end, it would keep the worker from the next member.
+	// A heartbeat that is pending when the stream breaks is answered at once. Otherwise its
+	// machine would not try the next member before its timeout.
 	body := agent.HeartbeatBody()
-	out := &Response{}
-	controllerOf(follower).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *out = r })
-	want(t, "answers before the stream breaks", out.Status, 0)
+	response := &Response{}
+	controllerOf(follower).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *response = r })
+	want(t, "status before the stream breaks", response.Status, 0)
 	sim.Disconnect(follower.Name, lead.Name)
-	want(t, "answer when the stream breaks", out.Status, 503)
+	want(t, "status when the stream breaks", response.Status, 503)
 	want(t, "without a stream to the leader", sim.statusAndRedirect(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
 }
 
-// A member that gets a forwarded heartbeat and does not lead forwards it no
-// further: two members that each take the other for the leader would send it
-// back and forth for ever.
+// A member that receives a forwarded heartbeat and does not lead must not forward it again:
+// two members that each take the other for the leader would forward it back and forth
+// forever.
 func TestHeartbeatIsForwardedOnce(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
 	agent := sim.AddMachine("vm-1", "z1")
-	want(t, "before", agent.HeartbeatTo(follower).Status, 200)
+	want(t, "heartbeat while the leader leads", agent.HeartbeatTo(follower).Status, 200)
 	controllerOf(lead).election.Abstain(sim.Now() + time.Minute)
 	controllerOf(lead).endLeadership()
-	want(t, "leader that leads no more", agent.HeartbeatTo(follower).Status, 503)
+	want(t, "heartbeat after its term has ended", agent.HeartbeatTo(follower).Status, 503)
 }
 
-// Workers that all come to one member are shared out, a few at a time.
-func TestWorkersAreBalancedAcrossMembers(t *testing.T) {
+// Machines that all send to one member are redirected to the others, a few at a time.
+func TestMachinesAreBalancedAcrossMembers(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*simtest.Agent]*simtest.Node)
+	serving := make(map[*simtest.Agent]*simtest.Node)
 	for i := range 90 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		at[agent] = sim.Leader()
+		serving[agent] = sim.Leader()
 	}
-	most := 0
+	maxMoved := 0
 	for range 60 {
 		moved := 0
 		for _, name := range sim.AgentNames() {
 			agent := sim.Agents[name]
-			if r := agent.HeartbeatTo(at[agent]); r.Status == 421 {
+			if r := agent.HeartbeatTo(serving[agent]); r.Status == 421 {
 				var to protocol.Redirect
 				if err := sim.Codec.Decode(r.Body, &to); err != nil {
 					t.Fatal(err)
 				}
-				at[agent] = sim.Nodes[to.HeartbeatTo]
+				serving[agent] = sim.Nodes[to.HeartbeatTo]
 				moved++
 			}
 		}
-		most = max(most, moved)
+		maxMoved = max(maxMoved, moved)
 		sim.Advance(time.Second)
 	}
 	for name, n := range sim.Nodes {
 		served := 0
-		for _, m := range at {
+		for _, m := range serving {
 			if m == n {
 				served++
 			}
 		}
 		if served < 10 || served > 50 {
-			t.Fatalf("%s serves %d of 90 workers", name, served)
+			t.Fatalf("%s serves %d of 90 machines, want 10 to 50", name, served)
 		}
 	}
-	if most > 30 {
-		t.Fatalf("%d workers were sent elsewhere in one second", most)
+	if maxMoved > 30 {
+		t.Fatalf("%d machines were redirected within one second, want at most 30", maxMoved)
 	}
 }
 
-// Heartbeats that all come at once let everything else pass, and one that waited
-// until its worker gave up is answered without any more work.
+// A burst of heartbeats does not delay other requests, and a heartbeat that was queued until
+// its machine timed out is answered without being handled.
 func TestHeartbeatBurstDoesNotDelayOtherRequests(t *testing.T) {
-	q := NewEventLoop()
-	var got []string
+	loop := NewEventLoop()
+	var handled []string
 	for range 3 {
-		want(t, "a heartbeat is taken", q.TryPost(ClassHeartbeat, func() { got = append(got, "report") }), true)
+		want(t, "heartbeat accepted", loop.TryPost(ClassHeartbeat, func() { handled = append(handled, "report") }), true)
 	}
-	q.Post(func() { got = append(got, "health check") })
-	q.drain()
-	want(t, "order", fmt.Sprint(got), "[health check report report report]")
+	loop.Post(func() { handled = append(handled, "health check") })
+	loop.drain()
+	want(t, "order", fmt.Sprint(handled), "[health check report report report]")
 	for range heartbeatQueueLength {
-		q.TryPost(ClassHeartbeat, func() {})
+		loop.TryPost(ClassHeartbeat, func() {})
 	}
-	want(t, "a heartbeat beyond the queue's length", q.TryPost(ClassHeartbeat, func() {}), false)
-	want(t, "a user's request beside it", q.TryPost(ClassOther, func() {}), true)
+	want(t, "heartbeat accepted beyond the queue's length", loop.TryPost(ClassHeartbeat, func() {}), false)
+	want(t, "user's request accepted with a full heartbeat queue", loop.TryPost(ClassOther, func() {}), true)
 
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
 	want(t, "heartbeat", agent.Heartbeat().Status, 200)
 	m := controllerOf(sim.Leader()).leader.machines.get("vm-1")
-	seq := m.sequence
-	out := &Response{}
+	lastSequence := m.sequence
+	response := &Response{}
 	controllerOf(sim.Nodes["a"]).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.Now() - 4*time.Second},
-		func(r Response) { *out = r })
-	want(t, "heartbeat that waited for 4 s", out.Status, 503)
-	want(t, "last heartbeat taken", m.sequence, seq)
+		func(r Response) { *response = r })
+	want(t, "heartbeat that waited for 4 s", response.Status, 503)
+	want(t, "sequence of the last heartbeat handled", m.sequence, lastSequence)
 }
 
-// A member that workers can't reach, while other members can, takes no heartbeats:
-// hardly any workers are sent there. Each that is loses seconds; sent there again
-// and again, most machines were silent for so long that they were returned with
-// all their tasks (incidents/inc-f551.md).
+// A member that machines can't reach although the other members can receives no heartbeats.
+// Few machines may be redirected there, as each of them loses seconds. When machines were
+// redirected there again and again, most of them were silent for so long that they were
+// released with all their tasks (incidents/inc-f551.md).
 func TestFewRedirectsToMemberWithoutHeartbeats(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	at := make(map[*simtest.Agent]*simtest.Node)
+	serving := make(map[*simtest.Agent]*simtest.Node)
 	for i := range 90 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
-		at[agent] = sim.Leader()
+		serving[agent] = sim.Leader()
 	}
-	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // none of them is idle
-	cut := sim.Follower()
-	sent := 0
-	second := func() {
+	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // so no machine is idle
+	unreachable := sim.Follower()
+	redirected := 0
+	runSecond := func() {
 		for _, name := range sim.AgentNames() {
 			agent := sim.Agents[name]
-			r := agent.HeartbeatTo(at[agent])
+			r := agent.HeartbeatTo(serving[agent])
 			if r.Status != 421 {
 				continue
 			}
@@ -160,33 +161,33 @@
 			if err := sim.Codec.Decode(r.Body, &to); err != nil {
 				t.Fatal(err)
 			}
-			if to.HeartbeatTo == cut.Name {
-				sent++
-				continue // it tries in vain, and comes back
+			if to.HeartbeatTo == unreachable.Name {
+				redirected++
+				continue // it can't reach that member and comes back
 			}
-			at[agent] = sim.Nodes[to.HeartbeatTo]
+			serving[agent] = sim.Nodes[to.HeartbeatTo]
 		}
 		sim.Advance(time.Second)
 	}
 	for range 60 {
-		second()
+		runSecond()
 	}
-	if sent == 0 || sent > 12 {
-		t.Fatalf("%d workers were sent in a minute to a member that takes no heartbeats", sent)
+	if redirected == 0 || redirected > 12 {
+		t.Fatalf("%d machines were redirected within a minute to a member that receives no heartbeats, want 1 to 12", redirected)
 	}
-	// Once they reach it again it soon has its share.
-	here := cut
-	cut = &simtest.Node{}
+	// Once machines reach it again, it soon serves its share.
+	restored := unreachable
+	unreachable = &simtest.Node{}
 	for range 90 {
-		second()
+		runSecond()
 	}
 	served := 0
-	for _, n := range at {
-		if n == here {
+	for _, n := range serving {
+		if n == restored {
 			served++
 		}
 	}
 	if served < 10 {
-		t.Fatalf("%d of 90 workers are served by the member that is back", served)
+		t.Fatalf("%d of 90 machines are served by the member that is reachable again, want at least 10", served)
 	}
 }
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -11,10 +11,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// heartbeatIntake takes machines' heartbeats into the machine table. It owns what a
-// machine said last, and tells those who follow from that: the account of teams' use,
-// the records of machines, the quarantine, and the owners of shards by the publisher.
-// It decides nothing of what is started where.
+// heartbeatIntake applies machines' heartbeats to the machine table. It owns the fields of
+// machine that hold the last heartbeat, and updates what depends on them: usage accounting,
+// machine records, quarantine and, through the publisher, the owners of shards. It makes no
+// placement decisions.
 type heartbeatIntake struct {
 	fencingToken uint64
 	electedAt    time.Duration
@@ -27,27 +27,29 @@
 	deliveries   *deliveryTracker
 	quarantine   *quarantine
 	runTimes     *estimate.RunTimes
-	counts       *fleetCounts // the autoscaler's last count, only read here
+	counts       *fleetCounts // the autoscaler's latest counts; read only
 	log          *zerolog.Logger
 
-	// imagesOf returns what was last heard of a machine's images under another leader.
+	// imagesOf returns the images that this process last observed on a machine under an
+	// earlier leader.
 	imagesOf func(machine string) []*meshpb.CachedImage
-	// countResponse counts that a response is given in doubt.
+	// countResponse counts a response event.
 	countResponse func(responseEvent)
 }
 
-// apply takes a heartbeat into the machine's state and publishes that. A heartbeat
-// without this leader's fencing token may be a copy from long ago, or the first that
-// a machine sends here: it says only that the machine may be there. The machine's
-// next one, half a second after it has seen the token, says the rest. It tells
-// whether the heartbeat shows that responses reach the machine.
+// apply updates the machine's state from a heartbeat and publishes its status. A heartbeat
+// without this leader's fencing token may be a copy delayed for any length of time, or the
+// machine's first to this leader, so it shows only that the machine may exist. The machine
+// sends its next one, whose tasks count, half a second after it receives the token.
+// apply reports whether the heartbeat shows that responses reach the machine.
 func (h *heartbeatIntake) apply(m *machine, heartbeat *protocol.Heartbeat, connection uint64, now time.Duration) (reachable bool) {
 	newEpoch := m.lastCurrentHeartbeat == 0 || heartbeat.Epoch != m.epoch
 	gap := now - m.lastHeartbeat
 	h.applyHeader(m, heartbeat, now)
 	if heartbeat.FencingToken != h.fencingToken {
 		if m.createdAt != 0 {
-			h.records.requestRecord(m) // so that its next heartbeat, half a second on, gets starts
+			// So that the response to its next heartbeat, half a second later, may carry starts.
+			h.records.requestRecord(m)
 		}
 		h.usage.updateUnreconciled(m, h.catalog.Catalog(), now)
 		h.publisher.publish(m, statusPresence, now)
@@ -70,7 +72,7 @@
 	return reachable
 }
 
-// identify takes what every heartbeat says, whatever fencing token it carries.
+// applyHeader applies the fields of a heartbeat that count whatever fencing token it carries.
 func (h *heartbeatIntake) applyHeader(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
 	if kind := (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}); m.machineKind != kind {
 		m.machineKind = kind
@@ -88,7 +90,7 @@
 	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
 }
 
-// inheritImages takes what the last leader knew to be cached on a machine.
+// inheritImages adds the images that were observed on a machine under the previous leader.
 func (h *heartbeatIntake) inheritImages(m *machine) {
 	machineType := h.catalog.Type(m.typeName)
 	if machineType == nil {
@@ -99,17 +101,17 @@
 	}
 }
 
-// observeDelivery tells whether a heartbeat shows that responses reach its machine.
+// observeDelivery reports whether a heartbeat shows that responses reach its machine.
 func (h *heartbeatIntake) observeDelivery(m *machine, connection uint64, gap, now time.Duration) bool {
-	seen := h.deliveries.observeHeartbeat(m, connection, gap, now)
-	if seen == deliveryPresumed {
+	observed := h.deliveries.observeHeartbeat(m, connection, gap, now)
+	if observed == deliveryPresumed {
 		h.countResponse(startDeliveryPresumed)
 	}
-	return seen != deliveryUnknown
+	return observed != deliveryUnknown
 }
 
-// updateTasks takes a current heartbeat's tasks, which answer what the machine was
-// sent.
+// updateTasks applies the tasks of a heartbeat that carries this leader's fencing token.
+// They settle which of the starts sent to the machine have arrived.
 func (h *heartbeatIntake) updateTasks(m *machine, tasks []protocol.TaskStatus, content statusContent, now time.Duration) {
 	if content == statusFull || len(m.sentStarts) > 0 {
 		h.usage.uncountReplicas(m)
@@ -122,7 +124,8 @@
 	h.usage.countReplicas(m)
 }
 
-// applyTaskStatuses takes a changed list of tasks.
+// applyTaskStatuses replaces the machine's tasks by a changed list and handles the replicas
+// that have exited.
 func (h *heartbeatIntake) applyTaskStatuses(m *machine, statuses []protocol.TaskStatus, now time.Duration) {
 	before := m.tasks
 	m.tasks = make([]replicaOnMachine, 0, len(statuses))
@@ -132,7 +135,7 @@
 			state: status.State, exitReason: status.ExitReason, stateSince: now, job: h.jobs.get(status.Job)}
 		last := findReplica(before, replica.key)
 		if last == nil {
-			last = findReplica(m.sentStarts, replica.key) // it may have ended before it was ever listed
+			last = findReplica(m.sentStarts, replica.key) // it may exit before any heartbeat lists it
 		}
 		if last != nil {
 			replica.inheritFrom(last)
@@ -149,7 +152,8 @@
 	m.removeDoneOwnerCommands()
 }
 
-// handleReplicaExited draws conclusions from a task that has just ended on a machine.
+// handleReplicaExited updates the quarantine and the run time estimates when a replica has
+// just exited on a machine.
 func (h *heartbeatIntake) handleReplicaExited(m *machine, replica, last *replicaOnMachine, now time.Duration) {
 	job := replica.job
 	if job == nil {
@@ -170,14 +174,14 @@
 	}
 }
 
-// isStale tells whether a heartbeat is a late copy: of an earlier epoch, or not newer
-// than the last one of the same.
+// isStale reports whether a heartbeat is a late copy: of an earlier epoch, or with a
+// sequence number not above the last one of the same epoch.
 func (m *machine) isStale(heartbeat *protocol.Heartbeat) bool {
 	return m.heartbeatSeen && (heartbeat.Epoch < m.epoch || (heartbeat.Epoch == m.epoch && heartbeat.Seq <= m.sequence))
 }
 
-// setReclaimNotice takes the cloud's notice that it takes a machine away, or that it
-// does not any more.
+// setReclaimNotice applies the cloud's notice, carried by a heartbeat, that it will reclaim
+// the machine, or the withdrawal of the notice.
 func (m *machine) setReclaimNotice(heartbeat *protocol.Heartbeat, now time.Duration) {
 	switch {
 	case !heartbeat.TerminationNotice:
@@ -187,8 +191,8 @@
 	}
 }
 
-// sameTasks tells whether a heartbeat lists what the one before did, and nothing in
-// it was unknown then.
+// sameTasks reports whether a heartbeat lists the same tasks in the same states as the one
+// before, and the jobs of all of them were known then.
 func (m *machine) sameTasks(tasks []protocol.TaskStatus) bool {
 	if len(tasks) != len(m.tasks) {
 		return false
@@ -201,13 +205,15 @@
 	return true
 }
 
-// matches tells whether a status says what is known of a replica already.
+// matches reports whether a status adds nothing to what is known of a replica whose job is
+// known.
 func (r *replicaOnMachine) matches(status *protocol.TaskStatus) bool {
 	return r.job != nil && r.key.job == status.Job && r.key.task == uint32(status.Task) && r.key.replica == status.Replica &&
 		r.state == status.State && r.exitReason == status.ExitReason
 }
 
-// succeed takes over what the last list's entry of the same replica holds.
+// inheritFrom copies the marks of the same replica's entry in the last list, and the start
+// of its state if the state is unchanged.
 func (r *replicaOnMachine) inheritFrom(last *replicaOnMachine) {
 	r.stopRequested, r.preemptionExempt = last.stopRequested, last.preemptionExempt
 	if last.state == r.state {
@@ -215,7 +221,7 @@
 	}
 }
 
-// findReplica returns a replica of a list, or nil.
+// findReplica returns the replica with the given key in a list, or nil.
 func findReplica(list []replicaOnMachine, key replicaKey) *replicaOnMachine {
 	for i := range list {
 		if list[i].key == key {
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -17,8 +17,7 @@
 	intakeElectedAt    = time.Minute
 )
 
-// intakeFixture is an intake with one machine and one job, which is a part of no
-// simulation.
+// intakeFixture is a heartbeatIntake with one machine and one job, outside any simulation.
 type intakeFixture struct {
 	heartbeatIntake
 	machines           machineTable
@@ -56,7 +55,8 @@
 	return f
 }
 
-// beat takes the machine's next heartbeat.
+// heartbeat applies the machine's next heartbeat and reports whether it shows that responses
+// reach the machine.
 func (f *intakeFixture) heartbeat(token, epoch uint64, now time.Duration, tasks ...protocol.TaskStatus) bool {
 	f.sequence++
 	return f.apply(f.machine, &protocol.Heartbeat{Machine: "vm-1", Epoch: epoch, Seq: f.sequence, FencingToken: token, Type: "m8", Zone: "z1", Tasks: tasks}, 0, now)
@@ -66,38 +66,38 @@
 	return protocol.TaskStatus{Job: "wk-1", Replica: 1, State: state, ExitReason: reason}
 }
 
-func TestHeartbeatWithoutTheFencingTokenSaysOnlyThatTheMachineIsThere(t *testing.T) {
+func TestHeartbeatWithoutFencingTokenShowsOnlyPresence(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
 	want(t, "reachable", f.heartbeat(intakeFencingToken-1, 1, now, taskStatus(protocol.TaskRunning, 0)), false)
 	want(t, "heartbeat seen", f.machine.heartbeatSeen, true)
-	want(t, "current heartbeat", f.machine.lastCurrentHeartbeat, 0)
+	want(t, "last current heartbeat", f.machine.lastCurrentHeartbeat, 0)
 	want(t, "tasks", len(f.machine.tasks), 0)
-	want(t, "image that an earlier leader knew of", f.machine.images[0].name, "old")
+	want(t, "image observed under an earlier leader", f.machine.images[0].name, "old")
 	want(t, "reachable with the token", f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
-	want(t, "tasks then", len(f.machine.tasks), 1)
+	want(t, "tasks with the token", len(f.machine.tasks), 1)
 	want(t, "free CPUs", f.machine.free.cpus, 6)
 	want(t, "live replicas", f.job.liveReplicas, 1)
 	want(t, "image of the task", f.machine.hasImage(f.job.image), true)
-	want(t, "to be recorded", f.machine.recordPending, true)
+	want(t, "record pending", f.machine.recordPending, true)
 }
 
-func TestListAnswersWhatTheMachineWasSent(t *testing.T) {
+func TestTaskListSettlesSentStarts(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
 	f.heartbeat(intakeFencingToken, 1, now)
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 0, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now, preemptionExempt: true}}
 	f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskFetching, 0))
-	want(t, "starts on their way", len(f.machine.sentStarts), 0)
-	want(t, "in its state since it was sent", f.machine.tasks[0].stateSince, now)
-	want(t, "exempt as it was sent", f.machine.tasks[0].preemptionExempt, true)
+	want(t, "sent starts after the list", len(f.machine.sentStarts), 0)
+	want(t, "start of its state, when it was sent", f.machine.tasks[0].stateSince, now)
+	want(t, "exempt from preemption as when sent", f.machine.tasks[0].preemptionExempt, true)
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 1, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now}}
 	f.heartbeat(intakeFencingToken, 1, now+2*time.Second, taskStatus(protocol.TaskFetching, 0))
-	want(t, "starts that did not arrive", len(f.machine.sentStarts), 0)
+	want(t, "sent starts after a list without them", len(f.machine.sentStarts), 0)
 	want(t, "free CPUs", f.machine.free.cpus, 6)
 }
 
-func TestNewEpochEndsWhatWasListed(t *testing.T) {
+func TestNewEpochRemovesListedTasks(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
 	f.heartbeat(intakeFencingToken, 1, now, taskStatus(protocol.TaskRunning, 0))
@@ -109,7 +109,7 @@
 	want(t, "free CPUs", f.machine.free.cpus, 8)
 }
 
-func TestRunTimeIsLearntFromATaskThatEnds(t *testing.T) {
+func TestRunTimeIsObservedWhenTaskExits(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
 	for range 10 {
@@ -120,10 +120,10 @@
 	}
 	mean := f.runTimes.Mean(estimateTaskOf(f.job.spec)).Round(time.Second)
 	want(t, "mean run time", mean, 30*time.Second)
-	want(t, "the job does well", f.job.taskSucceeded, true)
+	want(t, "the job has succeeded", f.job.taskSucceeded, true)
 }
 
-func TestReclaimNoticeHoldsUntilItIsTakenBack(t *testing.T) {
+func TestReclaimNoticeHoldsUntilWithdrawn(t *testing.T) {
 	now := time.Minute
 	notice := func(in float64) *protocol.Heartbeat {
 		return &protocol.Heartbeat{TerminationNotice: true, TerminationInS: in}
@@ -132,9 +132,9 @@
 	m.setReclaimNotice(notice(30), now)
 	want(t, "reclaimed at", m.reclaimAt, now+30*time.Second)
 	m.setReclaimNotice(notice(30), now+time.Second)
-	want(t, "the same when it is said again", m.reclaimAt, now+30*time.Second)
+	want(t, "reclaimed at, after the same notice again", m.reclaimAt, now+30*time.Second)
 	m.setReclaimNotice(&protocol.Heartbeat{}, now)
-	want(t, "taken back", m.reclaimAt, 0)
+	want(t, "reclaimed at, after the withdrawal", m.reclaimAt, 0)
 	m.setReclaimNotice(notice(-5), now)
-	want(t, "late notice", m.reclaimAt, now)
+	want(t, "reclaimed at, after a late notice", m.reclaimAt, now)
 }
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -5,20 +5,22 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// handleForwardedHeartbeats decides, as the leader, on heartbeats that a member forwards.
+// handleForwardedHeartbeats handles, as the leader, the heartbeats that a peer forwards. The
+// responses go back only on the stream that the heartbeats came on.
 func (c *Controller) handleForwardedHeartbeats(p *peer, f *meshpb.ForwardedHeartbeats) {
 	link := p.link
-	for _, k := range f.Heartbeats {
-		c.handleHeartbeatAsLeader(k.Body, p.connectionID(k.ConnectionId), func(r Response) {
+	for _, forwarded := range f.Heartbeats {
+		c.handleHeartbeatAsLeader(forwarded.Body, p.connectionID(forwarded.ConnectionId), func(r Response) {
 			if p.link == link {
-				p.heartbeatResponses = append(p.heartbeatResponses, &meshpb.HeartbeatResponse{Id: k.Id, HttpStatus: uint32(r.Status), Body: r.Body, RetryAfterS: uint32(r.RetryAfterS)})
+				p.heartbeatResponses = append(p.heartbeatResponses, &meshpb.HeartbeatResponse{Id: forwarded.Id, HttpStatus: uint32(r.Status), Body: r.Body, RetryAfterS: uint32(r.RetryAfterS)})
 			}
 		})
 	}
 }
 
-// connectionID tells a member's connections from those of others, and from its own
-// of an earlier stream.
+// connectionID returns an id of a machine's connection to a peer that is distinct from those
+// of other members' connections and of the same peer's connections on earlier streams.
+// 0 means an unknown connection.
 func (p *peer) connectionID(conn uint64) uint64 {
 	if conn == 0 {
 		return 0
@@ -26,59 +28,63 @@
 	return uint64(p.index)<<56 | (p.streamCount&0xffff)<<40 | conn&(1<<40-1)
 }
 
-// handleHeartbeat handles a worker's heartbeat that came in here.
+// handleHeartbeat handles a heartbeat that a machine sent to this controller: as the leader,
+// by forwarding it to the leader, or by redirecting the machine to another member.
 func (c *Controller) handleHeartbeat(req *Request, reply func(Response)) {
 	c.balancer.receivedHeartbeats++
 	if req.ReceivedAt > 0 && c.now()-req.ReceivedAt > forwardTimeout {
-		reply(c.errorResponse(503, "the report has waited for too long", 1)) // its worker has given up
+		// The machine has timed out already.
+		reply(c.errorResponse(503, "the report has waited for too long", 1))
 		return
 	}
 	if c.leader != nil {
-		if to := c.balancer.redirectTarget(); to != "" {
-			reply(c.redirectResponse(to))
+		if target := c.balancer.redirectTarget(); target != "" {
+			reply(c.redirectResponse(target))
 			return
 		}
 		c.handleHeartbeatAsLeader(req.Body, req.Conn, reply)
 		return
 	}
 	leadership, _ := c.election.Leader()
-	to := leadership.Member
-	p := c.peers[to]
+	leaderMember := leadership.Member
+	leaderPeer := c.peers[leaderMember]
 	switch {
-	case p == nil:
+	case leaderPeer == nil:
 		reply(c.errorResponse(503, "no leader is known", 1))
-	case p.link == nil:
-		reply(c.redirectResponse(to))
+	case leaderPeer.link == nil:
+		reply(c.redirectResponse(leaderMember))
 	default:
-		if other := c.balancer.redirectTarget(); other != "" {
-			reply(c.redirectResponse(other))
+		if target := c.balancer.redirectTarget(); target != "" {
+			reply(c.redirectResponse(target))
 			return
 		}
-		c.forwarder.forward(p, req, reply)
+		c.forwarder.forward(leaderPeer, req, reply)
 	}
 }
 
-// redirectResponse sends a worker to another member.
+// redirectResponse tells a machine to send its heartbeats to another member.
 func (c *Controller) redirectResponse(member string) Response {
 	return Response{Status: 421, Body: c.codec.Encode(protocol.Redirect{HeartbeatTo: member})}
 }
 
-// handleHeartbeatAsLeader handles a heartbeat as the leader, wherever it came in.
+// handleHeartbeatAsLeader handles a heartbeat, direct or forwarded, as the leader. It rejects
+// one if this controller does not lead, or if the heartbeat carries the fencing token of a
+// later leader.
 func (c *Controller) handleHeartbeatAsLeader(body []byte, conn uint64, reply func(Response)) {
-	var w protocol.WireHeartbeat
-	if err := c.codec.Decode(body, &w); err != nil {
+	var wire protocol.WireHeartbeat
+	if err := c.codec.Decode(body, &wire); err != nil {
 		reply(c.errorResponse(400, err.Error(), 0))
 		return
 	}
-	r, err := w.Validate()
+	heartbeat, err := wire.Validate()
 	if err != nil {
 		reply(c.errorResponse(400, err.Error(), 0))
 		return
 	}
 	now := c.now()
-	if c.leader == nil || !c.election.MayAct(now) || r.FencingToken > c.leader.fencingToken {
+	if c.leader == nil || !c.election.MayAct(now) || heartbeat.FencingToken > c.leader.fencingToken {
 		reply(c.errorResponse(503, "not entitled to act at present", 1))
 		return
 	}
-	c.leader.handleHeartbeat(r, conn, now, reply)
+	c.leader.handleHeartbeat(heartbeat, conn, now, reply)
 }
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -7,8 +7,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// handleHeartbeat takes a machine's heartbeat and responds to it, at once or when the
-// owners of waiting tasks have answered what they are offered.
+// handleHeartbeat applies a machine's heartbeat and responds to it: at once, or once the
+// owners of pending tasks have answered the offers made for it.
 func (l *leader) handleHeartbeat(heartbeat *protocol.Heartbeat, connection uint64, now time.Duration, reply func(Response)) {
 	m := l.machines.add(heartbeat.Machine)
 	switch {
@@ -20,8 +20,8 @@
 		reply(l.env.errorResponse(503, "machine was returned", 1))
 		return
 	case m.isStale(heartbeat):
-		// It says nothing new, and a response that a machine took for a new one
-		// would renew its lease.
+		// It carries nothing new, and the machine might take a successful response
+		// for one to a newer heartbeat and renew its lease.
 		l.countResponse(responseStaleHeartbeat)
 		reply(l.env.errorResponse(503, "report is older than one before", 1))
 		return
@@ -44,13 +44,15 @@
 	l.pendingResponses = append(l.pendingResponses, response)
 }
 
-// schedulable tells whether a machine may get starts at all. It may not while no
-// heartbeat shows that responses reach it: what it is sent might never arrive.
+// schedulable reports whether a machine may be sent starts. It may not if no heartbeat
+// within the silence limit shows that responses reach it: starts sent to it might never
+// arrive.
 func (l *leader) schedulable(m *machine, now time.Duration) bool {
 	return m.lastCurrentHeartbeat > 0 && m.recordKey != "" && !m.terminated && !m.terminating && !m.quarantined && m.reclaimAt == 0 && now-m.lastReachable <= l.env.silenceLimit
 }
 
-// markTerminated ends a machine that the cloud says is no more.
+// markTerminated handles the cloud's report that a machine has been terminated: it removes
+// the machine's replicas and pending response and tells all shard owners.
 func (l *leader) markTerminated(m *machine) {
 	if m.terminated {
 		return
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -10,12 +10,12 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// The incident docs/incidents/incomplete-lists.md: a machine's list, as the leader
-// passed it on, lacked the tasks of jobs that the leader did not know yet, and an
-// owner concluded from it that these tasks were gone.
+// These tests guard against the incident docs/incidents/incomplete-lists.md: a machine's list
+// of tasks, as the leader published it, lacked the tasks of jobs that the leader did not know
+// yet, and an owner concluded from the list that these tasks were lost.
 
-// startOneTask runs one task, of a job of the given member, and returns the
-// machine that has it and one that has nothing.
+// startOneTask starts one task of a job owned by a member. It returns the machine that runs it
+// and one that runs nothing.
 func startOneTask(t *testing.T, sim *simulation, owner *simtest.Node) (busy, idle *simtest.Agent) {
 	t.Helper()
 	busy, idle = sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
@@ -29,27 +29,28 @@
 	return busy, idle
 }
 
-// allowOnlyLeader has only one of the members lead for the next minute.
-func (sim *simulation) allowOnlyLeader(allBut string) {
+// allowOnlyLeader lets only one member become leader within the next minute.
+func (sim *simulation) allowOnlyLeader(member string) {
 	for _, name := range sim.Names {
-		if name != allBut && sim.Nodes[name].Up {
+		if name != member && sim.Nodes[name].Up {
 			controllerOf(sim.Nodes[name]).election.Abstain(sim.Now() + time.Minute)
 		}
 	}
 }
 
-// withLeaderVersions are the versions of the member a, which is to lead; the owners have
-// this one. What a leader of the version before forwards lacks the same tasks as
-// ever, see withoutUnknownTasks, and it calls shards reconciled as it did.
+// withLeaderVersions runs a test with member a, which is to lead, on this version and on the
+// previous one. The owners run this version. The statuses that a leader of the previous
+// version publishes lack tasks, see withoutUnknownTasks, and it reports shards reconciled by
+// the rules of that version.
 func withLeaderVersions(t *testing.T, test func(t *testing.T, sim *simulation)) {
 	t.Helper()
 	t.Run("this version", func(t *testing.T) { test(t, newSimulation(t, "a", "b", "c")) })
-	t.Run("the version before", func(t *testing.T) { test(t, newSimulationWith(t, "", []string{"a"}, "a", "b", "c")) })
+	t.Run("the previous version", func(t *testing.T) { test(t, newSimulationWith(t, "", []string{"a"}, "a", "b", "c")) })
 }
 
-// Both breaks of the incident's records: all controllers end, the leader's read of
-// the unfinished jobs fails, a machine sends it a heartbeat, and then the owner that has
-// acquired the shard registers.
+// The order of events in both cases that the incident report describes: all controllers
+// crash, the leader's read of the unfinished jobs fails, a machine sends the leader a
+// heartbeat, and then the member that has acquired the shard registers it.
 func TestRecoveredTaskOfAJobUnknownToTheLeader(t *testing.T) {
 	withLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
@@ -59,7 +60,7 @@
 		sim.HeartbeatFor(3, busy, idle)
 		sim.State.HiddenPrefix = ""
 		sim.Advance(2 * time.Second) // the owner registers, and no machine sends a heartbeat meanwhile
-		sim.HeartbeatFor(3, idle)    // no longer: a silent machine is returned, which is proof
+		sim.HeartbeatFor(3, idle)    // not for longer: a silent machine is released, which is proof
 		sim.HeartbeatFor(5, busy, idle)
 		want(t, "leader", sim.Leader().Name, "a")
 		want(t, "reconciled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
@@ -69,8 +70,8 @@
 	})
 }
 
-// The same of an owner that lives on through the change of leader: its stream to
-// the new leader comes up after a machine has sent a heartbeat there.
+// The same failure with an owner that keeps running through the change of leader: its stream to
+// the new leader opens after a machine has sent a heartbeat there.
 func TestTaskOfAnOwnerThatRegistersLate(t *testing.T) {
 	withLeaderVersions(t, func(t *testing.T, sim *simulation) {
 		controllerOf(sim.Nodes["b"]).election.Abstain(sim.Now() + time.Hour) // it owns the task
@@ -99,27 +100,28 @@
 	})
 }
 
-// While the leader takes another member for a shard's holder, as it may for a
-// moment after the shard has changed hands, its lists to the present holder lack
-// the shard's tasks, and say so.
+// For a moment after a shard has changed hands, the leader may still record the previous owner.
+// Its statuses to the present owner then lack the shard's tasks, and must not claim to be
+// complete for the shard.
 func TestStatusIsCompleteOnlyForRegisteredShards(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
 	owner := sim.Follower()
 	busy, idle := startOneTask(t, sim, owner)
-	l := controllerOf(lead).leader
-	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).selfPeer)
+	leader := controllerOf(lead).leader
+	leader.setShardOwner(leader.shards.get(owner.Name), controllerOf(lead).selfPeer)
 	busy.Tasks["other#1"] = &simtest.AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
-	sim.HeartbeatFor(3, busy, idle) // the list has changed, so it is forwarded whole
+	sim.HeartbeatFor(3, busy, idle) // the list has changed, so it is published in full
 	job := controllerOf(owner).owner.Job("wk-1")
-	want(t, "the task is on its machine still", job.TaskState(0), shard.TaskPlaced)
-	l.setShardOwner(l.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
+	want(t, "state of the task, which still runs", job.TaskState(0), shard.TaskPlaced)
+	leader.setShardOwner(leader.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
 	sim.HeartbeatFor(15, busy, idle)
 	want(t, "replicas on the other machine", idle.Starts, 0)
 }
 
-// An owner that registers with a leader of the version before still learns from its lists
-// that a task is gone: from those of machines that have sent heartbeats since.
+// An owner that registers with a leader of the previous version still concludes from that
+// leader's statuses that a task is lost: from the lists of machines that have sent
+// heartbeats since the registration.
 func TestTaskThatEndedUnderALeaderOfThePreviousVersion(t *testing.T) {
 	sim := newSimulationWith(t, "", []string{"a", "b", "c"}, "a", "b", "c")
 	owner := sim.Follower()
@@ -135,8 +137,9 @@
 	want(t, "running", sim.runningTasks(), 1)
 }
 
-// A member with two shards registers with the next leader for one after the other: what it
-// is told once the first has registered says nothing of the second.
+// A member with two shards registers them with the next leader one after the other. The
+// statuses that it receives after the first registration prove nothing about the second
+// shard's tasks.
 func TestTasksOfTheSecondShardToRegister(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
@@ -174,16 +177,16 @@
 	want(t, "running", sim.runningTasks(), 8)
 }
 
-// A machine that has had this leader's fencing token, but has sent no heartbeat with it yet, may
-// hold anything while the records of machines are unread: however long that takes,
-// its lease counts from its own last heartbeat, not from the registration.
-func TestUnreadRecordsProveNoLossOfAnAnsweredMachine(t *testing.T) {
+// While the machine records are unread, a machine that has received this leader's fencing token
+// but has sent no heartbeat with it yet may hold any tasks. However long the read takes, the
+// machine's lease counts from its own last heartbeat, not from the registration.
+func TestUnreadRecordsProveNoLossOfRespondingMachine(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	busy, idle := startOneTask(t, sim, sim.Nodes["a"])
 	sim.restartAllWithHiddenKeys("fleet/")
 	sim.Advance(3 * time.Second)
 	sim.HeartbeatFor(9, idle)
-	busy.Heartbeat() // its first here, with the fencing token of before; its lease begins anew
+	busy.Heartbeat() // its first to this leader, with the previous fencing token; the response renews its lease
 	sim.HeartbeatFor(13, idle)
 	want(t, "replicas within the lease", idle.Starts, 0)
 	sim.State.HiddenPrefix = ""
@@ -201,8 +204,8 @@
 	}
 }
 
-// restartAllWithHiddenKeys ends all members and starts them 4 s later, while listings of the
-// keys with a prefix are refused.
+// restartAllWithHiddenKeys crashes all members and starts them 4 s later, while the state service
+// rejects listings of the keys with a prefix.
 func (sim *simulation) restartAllWithHiddenKeys(prefix string) {
 	sim.CrashAll()
 	sim.Advance(4 * time.Second)
--- a/internal/coordination/listed_machines.go
+++ b/internal/coordination/listed_machines.go
@@ -7,15 +7,15 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// In heartbeatJitterFactor times their interval all machines that are up have sent a
-// heartbeat, once they have found a new leader.
+// Every running machine finds a new leader within leaderSearchTime, and then sends a heartbeat
+// within heartbeatJitterFactor times the heartbeat interval.
 const (
 	heartbeatJitterFactor = 1.25
 	leaderSearchTime      = 2 * time.Second
 )
 
-// MachinesListed takes in the cloud's machine list. Lists lag and may go back in
-// time, so a machine that is missing proves nothing; one that has failed is proof.
+// MachinesListed applies the cloud's machine list. Lists lag and may go back in time, so a
+// missing machine proves nothing, but one listed as failed is proven terminated.
 func (l *leader) MachinesListed(machines []protocol.ListedMachine, now time.Duration) {
 	for _, listed := range machines {
 		m := l.machines.add(listed.ID)
@@ -32,11 +32,11 @@
 	l.autoscaler.onMachineList(now)
 }
 
-// missingFromCloud tells whether a machine that only an earlier leader's record names
-// is not to be found: it has sent no heartbeat within the time in which all others
-// have, and the present list lacks it. Most likely it was terminated before the last
-// leader's term ended; terminating it once more is proof. Until then a recovered
-// shard's tasks wait for it.
+// missingFromCloud reports whether a machine known only from an earlier leader's record seems
+// to be gone: it has sent no heartbeat within the time in which every running machine has,
+// and a list read since the election lacks it. Most likely it was terminated before the last
+// leader's term ended. Terminating it once more proves that; until then the tasks of
+// recovered shards wait for it.
 func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
 	if m.heartbeatSeen || !m.recordedByEarlierLeader || l.env.cloud.ListedAt() <= l.electedAt {
 		return false
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -7,94 +7,95 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// replicaKey names one replica of a task.
+// replicaKey identifies one replica of a task.
 type replicaKey struct {
 	job     string
 	task    uint32
 	replica uint64
 }
 
-// replicaOnMachine is a replica that a machine lists, or that was sent there.
+// replicaOnMachine is a replica that a machine lists or was sent a start of.
 type replicaOnMachine struct {
 	key              replicaKey
 	state            protocol.TaskState
 	exitReason       protocol.ExitReason
-	stateSince       time.Duration // when it was first seen in its state
-	job              *trackedJob   // nil if no registered owner knows it
-	stopRequested    bool          // to make room for others, or as the machine is to go
+	stateSince       time.Duration // when the leader first observed its state or sent its start
+	job              *trackedJob   // nil if the leader does not know the job
+	stopRequested    bool          // to make room for other tasks, or to drain the machine
 	preemptionExempt bool          // see preemptible
 }
 
-// requirementsKnown tells whether it is known what a replica needs.
+// requirementsKnown reports whether the resources that a replica needs are known.
 func (r *replicaOnMachine) requirementsKnown() bool { return r.job != nil && r.job.spec != nil }
 
-// machineKind is a kind of machine that the cloud offers.
+// machineKind is a combination of machine type, zone and spot or on-demand that the cloud
+// offers.
 type machineKind struct {
 	typeName, zone string
 	spot           bool
 }
 
-// machine is what the leader knows of one machine. Its fields are grouped by the
-// component that changes them.
+// machine is the leader's state of one machine. Its fields are grouped by the component that
+// changes them. Times are on this process's steady clock.
 type machine struct {
 	name  string
 	index uint32 // in the machine table, and on this leader's streams
 
-	// Of the last heartbeat.
+	// From the last heartbeat; see heartbeatIntake.
 	machineKind
 	epoch, sequence      uint64
-	heartbeatSeen        bool          // under this leader
-	lastHeartbeat        time.Duration // when it came
-	lastCurrentHeartbeat time.Duration // the last with this leader's fencing token
-	reclaimAt            time.Duration // when the cloud takes the machine away; 0: no notice
+	heartbeatSeen        bool          // by this leader, with any fencing token
+	lastHeartbeat        time.Duration // its arrival; for a terminated machine, when that was observed
+	lastCurrentHeartbeat time.Duration // arrival of the last one with this leader's fencing token; 0: none
+	reclaimAt            time.Duration // when the cloud reclaims the machine; 0: no notice
 	tasks                []replicaOnMachine
-	idleSince            time.Duration
+	idleSince            time.Duration // since it last ran a replica or was sent a start
 
-	// Of the last response.
-	responseConnection uint64             // that the heartbeat came on
-	sentStarts         []replicaOnMachine // not yet listed
-	pendingResponse    *pendingResponse   // nil: none waits for bindings
-	free               resources          // what tasks and sentStarts leave
-	ownerCommands      map[replicaKey]*meshpb.MachineCommand
+	// From the last response.
+	responseConnection uint64                                // on which the heartbeat that it answered arrived
+	sentStarts         []replicaOnMachine                    // that no heartbeat has confirmed or disproved yet
+	pendingResponse    *pendingResponse                      // waiting for bindings; nil: none
+	free               resources                             // capacity less that of tasks and sentStarts
+	ownerCommands      map[replicaKey]*meshpb.MachineCommand // repeated until the lists show them done
 
 	// See deliveryTracker.
-	lastReachable        time.Duration // last heartbeat that showed that a response had arrived
-	reachabilityPresumed bool          // it showed that only by how late it came
+	lastReachable        time.Duration // last heartbeat that showed the arrival of a response
+	reachabilityPresumed bool          // only the delay of that heartbeat showed it
 
 	// See usageAccounting.
-	replicasCounted bool      // its replicas are counted with their jobs
-	unreconciled    resources // what may run on it that no owner accounts for
+	replicasCounted bool      // its replicas are included in their jobs' liveReplicas
+	unreconciled    resources // upper bound of what may run on it that no owner accounts for
 
 	// See machineRecorder.
-	recordKey               string // of the record that names it; without one it gets no starts
-	recordPending           bool
-	recordedByEarlierLeader bool // an earlier leader named it, and may have given it tasks
+	recordKey               string // key of the machine record that names it; "": none, and it gets no starts
+	recordPending           bool   // requested or being written
+	recordedByEarlierLeader bool   // an earlier leader may have started tasks on it
 
 	// See statusPublisher.
-	statusStreams  []uint64 // by member: the stream on which its last status was published
-	lastFullStatus time.Duration
-	imagesChanged  bool // since the last status
+	statusStreams  []uint64      // by peer index: the stream on which its last status was published
+	lastFullStatus time.Duration // when its status was last published in full
+	imagesChanged  bool          // since the last status
 
 	// See imageTable.
 	images                 []cachedImage
-	imagesWithPendingTasks int // of these, how many have work waiting
+	imagesWithPendingTasks int // number of images that pending tasks need
 
 	// See quarantine.
-	failuresByJob map[string]int // since the last success
-	quarantined   bool
-
-	// Of the autoscaler, the warm pool and the scheduler.
-	createdAt            time.Duration // 0: not known
-	terminating          bool          // it gets no offers any more
-	terminateInFlight    bool
-	terminated           bool
-	neededByPendingTasks bool             // waiting tasks can use it
-	inWarmPool           bool             // its room is kept for services
-	reservedFor          *trackedJob      // its room gathers for this job
-	offeringResponse     *pendingResponse // that offers are being made for
+	failuresByJob map[string]int // by job id, since the last success on the machine
+	quarantined   bool           // it fails tasks, so it gets no starts
+
+	// Changed by the autoscaler, the warm pool and the scheduler.
+	createdAt            time.Duration    // 0: unknown
+	terminating          bool             // to be released to the cloud, so it gets no more offers
+	terminateInFlight    bool             // a release request awaits the cloud's answer
+	terminated           bool             // the cloud says so, which proves its tasks lost
+	neededByPendingTasks bool             // pending tasks can use it
+	inWarmPool           bool             // its free resources are kept for services
+	reservedFor          *trackedJob      // its resources are kept free for this job as they become free
+	offeringResponse     *pendingResponse // the response for which offers are being made at present; nil: none
 }
 
-// listsReplica tells whether a machine lists a replica, ended or not.
+// listsReplica reports whether a machine's last list has a replica, exited or not.
 func (m *machine) listsReplica(key replicaKey) bool {
 	for i := range m.tasks {
 		if m.tasks[i].key == key {
@@ -104,16 +105,17 @@
 	return false
 }
 
-// empty tells whether nothing is on the machine or on its way there. An ended task
-// counts: its result may not be durable yet.
+// empty reports whether the machine lists no task, was sent no start and awaits no response.
+// An exited task counts as one it lists: its result may not be durable yet.
 func (m *machine) empty() bool {
 	return len(m.tasks)+len(m.sentStarts) == 0 && m.pendingResponse == nil
 }
 
-// starting tells whether a machine has not come so far that it may get starts.
+// starting reports whether a machine can't get starts yet: it has sent no heartbeat with this
+// leader's fencing token, or no machine record names it.
 func (m *machine) starting() bool { return m.lastCurrentHeartbeat == 0 || m.recordKey == "" }
 
-// runsAnyReplica tells whether the machine lists a replica that has not ended.
+// runsAnyReplica reports whether the machine lists a replica that has not exited.
 func (m *machine) runsAnyReplica() bool {
 	for i := range m.tasks {
 		if m.tasks[i].state != protocol.TaskExited {
@@ -123,9 +125,9 @@
 	return false
 }
 
-// mayRunUnreconciled tells whether replicas may run on a machine that no owner
-// accounts for: it lists some of unknown jobs, or an earlier leader may have given
-// it some and it has not responded to this one yet.
+// mayRunUnreconciled reports whether replicas that no owner accounts for may run on a machine:
+// it lists some of unknown jobs, or an earlier leader may have started some on it and it has
+// not yet sent a heartbeat with this leader's fencing token.
 func (m *machine) mayRunUnreconciled() bool {
 	if m.lastCurrentHeartbeat == 0 && m.recordedByEarlierLeader {
 		return true
@@ -138,8 +140,8 @@
 	return false
 }
 
-// updateFree works out what the listed replicas and the starts on their way leave
-// free: nothing while the machine's type or the size of a replica is unknown.
+// updateFree computes the resources that the listed replicas and the sent starts leave free:
+// none while the machine's type or the requirements of a replica are unknown.
 func (m *machine) updateFree(machineType *protocol.MachineType) {
 	m.free = resources{}
 	if machineType == nil {
@@ -162,15 +164,16 @@
 	m.free = free
 }
 
-// endEpoch forgets what a machine listed or was sent in an epoch that has ended: all
-// of it is gone. Nobody may be told of it any more: who acquires a shard would think
-// that it counts, and that the replica does not (ran_twice).
+// endEpoch removes what a machine listed or was sent in an epoch that has ended: all of it is
+// proven lost. It must not be published any more: a member that acquires a shard would take a
+// lost replica for its task's current one and the replica that runs for superseded, and the
+// task would run twice (rule ran_twice).
 func (m *machine) endEpoch(machineType *protocol.MachineType) {
 	m.tasks, m.sentStarts, m.ownerCommands = nil, nil, nil
 	m.updateFree(machineType)
 }
 
-// clear forgets what was on a machine that is terminated.
+// clear removes what was on a machine that is terminated.
 func (m *machine) clear() {
 	m.tasks, m.sentStarts, m.ownerCommands, m.images, m.reservedFor = nil, nil, nil, nil, nil
 	m.free = resources{}
--- a/internal/coordination/machine_commands.go
+++ b/internal/coordination/machine_commands.go
@@ -5,9 +5,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const maxCleanupCommands = 300 // in one response
+const maxCleanupCommands = 300 // in one response, which is limited in size
 
-// handleMachineCommands takes an owner's requests to stop or reap replicas.
+// handleMachineCommands handles an owner's requests to stop or reap replicas. Those of a
+// member that does not own the job's shard are dropped.
 func (l *leader) handleMachineCommands(p *peer, commands *meshpb.MachineCommands) {
 	for _, command := range commands.Commands {
 		m, job := l.machines.at(command.MachineIndex), l.jobs.get(command.Job)
@@ -18,8 +19,8 @@
 	}
 }
 
-// setOwnerCommand has a listed replica stopped or reaped. The command is repeated until
-// the machine's list shows its end.
+// setOwnerCommand records an owner's command to stop or reap a listed replica. It is sent
+// with every response until the machine's list shows that it is done.
 func (m *machine) setOwnerCommand(command *meshpb.MachineCommand) {
 	key := replicaKey{command.Job, command.Task, command.Replica}
 	if !m.listsReplica(key) {
@@ -31,7 +32,7 @@
 	m.ownerCommands[key] = command
 }
 
-// removeDoneOwnerCommands forgets the commands whose replicas are not listed any more.
+// removeDoneOwnerCommands removes the commands whose replicas are no longer listed.
 func (m *machine) removeDoneOwnerCommands() {
 	for key := range m.ownerCommands {
 		if !m.listsReplica(key) {
@@ -40,8 +41,10 @@
 	}
 }
 
-// cleanupCommands returns the commands that remove what should not be, or no longer
-// need be, on the machine. They are repeated until its list shows the end.
+// cleanupCommands returns the stop and reap commands for the replicas on the machine that are
+// not to run or to be kept any more: those of ended, cancelled or unknown jobs, and those that
+// owners asked for. Jobs count as unknown only while every shard is registered. The commands
+// are repeated until the machine's list shows them done.
 func (m *machine) cleanupCommands(shards *shardRegistry) []protocol.Command {
 	if len(m.tasks) == 0 {
 		return nil
@@ -50,7 +53,7 @@
 	var commands []protocol.Command
 	for i := range m.tasks {
 		if len(commands) >= maxCleanupCommands {
-			break // a response is limited in size; the rest follows with the next
+			break // the rest follows with the next response
 		}
 		replica := &m.tasks[i]
 		command := m.ownerCommands[replica.key]
@@ -73,7 +76,7 @@
 	return commands
 }
 
-// command is a command for a replica, as it goes to its machine.
+// newCommand returns a command for a replica, as it is sent to the machine.
 func (r *replicaOnMachine) newCommand(op string) protocol.Command {
 	return protocol.Command{Op: op, Task: protocol.TaskName(r.key.job, int(r.key.task)), Replica: r.key.replica}
 }
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -9,8 +9,8 @@
 
 const (
 	machinesPerRecord = 100
-	nameOverheadBytes = 8                      // what a name takes in a record besides its letters, at the most
-	recordInterval    = 250 * time.Millisecond // new machines gather for one record
+	nameOverheadBytes = 8                      // encoding overhead of a name in a record, at most
+	recordInterval    = 250 * time.Millisecond // between writes; machines requested meanwhile share a record
 )
 
 // machineRecordStore is the part of the state service that holds machine records.
@@ -21,46 +21,47 @@
 	After(delay time.Duration, fn func())
 }
 
-// machineRecorder keeps the machine records, which name all machines that may hold a
-// task. Every machine is named in the state service, under the leader's fencing
-// token, before it is given its first start; so the next leader knows at once which
-// machines have to be heard of before recovered tasks may be placed, without waiting
-// for the cloud's list, which lags, or for a lease time.
+// machineRecorder maintains the machine records, which name all machines that may hold a
+// task. Every machine is named in the state service, in a write guarded by the leader's
+// fencing token, before it is sent its first start. So the next leader knows at once which
+// machines need a proof before it may place recovered tasks, and need not wait for the
+// cloud's list, which lags, or for the lease timeout.
 //
-// It owns machine.recordKey and recordPending. After stop it changes nothing any
-// more: what is on its way then is the next leader's to read.
+// It owns machine.recordKey and recordPending. After stop it changes nothing: the next
+// leader reads the result of a write that is in flight then.
 type machineRecorder struct {
 	store        machineRecordStore
 	machines     *machineTable
 	fencingToken uint64
-	maxBytes     int // of one record
+	maxBytes     int // limit of one record's size
 
 	unrecorded     []*machine
 	nextWrite      time.Duration
 	writing        bool
-	recordsWritten int // records so far, which numbers them
+	recordsWritten int // number of records written so far; numbers the next one
 	rewriting      bool
-	loadAttempts   int  // how often earlier leaders' records were asked for
+	loadAttempts   int  // reads of the earlier leaders' records
 	loaded         bool // see machinesKnown
 	stopped        bool
 }
 
-// loadedRecords is what a read of all machine records found.
+// loadedRecords is the result of a read of all machine records.
 type loadedRecords struct {
 	recordCount int
 	revision    uint64
-	attempts    int // that it took
+	attempts    int // reads, including the failed ones
 	machines    []*machine
 }
 
-// machinesKnown tells whether every machine is known that may hold a task.
+// machinesKnown reports whether all machines that may hold a task are known: the earlier
+// leaders' records have been read.
 func (r *machineRecorder) machinesKnown() bool { return r.loaded }
 
-// stop ends the recorder with its leader's term.
+// stop ends the recorder when its leader's term ends.
 func (r *machineRecorder) stop() { r.stopped = true }
 
-// load learns the machines that earlier leaders may have given tasks. It tries until
-// it has read them and then calls done.
+// load reads the machines on which earlier leaders may have started tasks. It retries until a
+// read succeeds, then calls done.
 func (r *machineRecorder) load(done func(loadedRecords)) {
 	r.loadAttempts++
 	r.store.MachineRecords(func(records map[string][]string, revision uint64, ok bool) {
@@ -81,7 +82,7 @@
 	})
 }
 
-// addRecorded makes the machines known that records name.
+// addRecorded adds the machines that records name to the machine table and returns them.
 func (r *machineRecorder) addRecorded(records map[string][]string) (found []*machine) {
 	for key, names := range records {
 		for _, name := range names {
@@ -94,7 +95,7 @@
 	return found
 }
 
-// request has a machine recorded that was not yet.
+// requestRecord queues a machine to be recorded, unless it is recorded or queued already.
 func (r *machineRecorder) requestRecord(m *machine) {
 	if m.recordKey == "" && !m.recordPending {
 		r.unrecorded = append(r.unrecorded, m)
@@ -102,8 +103,9 @@
 	}
 }
 
-// writeIfDue records the machines that were requested, when a record is due. One that
-// has not come up holds nothing, and is nothing to wait for.
+// writeIfDue writes a record of requested machines if recordInterval has passed and no write
+// is in flight. A machine is requested only once it has sent a heartbeat: one that has not
+// booted holds no task, and the next leader need not wait for it.
 func (r *machineRecorder) writeIfDue(now time.Duration) {
 	if r.writing || len(r.unrecorded) == 0 || now < r.nextWrite {
 		return
@@ -122,7 +124,7 @@
 		}
 		r.writing = false
 		for _, m := range batch {
-			m.recordPending = false // its next heartbeat asks again if need be
+			m.recordPending = false // after a failed write its next heartbeat requests it again
 			if result.Outcome == storage.Applied {
 				m.recordKey = key
 			}
@@ -130,79 +132,78 @@
 	})
 }
 
-// takeBatch removes as many of the requested machines as fit into one record.
+// takeBatch removes and returns as many of the requested machines as fit into one record.
 func (r *machineRecorder) takeBatch() []*machine {
-	n, size := 0, 0
+	count, size := 0, 0
 	for _, m := range r.unrecorded[:min(len(r.unrecorded), machinesPerRecord)] {
-		if size += len(m.name) + nameOverheadBytes; n > 0 && size > r.maxBytes {
+		if size += len(m.name) + nameOverheadBytes; count > 0 && size > r.maxBytes {
 			break
 		}
-		n++
+		count++
 	}
-	batch := append([]*machine(nil), r.unrecorded[:n]...)
-	r.unrecorded = append(r.unrecorded[:0], r.unrecorded[n:]...)
+	batch := append([]*machine(nil), r.unrecorded[:count]...)
+	r.unrecorded = append(r.unrecorded[:0], r.unrecorded[count:]...)
 	return batch
 }
 
-// recordCounts is how many machines a record names that are there, and how many
-// that are terminated.
+// recordCounts counts the live and the terminated machines that a record names.
 type recordCounts struct {
 	live, terminated int
-	liveBytes        int // of the record without the terminated ones
+	liveBytes        int // size of the record without the terminated machines, at most
 }
 
-// contents counts what each record names.
+// countByRecord counts the machines that each record names, by record key.
 func (r *machineRecorder) countByRecord() map[string]recordCounts {
-	contents := make(map[string]recordCounts)
+	byRecord := make(map[string]recordCounts)
 	for m := range r.machines.all {
 		if m.recordKey == "" {
 			continue
 		}
-		c := contents[m.recordKey]
+		c := byRecord[m.recordKey]
 		if m.terminated {
 			c.terminated++
 		} else {
 			c.live++
 			c.liveBytes += len(m.name) + nameOverheadBytes
 		}
-		contents[m.recordKey] = c
+		byRecord[m.recordKey] = c
 	}
-	return contents
+	return byRecord
 }
 
-// compact brings one record up to date that names terminated machines, so that the
-// next leader waits for none of them. A record that can be dropped comes first, then
-// the one that names most machines in vain.
+// compact rewrites one record that names terminated machines, so that the next leader does not
+// wait for them. A record that names only terminated machines comes first, as it can be
+// deleted; then the one with the most terminated machines.
 func (r *machineRecorder) compact() {
 	if r.rewriting {
 		return
 	}
-	worst, of := "", recordCounts{}
+	bestKey, best := "", recordCounts{}
 	for key, c := range r.countByRecord() {
 		if c.terminated == 0 || c.liveBytes > r.maxBytes {
-			continue // written under larger limits, it stays until fewer are left
+			continue // written under a larger limit; it stays until its live machines fit
 		}
-		if worst == "" || c.compactsBefore(key, of, worst) {
-			worst, of = key, c
+		if bestKey == "" || c.compactsBefore(key, best, bestKey) {
+			bestKey, best = key, c
 		}
 	}
-	if worst != "" {
-		r.rewrite(worst)
+	if bestKey != "" {
+		r.rewrite(bestKey)
 	}
 }
 
-// before tells whether a record is compacted before another.
+// compactsBefore reports whether a record is compacted before another.
 func (c recordCounts) compactsBefore(key string, other recordCounts, otherKey string) bool {
-	switch droppable, otherDroppable := c.live == 0, other.live == 0; {
-	case droppable != otherDroppable:
-		return droppable
+	switch deletable, otherDeletable := c.live == 0, other.live == 0; {
+	case deletable != otherDeletable:
+		return deletable
 	case c.terminated != other.terminated:
 		return c.terminated > other.terminated
 	}
 	return key < otherKey
 }
 
-// rewrite leaves out of a record the machines that are terminated.
+// rewrite writes a record without its terminated machines.
 func (r *machineRecorder) rewrite(key string) {
 	var names []string
 	var terminated []*machine
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// fakeRecordStore holds calls until the test answers them.
+// fakeRecordStore holds calls until the test completes them.
 type fakeRecordStore struct {
 	writes        []string
 	pendingWrites []func(storage.TxnResult)
@@ -53,7 +53,7 @@
 	r, store := newTestRecorder(2 * (len("vm-1") + nameOverheadBytes))
 	for _, name := range []string{"vm-3", "vm-1", "vm-2"} {
 		r.requestRecord(r.machines.add(name))
-		r.requestRecord(r.machines.get(name)) // asked for again
+		r.requestRecord(r.machines.get(name)) // a second request has no effect
 	}
 	now := time.Minute
 	r.writeIfDue(now)
@@ -66,24 +66,24 @@
 	r.writeIfDue(now + recordInterval)
 	want(t, "last write", store.writes[len(store.writes)-1], "record-2: vm-2")
 	store.complete(storage.Rejected)
-	want(t, "record after a refusal", r.machines.get("vm-2").recordKey, "")
+	want(t, "record after a rejected write", r.machines.get("vm-2").recordKey, "")
 	r.requestRecord(r.machines.get("vm-2"))
 	r.writeIfDue(now + 2*recordInterval)
-	want(t, "it is asked for again", store.writes[len(store.writes)-1], "record-3: vm-2")
+	want(t, "write after it is requested again", store.writes[len(store.writes)-1], "record-3: vm-2")
 }
 
-func TestRecordsOfEarlierLeadersAreReadUntilTheyAreKnown(t *testing.T) {
+func TestMachineRecordsAreReadUntilLoaded(t *testing.T) {
 	r, store := newTestRecorder(1000)
 	var loaded []loadedRecords
 	r.load(func(l loadedRecords) { loaded = append(loaded, l) })
 	store.pendingReads[0](nil, 0, false)
-	want(t, "known after a failed read", r.machinesKnown(), false)
+	want(t, "machines known after a failed read", r.machinesKnown(), false)
 	store.delayedCalls[0]()
 	store.pendingReads[1](map[string][]string{"record-9": {"vm-1", "vm-2"}}, 5, true)
-	want(t, "known", r.machinesKnown(), true)
+	want(t, "machines known", r.machinesKnown(), true)
 	want(t, "reads", loaded[0].attempts, 2)
 	want(t, "machines", len(loaded[0].machines), 2)
-	want(t, "from an earlier leader", r.machines.get("vm-2").recordedByEarlierLeader, true)
+	want(t, "recorded by an earlier leader", r.machines.get("vm-2").recordedByEarlierLeader, true)
 	want(t, "record", r.machines.get("vm-2").recordKey, "record-9")
 }
 
@@ -92,16 +92,16 @@
 	m := r.machines.add("vm-1")
 	r.requestRecord(m)
 	r.writeIfDue(time.Minute)
-	r.load(func(loadedRecords) { t.Error("records are loaded after the end") })
+	r.load(func(loadedRecords) { t.Error("records are loaded after the recorder was stopped") })
 	r.stop()
 	store.complete(storage.Applied)
 	store.pendingReads[0](map[string][]string{"record-9": {"vm-2"}}, 5, true)
 	want(t, "record", m.recordKey, "")
-	want(t, "machine of an old record", r.machines.get("vm-2") == nil, true)
-	want(t, "known", r.machinesKnown(), false)
+	want(t, "machine of an old record is unknown", r.machines.get("vm-2") == nil, true)
+	want(t, "machines known", r.machinesKnown(), false)
 }
 
-func TestRecordsAreCompactedDroppableOnesFirst(t *testing.T) {
+func TestDeletableRecordsAreCompactedFirst(t *testing.T) {
 	r, store := newTestRecorder(1000)
 	for name, key := range map[string]string{"a1": "record-a", "a2": "record-a", "a3": "record-a", "b1": "record-b", "c1": "record-c", "c2": "record-c"} {
 		m := r.machines.add(name)
@@ -115,7 +115,7 @@
 		store.complete(storage.Applied)
 	}
 	want(t, "record of a terminated machine", r.machines.get("a1").recordKey, "")
-	want(t, "record of one that is there", r.machines.get("a3").recordKey, "record-a")
+	want(t, "record of a live machine", r.machines.get("a3").recordKey, "record-a")
 	r.compact()
 	want(t, "writes", len(store.writes), 3)
 }
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -1,25 +1,25 @@
 package coordination
 
-// maxMachines bounds the machines that a controller knows: three times a fleet of
-// 6,000, as one that was terminated is remembered for tombstoneTTL and may have been
-// replaced twice meanwhile. More are refused at once.
+// maxMachines limits the machines that a controller tracks. It is more than three times a
+// fleet of 6,000, as a terminated machine stays in the table for tombstoneTTL and may be
+// replaced twice within that time. Further machines are rejected at once.
 const maxMachines = 20000
 
-// machineTable holds the leader's machines, by name and by dense index.
+// machineTable holds the leader's machines by name and by dense index.
 type machineTable struct {
 	byName      map[string]*machine
 	byIndex     []*machine // nil where an index is free
 	freeIndexes []uint32
-	sliceCursor int // of the work that goes through all machines in slices
+	sliceCursor int // last index that nextSlice visited
 }
 
 // init prepares an empty table.
 func (t *machineTable) init() { t.byName = make(map[string]*machine) }
 
-// get returns a machine, or nil if it is not known.
+// get returns a machine, or nil if it is not in the table.
 func (t *machineTable) get(name string) *machine { return t.byName[name] }
 
-// at returns the machine of an index, or nil.
+// at returns the machine with an index, or nil.
 func (t *machineTable) at(index uint32) *machine {
 	if int(index) >= len(t.byIndex) {
 		return nil
@@ -27,7 +27,8 @@
 	return t.byIndex[index]
 }
 
-// add makes a machine known and returns it, or nil if there are maxMachines.
+// add returns the machine of a name, adding it if it is missing; nil if there are maxMachines
+// already.
 func (t *machineTable) add(name string) *machine {
 	if m := t.byName[name]; m != nil {
 		return m
@@ -48,7 +49,7 @@
 	return m
 }
 
-// remove forgets a machine; its index is used again.
+// remove removes a machine; its index may be reused.
 func (t *machineTable) remove(m *machine) {
 	delete(t.byName, m.name)
 	t.byIndex[m.index] = nil
@@ -64,7 +65,7 @@
 	}
 }
 
-// nextSlice yields the next part of all machines; parts calls go through them all.
+// nextSlice yields the next 1/parts of all machines, so that parts calls visit them all.
 func (t *machineTable) nextSlice(parts int, yield func(*machine)) {
 	n := len(t.byIndex)
 	for range (n + parts - 1) / parts {
--- a/internal/coordination/pending_responses.go
+++ b/internal/coordination/pending_responses.go
@@ -7,27 +7,28 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// pendingResponse is the response to a heartbeat that waits for bindings.
+// pendingResponse is a response to a heartbeat. It is held back while offers made for it await
+// bindings.
 type pendingResponse struct {
 	machine         *machine
 	reply           func(Response)
-	receivedAt      time.Duration
-	connection      uint64
+	receivedAt      time.Duration // arrival of the heartbeat
+	connection      uint64        // that the heartbeat arrived on; 0: unknown
 	epoch, sequence uint64
 	commands        []protocol.Command
 	openOffers      []*offer
 	bindings        []shardBinding
-	closed          bool
+	closed          bool // sent or abandoned
 }
 
-// shardBinding is a binding and the shard whose owner made it.
+// shardBinding is a binding with the shard whose owner made it.
 type shardBinding struct {
 	shard   *shardState
 	binding *meshpb.Binding
 }
 
-// sendResponse sends a response with the starts that were bound for it, unless this
-// member may not act any more.
+// sendResponse sends a response with the starts that were bound for it. If this member may no
+// longer act or the machine is terminated, it returns the bindings and responds 503.
 func (l *leader) sendResponse(response *pendingResponse) {
 	m := response.machine
 	if m.pendingResponse == response {
@@ -54,7 +55,7 @@
 	response.reply(l.heartbeatResponse(response.commands, min(response.receivedAt+responseLifetime, l.env.authority.MayActUntil())))
 }
 
-// addStart puts a start into a response, and counts it as on its way.
+// addStart adds a start to a response and records it as sent to the machine.
 func (l *leader) addStart(response *pendingResponse, job *trackedJob, binding *meshpb.Binding, now time.Duration) {
 	m := response.machine
 	start := replicaOnMachine{
@@ -72,7 +73,7 @@
 	m.idleSince = now
 }
 
-// heartbeatResponse encodes a response that may be sent for so long.
+// heartbeatResponse encodes a response that may be sent until validUntil.
 func (l *leader) heartbeatResponse(commands []protocol.Command, validUntil time.Duration) Response {
 	if commands == nil {
 		commands = []protocol.Command{}
@@ -81,7 +82,8 @@
 	return Response{Status: 200, Body: body, ValidUntil: validUntil}
 }
 
-// abandonResponse ends a response that its machine no longer waits for.
+// abandonResponse closes a response that its machine no longer waits for and returns its
+// bindings.
 func (l *leader) abandonResponse(response *pendingResponse) {
 	l.scheduler.offers.closeAll(response)
 	response.closed = true
@@ -91,22 +93,23 @@
 	response.reply(l.env.errorResponse(503, "superseded", 1))
 }
 
-// sendDueResponses sends the responses that have waited long enough for bindings.
+// sendDueResponses sends the responses that have waited for bindings longer than OfferWait.
 func (l *leader) sendDueResponses(now time.Duration) {
-	kept := l.pendingResponses[:0]
+	remaining := l.pendingResponses[:0]
 	for _, response := range l.pendingResponses {
 		if !response.closed && now-response.receivedAt > l.env.tuning.OfferWait {
 			l.sendResponse(response)
 		}
 		if !response.closed {
-			kept = append(kept, response)
+			remaining = append(remaining, response)
 		}
 	}
-	clear(l.pendingResponses[len(kept):])
-	l.pendingResponses = kept
+	clear(l.pendingResponses[len(remaining):])
+	l.pendingResponses = remaining
 }
 
-// returnBindings tells owners that what they bound was not sent and never will be.
+// returnBindings tells owners that their bindings of a response were not sent and never will
+// be.
 func (l *leader) returnBindings(response *pendingResponse) {
 	for len(response.bindings) > 0 {
 		owner := response.bindings[0].shard.owner
@@ -118,22 +121,22 @@
 	}
 }
 
-// takeBindingsOf removes the bindings that an owner made.
+// takeBindingsOf removes and returns the bindings that an owner made.
 func (r *pendingResponse) takeBindingsOf(owner *peer) []*meshpb.Binding {
 	var taken []*meshpb.Binding
-	kept := r.bindings[:0]
+	remaining := r.bindings[:0]
 	for _, b := range r.bindings {
 		if b.shard.owner == owner {
 			taken = append(taken, b.binding)
 		} else {
-			kept = append(kept, b)
+			remaining = append(remaining, b)
 		}
 	}
-	r.bindings = kept
+	r.bindings = remaining
 	return taken
 }
 
-// sendReturnedBindings returns bindings to their owner, if it still is one.
+// sendReturnedBindings returns bindings to their owner, if the shard still has one.
 func sendReturnedBindings(owner *peer, bindings []*meshpb.Binding) {
 	if len(bindings) > 0 && owner != nil {
 		owner.send(&meshpb.Frame{Body: &meshpb.Frame_ReturnedBindings{ReturnedBindings: &meshpb.ReturnedBindings{Bindings: bindings}}})
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -6,20 +6,21 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// machineProof is why a shard's owner need not wait for a machine any more.
+// machineProof is the reason why a shard's owner need no longer wait for a machine before it
+// relies on what it was told of its recovered tasks.
 type machineProof int
 
 const (
 	notProven               machineProof = iota
-	provenTerminated                     // it has ended for good
-	provenLeaseExpired                   // its lease has expired
-	provenByHeartbeat                    // it has sent a heartbeat since the shard was registered
-	provenByPublishedStatus              // the owner was told its last status, and it was sent nothing of the shard since
-	provenEmpty                          // no earlier leader can have given it tasks
+	provenTerminated                     // the cloud has terminated it
+	provenLeaseExpired                   // its lease has expired, so it runs nothing
+	provenByHeartbeat                    // it has sent a current heartbeat since the shard was registered
+	provenByPublishedStatus              // the owner has its last status, and no start of the shard was sent since
+	provenEmpty                          // no earlier leader can have started tasks on it
 	machineProofCount
 )
 
-// String names a proof as logs do.
+// String returns a proof's name in logs.
 func (p machineProof) String() string {
 	switch p {
 	case provenTerminated:
@@ -36,31 +37,32 @@
 	return "not_proven"
 }
 
-// proofCounts is how many machines there are by their proof.
+// proofCounts is the number of machines by proof.
 type proofCounts [machineProofCount]int
 
-// reconciliation is the decision that a shard is reconciled.
+// reconciliation is a decision that a shard is reconciled.
 type reconciliation struct {
 	shard *shardState
-	// full: no machine holds any replica of the shard that its owner does not know
-	// of. Otherwise no replica of its recovered tasks can be left that the owner was
-	// not told of, and proofs tells why.
+	// noUnknownReplicas: no machine holds any replica of the shard that its owner does not
+	// know. If false, the decision says only that no replica of its recovered tasks can be
+	// left that the owner was not told of, and proofs counts the reasons.
 	noUnknownReplicas bool
 	proofs            proofCounts
 }
 
-// reconciler decides when a shard's owner knows all replicas that can be left of its
-// recovered tasks, by the proofs of all machines. It owns shardState.reconciled and
+// reconciler decides, from the proofs of all machines, when a shard's owner knows all replicas
+// that can be left of its recovered tasks. It owns shardState.reconciled and
 // noUnknownReplicas, and only reads machines.
 type reconciler struct {
 	leases   machineLeases
 	machines *machineTable
-	// escrow: owners have to know when no unknown replica is left, as these count
-	// against what their teams may use.
+	// quotaEscrow: teams' limits are enforced by escrow. Unknown replicas count against
+	// them, so owners must be told when none is left.
 	quotaEscrow bool
 }
 
-// decide returns the shards that have just become reconciled, each of them once.
+// updateReconciled marks the shards that have become reconciled, and returns each of these
+// decisions once.
 func (r *reconciler) updateReconciled(shards *shardRegistry, known recoveryProgress, now time.Duration) []reconciliation {
 	var decisions []reconciliation
 	for _, shard := range shards.byName {
@@ -79,10 +81,12 @@
 	return decisions
 }
 
-// proofsFor counts the machines by their proof. It stops at the first that has none.
+// proofsFor counts the machines by proof. It stops at the first that has none and then reports
+// complete as false.
 func (r *reconciler) proofsFor(shard *shardState, known recoveryProgress, now time.Duration) (proofs proofCounts, complete bool) {
 	if !known.machinesKnown && now-shard.registeredAt <= r.leases.timeout {
-		return proofs, false // there may be more machines than are known
+		// Machines that are not known yet may hold tasks until their leases have expired.
+		return proofs, false
 	}
 	for m := range r.machines.all {
 		proof := r.proofFor(m, shard, known, now)
@@ -94,12 +98,13 @@
 	return proofs, true
 }
 
-// proofFor tells why a shard's present owner has been told all that may be on a
-// machine: by a heartbeat since it registered, or by the last one before if nothing
-// of the shard was sent to the machine after that. One that this leader was the first
-// to name, and that has not had its fencing token, holds nothing: waited for, the
-// machines that come up all the time kept a shard from being reconciled. Which
-// machines those are is known only once the records of earlier leaders were read.
+// proofFor returns the proof that a shard's present owner was told all that may be on a
+// machine: by a heartbeat since the registration, or by the last one before it if no start
+// of the shard was sent to the machine after that. A machine that no earlier leader
+// recorded, and that has not received this leader's fencing token, holds nothing. If the
+// reconciler waited for such machines, a shard might never be reconciled, because new
+// machines boot all the time. Which machines those are is known only once the records of
+// earlier leaders have been read.
 func (r *reconciler) proofFor(m *machine, shard *shardState, known recoveryProgress, now time.Duration) machineProof {
 	switch {
 	case m.terminated:
@@ -116,8 +121,8 @@
 	return provenByPublishedStatus
 }
 
-// hasUnacknowledgedStartOf tells whether a machine was sent starts of a shard that
-// its list does not show yet.
+// hasUnacknowledgedStartOf reports whether a machine was sent a start of a shard that no
+// heartbeat has confirmed or disproved yet.
 func (m *machine) hasUnacknowledgedStartOf(shard *shardState) bool {
 	for i := range m.sentStarts {
 		if m.sentStarts[i].job.shard == shard {
@@ -127,9 +132,9 @@
 	return false
 }
 
-// anyUnknownReplica tells whether a machine may hold a replica of a shard that its
-// owner does not know of: what is left of jobs that had ended when it acquired the
-// shard counts for their team as long as it is there.
+// anyUnknownReplica reports whether a machine may hold a replica of a shard that its owner
+// does not know: replicas of jobs that had ended before the owner acquired the shard count
+// as used by their team until they are gone.
 func (r *reconciler) anyUnknownReplica(shard *shardState, now time.Duration) bool {
 	for m := range r.machines.all {
 		if m.terminated || r.leases.expired(m, now) {
@@ -142,8 +147,8 @@
 	return false
 }
 
-// holdsUnknownReplica tells whether a list has live replicas of unknown jobs, or of
-// jobs of a shard that have ended.
+// holdsUnknownReplica reports whether a list has live replicas of jobs that the leader does not
+// know, or of ended jobs of a shard.
 func holdsUnknownReplica(list []replicaOnMachine, shard *shardState) bool {
 	for i := range list {
 		replica := &list[i]
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -27,19 +27,19 @@
 	}{
 		{"terminated", machine{terminated: true, recordedByEarlierLeader: true}, recoveryProgress{}, provenTerminated},
 		{"heartbeat since the registration", machine{lastHeartbeat: 111 * time.Second, lastCurrentHeartbeat: 111 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, provenByHeartbeat},
-		{"status told at the registration", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second}, recoveryProgress{}, provenByPublishedStatus},
-		{"start of the shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, notProven},
-		{"start of another shard on its way", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(other)}, recoveryProgress{}, provenByPublishedStatus},
+		{"status published at the registration", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second}, recoveryProgress{}, provenByPublishedStatus},
+		{"unacknowledged start of the shard", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, notProven},
+		{"unacknowledged start of another shard", machine{lastHeartbeat: 109 * time.Second, lastCurrentHeartbeat: 109 * time.Second, sentStarts: start(other)}, recoveryProgress{}, provenByPublishedStatus},
 		{"heartbeat without the fencing token", machine{lastHeartbeat: 111 * time.Second, recordedByEarlierLeader: true}, recoveryProgress{machinesKnown: true}, notProven},
-		{"first named by this leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{machinesKnown: true}, provenEmpty},
-		{"perhaps named by an earlier leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{}, notProven},
+		{"first recorded by this leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{machinesKnown: true}, provenEmpty},
+		{"perhaps recorded by an earlier leader", machine{lastHeartbeat: 111 * time.Second}, recoveryProgress{}, notProven},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestReconciler(&machineTable{})
 			want(t, "proof", r.proofFor(&c.machine, shard, c.known, now), c.want)
 			if !c.machine.terminated {
 				late := max(c.machine.lastHeartbeat, shard.registeredAt) + testLeaseTimeout
-				want(t, "after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
+				want(t, "proof after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
 			}
 		})
 	}
@@ -54,21 +54,21 @@
 	m := machines.add("vm-1")
 	m.lastHeartbeat, m.recordedByEarlierLeader = 105*time.Second, true
 	now := 120 * time.Second
-	want(t, "without an owner", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "decisions without an owner", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	shards.setOwner(shard, &peer{member: "a"})
 	shard.registeredAt = 110 * time.Second
-	want(t, "with a machine of an earlier leader", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "decisions with a machine recorded by an earlier leader", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.lastHeartbeat, m.lastCurrentHeartbeat = now, now
-	m.tasks = []replicaOnMachine{{state: protocol.TaskRunning}} // of a job that nobody knows
-	want(t, "while machines may be unknown", len(r.updateReconciled(&shards, recoveryProgress{}, now)), 0)
+	m.tasks = []replicaOnMachine{{state: protocol.TaskRunning}} // of an unknown job
+	want(t, "decisions while machines may be unknown", len(r.updateReconciled(&shards, recoveryProgress{}, now)), 0)
 	decisions := r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
 	want(t, "decisions", len(decisions), 1)
-	want(t, "full", decisions[0].noUnknownReplicas, false)
-	want(t, "machines by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
-	want(t, "with an unknown replica", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	want(t, "no unknown replicas", decisions[0].noUnknownReplicas, false)
+	want(t, "machines proven by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
+	want(t, "decisions with an unknown replica", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.tasks[0].state = protocol.TaskExited
 	decisions = r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
-	want(t, "decisions once it has ended", len(decisions), 1)
-	want(t, "full now", decisions[0].noUnknownReplicas, true)
+	want(t, "decisions once it has exited", len(decisions), 1)
+	want(t, "no unknown replicas once it has exited", decisions[0].noUnknownReplicas, true)
 	want(t, "decisions after that", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 }
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -11,9 +11,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// A failed replica that a machine still lists is older than the replica that runs
-// elsewhere: its end must not bring a third replica about (ran_twice).
-func TestEndedOldReplicaProvesNothingAfterRecovery(t *testing.T) {
+// After a recovery a machine may still list an exited replica that is older than the one
+// running on another machine. The old replica's exit must not cause a third replica to be
+// started, which would break the rule ran_twice.
+func TestExitOfOldReplicaProvesNothingAfterRecovery(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
@@ -41,7 +42,8 @@
 	want(t, "replicas on the machine that sends heartbeats", len(agent1.Running()), 0)
 }
 
-// A new owner cannot know what its predecessor started where.
+// A new owner doesn't know where its predecessor started tasks, so recovered tasks start again
+// only once every machine has sent a heartbeat or its lease has expired.
 func TestRecoveredTasksWaitForEveryMachine(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -58,15 +60,15 @@
 	want(t, "new job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
 	sim.HeartbeatFor(8, agent1)
 	if got := agent1.Running(); len(got) != 1 || !strings.HasPrefix(got[0], "wk-2") {
-		t.Fatalf("only the new job may run, got %v", got)
+		t.Fatalf("running %v, want only a task of the new job wk-2", got)
 	}
 	agent2.ExpireLease()
 	sim.HeartbeatFor(25, agent1)
-	want(t, "running once the silent machine's lease is over", len(agent1.Running()), 4)
+	want(t, "running after the silent machine's lease has expired", len(agent1.Running()), 4)
 }
 
-// Until the new leader has read which machines may hold tasks, it cannot know
-// of one that neither sends heartbeats nor is listed yet.
+// Until the new leader has read the machine records, it can't know of a machine that sends no
+// heartbeats and is missing from the cloud's list, but may hold tasks.
 func TestRecoveredTasksWaitForTheMachineRecords(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -86,22 +88,23 @@
 	want(t, "replicas", len(agent1.Running()), 0)
 }
 
-// A registration that the leader did not take is sent again with its next peer heartbeat.
+// A shard registration that did not reach the leader is sent again with the leader's next peer
+// heartbeat.
 func TestLostShardRegistrationIsRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	lead, follower := sim.Leader(), sim.Follower()
-	g := controllerOf(lead).leader.shards.get(follower.Name)
-	g.owner, g.link, g.version = nil, nil, 0
+	state := controllerOf(lead).leader.shards.get(follower.Name)
+	state.owner, state.link, state.version = nil, nil, 0
 	shard := controllerOf(follower).owner.Shard(follower.Name)
-	controllerOf(follower).owner.BeginRegistration(shard) // and nothing is sent
+	controllerOf(follower).owner.BeginRegistration(shard) // without sending it
 	sim.Advance(3 * time.Second)
-	if g.owner == nil || !shard.RegistrationConfirmed() {
+	if state.owner == nil || !shard.RegistrationConfirmed() {
 		t.Fatal("the shard is not registered")
 	}
 }
 
-// A heartbeat that was sent before the start and arrives after it does not list
-// the task; that proves nothing.
+// A heartbeat that was sent before a start and arrives after it does not list the task. That
+// does not prove the task lost.
 func TestLateHeartbeatProvesNothing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -115,9 +118,9 @@
 	sim.Run(2 * time.Second)
 	want(t, "late heartbeat", sim.Leader().Call("POST", "/checkin", late).Status, 503)
 	sim.HeartbeatFor(5, other)
-	want(t, "second copy", len(other.Running()), 0)
+	want(t, "replicas on the other machine", len(other.Running()), 0)
 
-	// The same from a worker that has not seen the new leader's fencing token yet.
+	// The same holds for a heartbeat without the leader's fencing token.
 	agent.Heartbeat()
 	agent.Sequence += 50
 	old := agent.FencingToken
@@ -127,14 +130,14 @@
 	stale := agent.HeartbeatBody()
 	agent.Tasks, agent.FencingToken = tasks, old
 	agent.Sequence -= 50
-	want(t, "stale heartbeat", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
+	want(t, "heartbeat without the token", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
 	sim.HeartbeatFor(5, other)
-	want(t, "second copy", len(other.Running()), 0)
+	want(t, "replicas on the other machine", len(other.Running()), 0)
 }
 
-// An answer that never arrives leaves its starts in transit until the
-// worker's next heartbeat shows that they did not come.
-func TestStartInALostResponseIsReplicated(t *testing.T) {
+// The starts in a response that never arrives stay sent until the machine's next heartbeat
+// shows that they did not arrive. Then they are sent again.
+func TestStartInLostResponseIsRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
@@ -146,9 +149,9 @@
 	want(t, "running", len(agent.Running()), 2)
 }
 
-func TestSilentMachineIsLostOnlyWithItsLease(t *testing.T) {
+func TestSilentMachineIsLostOnlyAfterItsLease(t *testing.T) {
 	sim := newSimulation(t, "a")
-	for i := range 9 { // so many fall silent together that none is returned for it
+	for i := range 9 { // as many machines silent at once are taken for a partition, and none is released
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
@@ -161,15 +164,16 @@
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
 	sim.HeartbeatFor(15, agent)
-	want(t, "replicas before the leases are over", len(agent.Running()), 0)
+	want(t, "replicas before the leases have expired", len(agent.Running()), 0)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].ExpireLease()
 	}
 	sim.HeartbeatFor(8, agent)
-	want(t, "replicas after", len(agent.Running()), 4)
+	want(t, "replicas after the leases have expired", len(agent.Running()), 4)
 }
 
-// A stream that broke may have missed heartbeats: its clock starts anew.
+// Heartbeats may be missed while the stream from the leader is broken, so an owner counts
+// machines' leases from the start of the new stream.
 func TestNewStreamRestartsTheLeaseTimer(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	sim.AddMachines(9)
@@ -181,32 +185,32 @@
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
-	alive := sim.AddMachine("vm-x", "z2") // else the leader would think itself cut off
+	alive := sim.AddMachine("vm-x", "z2") // without it the leader would take itself for cut off
 	alive.DropsStarts = true
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		for end := sim.Now() + d; sim.Now() < end; {
 			sim.Advance(time.Second)
 			alive.Heartbeat()
 		}
 	}
-	pass(10 * time.Second)
+	advance(10 * time.Second)
 	sim.Disconnect("a", "b")
 	sim.Advance(time.Second)
 	sim.Connect("a", "b")
-	pass(12 * time.Second)
+	advance(12 * time.Second)
 	lost := 0
 	for i := range controllerOf(follower).owner.Job("wk-1").Spec().Tasks {
-		if p := controllerOf(follower).owner.Job("wk-1").TaskState(i); p != shard.TaskPlaced {
+		if state := controllerOf(follower).owner.Job("wk-1").TaskState(i); state != shard.TaskPlaced {
 			lost++
 		}
 	}
-	want(t, "tasks judged lost", lost, 0)
+	want(t, "tasks taken for lost", lost, 0)
 	alive.Silent = true
 	sim.Advance(9 * time.Second)
-	want(t, "assigned once a lease has forwarded the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
+	want(t, "active tasks once the leases have expired on the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
 }
 
-func TestSilentMachineIsReturnedAndReplicatedAtOnce(t *testing.T) {
+func TestSilentMachineIsReleasedAndItsTaskRestarted(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
@@ -217,12 +221,12 @@
 	}
 	agent1.Silent = true
 	sim.HeartbeatFor(10, agent2)
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
 	want(t, "replica", len(agent2.Running()), 1)
 }
 
-// Tasks that are on machines when all controllers die, and whose job was
-// withdrawn, are unknown to the new ones: they are stopped all the same.
+// Tasks of a cancelled job that are still on machines when all controllers crash are unknown
+// to the restarted controllers, which must stop them all the same.
 func TestOrphansAreStopped(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -230,16 +234,16 @@
 	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Run(3 * time.Second)
 	code, status := sim.Nodes["a"].Cancel("wk-1")
-	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	want(t, "cancel", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.CrashAll()
 	sim.Advance(8 * time.Second)
 	sim.StartMembers()
 	sim.Run(10 * time.Second)
-	want(t, "left on the machine", len(agent.Tasks), 0)
+	want(t, "tasks left on the machine", len(agent.Tasks), 0)
 }
 
-// The next leader knows from the state service which machines have to be
-// heard of; machines that were returned hold nothing up.
+// The next leader reads from the state service which machines need a proof before recovered
+// tasks may start. Released machines are not among them.
 func TestNextLeaderKnowsTheMachines(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -251,26 +255,26 @@
 	sim.Agents["vm-2"].PreemptionNotice = 30.0
 	sim.Agents["vm-2"].FinishTasks("done")
 	sim.Run(6 * time.Second)
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
-	want(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
+	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	want(t, "second submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	sim.CrashAll()
 	sim.Advance(8 * time.Second)
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.StartMembers()
 	sim.Run(6 * time.Second)
-	want(t, "running soon after", sim.runningTasks(), 4)
+	want(t, "running soon after the restart", sim.runningTasks(), 4)
 }
 
-// A shard may be dropped in the very batch in which something of its jobs has
-// changed. The leader was told that they are over then, and never offered them
-// anything again, whoever held the shard next.
+// A shard may be released in the same batch in which its jobs have changed. The leader must
+// not be told then that the jobs have ended: it would make them no more offers, whichever
+// member owns the shard next.
 func TestChangedJobsOfALostShardContinue(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	follower := sim.Follower()
 	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
-	j := controllerOf(follower).owner.Job("wk-1")
-	controllerOf(follower).owner.MarkChanged(j)
+	job := controllerOf(follower).owner.Job("wk-1")
+	controllerOf(follower).owner.MarkChanged(job)
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.DeliverAll()
 	sim.AddMachine("vm-1", "z1")
--- a/internal/coordination/response_events.go
+++ b/internal/coordination/response_events.go
@@ -2,21 +2,21 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/eventcount"
 
-// responseEvent is a response to a heartbeat, or a start, that was refused or given
-// although there was doubt.
+// responseEvent is a rejected heartbeat, a start that was not sent, or a response sent without
+// proof that responses reach the machine.
 type responseEvent int
 
 const (
-	responseMachineTerminated responseEvent = iota // the machine is terminated already
-	responseStaleHeartbeat                         // the heartbeat is older than one before
-	responseSuperseded                             // the machine has sent another heartbeat meanwhile
-	responseNotAuthorized                          // this member may not act at present
-	startNotSent                                   // a start was bound, and returned to its owner
-	startDeliveryPresumed                          // offers were made though only the heartbeat's time shows that responses arrive
+	responseMachineTerminated responseEvent = iota // the machine is already terminated
+	responseStaleHeartbeat                         // the heartbeat is not newer than one before
+	responseSuperseded                             // the machine sent another heartbeat meanwhile
+	responseNotAuthorized                          // this member may not act as the leader at present
+	startNotSent                                   // a start was bound, and then returned to its owner unsent
+	startDeliveryPresumed                          // offers are made on a presumed delivery, see delivery
 	responseEventCount
 )
 
-// String names an event as logs do.
+// String returns an event's name in logs.
 func (e responseEvent) String() string {
 	switch e {
 	case responseMachineTerminated:
@@ -35,11 +35,11 @@
 	return "unknown"
 }
 
-// newResponseEventCounter returns a counter of responseEventCount.
+// newResponseEventCounter returns a counter of response events.
 func newResponseEventCounter() eventcount.Counter {
-	var keys []string
+	var names []string
 	for e := range responseEventCount {
-		keys = append(keys, e.String())
+		names = append(names, e.String())
 	}
-	return eventcount.New("heartbeat responses refused or in doubt", keys...)
+	return eventcount.New("heartbeat responses refused or in doubt", names...)
 }
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -6,8 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// handleRegisterShard takes an owner's shard with all its unfinished jobs, which may
-// come in several frames.
+// handleRegisterShard handles an owner's registration of a shard with all its unfinished jobs,
+// which may span several frames. A registration under another leader's fencing token, or by
+// an earlier holder of the shard's key, is dropped.
 func (l *leader) handleRegisterShard(p *peer, request *meshpb.RegisterShard) {
 	if request.FencingToken != l.fencingToken {
 		return
@@ -25,7 +26,7 @@
 	}
 }
 
-// collect keeps the jobs of a registration until it is whole.
+// addRegistrationJobs stores the jobs of a registration until its last frame has arrived.
 func (s *shardState) addRegistrationJobs(jobs []*meshpb.JobSummary) {
 	if s.registrationJobs == nil {
 		s.registrationJobs = make(map[string]*meshpb.JobSummary)
@@ -35,8 +36,8 @@
 	}
 }
 
-// registerShard makes a member the owner of a shard, tells it so, and then what every
-// machine last listed.
+// registerShard makes a member the owner of a shard, confirms it, and then publishes to it
+// what every machine last listed.
 func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
 	now, jobsKnown := l.now(), shard.jobsKnown
 	l.withdrawOffers(shard)
@@ -52,27 +53,28 @@
 	l.scheduler.queue.markDirty()
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_ShardRegistered{ShardRegistered: &meshpb.ShardRegistered{
 		Shard: shard.name, FencingToken: l.fencingToken, ClockUs: now.Microseconds(), ShardNumber: shard.number}}})
-	told := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.now())
+	published := l.publisher.subscribe(p, l.shards.numbersOwnedBy(p), &l.machines, l.leases, l.now())
 	l.env.log.Info().Str("shard", shard.name).Str("owner", p.member).Uint64("version", shard.version).Int("jobs", len(shard.jobs)).
-		Int("machines", told.machines).Int("unknown_replicas", told.unknownReplicas).Bool("jobs_known", jobsKnown).
+		Int("machines", published.machines).Int("unknown_replicas", published.unknownReplicas).Bool("jobs_known", jobsKnown).
 		Int("reads", shard.readAttempts).Msg("shard registered")
 }
 
-// setShardOwner notes which member has registered a shard; nil: none has. No other
-// place changes it, as the statuses that go out from now on say so.
+// setShardOwner records the member that has registered a shard; nil: none. Owners are changed
+// only here, because every status published from then on must name the shards for which it
+// is complete accordingly.
 func (l *leader) setShardOwner(shard *shardState, p *peer) {
 	l.shards.setOwner(shard, p)
 	l.publisher.setCompleteFor(l.shards.numbersOwnedBy)
 }
 
-// handleSubscriberDown forgets a member whose stream has ended.
+// handleSubscriberDown removes a member whose stream has ended.
 func (l *leader) handleSubscriberDown(p *peer) {
 	l.publisher.unsubscribe(p)
 	l.unregisterShards(p)
 }
 
-// unregisterShards keeps what a member's shards had, all of it counted as placed,
-// until somebody registers them again.
+// unregisterShards leaves a member's shards without an owner. Until they are registered again
+// their jobs stay, and all their unfinished tasks count as placed.
 func (l *leader) unregisterShards(p *peer) {
 	for _, shard := range l.shards.byName {
 		if shard.owner != p {
@@ -89,7 +91,7 @@
 	}
 }
 
-// reconcileShards tells owners that their shards are reconciled.
+// reconcileShards tells owners which of their shards have become reconciled.
 func (l *leader) reconcileShards(now time.Duration) {
 	for _, decision := range l.reconciler.updateReconciled(&l.shards, l.knowledge(), now) {
 		shard := decision.shard
@@ -101,18 +103,17 @@
 	}
 }
 
-// logReconciled logs that a shard is reconciled, and how many machines had which
-// proof.
+// logReconciled logs that a shard is reconciled, with the number of machines by proof.
 func (l *leader) logReconciled(decision reconciliation, now time.Duration) {
 	shard := decision.shard
-	line := l.env.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
+	event := l.env.log.Info().Str("shard", shard.name).Str("owner", shard.owner.member).Int64("after_ms", (now - shard.registeredAt).Milliseconds())
 	for proof := notProven + 1; proof < machineProofCount; proof++ {
-		line.Int(proof.String(), decision.proofs[proof])
+		event.Int(proof.String(), decision.proofs[proof])
 	}
-	line.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
+	event.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
 }
 
-// knowledge is what is known of the work that earlier leaders may have left.
+// knowledge returns which work that earlier leaders may have left is known.
 func (l *leader) knowledge() recoveryProgress {
 	return recoveryProgress{jobsKnown: l.shards.allJobsKnown(), machinesKnown: l.records.machinesKnown()}
 }
--- a/internal/coordination/shard_registry.go
+++ b/internal/coordination/shard_registry.go
@@ -7,29 +7,29 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// shardState is what the leader knows of a shard, and the member that owns it now.
+// shardState is the leader's state of a shard.
 type shardState struct {
 	name              string
-	number            uint32 // in the statuses that are published, from 1
-	owner             *peer  // nil while nobody has registered it; see shardRegistry.setOwner
-	link              Link
-	version           uint64
+	number            uint32 // identifies the shard in published statuses; from 1
+	owner             *peer  // nil while no member has registered it; see leader.setShardOwner
+	link              Link   // the owner's stream at the registration
+	version           uint64 // of the shard's key, as the owner reported it
 	registeredAt      time.Duration
-	reconciled        bool // its owner was told of all replicas that may be left of it
-	noUnknownReplicas bool // and that no machine holds any that it does not know of
-	jobsKnown         bool // its unfinished jobs are known, from its owner or by reading
-	readAttempts      int  // how often they were asked for
-	jobs              map[string]*trackedJob
-	registrationJobs  map[string]*meshpb.JobSummary
+	reconciled        bool                          // its owner was told all replicas left of its recovered tasks
+	noUnknownReplicas bool                          // its owner was told that no unknown replica is left
+	jobsKnown         bool                          // its unfinished jobs are known, from its owner or a read
+	readAttempts      int                           // reads of its unfinished jobs from the state service
+	jobs              map[string]*trackedJob        // the unfinished ones, by id
+	registrationJobs  map[string]*meshpb.JobSummary // of a registration whose last frame has not arrived
 }
 
-// shardRegistry owns the leader's shards: which there are, and who owns them.
+// shardRegistry holds the leader's shards and their owners.
 type shardRegistry struct {
 	byName                map[string]*shardState
-	shardsWithUnknownJobs int // shards whose unfinished jobs are not known
+	shardsWithUnknownJobs int
 }
 
-// newShardRegistry returns a registry without shards.
+// newShardRegistry returns an empty registry.
 func newShardRegistry() shardRegistry {
 	return shardRegistry{byName: make(map[string]*shardState)}
 }
@@ -37,7 +37,7 @@
 // get returns a shard, or nil if it is not known.
 func (r *shardRegistry) get(name string) *shardState { return r.byName[name] }
 
-// add makes a shard known that nobody has registered yet.
+// add adds a shard that no member has registered yet.
 func (r *shardRegistry) add(name string) *shardState {
 	shard := &shardState{name: name, number: uint32(len(r.byName) + 1), jobs: make(map[string]*trackedJob)}
 	r.byName[name] = shard
@@ -45,7 +45,7 @@
 	return shard
 }
 
-// setOwner notes which member has registered a shard; nil: none has.
+// setOwner records the member that has registered a shard; nil: none.
 func (r *shardRegistry) setOwner(shard *shardState, owner *peer) {
 	shard.owner, shard.link = owner, nil
 	if owner != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// setJobsKnown notes that a shard's unfinished jobs are known from now on.
+// setJobsKnown records that a shard's unfinished jobs are known.
 func (r *shardRegistry) setJobsKnown(shard *shardState) {
 	if !shard.jobsKnown {
 		shard.jobsKnown = true
@@ -61,10 +61,10 @@
 	}
 }
 
-// allJobsKnown tells whether the unfinished jobs of every shard are known.
+// allJobsKnown reports whether the unfinished jobs of every shard are known.
 func (r *shardRegistry) allJobsKnown() bool { return r.shardsWithUnknownJobs == 0 }
 
-// allRegistered tells whether every shard has an owner.
+// allRegistered reports whether every shard has an owner.
 func (r *shardRegistry) allRegistered() bool {
 	for _, shard := range r.byName {
 		if shard.owner == nil {
@@ -74,8 +74,8 @@
 	return true
 }
 
-// numbersOwnedBy returns the numbers of the shards that a member has registered, in
-// order. Messages share the slice; nobody changes it.
+// numbersOwnedBy returns the numbers of the shards that a member has registered, in ascending
+// order. Messages share the slice, so it must not be modified.
 func (r *shardRegistry) numbersOwnedBy(p *peer) []uint32 {
 	var numbers []uint32
 	for _, shard := range r.byName {
--- a/internal/coordination/status_completeness_test.go
+++ b/internal/coordination/status_completeness_test.go
@@ -9,70 +9,70 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// withoutUnknownTasks is what the version before makes of the lists in a frame: it
-// leaves out the tasks of jobs that the leader did not know when the machine
-// reported, and those of shards that the receiver has not registered for.
+// withoutUnknownTasks returns a frame with the task lists that a leader of the previous version
+// would send: without the tasks of jobs that it did not know when the machine reported them,
+// and without those of shards that the receiver has not registered.
 func withoutUnknownTasks(from *Controller, to string, f *meshpb.Frame) *meshpb.Frame {
 	l := from.leader
 	if l == nil || f.GetMachineStatuses() == nil {
 		return f
 	}
 	f = proto.Clone(f).(*meshpb.Frame)
-	for _, r := range f.GetMachineStatuses().Statuses {
-		m := l.machines.at(r.MachineIndex)
+	for _, status := range f.GetMachineStatuses().Statuses {
+		m := l.machines.at(status.MachineIndex)
 		if m == nil {
 			continue
 		}
 		var kept []*meshpb.TaskStatus
-		for _, t := range r.Tasks {
-			if p := m.listedReplica(t); p != nil && p.job != nil && p.job.shard != nil && p.job.shard.owner == from.peers[to] {
-				kept = append(kept, t)
+		for _, task := range status.Tasks {
+			if replica := m.listedReplica(task); replica != nil && replica.job != nil && replica.job.shard != nil && replica.job.shard.owner == from.peers[to] {
+				kept = append(kept, task)
 			}
 		}
-		r.Tasks = kept
+		status.Tasks = kept
 	}
 	return f
 }
 
-// listedReplica finds a task in what a machine last listed.
-func (m *machine) listedReplica(t *meshpb.TaskStatus) *replicaOnMachine {
+// listedReplica returns the replica of a task status in the machine's last list, or nil.
+func (m *machine) listedReplica(task *meshpb.TaskStatus) *replicaOnMachine {
 	for i := range m.tasks {
-		if p := &m.tasks[i]; p.key == (replicaKey{t.Job, t.Task, t.Replica}) {
-			return p
+		if replica := &m.tasks[i]; replica.key == (replicaKey{task.Job, task.Task, task.Replica}) {
+			return replica
 		}
 	}
 	return nil
 }
 
-// checkStatusesComplete looks at every list that a leader forwards: it has whatever the
-// machine last listed of the jobs that the receiver owns, unless another member
-// has registered for them. The version before takes each list for that much.
+// checkStatusesComplete checks every task list that a leader publishes: it must have all replicas
+// that the machine last listed of the jobs that the receiver owns, unless another member has
+// registered their shard. Owners of the previous version rely on that for every list.
 func (sim *simulation) checkStatusesComplete(from *Controller, to *simtest.Node, f *meshpb.Frame) {
 	l := from.leader
 	if _, bench := sim.T.(*testing.B); bench || l == nil || f.GetMachineStatuses() == nil {
 		return // in a benchmark it would cost more than what is measured
 	}
-	last := make(map[uint32]*meshpb.MachineStatus)
-	for _, r := range f.GetMachineStatuses().Statuses {
-		last[r.MachineIndex] = r
+	latest := make(map[uint32]*meshpb.MachineStatus)
+	for _, status := range f.GetMachineStatuses().Statuses {
+		latest[status.MachineIndex] = status
 	}
-	for index, r := range last {
+	for index, status := range latest {
 		m := l.machines.at(index)
-		if m == nil || !r.Current || r.Unchanged || r.Seq != m.sequence {
+		if m == nil || !status.Current || status.Unchanged || status.Seq != m.sequence {
 			continue
 		}
-		has := make(map[replicaKey]bool, len(r.Tasks))
-		for _, t := range r.Tasks {
-			has[replicaKey{t.Job, t.Task, t.Replica}] = true
+		published := make(map[replicaKey]bool, len(status.Tasks))
+		for _, task := range status.Tasks {
+			published[replicaKey{task.Job, task.Task, task.Replica}] = true
 		}
 		for i := range m.tasks {
 			key := m.tasks[i].key
-			j := controllerOf(to).owner.Job(key.job)
-			if j == nil || has[key] {
+			job := controllerOf(to).owner.Job(key.job)
+			if job == nil || published[key] {
 				continue
 			}
-			if g := l.shards.get(j.Shard().Name()); g == nil || g.owner == nil || g.owner == from.peers[to.Name] {
-				sim.T.Errorf("%s is told what %s lists without %s/%d, which it owns", to.Name, m.name, key.job, key.task)
+			if shard := l.shards.get(job.Shard().Name()); shard == nil || shard.owner == nil || shard.owner == from.peers[to.Name] {
+				sim.T.Errorf("the status sent to %s of what %s lists lacks %s/%d, which the receiver owns", to.Name, m.name, key.job, key.task)
 			}
 		}
 	}
