--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// redUse is what red's live tasks on machines use.
-func (sim *simulation) redUse() float64 {
+// redCPUsInUse is what red's live tasks on machines use.
+func (sim *simulation) redCPUsInUse() float64 {
 	return float64(sim.runningTasks()) * 2
 }
 
@@ -363,9 +363,9 @@
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(6)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 15).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
-	want(t, "running", sim.runningTasks(), 15)
+	requireEqual(t, "running", sim.runningTasks(), 15)
 	body := func(id string) []byte {
 		return sim.Codec.Encode(map[string]any(simtest.BatchJob(id, 1).With("crew", "red")))
 	}
@@ -373,12 +373,12 @@
 		controllerOf(sim.Nodes[name]).HandleHTTP(&Request{Method: "POST", Path: "/submissions", Body: body(fmt.Sprint("wk-", i+2))}, func(Response) {})
 	}
 	sim.Run(8 * time.Second)
-	want(t, "running at the limit", sim.runningTasks(), 16)
+	requireEqual(t, "running at the limit", sim.runningTasks(), 16)
 	sim.finishTask("wk-1/0")
 	sim.Run(6 * time.Second)
-	want(t, "both run", sim.runningTasks(), 16)
+	requireEqual(t, "both run", sim.runningTasks(), 16)
 	for i, name := range []string{"b", "c"} {
-		sim.wantStatus(sim.Nodes[name], fmt.Sprint("wk-", i+2), 200, "running")
+		sim.requireStatus(sim.Nodes[name], fmt.Sprint("wk-", i+2), 200, "running")
 	}
 }
 
@@ -388,14 +388,14 @@
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 16).With("crew", "red")).Status, 201)
 	sim.Run(8 * time.Second)
-	want(t, "running", sim.runningTasks(), 16)
+	requireEqual(t, "running", sim.runningTasks(), 16)
 	sim.FinishAllTasks()
 	sim.Run(3 * time.Second)
-	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running of a guarantee of 8 CPUs", sim.runningTasks(), 4)
+	requireEqual(t, "running of a guarantee of 8 CPUs", sim.runningTasks(), 4)
 }
 
 // A remainder that is not enough for a task at each of three controllers comes
@@ -406,7 +406,7 @@
 	sim.Run(8 * time.Second)
 	sim.submitRedEverywhere(12)
 	sim.Run(6 * time.Second)
-	want(t, "running at the limit", sim.runningTasks(), 16)
+	requireEqual(t, "running at the limit", sim.runningTasks(), 16)
 	writes := sim.State.Transactions
 	sim.Run(20 * time.Second)
 	if got := sim.State.Transactions - writes; got > 4 {
@@ -422,7 +422,7 @@
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
 	sim.Run(8 * time.Second)
-	want(t, "running", sim.runningTasks(), 16)
+	requireEqual(t, "running", sim.runningTasks(), 16)
 	sim.AdjustSettings = func(f *settings.File) { f.Settings.Teams[0].CPUsMax = 16 }
 	sim.Crash("a")
 	sim.Crash("b")
@@ -433,18 +433,18 @@
 	sim.Run(2 * time.Second)
 	sim.Crash("c")
 	sim.Start("c")
-	sim.Run(beyondAnyLease)
+	sim.Run(longerThanAnyLease)
 	starts := 0
 	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
-	want(t, "running on", sim.runningTasks(), 16)
+	requireEqual(t, "running on", sim.runningTasks(), 16)
 	for round := range 10 {
 		sim.finishTask(sim.anyRunningTask())
 		sim.Run(4 * time.Second)
 		if round < 7 {
-			want(t, "starts while use is above the limit", starts, 0)
+			requireEqual(t, "starts while use is above the limit", starts, 0)
 		}
 	}
-	want(t, "running at the lower limit", sim.redUse(), 16.0)
+	requireEqual(t, "running at the lower limit", sim.redCPUsInUse(), 16.0)
 	if starts == 0 {
 		t.Error("nothing starts below the lower limit")
 	}
@@ -464,7 +464,7 @@
 // While a member of the version before runs allocations bind nobody; once all
 // members divide limits they do, and after one goes back to that version no longer.
 // The version before passes over the records that it finds.
-func TestAllocationsBesideThePreviousVersion(t *testing.T) {
+func TestAllocationsAlongsideThePreviousVersion(t *testing.T) {
 	sim := prepareSimulation(t, "", []string{"b"}, "a", "b", "c")
 	sim.Tuning.QuotaEscrow = true
 	sim.StartAll()
@@ -472,31 +472,31 @@
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
 	sim.Run(8 * time.Second)
-	want(t, "running beside the version before", sim.runningTasks(), 16)
-	want(t, "shares", len(sim.quotaRecord("red").Shares), 0)
+	requireEqual(t, "running beside the version before", sim.runningTasks(), 16)
+	requireEqual(t, "shares", len(sim.quotaRecord("red").Shares), 0)
 	sim.Crash("b")
 	delete(sim.PreviousVersion, "b")
 	sim.Start("b")
-	sim.Run(beyondAnyLease)
-	want(t, "shares once all divide limits", len(sim.quotaRecord("red").Shares), 3)
-	want(t, "running", sim.runningTasks(), 16)
+	sim.Run(longerThanAnyLease)
+	requireEqual(t, "shares once all divide limits", len(sim.quotaRecord("red").Shares), 3)
+	requireEqual(t, "running", sim.runningTasks(), 16)
 	for range 6 {
 		sim.finishTask(sim.anyRunningTask())
 		sim.Run(2 * time.Second)
 	}
 	sim.Run(4 * time.Second)
-	want(t, "running out of allocations", sim.runningTasks(), 16)
-	want(t, "allocated", sim.quotaRecord("red").Allocated(), quota.AmountOf(redLimit, 0))
+	requireEqual(t, "running out of allocations", sim.runningTasks(), 16)
+	requireEqual(t, "allocated", sim.quotaRecord("red").Allocated(), quota.AmountOf(redLimit, 0))
 	sim.Crash("b")
 	sim.PreviousVersion["b"] = true
 	sim.Start("b")
-	sim.Run(beyondAnyLease)
+	sim.Run(longerThanAnyLease)
 	if n := len(sim.quotaRecord("red").Shares); n > 1 { // b's own is b's to withdraw
 		t.Errorf("%d shares are left beside the version before", n)
 	}
 	sim.finishTask(sim.anyRunningTask())
 	sim.Run(4 * time.Second)
-	want(t, "running beside the version before again", sim.runningTasks(), 16)
+	requireEqual(t, "running beside the version before again", sim.runningTasks(), 16)
 }
 
 // Demands that are malformed, old or not the holder's are dropped and change
@@ -515,17 +515,17 @@
 		"negative":        {Seq: 1003, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "red", Target: &meshpb.QuotaAmount{Cpus: -1}}}},
 		"old":             {Seq: 0},
 	} {
-		p.quotaSequence = 0
+		p.lastQuotaSequence = 0
 		before := c.admission.Dropped()
 		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
-		want(t, what+": dropped", c.admission.Dropped(), before+1)
+		requireEqual(t, what+": dropped", c.admission.Dropped(), before+1)
 	}
 	sim.State.Put(storage.QuotaKey("red"), sim.Codec.Encode(map[string]any{"s": "no shares"}))
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
+	requireEqual(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
 }
 
 // A team's name may be longer than a key.
@@ -556,12 +556,12 @@
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(12)
 	sim.Run(8 * time.Second)
-	if sim.redUse() <= redLimit {
-		t.Fatalf("red uses %v CPUs, the quota is not broken", sim.redUse())
+	if sim.redCPUsInUse() <= redLimit {
+		t.Fatalf("red uses %v CPUs, the quota is not broken", sim.redCPUsInUse())
 	}
 	found := false
 	for _, f := range audit.Verify(sim.AuditStreams, time.Second).Findings {
 		found = found || (f.Kind == audit.Overshoot && f.Team == "red")
 	}
-	want(t, "the audit finds it", found, true)
+	requireEqual(t, "the audit finds it", found, true)
 }
--- a/internal/coordination/admission_wiring.go
+++ b/internal/coordination/admission_wiring.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// onQuotaDemands takes what another member's shards lack.
-func (c *Controller) onQuotaDemands(p *peer, f *meshpb.QuotaDemands) {
+// handleQuotaDemands takes what another member's shards lack.
+func (c *Controller) handleQuotaDemands(p *peer, f *meshpb.QuotaDemands) {
 	holds := func(shard string) bool {
 		holder, held := c.election.ShardHolder(shard)
 		return held && holder == p.member
 	}
-	p.quotaSequence = c.admission.OnDemands(admission.Sender{Member: p.member, LastSequence: p.quotaSequence, Holds: holds}, f)
+	p.lastQuotaSequence = c.admission.OnDemands(admission.Sender{Member: p.member, LastSequence: p.lastQuotaSequence, Holds: holds}, f)
 }
--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -18,59 +18,61 @@
 		Wall:      c.env.Wall,
 		Codec:     c.codec,
 		Owner:     c.owner,
-		Authority: authorityOf{c},
+		Authority: apiAuthority{c},
 		Records:   c.store,
-		Members:   memberLinksOf{c},
-		Catalogue: catalogueOf{c},
+		Members:   apiMembers{c},
+		Catalogue: apiCatalogue{c},
 		Statuses:  c.statuses,
 	})
 }
 
-// authorityOf is the election as the users' API sees it, which is made after that.
-type authorityOf struct{ c *Controller }
+// apiAuthority is the election as the users' API sees it, which is made after that.
+type apiAuthority struct{ controller *Controller }
 
-func (a authorityOf) MayAct(now time.Duration) bool { return a.c.election.MayAct(now) }
+func (a apiAuthority) MayAct(now time.Duration) bool { return a.controller.election.MayAct(now) }
 
-func (a authorityOf) MayActUntil() time.Duration { return a.c.election.MayActUntil() }
+func (a apiAuthority) MayActUntil() time.Duration { return a.controller.election.MayActUntil() }
 
-func (a authorityOf) ShardHolder(shard string) (member string, ok bool) {
-	return a.c.election.ShardHolder(shard)
+func (a apiAuthority) ShardHolder(shard string) (member string, ok bool) {
+	return a.controller.election.ShardHolder(shard)
 }
 
-func (a authorityOf) AllMembersReadServices(now time.Duration) bool {
-	return a.c.election.AllMembersReadServices(now)
+func (a apiAuthority) AllMembersReadServices(now time.Duration) bool {
+	return a.controller.election.AllMembersReadServices(now)
 }
 
-// memberLinksOf are the other members as the users' API sees them.
-type memberLinksOf struct{ c *Controller }
+// apiMembers are the other members as the users' API sees them.
+type apiMembers struct{ controller *Controller }
 
-func (m memberLinksOf) Connected(member string) bool {
-	p := m.c.peers[member]
+func (m apiMembers) Connected(member string) bool {
+	p := m.controller.peers[member]
 	return p != nil && p.link != nil
 }
 
-func (m memberLinksOf) SendJobQuery(member string, query *meshpb.JobQuery) {
-	m.c.peers[member].send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: query}})
+func (m apiMembers) SendJobQuery(member string, query *meshpb.JobQuery) {
+	m.controller.peers[member].send(&meshpb.Frame{Body: &meshpb.Frame_JobQuery{JobQuery: query}})
 }
 
-func (m memberLinksOf) Reachability() api.Reachability {
-	seen := api.Reachability{Alone: len(m.c.peers) > 0}
-	for _, p := range m.c.peers {
+func (m apiMembers) Reachability() api.Reachability {
+	seen := api.Reachability{Alone: len(m.controller.peers) > 0}
+	for _, p := range m.controller.peers {
 		seen.OtherServed = seen.OtherServed || (p.link != nil && p.stateServiceReachable)
 		seen.Alone = seen.Alone && p.link == nil
 	}
 	return seen
 }
 
-// catalogueOf is what submissions are checked against.
-type catalogueOf struct{ c *Controller }
+// apiCatalogue is what submissions are checked against.
+type apiCatalogue struct{ controller *Controller }
 
-func (s catalogueOf) Team(name string) *settings.Team { return s.c.team(name) }
+func (s apiCatalogue) Team(name string) *settings.Team { return s.controller.team(name) }
 
-func (s catalogueOf) MachineTypes() map[string]*protocol.MachineType { return s.c.cloud.Catalog() }
+func (s apiCatalogue) MachineTypes() map[string]*protocol.MachineType {
+	return s.controller.cloud.Catalog()
+}
 
-// onJobQuery has a member's question answered, unless its stream has ended meanwhile.
-func (c *Controller) onJobQuery(from *peer, query *meshpb.JobQuery) {
+// handleJobQuery has a member's question answered, unless its stream has ended meanwhile.
+func (c *Controller) handleJobQuery(from *peer, query *meshpb.JobQuery) {
 	link := from.link
 	c.userAPI.HandleJobQuery(query, func(result *meshpb.JobQueryResult) {
 		if from.link == link { // on another stream the number may be another question's
@@ -81,7 +83,7 @@
 }
 
 // unavailable refuses a request for now.
-func (c *Controller) unavailable(why string) Response {
+func (c *Controller) unavailableResponse(why string) Response {
 	return c.errorResponse(http.StatusServiceUnavailable, why, 1)
 }
 
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -16,15 +16,15 @@
 // answers them. Whoever answers a heartbeat must then know of the cancellation, or
 // cease to answer. checkInvariants looks for what is left of it after cancel_s.
 
-// startLongJob starts a long job of an owner that doesn't lead, and returns both.
-func startLongJob(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *simtest.Node, id string) {
+// newLongJobScenario starts a long job of an owner that doesn't lead, and returns both.
+func newLongJobScenario(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *simtest.Node, id string) {
 	t.Helper()
 	scenario = newFaultScenario(t, seed, 4)
 	lead, owner = scenario.Leader(), scenario.Follower()
 	id = scenario.submit(owner, 8)
 	scenario.submit(lead, 4)
 	scenario.play(4, func(int) {})
-	want(t, "running", scenario.runningTasks(), 12)
+	requireEqual(t, "running", scenario.runningTasks(), 12)
 	return scenario, lead, owner, id
 }
 
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// outageAfterCancellation lets the state service be down for everybody for longer than a
+// playOutageAfterCancellation lets the state service be down for everybody for longer than a
 // cancellation has, and wants the cancelled job's tasks gone by then.
-func (scenario *faultScenario) outageAfterCancellation(id string) {
+func (scenario *faultScenario) playOutageAfterCancellation(id string) {
 	scenario.T.Helper()
 	if scenario.knownStatus[id] != protocol.StatusCancelled {
 		scenario.T.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
@@ -80,7 +80,7 @@
 	}
 	id := submit(owner, 8)
 	scenario.play(4, func(int) {})
-	want(t, "running", scenario.runningTasks(), 8)
+	requireEqual(t, "running", scenario.runningTasks(), 8)
 	scenario.State.Unavailable[lead.Name] = true
 	switch mesh {
 	case "cut from the owner":
@@ -96,7 +96,7 @@
 		scenario.restart(third.Name) // it ends with what it knows
 	}
 	if refused >= 10*time.Second && owns != "third" && mesh == "whole" {
-		want(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
+		requireEqual(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
 	}
 	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {})
@@ -106,7 +106,7 @@
 // The end is written and read by others, who confirm it; its writer alone gets no
 // answer, and so does not know. Nothing may wait for that.
 func TestCancellationUnknownToItsOwner(t *testing.T) {
-	scenario, _, owner, id := startLongJob(t, 1)
+	scenario, _, owner, id := newLongJobScenario(t, 1)
 	scenario.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		if from != owner.Name {
 			return false
@@ -119,14 +119,14 @@
 	scenario.DeliverAll()
 	scenario.query(scenario.Leader(), "ABORT", id) // reads what is written
 	scenario.DeliverAll()
-	scenario.outageAfterCancellation(id)
+	scenario.playOutageAfterCancellation(id)
 }
 
 // The owner confirms a cancellation and ends before the leader has heard of it;
 // it is back before the outage, but not with its shard. Its process extends as
 // others do, and nobody is left who knows.
 func TestCancellationSurvivesOwnerCrash(t *testing.T) {
-	scenario, lead, owner, id := startLongJob(t, 2)
+	scenario, lead, owner, id := newLongJobScenario(t, 2)
 	scenario.Disconnect(lead.Name, owner.Name)
 	scenario.query(owner, "ABORT", id)
 	scenario.Advance(400 * time.Millisecond)
@@ -142,15 +142,15 @@
 	}
 	scenario.Start(owner.Name)
 	scenario.Advance(300 * time.Millisecond)
-	want(t, "the owner's next process is known", controllerOf(owner).election.Registered(), true)
-	scenario.outageAfterCancellation(id)
+	requireEqual(t, "the owner's next process is known", controllerOf(owner).election.Registered(), true)
+	scenario.playOutageAfterCancellation(id)
 }
 
 // An owner has not seen that another member leads now, since its watch tells
 // nothing: it would tell the old leader what is cancelled. It believes the next
 // one, so that this one may go on in the outage; without that all leases would end.
 func TestOwnerUnawareOfTheNextLeader(t *testing.T) {
-	scenario, lead, owner, id := startLongJob(t, 3)
+	scenario, lead, owner, id := newLongJobScenario(t, 3)
 	scenario.submit(owner, 2)
 	scenario.play(4, func(int) {})
 	scenario.State.StalledWatches[owner.Name] = true
@@ -164,6 +164,6 @@
 	started := scenario.startedTasks
 	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {})
-	want(t, "running, started anew", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
-	scenario.outageAfterCancellation(id)
+	requireEqual(t, "running, started anew", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
+	scenario.playOutageAfterCancellation(id)
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -62,8 +62,8 @@
 	startedAt time.Duration
 	identity  storage.Holder // of this process, in the keys that it holds
 
-	deferred []func()        // to be called before the batch ends
-	loopback []*meshpb.Frame // to this very process, the same
+	deferredCalls  []func()        // to be called before the batch ends
+	loopbackFrames []*meshpb.Frame // to this very process, the same
 
 	election   *election.Election
 	peers      map[string]*peer // every other member
@@ -80,9 +80,9 @@
 	balancer     heartbeatBalancer
 	cloud        *cloud.Inventory // every member keeps the catalogue
 
-	responseEvents    eventcount.Counter // by responseEvent
-	lastPeerHeartbeat time.Duration
-	lastFlush         time.Duration
+	responseEvents        eventcount.Counter // by responseEvent
+	lastPeerHeartbeat     time.Duration
+	lastFinishedTaskFlush time.Duration
 }
 
 // New builds a controller. incarnation tells this process from earlier ones of
@@ -115,9 +115,9 @@
 	c.statuses = api.NewStatusCache()
 	c.owner = c.newOwner()
 	c.userAPI = c.newUserAPI()
-	c.forwarder = newHeartbeatForwarder(env.Clock, c.unavailable)
+	c.forwarder = newHeartbeatForwarder(env.Clock, c.unavailableResponse)
 	c.balancer = newHeartbeatBalancer(c.now())
-	c.subscription.c = c
+	c.subscription.controller = c
 	c.subscription.reset()
 	c.cloud = cloud.NewInventory(cloud.Config{
 		API:         env.Cloud,
@@ -166,8 +166,8 @@
 		c.subscription.registerShards() // whatever event was missed
 		c.sendPeerHeartbeats(now)
 	}
-	if now-c.lastFlush >= storage.FlushInterval {
-		c.lastFlush = now
+	if now-c.lastFinishedTaskFlush >= storage.FlushInterval {
+		c.lastFinishedTaskFlush = now
 		c.owner.FlushFinishedTasks()
 	}
 	c.owner.Tick(now)
@@ -190,7 +190,7 @@
 		c.subscription.flushCommands()
 		c.selfPeer.flush()
 	}
-	c.loopback, c.deferred = nil, nil
+	c.loopbackFrames, c.deferredCalls = nil, nil
 	for _, p := range c.peers {
 		p.flush()
 		if p.link != nil {
@@ -201,29 +201,29 @@
 
 // batchPending tells whether the batch has left anything to do in this process.
 func (c *Controller) batchPending() bool {
-	return len(c.deferred) > 0 || len(c.loopback) > 0 ||
+	return len(c.deferredCalls) > 0 || len(c.loopbackFrames) > 0 ||
 		c.owner.HasUnpublished() || c.selfPeer.machineStatuses != nil
 }
 
 // runDeferred delivers the frames to this very process and calls what was put
 // off, frames first.
 func (c *Controller) runDeferred() {
-	for len(c.deferred) > 0 || len(c.loopback) > 0 {
-		if len(c.loopback) > 0 {
-			frame := c.loopback[0]
-			c.loopback = c.loopback[1:]
+	for len(c.deferredCalls) > 0 || len(c.loopbackFrames) > 0 {
+		if len(c.loopbackFrames) > 0 {
+			frame := c.loopbackFrames[0]
+			c.loopbackFrames = c.loopbackFrames[1:]
 			c.dispatch(c.selfPeer, frame)
 			continue
 		}
-		fn := c.deferred[0]
-		c.deferred = c.deferred[1:]
+		fn := c.deferredCalls[0]
+		c.deferredCalls = c.deferredCalls[1:]
 		fn()
 	}
 }
 
 // runLater calls a function before the present batch ends, but not within the
 // call that asked for it.
-func (c *Controller) runLater(fn func()) { c.deferred = append(c.deferred, fn) }
+func (c *Controller) runLater(fn func()) { c.deferredCalls = append(c.deferredCalls, fn) }
 
 func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
 
--- a/internal/coordination/deliveries_test.go
+++ b/internal/coordination/deliveries_test.go
@@ -26,9 +26,9 @@
 			const now = time.Hour
 			var d deliveryTracker
 			m := c.machine
-			want(t, "delivery", d.observeHeartbeat(&m, c.connection, c.gap, now), c.want)
-			want(t, "last reachable now", m.lastReachable == now, c.want != deliveryUnknown)
-			want(t, "last proof now", d.sinceLastProof(now) == 0, c.want == deliveryProven)
+			requireEqual(t, "delivery", d.observeHeartbeat(&m, c.connection, c.gap, now), c.want)
+			requireEqual(t, "last reachable now", m.lastReachable == now, c.want != deliveryUnknown)
+			requireEqual(t, "last proof now", d.sinceLastProof(now) == 0, c.want == deliveryProven)
 		})
 	}
 }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -11,7 +11,7 @@
 func (c *Controller) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_PeerHeartbeat:
-		c.onPeerHeartbeat(from, body.PeerHeartbeat)
+		c.handlePeerHeartbeat(from, body.PeerHeartbeat)
 	case *meshpb.Frame_ShardRegistered, *meshpb.Frame_MachineStatuses, *meshpb.Frame_Offer,
 		*meshpb.Frame_ReturnedBindings, *meshpb.Frame_MachineTerminated, *meshpb.Frame_Reconciled:
 		c.subscription.dispatch(from, frame)
@@ -23,7 +23,7 @@
 		*meshpb.Frame_LeaseExtensionRequest, *meshpb.Frame_LeaseExtension:
 		c.dispatchToElection(from, frame)
 	case *meshpb.Frame_JobQuery:
-		c.onJobQuery(from, body.JobQuery)
+		c.handleJobQuery(from, body.JobQuery)
 	case *meshpb.Frame_JobQueryResult:
 		c.userAPI.HandleJobQueryResult(from.member, body.JobQueryResult)
 	case *meshpb.Frame_ForwardedHeartbeats:
@@ -31,7 +31,7 @@
 	case *meshpb.Frame_HeartbeatResponses:
 		c.forwarder.handleResponses(from, body.HeartbeatResponses)
 	case *meshpb.Frame_QuotaDemands:
-		c.onQuotaDemands(from, body.QuotaDemands)
+		c.handleQuotaDemands(from, body.QuotaDemands)
 	}
 }
 
@@ -39,17 +39,17 @@
 func (s *subscription) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_ShardRegistered:
-		s.onShardRegistered(from, body.ShardRegistered)
+		s.handleShardRegistered(from, body.ShardRegistered)
 	case *meshpb.Frame_MachineStatuses:
-		s.onMachineStatuses(from, body.MachineStatuses)
+		s.handleMachineStatuses(from, body.MachineStatuses)
 	case *meshpb.Frame_Offer:
-		s.onOffer(from, body.Offer)
+		s.handleOffer(from, body.Offer)
 	case *meshpb.Frame_ReturnedBindings:
-		s.onReturnedBindings(from, body.ReturnedBindings)
+		s.handleReturnedBindings(from, body.ReturnedBindings)
 	case *meshpb.Frame_MachineTerminated:
-		s.onMachineTerminated(from, body.MachineTerminated)
+		s.handleMachineTerminated(from, body.MachineTerminated)
 	case *meshpb.Frame_Reconciled:
-		s.onReconciled(from, body.Reconciled)
+		s.handleReconciled(from, body.Reconciled)
 	}
 }
 
--- a/internal/coordination/draining_test.go
+++ b/internal/coordination/draining_test.go
@@ -42,11 +42,11 @@
 				m.tasks = append(m.tasks, replicaOnMachine{key: replicaKey{task: uint32(i)}, state: protocol.TaskRunning, stateSince: now, job: job})
 			}
 			victims := d.selectVictims(m, now)
-			want(t, "victims", len(victims), test.want)
+			requireEqual(t, "victims", len(victims), test.want)
 			for _, victim := range victims {
-				want(t, "stop requested", victim.stopRequested, true)
+				requireEqual(t, "stop requested", victim.stopRequested, true)
 			}
-			want(t, "victims selected again", len(d.selectVictims(m, now)), 0)
+			requireEqual(t, "victims selected again", len(d.selectVictims(m, now)), 0)
 		})
 	}
 }
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -67,28 +67,34 @@
 func (s electionShards) RemoveAll() { s.owner.RemoveAllShards() }
 
 // electionRegistrations tells which shards are registered with a leader.
-type electionRegistrations struct{ c *Controller }
+type electionRegistrations struct{ controller *Controller }
 
-func (r electionRegistrations) HeldShardsConfirmed() bool { return r.c.subscription.allRegistered() }
+func (r electionRegistrations) HeldShardsConfirmed() bool {
+	return r.controller.subscription.allRegistered()
+}
 
 func (r electionRegistrations) AllShardsRegistered() bool {
-	return r.c.leader == nil || r.c.leader.shards.allRegistered()
+	return r.controller.leader == nil || r.controller.leader.shards.allRegistered()
 }
 
 // electionObserver passes on what the election has decided or seen.
-type electionObserver struct{ c *Controller }
+type electionObserver struct{ controller *Controller }
 
-func (o electionObserver) LeadershipAcquired(fencingToken uint64) { o.c.becomeLeader(fencingToken) }
+func (o electionObserver) LeadershipAcquired(fencingToken uint64) {
+	o.controller.becomeLeader(fencingToken)
+}
 
-func (o electionObserver) LeadershipLost() { o.c.endLeadership() }
+func (o electionObserver) LeadershipLost() { o.controller.endLeadership() }
 
-func (o electionObserver) ViewChanged() { o.c.subscription.registerShards() }
+func (o electionObserver) ViewChanged() { o.controller.subscription.registerShards() }
 
 func (o electionObserver) QuotaRecordChanged(team string, value []byte, version uint64, present bool) {
-	o.c.admission.ObserveRecord(team, value, version, present)
+	o.controller.admission.ObserveRecord(team, value, version, present)
 }
 
-func (o electionObserver) KeysListed(items []protocol.KeyValue) { o.c.admission.ObserveAll(items) }
+func (o electionObserver) KeysListed(items []protocol.KeyValue) {
+	o.controller.admission.ObserveAll(items)
+}
 
 // Member is the peer's name.
 func (p *peer) Member() string { return p.member }
--- a/internal/coordination/event_loop.go
+++ b/internal/coordination/event_loop.go
@@ -17,7 +17,7 @@
 const (
 	commandQueueLength   = 4096
 	heartbeatQueueLength = maxMachines // each machine has one heartbeat in flight
-	maxBatch             = 256
+	maxBatchSize         = 256
 	tickInterval         = 100 * time.Millisecond
 )
 
@@ -86,7 +86,7 @@
 
 // drain calls what is queued, up to a batch, commands before heartbeats.
 func (e *EventLoop) drain() {
-	for range maxBatch {
+	for range maxBatchSize {
 		select {
 		case command := <-e.commands:
 			command()
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -36,12 +36,12 @@
 			sim := newSimulation(t, "a", "b", "c")
 			sim.AddMachines(machines)
 			sim.Run(2 * time.Second)
-			want(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
+			requireEqual(t, "good job", sim.Follower().Submit(simtest.BatchJob("wk-9", machines).With("vcpus", 6.0)).Status, 201)
 			sim.Run(3 * time.Second)
 			bad := []string{"wk-1", "wk-2", "wk-3"}
 			for i, id := range bad {
 				urgency := []string{"urgent", "standard", "standard"}[i]
-				want(t, "failing job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
+				requireEqual(t, "failing job", sim.Leader().Submit(simtest.BatchJob(id, 30).With("urgency", urgency)).Status, 201)
 			}
 			fails := 0
 			seconds := func(n int) {
@@ -57,7 +57,7 @@
 			if fails > 3*12 {
 				t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
 			}
-			want(t, "scale-out requests", len(sim.Cloud.ScaleOutRequests)-rented, 0)
+			requireEqual(t, "scale-out requests", len(sim.Cloud.ScaleOutRequests)-rented, 0)
 			sim.Crash(sim.Leader().Name)
 			seconds(30)
 			fails = 0
@@ -65,16 +65,16 @@
 			if fails > 3*30 {
 				t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
 			}
-			want(t, "machines that remain", len(sim.Agents), machines)
-			want(t, "good tasks that still run", sim.runningTasks(), machines)
+			requireEqual(t, "machines that remain", len(sim.Agents), machines)
+			requireEqual(t, "good tasks that still run", sim.runningTasks(), machines)
 			for _, id := range bad {
 				code, _ := sim.Follower().Cancel(id)
-				want(t, "abort", code, 200)
+				requireEqual(t, "abort", code, 200)
 			}
 			sim.Run(5 * time.Second)
-			want(t, "good job after the failing ones", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
+			requireEqual(t, "good job after the failing ones", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
 			sim.Run(6 * time.Second)
-			want(t, "running", sim.runningTasks(), 2*machines)
+			requireEqual(t, "running", sim.runningTasks(), 2*machines)
 		})
 	}
 }
@@ -85,14 +85,14 @@
 	sim := newSimulation(t, "a")
 	sim.AddMachines(6)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 20)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 20)).Status, 201)
 	for range 4 {
 		sim.Run(time.Second)
 		sim.failJobs("wk-1")
 	}
-	want(t, "breaker is open", controllerOf(sim.Nodes["a"]).owner.Job("wk-1").BreakerOpen(), true)
+	requireEqual(t, "breaker is open", controllerOf(sim.Nodes["a"]).owner.Job("wk-1").BreakerOpen(), true)
 	sim.Run(30 * time.Second)
-	want(t, "running", sim.runningTasks(), 20)
+	requireEqual(t, "running", sim.runningTasks(), 20)
 }
 
 // If all tasks fail on the only machine, it is quarantined and replaced. The failures must
@@ -102,14 +102,14 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	for i := range 3 {
-		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	for range 20 {
 		sim.Run(time.Second)
 		sim.failJobs("wk-1", "wk-2", "wk-3")
 	}
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(20 * time.Second)
-	want(t, "running", sim.runningTasks(), 3)
+	requireEqual(t, "running", sim.runningTasks(), 3)
 }
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -48,7 +48,7 @@
 			if at == "follower" {
 				n = sim.Follower()
 			}
-			want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
+			requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
 			sim.Run(3 * time.Second)
 			sim.finishTask("wk-1/0")
 			sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
@@ -60,15 +60,15 @@
 			if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
 				t.Fatalf("%d %q while a task runs", code, s.Status)
 			}
-			want(t, "starts", sim.startCount(), 3)
+			requireEqual(t, "starts", sim.startCount(), 3)
 			sim.Start(lead.Name)
 			sim.Run(10 * time.Second)
 			sim.finishTask("wk-1/2")
 			sim.Run(5 * time.Second)
 			for _, name := range sim.Names {
-				sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
+				sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 			}
-			want(t, "starts in all", sim.startCount(), 3)
+			requireEqual(t, "starts in all", sim.startCount(), 3)
 		})
 	}
 }
@@ -84,9 +84,9 @@
 				sim.AddMachines(10)
 				sim.Run(2 * time.Second)
 				lead := sim.Leader()
-				want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
+				requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 20)).Status, 201) // whose shard changes hands too
 				sim.Run(4 * time.Second)
-				want(t, "running", sim.runningTasks(), 20)
+				requireEqual(t, "running", sim.runningTasks(), 20)
 				var lost []*simtest.Agent
 				for _, name := range sim.AgentNames() {
 					if agent := sim.Agents[name]; len(lost) < 3 && len(agent.Running()) > 0 {
@@ -96,20 +96,20 @@
 				}
 				sim.Crash(lead.Name)
 				sim.Run(10 * time.Second) // within their leases of 16 s
-				want(t, "starts before the leases are over", sim.startCount(), 20)
+				requireEqual(t, "starts before the leases are over", sim.startCount(), 20)
 				if back {
 					for _, agent := range lost {
 						agent.Silent, agent.LosesResponses = false, false
 					}
 					sim.Run(15 * time.Second)
-					want(t, "starts of tasks whose machines are back", sim.startCount(), 20)
+					requireEqual(t, "starts of tasks whose machines are back", sim.startCount(), 20)
 					return
 				}
 				for _, agent := range lost {
 					agent.ExpireLease()
 				}
 				sim.Run(30 * time.Second)
-				want(t, "running again", sim.runningTasks(), 20)
+				requireEqual(t, "running again", sim.runningTasks(), 20)
 			})
 		}
 	}
@@ -124,8 +124,8 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	first := sim.Leader()
-	want(t, "submit", first.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "submit", first.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	sim.State.Unavailable[first.Name] = true
 	sim.Run(8 * time.Second)
@@ -145,15 +145,15 @@
 			told[fmt.Sprint(ask.Status, i >= 40)] = true
 		}
 	}
-	want(t, "somebody answers to the end for the job that runs", told["200 true"], true)
+	requireEqual(t, "somebody answers to the end for the job that runs", told["200 true"], true)
 	clear(sim.State.Unavailable)
 	sim.Run(6 * time.Second)
 	code, status := sim.Leader().Cancel("wk-1")
-	want(t, "cancelled", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "cancelled", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.Run(6 * time.Second)
-	want(t, "running", sim.runningTasks(), 2)
+	requireEqual(t, "running", sim.runningTasks(), 2)
 	for _, name := range sim.Names {
-		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
+		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 	}
 }
 
@@ -166,14 +166,14 @@
 			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 			sim.Run(2 * time.Second)
 			lead := sim.Leader()
-			want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose shard changes hands too
+			requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201) // whose shard changes hands too
 			if agent.ConnectedTo != lead.Process {
 				agent.HeartbeatTo(lead)
 			}
 			held := &Response{}
 			controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *held = r })
 			sim.Advance(400 * time.Millisecond)
-			want(t, "answer", held.Status, 200)
+			requireEqual(t, "answer", held.Status, 200)
 			agent.Silent = true // it waits for the answer
 			sim.Crash(lead.Name)
 			for range 3 {
@@ -186,8 +186,8 @@
 			}
 			agent.ConnectedTo = nil
 			sim.Run(20 * time.Second)
-			want(t, "running", sim.runningTasks(), 2)
-			want(t, "starts", sim.startCount(), 2)
+			requireEqual(t, "running", sim.runningTasks(), 2)
+			requireEqual(t, "starts", sim.startCount(), 2)
 		})
 	}
 }
@@ -202,7 +202,7 @@
 			sim.AddMachine("vm-2", "z1")
 			sim.Run(2 * time.Second)
 			for i, n := range sim.Names {
-				want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+				requireEqual(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 			}
 			sim.Run(4 * time.Second)
 			sim.CrashAll()
@@ -210,17 +210,17 @@
 			sim.Start(name)
 			sim.Run(14 * time.Second)
 			n := sim.Nodes[name]
-			want(t, "leads", sim.Leader(), n)
-			want(t, "running", sim.runningTasks(), 6)
+			requireEqual(t, "leads", sim.Leader(), n)
+			requireEqual(t, "running", sim.runningTasks(), 6)
 			for i := range sim.Names {
-				sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
+				sim.requireStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
 			}
 			sim.FinishAllTasks()
 			sim.Run(5 * time.Second)
 			for i := range sim.Names {
-				sim.wantStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
+				sim.requireStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
 			}
-			want(t, "starts", sim.startCount(), 6)
+			requireEqual(t, "starts", sim.startCount(), 6)
 		})
 	}
 }
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -107,17 +107,17 @@
 	for i := range jobs {
 		n := sim.Nodes[sim.Names[i%3]]
 		request := simtest.BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
-		want(t, "submit", n.Submit(request).Status, 201)
+		requireEqual(t, "submit", n.Submit(request).Status, 201)
 	}
 	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
 	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(controllerOf(sim.Leader()).cloud.AllListed())) >= largeFleetSize })
 	started := scenario.startCount()
-	want(t, "starts", started, largeFleetSize)
+	requireEqual(t, "starts", started, largeFleetSize)
 
 	lead := sim.Leader()
 	sim.Crash(lead.Name)
 	scenario.play(20 * time.Second)
-	want(t, "tasks that run after the leader was lost", scenario.runningTasks(), largeFleetSize)
+	requireEqual(t, "tasks that run after the leader was lost", scenario.runningTasks(), largeFleetSize)
 	sim.Start(lead.Name)
 	scenario.play(10 * time.Second)
 
@@ -125,9 +125,9 @@
 	sim.Advance(5 * time.Second)
 	sim.StartMembers()
 	scenario.play(40 * time.Second)
-	want(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
-	want(t, "starts in all", scenario.startCount(), started)
-	want(t, "heartbeats refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
+	requireEqual(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
+	requireEqual(t, "starts in all", scenario.startCount(), started)
+	requireEqual(t, "heartbeats refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
 
 	sim.FinishAllTasks()
 	scenario.waitFor("every job is done", time.Minute, func() bool {
@@ -139,7 +139,7 @@
 		return true
 	})
 	scenario.waitFor("every machine is returned", 4*time.Minute, func() bool { return len(sim.Cloud.Machines) == 0 })
-	want(t, "records of machines", scenario.machineRecordsDeleted(), true)
+	requireEqual(t, "records of machines", scenario.machineRecordsDeleted(), true)
 }
 
 func (scenario *largeFleetScenario) startCount() int {
@@ -240,14 +240,14 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Cloud.Machines[0].At = sim.Now() - time.Hour
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 	sim.Crash(sim.Leader().Name)
 	agent.Silent = true
 	sim.Run(12 * time.Second) // an election within a second, and the longest interval
 	agent.Silent = false
 	sim.Run(3 * time.Second)
-	want(t, "returned", len(sim.Cloud.Released), 0)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "returned", len(sim.Cloud.Released), 0)
+	requireEqual(t, "running", len(agent.Running()), 2)
 }
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -15,12 +15,12 @@
 // newSimulation starts a deployment of some members.
 func newSimulation(t testing.TB, names ...string) *simulation {
 	t.Helper()
-	return newSimulationWith(t, "", nil, names...)
+	return newUpgradeSimulation(t, "", nil, names...)
 }
 
-// newSimulationWith has limits that the state service will have later, and members that
+// newUpgradeSimulation has limits that the state service will have later, and members that
 // run the version before.
-func newSimulationWith(t testing.TB, next string, before []string, names ...string) *simulation {
+func newUpgradeSimulation(t testing.TB, next string, before []string, names ...string) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, next, before, names...)
 	sim.StartAll()
--- a/internal/coordination/heartbeat_balancing_test.go
+++ b/internal/coordination/heartbeat_balancing_test.go
@@ -32,8 +32,8 @@
 			b.receiveRate, b.receivedHeartbeats = test.rate, int(test.rate)
 			b.observeLoad(connectedPeer("b"), test.load)
 			b.rebalance(time.Second, test.leads)
-			want(t, "budget", b.redirectBudget, test.budget)
-			want(t, "target", b.redirectTarget(), test.target)
+			requireEqual(t, "budget", b.redirectBudget, test.budget)
+			requireEqual(t, "target", b.redirectTarget(), test.target)
 		})
 	}
 }
@@ -50,13 +50,13 @@
 			at = append(at, now)
 		}
 	}
-	want(t, "redirects within 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
-	want(t, "time of the last redirect", at[len(at)-1], 16*time.Second)
+	requireEqual(t, "redirects within 20 s", len(at), 5) // at 1, 2, 4, 8 and 16 s
+	requireEqual(t, "time of the last redirect", at[len(at)-1], 16*time.Second)
 	b.handlePeerDown(other)
 	b.observeLoad(other, 0)
 	b.receiveRate, b.receivedHeartbeats = 100, 100
 	b.rebalance(21*time.Second, false)
-	want(t, "redirect target after the peer's stream has ended", b.redirectTarget(), "b")
+	requireEqual(t, "redirect target after the peer's stream has ended", b.redirectTarget(), "b")
 }
 
 type fixedClock time.Duration
@@ -85,11 +85,11 @@
 			leader, other := connectedPeer("a"), connectedPeer("b")
 			answers, last := 0, 0
 			f.forward(leader, &Request{Body: []byte{1}}, func(r Response) { answers, last = answers+1, r.Status })
-			want(t, "frames to the leader", len(leader.forwardedHeartbeats), 1)
+			requireEqual(t, "frames to the leader", len(leader.forwardedHeartbeats), 1)
 			test.answer(&f, leader, other)
 			test.answer(&f, leader, other)
-			want(t, "status of the answer", last, test.status)
-			want(t, "number of answers", answers, min(test.status, 1))
+			requireEqual(t, "status of the answer", last, test.status)
+			requireEqual(t, "number of answers", answers, min(test.status, 1))
 		})
 	}
 }
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -26,31 +26,31 @@
 	lead, follower := sim.Leader(), sim.Follower()
 	agent := sim.AddMachine("vm-1", "z1")
 	for range 3 {
-		want(t, "heartbeat to a follower", agent.HeartbeatTo(follower).Status, 200)
+		requireEqual(t, "heartbeat to a follower", agent.HeartbeatTo(follower).Status, 200)
 		sim.Advance(time.Second)
 	}
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.HeartbeatTo(follower)
-	want(t, "running", len(agent.Running()), 2)
-	sim.wantStatus(lead, "wk-1", 200, "pending")
+	requireEqual(t, "running", len(agent.Running()), 2)
+	sim.requireStatus(lead, "wk-1", 200, "pending")
 	agent.HeartbeatTo(follower)
-	sim.wantStatus(lead, "wk-1", 200, "running")
+	sim.requireStatus(lead, "wk-1", 200, "running")
 	agent.FinishTasks("done")
 	for range 3 {
 		agent.HeartbeatTo(follower)
 		sim.Advance(time.Second)
 	}
-	sim.wantStatus(lead, "wk-1", 200, "done")
+	sim.requireStatus(lead, "wk-1", 200, "done")
 
 	// A heartbeat that is pending when the stream breaks is answered at once. Otherwise its
 	// machine would not try the next member before its timeout.
 	body := agent.HeartbeatBody()
 	response := &Response{}
 	controllerOf(follower).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: agent.Connection}, func(r Response) { *response = r })
-	want(t, "status before the stream breaks", response.Status, 0)
+	requireEqual(t, "status before the stream breaks", response.Status, 0)
 	sim.Disconnect(follower.Name, lead.Name)
-	want(t, "status when the stream breaks", response.Status, 503)
-	want(t, "without a stream to the leader", sim.statusAndRedirect(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
+	requireEqual(t, "status when the stream breaks", response.Status, 503)
+	requireEqual(t, "without a stream to the leader", sim.statusAndRedirect(follower.Call("POST", "/checkin", agent.HeartbeatBody())), "421 "+lead.Name)
 }
 
 // A member that receives a forwarded heartbeat and does not lead must not forward it again:
@@ -60,10 +60,10 @@
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
 	agent := sim.AddMachine("vm-1", "z1")
-	want(t, "heartbeat while the leader leads", agent.HeartbeatTo(follower).Status, 200)
+	requireEqual(t, "heartbeat while the leader leads", agent.HeartbeatTo(follower).Status, 200)
 	controllerOf(lead).election.Abstain(sim.Now() + time.Minute)
 	controllerOf(lead).endLeadership()
-	want(t, "heartbeat after its term has ended", agent.HeartbeatTo(follower).Status, 503)
+	requireEqual(t, "heartbeat after its term has ended", agent.HeartbeatTo(follower).Status, 503)
 }
 
 // Machines that all send to one member are redirected to the others, a few at a time.
@@ -113,27 +113,27 @@
 	loop := NewEventLoop()
 	var handled []string
 	for range 3 {
-		want(t, "heartbeat accepted", loop.TryPost(ClassHeartbeat, func() { handled = append(handled, "report") }), true)
+		requireEqual(t, "heartbeat accepted", loop.TryPost(ClassHeartbeat, func() { handled = append(handled, "report") }), true)
 	}
 	loop.Post(func() { handled = append(handled, "health check") })
 	loop.drain()
-	want(t, "order", fmt.Sprint(handled), "[health check report report report]")
+	requireEqual(t, "order", fmt.Sprint(handled), "[health check report report report]")
 	for range heartbeatQueueLength {
 		loop.TryPost(ClassHeartbeat, func() {})
 	}
-	want(t, "heartbeat accepted beyond the queue's length", loop.TryPost(ClassHeartbeat, func() {}), false)
-	want(t, "user's request accepted with a full heartbeat queue", loop.TryPost(ClassOther, func() {}), true)
+	requireEqual(t, "heartbeat accepted beyond the queue's length", loop.TryPost(ClassHeartbeat, func() {}), false)
+	requireEqual(t, "user's request accepted with a full heartbeat queue", loop.TryPost(ClassOther, func() {}), true)
 
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
-	want(t, "heartbeat", agent.Heartbeat().Status, 200)
+	requireEqual(t, "heartbeat", agent.Heartbeat().Status, 200)
 	m := controllerOf(sim.Leader()).leader.machines.get("vm-1")
 	lastSequence := m.sequence
 	response := &Response{}
 	controllerOf(sim.Nodes["a"]).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection, ReceivedAt: sim.Now() - 4*time.Second},
 		func(r Response) { *response = r })
-	want(t, "heartbeat that waited for 4 s", response.Status, 503)
-	want(t, "sequence of the last heartbeat handled", m.sequence, lastSequence)
+	requireEqual(t, "heartbeat that waited for 4 s", response.Status, 503)
+	requireEqual(t, "sequence of the last heartbeat handled", m.sequence, lastSequence)
 }
 
 // A member that machines can't reach although the other members can receives no heartbeats.
@@ -147,7 +147,7 @@
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		serving[agent] = sim.Leader()
 	}
-	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // so no machine is idle
+	requireEqual(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 90).With("vcpus", 8.0)).Status, 201) // so no machine is idle
 	unreachable := sim.Follower()
 	redirected := 0
 	runSecond := func() {
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -40,7 +40,7 @@
 	f.heartbeatIntake = heartbeatIntake{
 		fencingToken: intakeFencingToken, electedAt: intakeElectedAt, jobs: &jobTable{byID: jobs}, catalog: fixedCatalog{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1}},
 		images: &imageTable{}, usage: &usage, records: &machineRecorder{machines: &f.machines},
-		publisher: &statusPublisher{members: 1}, deliveries: &deliveryTracker{},
+		publisher: &statusPublisher{memberCount: 1}, deliveries: &deliveryTracker{},
 		quarantine: &quarantine{machines: &f.machines, jobs: jobs}, runTimes: &estimate.RunTimes{},
 		counts: &fleetCounts{reportedMachines: 10}, log: &log,
 		imagesOf: func(string) []*meshpb.CachedImage {
@@ -69,17 +69,17 @@
 func TestHeartbeatWithoutFencingTokenShowsOnlyPresence(t *testing.T) {
 	f := newIntakeFixture(t)
 	now := 2 * time.Minute
-	want(t, "reachable", f.heartbeat(intakeFencingToken-1, 1, now, taskStatus(protocol.TaskRunning, 0)), false)
-	want(t, "heartbeat seen", f.machine.heartbeatSeen, true)
-	want(t, "last current heartbeat", f.machine.lastCurrentHeartbeat, 0)
-	want(t, "tasks", len(f.machine.tasks), 0)
-	want(t, "image observed under an earlier leader", f.machine.images[0].name, "old")
-	want(t, "reachable with the token", f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
-	want(t, "tasks with the token", len(f.machine.tasks), 1)
-	want(t, "free CPUs", f.machine.free.cpus, 6)
-	want(t, "live replicas", f.job.liveReplicas, 1)
-	want(t, "image of the task", f.machine.hasImage(f.job.image), true)
-	want(t, "record pending", f.machine.recordPending, true)
+	requireEqual(t, "reachable", f.heartbeat(intakeFencingToken-1, 1, now, taskStatus(protocol.TaskRunning, 0)), false)
+	requireEqual(t, "heartbeat seen", f.machine.heartbeatSeen, true)
+	requireEqual(t, "last current heartbeat", f.machine.lastCurrentHeartbeat, 0)
+	requireEqual(t, "tasks", len(f.machine.tasks), 0)
+	requireEqual(t, "image observed under an earlier leader", f.machine.images[0].name, "old")
+	requireEqual(t, "reachable with the token", f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
+	requireEqual(t, "tasks with the token", len(f.machine.tasks), 1)
+	requireEqual(t, "free CPUs", f.machine.free.cpus, 6)
+	requireEqual(t, "live replicas", f.job.liveReplicas, 1)
+	requireEqual(t, "image of the task", f.machine.hasImage(f.job.image), true)
+	requireEqual(t, "record pending", f.machine.recordPending, true)
 }
 
 func TestTaskListSettlesSentStarts(t *testing.T) {
@@ -88,13 +88,13 @@
 	f.heartbeat(intakeFencingToken, 1, now)
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 0, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now, preemptionExempt: true}}
 	f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskFetching, 0))
-	want(t, "sent starts after the list", len(f.machine.sentStarts), 0)
-	want(t, "start of its state, when it was sent", f.machine.tasks[0].stateSince, now)
-	want(t, "exempt from preemption as when sent", f.machine.tasks[0].preemptionExempt, true)
+	requireEqual(t, "sent starts after the list", len(f.machine.sentStarts), 0)
+	requireEqual(t, "start of its state, when it was sent", f.machine.tasks[0].stateSince, now)
+	requireEqual(t, "exempt from preemption as when sent", f.machine.tasks[0].preemptionExempt, true)
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 1, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now}}
 	f.heartbeat(intakeFencingToken, 1, now+2*time.Second, taskStatus(protocol.TaskFetching, 0))
-	want(t, "sent starts after a list without them", len(f.machine.sentStarts), 0)
-	want(t, "free CPUs", f.machine.free.cpus, 6)
+	requireEqual(t, "sent starts after a list without them", len(f.machine.sentStarts), 0)
+	requireEqual(t, "free CPUs", f.machine.free.cpus, 6)
 }
 
 func TestNewEpochRemovesListedTasks(t *testing.T) {
@@ -103,10 +103,10 @@
 	f.heartbeat(intakeFencingToken, 1, now, taskStatus(protocol.TaskRunning, 0))
 	f.machine.ownerCommands = map[replicaKey]*meshpb.MachineCommand{{"wk-1", 0, 1}: {}}
 	f.heartbeat(intakeFencingToken-1, 2, now+time.Second)
-	want(t, "tasks", len(f.machine.tasks), 0)
-	want(t, "commands", len(f.machine.ownerCommands), 0)
-	want(t, "live replicas", f.job.liveReplicas, 0)
-	want(t, "free CPUs", f.machine.free.cpus, 8)
+	requireEqual(t, "tasks", len(f.machine.tasks), 0)
+	requireEqual(t, "commands", len(f.machine.ownerCommands), 0)
+	requireEqual(t, "live replicas", f.job.liveReplicas, 0)
+	requireEqual(t, "free CPUs", f.machine.free.cpus, 8)
 }
 
 func TestRunTimeIsObservedWhenTaskExits(t *testing.T) {
@@ -119,8 +119,8 @@
 		now += time.Minute
 	}
 	mean := f.runTimes.Mean(estimateTaskOf(f.job.spec)).Round(time.Second)
-	want(t, "mean run time", mean, 30*time.Second)
-	want(t, "the job has succeeded", f.job.taskSucceeded, true)
+	requireEqual(t, "mean run time", mean, 30*time.Second)
+	requireEqual(t, "the job has succeeded", f.job.taskSucceeded, true)
 }
 
 func TestReclaimNoticeHoldsUntilWithdrawn(t *testing.T) {
@@ -130,11 +130,11 @@
 	}
 	m := &machine{}
 	m.setReclaimNotice(notice(30), now)
-	want(t, "reclaimed at", m.reclaimAt, now+30*time.Second)
+	requireEqual(t, "reclaimed at", m.reclaimAt, now+30*time.Second)
 	m.setReclaimNotice(notice(30), now+time.Second)
-	want(t, "reclaimed at, after the same notice again", m.reclaimAt, now+30*time.Second)
+	requireEqual(t, "reclaimed at, after the same notice again", m.reclaimAt, now+30*time.Second)
 	m.setReclaimNotice(&protocol.Heartbeat{}, now)
-	want(t, "reclaimed at, after the withdrawal", m.reclaimAt, 0)
+	requireEqual(t, "reclaimed at, after the withdrawal", m.reclaimAt, 0)
 	m.setReclaimNotice(notice(-5), now)
-	want(t, "reclaimed at, after a late notice", m.reclaimAt, now)
+	requireEqual(t, "reclaimed at, after a late notice", m.reclaimAt, now)
 }
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -20,12 +20,12 @@
 	t.Helper()
 	busy, idle = sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(idle.Running()) == 1 {
 		busy, idle = idle, busy
 	}
-	want(t, "running", len(busy.Running()), 1)
+	requireEqual(t, "running", len(busy.Running()), 1)
 	return busy, idle
 }
 
@@ -45,7 +45,7 @@
 func withLeaderVersions(t *testing.T, test func(t *testing.T, sim *simulation)) {
 	t.Helper()
 	t.Run("this version", func(t *testing.T) { test(t, newSimulation(t, "a", "b", "c")) })
-	t.Run("the previous version", func(t *testing.T) { test(t, newSimulationWith(t, "", []string{"a"}, "a", "b", "c")) })
+	t.Run("the previous version", func(t *testing.T) { test(t, newUpgradeSimulation(t, "", []string{"a"}, "a", "b", "c")) })
 }
 
 // The order of events in both cases that the incident report describes: all controllers
@@ -62,11 +62,11 @@
 		sim.Advance(2 * time.Second) // the owner registers, and no machine sends a heartbeat meanwhile
 		sim.HeartbeatFor(3, idle)    // not for longer: a silent machine is released, which is proof
 		sim.HeartbeatFor(5, busy, idle)
-		want(t, "leader", sim.Leader().Name, "a")
-		want(t, "reconciled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
+		requireEqual(t, "leader", sim.Leader().Name, "a")
+		requireEqual(t, "reconciled", controllerOf(sim.Nodes["b"]).owner.Shard("b").Reconciled(), true)
 		sim.HeartbeatFor(15, busy, idle)
-		want(t, "replicas on the other machine", idle.Starts, 0)
-		want(t, "still running", len(busy.Running()), 1)
+		requireEqual(t, "replicas on the other machine", idle.Starts, 0)
+		requireEqual(t, "still running", len(busy.Running()), 1)
 	})
 }
 
@@ -82,21 +82,21 @@
 			sim.startDownMembers()
 			sim.Advance(6 * time.Second)
 		}
-		want(t, "first leader", sim.Leader().Name, "c")
+		requireEqual(t, "first leader", sim.Leader().Name, "c")
 		busy, idle := startOneTask(t, sim, sim.Nodes["b"])
 		sim.State.HiddenPrefix, sim.State.HiddenFrom = "own/", "a"
 		sim.Disconnect("a", "b")
 		sim.Crash("c")
 		sim.Advance(4 * time.Second)
-		want(t, "leader", sim.Leader().Name, "a")
+		requireEqual(t, "leader", sim.Leader().Name, "a")
 		sim.HeartbeatFor(1, busy, idle)
 		busy.Heartbeat()
 		sim.Connect("a", "b")
 		sim.Advance(2 * time.Second)
 		sim.HeartbeatFor(3, idle)
 		sim.HeartbeatFor(20, busy, idle)
-		want(t, "replicas on the other machine", idle.Starts, 0)
-		want(t, "still running", len(busy.Running()), 1)
+		requireEqual(t, "replicas on the other machine", idle.Starts, 0)
+		requireEqual(t, "still running", len(busy.Running()), 1)
 	})
 }
 
@@ -113,17 +113,17 @@
 	busy.Tasks["other#1"] = &simtest.AgentTask{Name: "wk-9/0", Replica: 1, State: "ended", Cause: "halted"}
 	sim.HeartbeatFor(3, busy, idle) // the list has changed, so it is published in full
 	job := controllerOf(owner).owner.Job("wk-1")
-	want(t, "state of the task, which still runs", job.TaskState(0), shard.TaskPlaced)
+	requireEqual(t, "state of the task, which still runs", job.TaskState(0), shard.TaskPlaced)
 	leader.setShardOwner(leader.shards.get(owner.Name), controllerOf(lead).peers[owner.Name])
 	sim.HeartbeatFor(15, busy, idle)
-	want(t, "replicas on the other machine", idle.Starts, 0)
+	requireEqual(t, "replicas on the other machine", idle.Starts, 0)
 }
 
 // An owner that registers with a leader of the previous version still concludes from that
 // leader's statuses that a task is lost: from the lists of machines that have sent
 // heartbeats since the registration.
 func TestTaskThatEndedUnderALeaderOfThePreviousVersion(t *testing.T) {
-	sim := newSimulationWith(t, "", []string{"a", "b", "c"}, "a", "b", "c")
+	sim := newUpgradeSimulation(t, "", []string{"a", "b", "c"}, "a", "b", "c")
 	owner := sim.Follower()
 	delete(sim.PreviousVersion, owner.Name)
 	sim.Crash(owner.Name)
@@ -133,8 +133,8 @@
 	busy, idle := startOneTask(t, sim, owner)
 	clear(busy.Tasks) // as if the machine had lost it, within its epoch
 	sim.Run(20 * time.Second)
-	want(t, "starts", busy.Starts+idle.Starts, 2)
-	want(t, "running", sim.runningTasks(), 1)
+	requireEqual(t, "starts", busy.Starts+idle.Starts, 2)
+	requireEqual(t, "running", sim.runningTasks(), 1)
 }
 
 // A member with two shards registers them with the next leader one after the other. The
@@ -151,13 +151,13 @@
 	}
 	first, second, idle := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
-	want(t, "submit", sim.Nodes[gone].Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes[gone].Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 	sim.Crash(gone)
 	sim.Run(25 * time.Second)
-	want(t, "shards of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
+	requireEqual(t, "shards of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
 	started := first.Starts + second.Starts + idle.Starts
 	var next string
 	for _, name := range sim.Names {
@@ -168,13 +168,13 @@
 	sim.Disconnect(lead.Name, next) // it registers only once the machines have sent heartbeats there
 	controllerOf(lead).election.Resign(election.MachinesUnreachable)
 	sim.Advance(2 * time.Second)
-	want(t, "leader", sim.Leader().Name, next)
+	requireEqual(t, "leader", sim.Leader().Name, next)
 	sim.HeartbeatFor(3, first, second, idle)
 	sim.Connect(lead.Name, next)
 	sim.Advance(2 * time.Second)
 	sim.HeartbeatFor(20, first, second, idle)
-	want(t, "starts", first.Starts+second.Starts+idle.Starts, started)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "starts", first.Starts+second.Starts+idle.Starts, started)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 }
 
 // While the machine records are unread, a machine that has received this leader's fencing token
@@ -188,11 +188,11 @@
 	sim.HeartbeatFor(9, idle)
 	busy.Heartbeat() // its first to this leader, with the previous fencing token; the response renews its lease
 	sim.HeartbeatFor(13, idle)
-	want(t, "replicas within the lease", idle.Starts, 0)
+	requireEqual(t, "replicas within the lease", idle.Starts, 0)
 	sim.State.HiddenPrefix = ""
 	sim.HeartbeatFor(10, busy, idle)
-	want(t, "replicas on the other machine", idle.Starts, 0)
-	want(t, "still running", len(busy.Running()), 1)
+	requireEqual(t, "replicas on the other machine", idle.Starts, 0)
+	requireEqual(t, "still running", len(busy.Running()), 1)
 }
 
 // startDownMembers starts the members that are down.
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -12,16 +12,16 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-const beyondAnyLease = 30 * time.Second // any lease with all its margins
+const longerThanAnyLease = 30 * time.Second // any lease with all its margins
 
-func want[T comparable](t *testing.T, what string, got, expected T) {
+func requireEqual[T comparable](t *testing.T, what string, got, expected T) {
 	t.Helper()
 	if got != expected {
 		t.Fatalf("%s: got %v, want %v", what, got, expected)
 	}
 }
 
-func (sim *simulation) wantStatus(n *simtest.Node, id string, code int, status string) {
+func (sim *simulation) requireStatus(n *simtest.Node, id string, code int, status string) {
 	sim.T.Helper()
 	got, s := n.Status(id)
 	if got != code || s.Status != status {
@@ -43,32 +43,32 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	at := sim.Follower()
-	want(t, "submit", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
-	want(t, "retry", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
+	requireEqual(t, "submit", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
+	requireEqual(t, "retry", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	for _, name := range sim.Names {
-		want(t, "retry at "+name, sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
+		requireEqual(t, "retry at "+name, sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	sim.Run(3 * time.Second)
-	want(t, "running on eight CPUs", len(agent.Running()), 4)
+	requireEqual(t, "running on eight CPUs", len(agent.Running()), 4)
 	agent.FinishTasks("done")
 	sim.Run(3 * time.Second)
-	sim.wantStatus(at, "wk-1", 200, "running")
+	sim.requireStatus(at, "wk-1", 200, "running")
 	agent.FinishTasks("done")
 	sim.Run(3 * time.Second)
 	for _, name := range sim.Names {
-		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
+		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 	}
-	want(t, "tasks left on the worker", len(agent.Tasks), 0)
+	requireEqual(t, "tasks left on the worker", len(agent.Tasks), 0)
 	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	sim.StartMembers()
 	sim.Advance(5 * time.Second)
 	for _, name := range sim.Names {
-		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "done")
-		want(t, "late retry", sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
+		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
+		requireEqual(t, "late retry", sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	code, _ := sim.Nodes["a"].Status("wk-999")
-	want(t, "a job nobody submitted", code, 404)
+	requireEqual(t, "a job nobody submitted", code, 404)
 }
 
 // A transaction without an answer is resolved under a new version before
@@ -89,11 +89,11 @@
 				done(storage.Response{})
 				return true
 			}
-			want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-			want(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
+			requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+			requireEqual(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
 			agent := sim.AddMachine("vm-1", "z1")
 			sim.Run(4 * time.Second)
-			want(t, "running", len(agent.Running()), 2)
+			requireEqual(t, "running", len(agent.Running()), 2)
 		})
 	}
 }
@@ -113,7 +113,7 @@
 		fn()
 	}
 	sim.DeliverAll()
-	want(t, "answers", fmt.Sprint(r1.Status, r2.Status), "201 200")
+	requireEqual(t, "answers", fmt.Sprint(r1.Status, r2.Status), "201 200")
 }
 
 func TestCancelledTasksAreNotRestarted(t *testing.T) {
@@ -121,29 +121,29 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 4)
+	requireEqual(t, "running", len(agent.Running()), 4)
 	code, status := sim.Leader().Cancel("wk-1")
-	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	for _, name := range sim.Names {
-		sim.wantStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
+		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 		code, status = sim.Nodes[name].Cancel("wk-1")
-		want(t, "again", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+		requireEqual(t, "again", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	}
 	starts := agent.Starts
 	sim.Run(4 * time.Second)
-	want(t, "left on the machine", len(agent.Tasks), 0)
-	want(t, "starts after", agent.Starts, starts)
+	requireEqual(t, "left on the machine", len(agent.Tasks), 0)
+	requireEqual(t, "starts after", agent.Starts, starts)
 	code, _ = follower.Cancel("wk-77")
-	want(t, "abort of an unknown job", code, 404)
+	requireEqual(t, "abort of an unknown job", code, 404)
 }
 
 // While the end of a job is being written another node may tell it already;
 // its owner must not answer from memory then (went_back).
 func TestNoStaleStatusWhileTheEndIsWritten(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	var answer func()
 	sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		if answer == nil && len(txn.Then) > 0 && txn.Then[0].Put == storage.JobKey("wk-1") {
@@ -154,20 +154,20 @@
 		return false
 	}
 	r := sim.Nodes["a"].Call("POST", "/submissions/wk-1/abort", nil)
-	want(t, "abort", r.Status, 0)
-	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
-	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "withdrawn")
+	requireEqual(t, "abort", r.Status, 0)
+	sim.requireStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
+	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "withdrawn")
 	answer()
 	sim.DeliverAll()
-	want(t, "abort", r.Status, 200)
+	requireEqual(t, "abort", r.Status, 200)
 }
 
 // Finished tasks are forgotten by their machine only once they are written.
-func TestForgetFollowsTheDurableWrite(t *testing.T) {
+func TestFinishedTasksStayOnTheMachineUntilWritten(t *testing.T) {
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
 		if len(txn.Then) > 0 && strings.HasPrefix(txn.Then[0].Put, "done/") {
@@ -178,18 +178,18 @@
 	}
 	agent.FinishTasks("done")
 	sim.Run(5 * time.Second)
-	want(t, "kept on the machine", len(agent.Tasks)-len(agent.Running()), 4)
+	requireEqual(t, "kept on the machine", len(agent.Tasks)-len(agent.Running()), 4)
 	sim.State.OnTransaction = nil
 	sim.Run(4 * time.Second)
-	want(t, "kept after the write", len(agent.Tasks)-len(agent.Running()), 0)
+	requireEqual(t, "kept after the write", len(agent.Tasks)-len(agent.Running()), 0)
 	sim.Crash("a")
 	sim.Advance(8 * time.Second)
 	sim.Start("a")
 	sim.Run(8 * time.Second)
 	agent.FinishTasks("done")
 	sim.Run(4 * time.Second)
-	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
-	want(t, "starts", agent.Starts, 8)
+	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "done")
+	requireEqual(t, "starts", agent.Starts, 8)
 }
 
 // Until an owner has registered, all of its shard counts against the limit.
@@ -198,7 +198,7 @@
 	sim.AddMachines(8)
 	sim.Run(15 * time.Second)
 	for i, name := range sim.Names {
-		want(t, "submit", sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
+		requireEqual(t, "submit", sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
 	}
 	check := func(d time.Duration) {
 		t.Helper()
@@ -210,7 +210,7 @@
 		}
 	}
 	check(5 * time.Second)
-	want(t, "running at the limit", sim.runningTasks(), 16)
+	requireEqual(t, "running at the limit", sim.runningTasks(), 16)
 	lead := sim.Leader()
 	sim.Crash(lead.Name)
 	sim.Agents["vm-0"].FinishTasks("done")
@@ -221,11 +221,11 @@
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.Advance(7 * time.Second)
 	sim.StartMembers()
-	check(beyondAnyLease)
-	want(t, "running at the limit again", sim.runningTasks(), 16)
+	check(longerThanAnyLease)
+	requireEqual(t, "running at the limit again", sim.runningTasks(), 16)
 }
 
-func TestInvalidSubmissionsAreRefused(t *testing.T) {
+func TestInvalidSubmissionsAreRejected(t *testing.T) {
 	sim := newSimulation(t, "a")
 	n := sim.Nodes["a"]
 	for _, c := range []struct {
@@ -252,15 +252,15 @@
 		{"a known job comes first", simtest.BatchJob("wk-2", 1).With("crew", "green"), 200},
 		{"empty page", simtest.BatchJob("wk-1", 1).With("unknown", "field"), 201},
 	} {
-		want(t, c.why, n.Submit(c.f).Status, c.status)
+		requireEqual(t, c.why, n.Submit(c.f).Status, c.status)
 	}
 	for _, body := range [][]byte{nil, {0x01}, []byte("{}"), {0xa1}, {0xbf, 0xff}, {0x5f}} {
-		want(t, fmt.Sprintf("body %x", body), n.Call("POST", "/submissions", body).Status, 400)
-		want(t, fmt.Sprintf("heartbeat %x", body), n.Call("POST", "/checkin", body).Status, 400)
+		requireEqual(t, fmt.Sprintf("body %x", body), n.Call("POST", "/submissions", body).Status, 400)
+		requireEqual(t, fmt.Sprintf("heartbeat %x", body), n.Call("POST", "/checkin", body).Status, 400)
 	}
-	want(t, "unknown path", n.Call("GET", "/nothing", nil).Status, 404)
-	want(t, "wrong method", n.Call("PUT", "/submissions", nil).Status, 405)
-	want(t, "wrong method", n.Call("GET", "/submissions/wk-1/abort", nil).Status, 405)
+	requireEqual(t, "unknown path", n.Call("GET", "/nothing", nil).Status, 404)
+	requireEqual(t, "wrong method", n.Call("PUT", "/submissions", nil).Status, 405)
+	requireEqual(t, "wrong method", n.Call("GET", "/submissions/wk-1/abort", nil).Status, 405)
 }
 
 func TestInvalidHeartbeatChangesNothing(t *testing.T) {
@@ -275,10 +275,10 @@
 			f[g] = v
 		}
 		f[key] = bad
-		want(t, key, sim.Nodes["a"].Call("POST", "/checkin", sim.Codec.Encode(f)).Status, 400)
+		requireEqual(t, key, sim.Nodes["a"].Call("POST", "/checkin", sim.Codec.Encode(f)).Status, 400)
 	}
-	want(t, "machines", len(controllerOf(sim.Nodes["a"]).leader.machines.byName), before)
-	want(t, "a good heartbeat", agent.Heartbeat().Status, 200)
+	requireEqual(t, "machines", len(controllerOf(sim.Nodes["a"]).leader.machines.byName), before)
+	requireEqual(t, "a good heartbeat", agent.Heartbeat().Status, 200)
 }
 
 // Work that is accepted has to be held in memory; what would not fit is
@@ -293,13 +293,13 @@
 			accepted++
 			continue
 		}
-		want(t, "refusal", fmt.Sprintf("%d %v", r.Status, r.RetryAfterS > 1), "503 true")
+		requireEqual(t, "refusal", fmt.Sprintf("%d %v", r.Status, r.RetryAfterS > 1), "503 true")
 	}
-	want(t, "accepted", accepted, 3)
-	want(t, "a known job", n.Submit(simtest.BatchJob("wk-0", 100_000)).Status, 200)
+	requireEqual(t, "accepted", accepted, 3)
+	requireEqual(t, "a known job", n.Submit(simtest.BatchJob("wk-0", 100_000)).Status, 200)
 	code, _ := n.Cancel("wk-0")
-	want(t, "abort", code, 200)
-	want(t, "once there is room again", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
+	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "once there is room again", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
 }
 
 // A machine that falls silent with a cancelled task on it is returned before
@@ -309,17 +309,17 @@
 	sim.AddMachines(9)
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 36)
+	requireEqual(t, "running", sim.runningTasks(), 36)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
 	code, _ := follower.Cancel("wk-1")
-	want(t, "abort", code, 200)
+	requireEqual(t, "abort", code, 200)
 	sim.AddMachine("vm-x", "z2")
 	sim.Run(18 * time.Second)
-	want(t, "still running", sim.runningTasks(), 0)
+	requireEqual(t, "still running", sim.runningTasks(), 0)
 }
 
 // An owner that knows a job to be over has what a machine lists of it ended,
@@ -329,13 +329,13 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
-	want(t, "abort", code, 200)
+	requireEqual(t, "abort", code, 200)
 	j := controllerOf(sim.Leader()).leader.jobs.get("wk-1")
 	j.ended = false
 	sim.Run(fullStatusInterval + 3*time.Second)
-	want(t, "running", len(agent.Running()), 0)
+	requireEqual(t, "running", len(agent.Running()), 0)
 }
--- a/internal/coordination/kind_selection_test.go
+++ b/internal/coordination/kind_selection_test.go
@@ -62,8 +62,8 @@
 			}
 			test.query.job, test.query.now = testJob(test.spec), now
 			kind, ok := kinds.best(test.query)
-			want(t, "kind", kind, test.want)
-			want(t, "found", ok, test.ok)
+			requireEqual(t, "kind", kind, test.want)
+			requireEqual(t, "found", ok, test.ok)
 		})
 	}
 }
@@ -74,22 +74,22 @@
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
 	needy := testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})
 	needy.onlyMachineType = kinds.onlyFittingType(needy.spec)
-	want(t, "the type that fits", needy.onlyMachineType, "gpu")
+	requireEqual(t, "the type that fits", needy.onlyMachineType, "gpu")
 	array := testJob(&meshpb.JobSummary{Cpus: 1})
-	want(t, "several types fit", kinds.onlyFittingType(array.spec), "")
+	requireEqual(t, "several types fit", kinds.onlyFittingType(array.spec), "")
 	service := testJob(&meshpb.JobSummary{Cpus: 1, Service: true})
 
 	kinds.noteExclusiveNeed(needy.onlyMachineType, 0)
-	want(t, "reserved for the job that needs it", kinds.reservedForOthers(needy, "gpu", 1), false)
-	want(t, "reserved against others", kinds.reservedForOthers(array, "gpu", 1), true)
-	want(t, "reserved against services", kinds.reservedForOthers(service, "gpu", 1), false)
-	want(t, "another type", kinds.reservedForOthers(array, "m8", 1), false)
-	want(t, "after a while", kinds.reservedForOthers(array, "gpu", exclusiveNeedWindow), false)
+	requireEqual(t, "reserved for the job that needs it", kinds.reservedForOthers(needy, "gpu", 1), false)
+	requireEqual(t, "reserved against others", kinds.reservedForOthers(array, "gpu", 1), true)
+	requireEqual(t, "reserved against services", kinds.reservedForOthers(service, "gpu", 1), false)
+	requireEqual(t, "another type", kinds.reservedForOthers(array, "m8", 1), false)
+	requireEqual(t, "after a while", kinds.reservedForOthers(array, "gpu", exclusiveNeedWindow), false)
 }
 
 func TestLeadTimeIsThatOfTheSoonestType(t *testing.T) {
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
-	want(t, "boot and fetch", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1})), 20*time.Second+500*time.Millisecond)
-	want(t, "of the only type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})), 42*time.Second)
-	want(t, "of none", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 9})), time.Duration(0))
+	requireEqual(t, "boot and fetch", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1})), 20*time.Second+500*time.Millisecond)
+	requireEqual(t, "of the only type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})), 42*time.Second)
+	requireEqual(t, "of none", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 9})), time.Duration(0))
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -83,7 +83,7 @@
 	}
 	l.machines.init()
 	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, quotaEscrow: env.tuning.QuotaEscrow}
-	l.publisher.members = env.members
+	l.publisher.memberCount = env.members
 	l.jobs = jobTable{
 		byID:            make(map[string]*trackedJob),
 		images:          &l.images,
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -59,7 +59,7 @@
 		tuning:        &c.tuning,
 		members:       1 + len(c.peers),
 		leaseTimeout:  c.workerLeaseTimeout(),
-		silenceLimit:  c.silenceAfter(),
+		silenceLimit:  c.silenceLimit(),
 		clock:         c.env.Clock,
 		wall:          c.env.Wall,
 		codec:         c.codec,
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -16,15 +16,15 @@
 
 // A start that a worker was given by a leader that is no more must be proven
 // absent to the new one before another replica goes out.
-func TestStartOfACrashedLeaderIsProvenAbsent(t *testing.T) {
+func TestCrashedLeadersStartsAreNotRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit at the leader", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
-	want(t, "submit elsewhere", sim.Follower().Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
+	requireEqual(t, "submit at the leader", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "submit elsewhere", sim.Follower().Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 	old := controllerOf(lead).leader.fencingToken
 	sim.Crash(lead.Name)
 	sim.Run(9 * time.Second)
@@ -32,13 +32,13 @@
 	if next == lead || controllerOf(next).leader.fencingToken <= old {
 		t.Fatalf("fencing token %d does not follow %d", controllerOf(next).leader.fencingToken, old)
 	}
-	want(t, "running on", sim.runningTasks(), 8)
+	requireEqual(t, "running on", sim.runningTasks(), 8)
 	agent1.FinishTasks("done")
 	agent2.FinishTasks("done")
 	sim.Run(20 * time.Second)
-	sim.wantStatus(next, "wk-1", 200, "done")
-	sim.wantStatus(next, "wk-2", 200, "done")
-	want(t, "starts", agent1.Starts+agent2.Starts, 8)
+	sim.requireStatus(next, "wk-1", 200, "done")
+	sim.requireStatus(next, "wk-2", 200, "done")
+	requireEqual(t, "starts", agent1.Starts+agent2.Starts, 8)
 }
 
 // A restarted member gets its shard back, also when the leader has it.
@@ -46,19 +46,19 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) == nil {
 		t.Fatal("the leader did not take the shard")
 	}
-	want(t, "running", sim.runningTasks(), 2)
+	requireEqual(t, "running", sim.runningTasks(), 2)
 	sim.Start(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) != nil || controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not go back")
 	}
-	want(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
 // A restart faster than the lease: the shard and the leader key are taken
@@ -91,17 +91,17 @@
 		return false
 	}
 	r := follower.Submit(simtest.BatchJob("wk-1", 2))
-	want(t, "answered while its fate is open", r.Status, 0)
+	requireEqual(t, "answered while its fate is open", r.Status, 0)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
-	want(t, "late transaction", late().Status, 409)
+	requireEqual(t, "late transaction", late().Status, 409)
 	code, _ := sim.Leader().Status("wk-1")
-	want(t, "poll", code, 404)
+	requireEqual(t, "poll", code, 404)
 }
 
 // One member alone is refused by the state service: it must stop acting
 // before another takes its keys.
-func TestRefusedMemberStopsActing(t *testing.T) {
+func TestMemberRefusedByStateServiceStopsActing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
@@ -126,14 +126,14 @@
 	// none by itself.
 	agent.FencingToken = 0
 	if r := agent.HeartbeatTo(lead); r.Status == 200 {
-		want(t, "fencing token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
+		requireEqual(t, "fencing token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
 	}
 	lead.Call("GET", "/ready", nil)
 	sim.Advance(4 * time.Second)
-	want(t, "ready", lead.Call("GET", "/ready", nil).Status, 503)
+	requireEqual(t, "ready", lead.Call("GET", "/ready", nil).Status, 503)
 	sim.State.Unavailable[lead.Name] = false
 	sim.Advance(5 * time.Second)
-	want(t, "ready again", lead.Call("GET", "/ready", nil).Status, 200)
+	requireEqual(t, "ready again", lead.Call("GET", "/ready", nil).Status, 200)
 }
 
 // A member that is silent on the mesh grants no extension: in an outage the
@@ -143,50 +143,50 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(10 * time.Second)
-	want(t, "acts while all extend", controllerOf(lead).election.MayAct(sim.Now()), true)
+	requireEqual(t, "acts while all extend", controllerOf(lead).election.MayAct(sim.Now()), true)
 	sim.Disconnect(lead.Name, sim.Follower().Name)
 	sim.Advance(2500 * time.Millisecond)
-	want(t, "acts without a extension", controllerOf(lead).election.MayAct(sim.Now()), false)
+	requireEqual(t, "acts without a extension", controllerOf(lead).election.MayAct(sim.Now()), false)
 	// Heartbeats are refused meanwhile; that is not the machines' silence.
 	sim.Run(12 * time.Second)
 	sim.Connect(lead.Name, sim.Follower().Name)
 	sim.State.Unavailable[""] = false
 	sim.Run(8 * time.Second)
-	want(t, "machines returned for the outage", len(sim.Cloud.Released), 0)
-	want(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "machines returned for the outage", len(sim.Cloud.Released), 0)
+	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
 // The state service refuses the leader alone, and then everybody: the next
 // leader goes on, although the first has not seen it take the key. Refused its
 // extension, nobody acted until the end of the outage, and nothing was cancelled
 // in time.
-func TestOutageAfterTheLeaderWasRefused(t *testing.T) {
+func TestOutageAfterStateServiceRefusedTheLeader(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	first := sim.Leader()
-	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.State.Unavailable[first.Name] = true
 	sim.Run(10 * time.Second)
 	second := sim.Leader()
-	want(t, "another leads", second != first, true)
+	requireEqual(t, "another leads", second != first, true)
 	sim.State.Unavailable[""] = true
 	for range 50 { // longer than a cancellation has
 		sim.Run(time.Second)
 		if !controllerOf(second).election.MayAct(sim.Now()) {
 			t.Fatal("the leader stops in an outage although everybody extends")
 		}
-		want(t, "acts that lost its key", controllerOf(first).election.MayAct(sim.Now()), false)
+		requireEqual(t, "acts that lost its key", controllerOf(first).election.MayAct(sim.Now()), false)
 	}
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 	sim.State.Unavailable[""], sim.State.Unavailable[first.Name] = false, false
 	sim.Run(5 * time.Second)
 	code, status := first.Status("wk-1")
-	want(t, "known to the first", fmt.Sprint(code, status.Status == "running" || status.Status == "pending"), "200 true")
+	requireEqual(t, "known to the first", fmt.Sprint(code, status.Status == "running" || status.Status == "pending"), "200 true")
 }
 
 // Whatever is refused to whom, whoever restarts, and whatever transactions are
@@ -275,31 +275,31 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	token := controllerOf(sim.Leader()).leader.fencingToken
 	agent := sim.Agents["vm-1"]
-	want(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 6)).Status, 201)
+	requireEqual(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 6)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(12 * time.Second)
 	agent.FinishTasks("done")
 	sim.Run(12 * time.Second)
-	want(t, "running after new starts in the outage", len(agent.Running()), 4)
-	want(t, "results kept for the write", len(agent.Tasks), 8)
+	requireEqual(t, "running after new starts in the outage", len(agent.Running()), 4)
+	requireEqual(t, "results kept for the write", len(agent.Tasks), 8)
 	r := sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2))
-	want(t, "submit in the outage", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
+	requireEqual(t, "submit in the outage", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
 	code, _ := sim.Nodes["b"].Status("wk-77")
-	want(t, "unknown job in the outage", code, 503)
+	requireEqual(t, "unknown job in the outage", code, 503)
 	for _, name := range sim.Names {
-		want(t, "ready", sim.Nodes[name].Call("GET", "/ready", nil).Status, 200)
+		requireEqual(t, "ready", sim.Nodes[name].Call("GET", "/ready", nil).Status, 200)
 	}
 	sim.State.Unavailable[""] = false
 	sim.Run(4 * time.Second)
-	want(t, "fencing token", controllerOf(sim.Leader()).leader.fencingToken, token)
-	want(t, "running on", sim.runningTasks(), 4)
-	want(t, "results written and cleared", len(agent.Tasks), 4)
-	want(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "fencing token", controllerOf(sim.Leader()).leader.fencingToken, token)
+	requireEqual(t, "running on", sim.runningTasks(), 4)
+	requireEqual(t, "results written and cleared", len(agent.Tasks), 4)
+	requireEqual(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 }
 
 // The answers that name a leader which no worker reaches would lead every
@@ -322,25 +322,25 @@
 
 // An owner that the leader cannot reach gives its shard up: users who cancel
 // there would be told so while the tasks run on.
-func TestOwnerPartitionedFromTheLeaderYields(t *testing.T) {
+func TestOwnerPartitionedFromTheLeaderReleasesItsShard(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.Disconnect(follower.Name, lead.Name)
 	sim.Run(15 * time.Second)
 	if len(slices.Collect(controllerOf(follower).owner.Shards())) != 0 || controllerOf(lead).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not move to the leader")
 	}
-	want(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "running on", sim.runningTasks(), 2)
 	sim.Connect(follower.Name, lead.Name)
 	sim.Run(8 * time.Second)
 	if controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not come back")
 	}
-	want(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
 // A shard that is acquired again under the same leader registers again: else its
@@ -350,19 +350,19 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.Run(8 * time.Second)
 	if shard := controllerOf(follower).owner.Shard(follower.Name); shard == nil || !shard.Registered() {
 		t.Fatal("the shard has not registered")
 	}
 	code, status := follower.Cancel("wk-1")
-	want(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.Run(4 * time.Second)
-	want(t, "running", len(agent.Running()), 0)
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "running", len(agent.Running()), 0)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 }
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -39,10 +39,10 @@
 	sim.Crash(claimer)
 	sim.Start(claimer)
 	sim.Advance(time.Second)
-	want(t, "registered", controllerOf(sim.Nodes[claimer]).election.Registered(), true)
+	requireEqual(t, "registered", controllerOf(sim.Nodes[claimer]).election.Registered(), true)
 	sim.State.DeleteKey(storage.LeaderKey)
-	want(t, "held claim", held().Status, 409)
-	want(t, "leader key", sim.State.Keys[storage.LeaderKey] == nil, true)
+	requireEqual(t, "held claim", held().Status, 409)
+	requireEqual(t, "leader key", sim.State.Keys[storage.LeaderKey] == nil, true)
 }
 
 // A process that is not certain that its predecessor's claims are dead
@@ -58,10 +58,10 @@
 	sim.Crash(follower.Name)
 	sim.Start(follower.Name)
 	sim.Advance(3 * time.Second)
-	want(t, "view of the restarted member", controllerOf(follower).election.ViewLoaded(), true)
+	requireEqual(t, "view of the restarted member", controllerOf(follower).election.ViewLoaded(), true)
 	sim.State.Unavailable[""] = true
 	sim.Run(6 * time.Second)
-	want(t, "acts on a extension of a member that can't give one", controllerOf(lead).election.MayAct(sim.Now()), false)
+	requireEqual(t, "acts on a extension of a member that can't give one", controllerOf(lead).election.MayAct(sim.Now()), false)
 }
 
 // Once all faults are over, every accepted job is answered for, whichever
@@ -177,35 +177,35 @@
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
 	deaf.Heartbeat()
-	want(t, "running", len(deaf.Running()), 2)
+	requireEqual(t, "running", len(deaf.Running()), 2)
 	deaf.Heartbeat()
 
 	deaf.LosesResponses = true
 	deaf.Heartbeat() // its answer is lost; the worker closes the connection
-	want(t, "more", lead.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "more", lead.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	m := controllerOf(lead).leader.machines.get("vm-1")
 	for range 3 {
 		deaf.Heartbeat()
-		want(t, "starts sent to a machine that gets no responses", len(m.sentStarts), 0)
+		requireEqual(t, "starts sent to a machine that gets no responses", len(m.sentStarts), 0)
 	}
 	other.Heartbeat()
-	want(t, "running elsewhere", len(other.Running()), 2)
-	want(t, "its use of a limit", controllerOf(lead).leader.usage.teams["red"].cpus, 4)
+	requireEqual(t, "running elsewhere", len(other.Running()), 2)
+	requireEqual(t, "its use of a limit", controllerOf(lead).leader.usage.teams["red"].cpus, 4)
 
 	// Its new epoch proves that its tasks are gone, whatever fencing token it bears.
 	deaf.ExpireLease()
 	deaf.Heartbeat()
 	sim.Advance(tickInterval)
 	other.Heartbeat()
-	want(t, "running elsewhere", strings.Join(other.Running(), " "), "wk-1/0 wk-1/1 wk-2/0 wk-2/1")
+	requireEqual(t, "running elsewhere", strings.Join(other.Running(), " "), "wk-1/0 wk-1/1 wk-2/0 wk-2/1")
 	for range 30 {
 		deaf.Heartbeat()
 		other.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	requireEqual(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
 }
 
 // The same at a new leader, whose fencing token the machine never sees: its new epoch
@@ -215,17 +215,17 @@
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
 	lead, follower := sim.Leader(), sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	deaf.Heartbeat()
-	want(t, "running", len(deaf.Running()), 2)
+	requireEqual(t, "running", len(deaf.Running()), 2)
 	deaf.Heartbeat()
 	deaf.LosesResponses = true
 	sim.Crash(lead.Name)
 	sim.Run(10 * time.Second)
-	want(t, "running elsewhere before the lease is over", len(other.Running()), 0)
+	requireEqual(t, "running elsewhere before the lease is over", len(other.Running()), 0)
 	deaf.ExpireLease()
 	sim.Run(3 * time.Second)
-	want(t, "running elsewhere", len(other.Running()), 2)
+	requireEqual(t, "running elsewhere", len(other.Running()), 2)
 }
 
 // Heartbeats with very many tasks, all at once, keep the mesh's frames and the
@@ -233,7 +233,7 @@
 func TestLargeHeartbeatsStayWithinSizeLimits(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 3000)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 3000)).Status, 201)
 	var answers []*Response
 	for i := range 40 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
@@ -249,7 +249,7 @@
 	sim.DeliverAll()
 	sim.Advance(time.Second)
 	code, _ := follower.Cancel("wk-1")
-	want(t, "abort", code, 200)
+	requireEqual(t, "abort", code, 200)
 	for _, name := range sim.AgentNames() {
 		controllerOf(lead).balancer.redirectBudget = 0 // none is sent elsewhere
 		r := sim.Agents[name].Heartbeat()
@@ -258,7 +258,7 @@
 		}
 	}
 	for _, r := range answers {
-		want(t, "answer", r.Status, 200)
+		requireEqual(t, "answer", r.Status, 200)
 	}
 }
 
@@ -288,12 +288,12 @@
 			n := sim.Leader()
 			agent.HeartbeatTo(n)
 			pause(c.pause)
-			want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
+			requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
 			agent.ConnectedTo = nil // its connection is gone
 			agent.HeartbeatTo(n)
-			want(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
+			requireEqual(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
 			agent.HeartbeatTo(n)
-			want(t, "started by the next heartbeat", sim.runningTasks(), 2)
+			requireEqual(t, "started by the next heartbeat", sim.runningTasks(), 2)
 			agent.FinishTasks("done")
 			for range 3 { // until its results are written and cleared
 				agent.HeartbeatTo(n)
@@ -303,14 +303,14 @@
 			sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
 			agent.ConnectedTo = nil
 			pause(8 * time.Second)
-			want(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
+			requireEqual(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
 			agent.HeartbeatTo(n)
 			first := sent()
 			for range 2 { // the first shows that its starts are lost
 				pause(8 * time.Second)
 				agent.HeartbeatTo(n)
 			}
-			want(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
+			requireEqual(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
 		})
 	}
 }
@@ -324,11 +324,11 @@
 	agent.Heartbeat()
 	agent.Heartbeat()
 	agent.LosesResponses = false
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.Heartbeat()
-	want(t, "starts in answer to the first heartbeat on a new connection", len(agent.Running()), 0)
+	requireEqual(t, "starts in answer to the first heartbeat on a new connection", len(agent.Running()), 0)
 	agent.Heartbeat()
-	want(t, "starts once an answer has arrived", len(agent.Running()), 2)
+	requireEqual(t, "starts once an answer has arrived", len(agent.Running()), 2)
 }
 
 // A machine that sends heartbeats on another connection each time, as it does while it
@@ -341,15 +341,15 @@
 		sim.AddMachine(fmt.Sprintf("vm-2%d", i), "z1")
 	}
 	sim.Run(10 * time.Second)
-	want(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 44)).Status, 201)
+	requireEqual(t, "submit", sim.Leader().Submit(simtest.BatchJob("wk-1", 44)).Status, 201)
 	sim.Run(2 * time.Second)
-	want(t, "running", len(agent.Running()), 4)
+	requireEqual(t, "running", len(agent.Running()), 4)
 	agent.LosesResponses = true
 	sim.Run(14 * time.Second)
 	agent.LosesResponses = false
 	sim.Run(10 * time.Second)
-	want(t, "returned", len(sim.Cloud.Released), 0)
-	want(t, "running", len(agent.Running()), 4)
+	requireEqual(t, "returned", len(sim.Cloud.Released), 0)
+	requireEqual(t, "running", len(agent.Running()), 4)
 }
 
 // What is cancelled on a machine that gets no responses ends in time, and such
@@ -362,11 +362,11 @@
 	}
 	sim.Run(10 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
-	want(t, "running", sim.runningTasks(), 2)
+	requireEqual(t, "running", sim.runningTasks(), 2)
 	code, _ := lead.Cancel("wk-1")
-	want(t, "abort", code, 200)
+	requireEqual(t, "abort", code, 200)
 	for _, agent := range deaf {
 		agent.LosesResponses = true
 	}
@@ -378,7 +378,7 @@
 		agent.ExpireLease() // their leases are over
 	}
 	sim.Run(20 * time.Second)
-	want(t, "left of the cancelled job", sim.runningTasks(), 0)
+	requireEqual(t, "left of the cancelled job", sim.runningTasks(), 0)
 }
 
 // A late copy of a heartbeat renews nothing, proves nothing, changes no task and
@@ -388,16 +388,16 @@
 	agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	agent.Heartbeat()
-	want(t, "running", len(agent.Running()), 1)
+	requireEqual(t, "running", len(agent.Running()), 1)
 	agent.Heartbeat()
 	old := append([]byte(nil), agent.LastHeartbeat...) // lists wk-1/0, with the present fencing token
 	sim.Run(time.Second)
 	m := controllerOf(lead).leader.machines.get("vm-1")
 	before := *m
 	sim.Advance(900 * time.Millisecond)
-	want(t, "copy at the same leader", lead.CallOnConnection(agent.Connection, "POST", "/checkin", old).Status, 503)
+	requireEqual(t, "copy at the same leader", lead.CallOnConnection(agent.Connection, "POST", "/checkin", old).Status, 503)
 	if m.lastHeartbeat != before.lastHeartbeat || m.lastReachable != before.lastReachable || m.lastCurrentHeartbeat != before.lastCurrentHeartbeat || m.sequence != before.sequence {
 		t.Fatal("a late copy renewed what is known of its machine")
 	}
@@ -411,16 +411,16 @@
 		sim.Advance(time.Second)
 		other.Heartbeat()
 	}
-	want(t, "replica", strings.Join(other.Running(), " "), "wk-1/0")
-	want(t, "left on the first", len(agent.Tasks), 0)
+	requireEqual(t, "replica", strings.Join(other.Running(), " "), "wk-1/0")
+	requireEqual(t, "left on the first", len(agent.Tasks), 0)
 	sim.Crash(lead.Name)
 	sim.Advance(8 * time.Second)
 	next := sim.Leader()
-	want(t, "copy at a new leader", next.Call("POST", "/checkin", old).Status, 200)
+	requireEqual(t, "copy at a new leader", next.Call("POST", "/checkin", old).Status, 200)
 	sim.HeartbeatFor(6, other)
 	agent.Heartbeat()
-	want(t, "replica runs on", strings.Join(other.Running(), " "), "wk-1/0")
-	want(t, "starts", agent.Starts+other.Starts, 2)
+	requireEqual(t, "replica runs on", strings.Join(other.Running(), " "), "wk-1/0")
+	requireEqual(t, "starts", agent.Starts+other.Starts, 2)
 
 	// A machine that is gone stays gone, here and at the next leader.
 	sim.Run(2 * time.Second)
@@ -430,8 +430,8 @@
 	gone := controllerOf(next).leader.machines.get("vm-1")
 	at := gone.lastHeartbeat
 	sim.Advance(time.Second)
-	want(t, "copy of a machine that is gone", next.Call("POST", "/checkin", last).Status, 503)
-	want(t, "last heard of it", gone.lastHeartbeat, at)
+	requireEqual(t, "copy of a machine that is gone", next.Call("POST", "/checkin", last).Status, 503)
+	requireEqual(t, "last heard of it", gone.lastHeartbeat, at)
 	sim.Cloud.Machines = sim.Cloud.Machines[1:]
 	sim.Run(3 * time.Second)
 	sim.Crash(next.Name)
@@ -439,7 +439,7 @@
 	sim.Advance(8 * time.Second)
 	third := sim.Leader()
 	third.Call("POST", "/checkin", last)
-	want(t, "more", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
+	requireEqual(t, "more", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	for range 4 {
 		third.Call("POST", "/checkin", last)
 		sim.Run(time.Second)
@@ -457,9 +457,9 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(3 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	sim.wantStatus(lead, "wk-1", 200, "running")
+	sim.requireStatus(lead, "wk-1", 200, "running")
 	sim.State.Unavailable[lead.Name] = true
 	for _, name := range sim.Names {
 		if name != lead.Name {
@@ -479,18 +479,18 @@
 			t.Fatal("two members act as leader")
 		}
 	}
-	want(t, "ready", lead.Call("GET", "/ready", nil).Status, 503)
+	requireEqual(t, "ready", lead.Call("GET", "/ready", nil).Status, 503)
 	if r := agent.HeartbeatTo(lead); r.Status != 503 {
 		t.Fatalf("a worker is answered %d", r.Status)
 	}
-	want(t, "submission", lead.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
+	requireEqual(t, "submission", lead.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
 	next := sim.Leader()
 	for range 10 {
 		sim.Advance(time.Second)
 		agent.HeartbeatTo(next)
 	}
 	code, status := next.Cancel("wk-1")
-	want(t, "withdrawn elsewhere", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "withdrawn elsewhere", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	if code, s := lead.Status("wk-1"); code == 200 && s.Status != "withdrawn" {
 		t.Fatalf("an older answer: %q", s.Status)
 	}
@@ -501,12 +501,12 @@
 		}
 	}
 	sim.Run(10 * time.Second)
-	want(t, "leader after the return", sim.Leader().Name, next.Name)
-	want(t, "ready after the return", lead.Call("GET", "/ready", nil).Status, 200)
-	sim.wantStatus(lead, "wk-1", 200, "withdrawn")
-	want(t, "submission after the return", lead.Submit(simtest.BatchJob("wk-3", 2)).Status, 201)
+	requireEqual(t, "leader after the return", sim.Leader().Name, next.Name)
+	requireEqual(t, "ready after the return", lead.Call("GET", "/ready", nil).Status, 200)
+	sim.requireStatus(lead, "wk-1", 200, "withdrawn")
+	requireEqual(t, "submission after the return", lead.Submit(simtest.BatchJob("wk-3", 2)).Status, 201)
 	sim.Run(5 * time.Second)
-	want(t, "running", strings.Join(agent.Running(), " "), "wk-3/0 wk-3/1")
+	requireEqual(t, "running", strings.Join(agent.Running(), " "), "wk-3/0 wk-3/1")
 }
 
 // Hundreds of machines are rented and returned within what one request takes,
@@ -516,11 +516,11 @@
 	sim := newSimulation(t, "a")
 	sim.Cloud.MaxPerRequest = 40
 	n := sim.Nodes["a"]
-	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
 	for s := 0; len(sim.Cloud.Machines) < 480 && s < 200; s++ {
 		sim.Advance(time.Second)
 	}
-	want(t, "machines rented", len(sim.Cloud.Machines), 480)
+	requireEqual(t, "machines rented", len(sim.Cloud.Machines), 480)
 	for _, request := range sim.Cloud.ScaleOutRequests {
 		if request.Count > cloud.MaxMachinesPerScaleOut {
 			t.Fatalf("a request for %d machines", request.Count)
@@ -531,15 +531,15 @@
 	for range 12 {
 		sim.Run(time.Second)
 	}
-	sim.wantStatus(n, "wk-1", 200, "done")
+	sim.requireStatus(n, "wk-1", 200, "done")
 	before := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
 	known := len(controllerOf(n).leader.machines.byName)
 	sim.Cloud.StaleList = before[:100]
 	sim.Run(5 * time.Second)
-	want(t, "machines known by an older list", len(controllerOf(n).leader.machines.byName), known)
+	requireEqual(t, "machines known by an older list", len(controllerOf(n).leader.machines.byName), known)
 	sim.Cloud.StaleList = nil
 	sim.Run(90 * time.Second)
-	want(t, "machines returned", len(sim.Cloud.Released), 480)
+	requireEqual(t, "machines returned", len(sim.Cloud.Released), 480)
 	for _, k := range sim.Cloud.ReleaseSizes {
 		if k > cloud.MaxMachinesPerScaleIn {
 			t.Fatalf("a release of %d machines", k)
@@ -552,5 +552,5 @@
 			t.Fatalf("%s is back by an older list", m.name)
 		}
 	}
-	want(t, "machines rented in all", sim.Cloud.Created, 480)
+	requireEqual(t, "machines rented in all", sim.Cloud.Created, 480)
 }
--- a/internal/coordination/machine_records_test.go
+++ b/internal/coordination/machine_records_test.go
@@ -58,18 +58,18 @@
 	now := time.Minute
 	r.writeIfDue(now)
 	r.writeIfDue(now + time.Hour) // one write at a time
-	want(t, "writes", fmt.Sprint(store.writes), "[record-1: vm-1 vm-3]")
+	requireEqual(t, "writes", fmt.Sprint(store.writes), "[record-1: vm-1 vm-3]")
 	store.complete(storage.Applied)
-	want(t, "record of the first", r.machines.get("vm-1").recordKey, "record-1")
+	requireEqual(t, "record of the first", r.machines.get("vm-1").recordKey, "record-1")
 	r.writeIfDue(now + recordInterval - 1)
-	want(t, "writes within the interval", len(store.writes), 1)
+	requireEqual(t, "writes within the interval", len(store.writes), 1)
 	r.writeIfDue(now + recordInterval)
-	want(t, "last write", store.writes[len(store.writes)-1], "record-2: vm-2")
+	requireEqual(t, "last write", store.writes[len(store.writes)-1], "record-2: vm-2")
 	store.complete(storage.Rejected)
-	want(t, "record after a rejected write", r.machines.get("vm-2").recordKey, "")
+	requireEqual(t, "record after a rejected write", r.machines.get("vm-2").recordKey, "")
 	r.requestRecord(r.machines.get("vm-2"))
 	r.writeIfDue(now + 2*recordInterval)
-	want(t, "write after it is requested again", store.writes[len(store.writes)-1], "record-3: vm-2")
+	requireEqual(t, "write after it is requested again", store.writes[len(store.writes)-1], "record-3: vm-2")
 }
 
 func TestMachineRecordsAreReadUntilLoaded(t *testing.T) {
@@ -77,14 +77,14 @@
 	var loaded []loadedRecords
 	r.load(func(l loadedRecords) { loaded = append(loaded, l) })
 	store.pendingReads[0](nil, 0, false)
-	want(t, "machines known after a failed read", r.machinesKnown(), false)
+	requireEqual(t, "machines known after a failed read", r.machinesKnown(), false)
 	store.delayedCalls[0]()
 	store.pendingReads[1](map[string][]string{"record-9": {"vm-1", "vm-2"}}, 5, true)
-	want(t, "machines known", r.machinesKnown(), true)
-	want(t, "reads", loaded[0].attempts, 2)
-	want(t, "machines", len(loaded[0].machines), 2)
-	want(t, "recorded by an earlier leader", r.machines.get("vm-2").recordedByEarlierLeader, true)
-	want(t, "record", r.machines.get("vm-2").recordKey, "record-9")
+	requireEqual(t, "machines known", r.machinesKnown(), true)
+	requireEqual(t, "reads", loaded[0].attempts, 2)
+	requireEqual(t, "machines", len(loaded[0].machines), 2)
+	requireEqual(t, "recorded by an earlier leader", r.machines.get("vm-2").recordedByEarlierLeader, true)
+	requireEqual(t, "record", r.machines.get("vm-2").recordKey, "record-9")
 }
 
 func TestStoppedRecorderChangesNothing(t *testing.T) {
@@ -96,9 +96,9 @@
 	r.stop()
 	store.complete(storage.Applied)
 	store.pendingReads[0](map[string][]string{"record-9": {"vm-2"}}, 5, true)
-	want(t, "record", m.recordKey, "")
-	want(t, "machine of an old record is unknown", r.machines.get("vm-2") == nil, true)
-	want(t, "machines known", r.machinesKnown(), false)
+	requireEqual(t, "record", m.recordKey, "")
+	requireEqual(t, "machine of an old record is unknown", r.machines.get("vm-2") == nil, true)
+	requireEqual(t, "machines known", r.machinesKnown(), false)
 }
 
 func TestDeletableRecordsAreCompactedFirst(t *testing.T) {
@@ -111,11 +111,11 @@
 	for _, write := range []string{"record-b: ", "record-a: a3", "record-c: c1"} {
 		r.compact()
 		r.compact() // one rewrite at a time
-		want(t, "last write", store.writes[len(store.writes)-1], write)
+		requireEqual(t, "last write", store.writes[len(store.writes)-1], write)
 		store.complete(storage.Applied)
 	}
-	want(t, "record of a terminated machine", r.machines.get("a1").recordKey, "")
-	want(t, "record of a live machine", r.machines.get("a3").recordKey, "record-a")
+	requireEqual(t, "record of a terminated machine", r.machines.get("a1").recordKey, "")
+	requireEqual(t, "record of a live machine", r.machines.get("a3").recordKey, "record-a")
 	r.compact()
-	want(t, "writes", len(store.writes), 3)
+	requireEqual(t, "writes", len(store.writes), 3)
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,9 +10,9 @@
 const (
 	peerHeartbeatInterval = time.Second
 
-	// heartbeatsPerFrame is how many forwarded heartbeats or responses go into
+	// maxHeartbeatsPerFrame is how many forwarded heartbeats or responses go into
 	// one frame, so that it stays within its size however long they are.
-	heartbeatsPerFrame = 12
+	maxHeartbeatsPerFrame = 12
 )
 
 // Link is an ordered stream of frames to another member, until it is down. It
@@ -34,12 +34,12 @@
 
 	// Gathered until the next flush.
 	machineStatuses     *meshpb.MachineStatuses
-	batchedTasks        int // in machineStatuses
+	batchedItems        int // in machineStatuses
 	forwardedHeartbeats []*meshpb.ForwardedHeartbeat
 	heartbeatResponses  []*meshpb.HeartbeatResponse
 
 	stateServiceReachable bool   // as it said last
-	quotaSequence         uint64 // of its last quota demands on this stream
+	lastQuotaSequence     uint64 // of its last quota demands on this stream
 }
 
 // send sends a frame after all that has been gathered.
@@ -64,17 +64,17 @@
 func (p *peer) flush() {
 	statuses, heartbeats, responses := p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses
 	p.discardBatch()
-	p.batchedTasks = 0
+	p.batchedItems = 0
 	if p.link == nil {
 		return
 	}
 	if statuses != nil {
 		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineStatuses{MachineStatuses: statuses}})
 	}
-	for chunk := range slices.Chunk(heartbeats, heartbeatsPerFrame) {
+	for chunk := range slices.Chunk(heartbeats, maxHeartbeatsPerFrame) {
 		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_ForwardedHeartbeats{ForwardedHeartbeats: &meshpb.ForwardedHeartbeats{Heartbeats: chunk}}})
 	}
-	for chunk := range slices.Chunk(responses, heartbeatsPerFrame) {
+	for chunk := range slices.Chunk(responses, maxHeartbeatsPerFrame) {
 		p.link.Send(&meshpb.Frame{Body: &meshpb.Frame_HeartbeatResponses{HeartbeatResponses: &meshpb.HeartbeatResponses{Responses: chunk}}})
 	}
 }
@@ -94,9 +94,11 @@
 
 // loopbackLink delivers frames to this very process, once the command that sent
 // them is done.
-type loopbackLink struct{ c *Controller }
+type loopbackLink struct{ controller *Controller }
 
-func (l loopbackLink) Send(frame *meshpb.Frame) { l.c.loopback = append(l.c.loopback, frame) }
+func (l loopbackLink) Send(frame *meshpb.Frame) {
+	l.controller.loopbackFrames = append(l.controller.loopbackFrames, frame)
+}
 
 func (loopbackLink) Flush() {}
 
@@ -115,7 +117,7 @@
 	p.streamCount++
 	p.link = link
 	p.discardBatch()
-	p.quotaSequence = 0
+	p.lastQuotaSequence = 0
 	c.election.PeerConnected(member)
 	c.peerByLink[link] = p
 	c.subscription.registerShards()
@@ -168,14 +170,14 @@
 	c.selfPeer.send(frame)
 }
 
-func (c *Controller) onPeerHeartbeat(from *peer, heartbeat *meshpb.PeerHeartbeat) {
+func (c *Controller) handlePeerHeartbeat(from *peer, heartbeat *meshpb.PeerHeartbeat) {
 	from.stateServiceReachable = heartbeat.StateOk
 	if from != c.selfPeer {
 		c.balancer.observeLoad(from, heartbeat.Load)
 	}
 	if heartbeat.LeaderOk {
 		c.election.ObserveLeader(from.member, heartbeat.FencingToken)
-		c.subscription.onPeerHeartbeat(from, heartbeat)
+		c.subscription.handlePeerHeartbeat(from, heartbeat)
 	}
 }
 
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -14,31 +14,31 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2).With("urgency", "urgent")).Status, 201)
+	requireEqual(t, "urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2).With("urgency", "urgent")).Status, 201)
 	sim.Run(4 * time.Second)
 	both := strings.Join(agent.Running(), " ")
-	want(t, "running of each", fmt.Sprint(strings.Count(both, "wk-1/"), strings.Count(both, "wk-2/")), "2 2")
-	want(t, "more urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-3", 4).With("urgency", "urgent").With("crew", "red")).Status, 201)
+	requireEqual(t, "running of each", fmt.Sprint(strings.Count(both, "wk-1/"), strings.Count(both, "wk-2/")), "2 2")
+	requireEqual(t, "more urgent", sim.Nodes["b"].Submit(simtest.BatchJob("wk-3", 4).With("urgency", "urgent").With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
 	for _, task := range agent.Running() {
 		if strings.HasPrefix(task, "wk-1") {
 			t.Fatalf("standard work still runs: %v", agent.Running())
 		}
 	}
-	want(t, "tasks of the first urgent job that still run", strings.Join(agent.Running()[:2], " "), "wk-2/0 wk-2/1")
+	requireEqual(t, "tasks of the first urgent job that still run", strings.Join(agent.Running()[:2], " "), "wk-2/0 wk-2/1")
 }
 
 func TestFairShareBetweenTeams(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachines(4)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 100)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 100).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 100)).Status, 201)
 	sim.Run(6 * time.Second)
 	red := controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running()
 	blue := controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()
-	want(t, "running", fmt.Sprint(red, blue), "8 8")
+	requireEqual(t, "running", fmt.Sprint(red, blue), "8 8")
 }
 
 func TestSingleZoneAndSpreadZones(t *testing.T) {
@@ -57,48 +57,48 @@
 		}
 		return out
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 6).With("together", true)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 6).With("together", true)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "zones of a job with all tasks in one zone", len(zones("wk-1")), 1)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 5).With("apart", true)).Status, 201)
+	requireEqual(t, "zones of a job with all tasks in one zone", len(zones("wk-1")), 1)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 5).With("apart", true)).Status, 201)
 	sim.Run(5 * time.Second)
 	for z, n := range zones("wk-2") {
 		if n > 3 {
 			t.Fatalf("%d of 5 tasks are in %s", n, z)
 		}
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 1).With("hall", "z2").With("urgency", "production")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 1).With("hall", "z2").With("urgency", "production")).Status, 201)
 	sim.Run(5 * time.Second)
-	want(t, "in its zone", zones("wk-3")["z2"], 1)
+	requireEqual(t, "in its zone", zones("wk-3")["z2"], 1)
 }
 
 func TestSpotNoticeDrainsTheMachine(t *testing.T) {
 	sim := newSimulation(t, "a")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent1.Running()) == 0 {
 		agent1, agent2 = agent2, agent1
 	}
 	agent1.PreemptionNotice = 10.0
 	sim.Run(5 * time.Second)
-	want(t, "moved", len(agent2.Running()), 2)
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	requireEqual(t, "moved", len(agent2.Running()), 2)
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
 }
 
 func TestFailingMachineIsQuarantinedForSeveralJobsOnly(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
-	want(t, "failing job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "failing job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	for range 40 {
 		for _, agent := range sim.Agents {
 			agent.FinishTasks("error")
 		}
 		sim.Run(time.Second)
 	}
-	want(t, "machines released because of a failing job", len(sim.Cloud.Released), 0)
+	requireEqual(t, "machines released because of a failing job", len(sim.Cloud.Released), 0)
 	starts := 0
 	for _, agent := range sim.Agents {
 		starts += agent.Starts
@@ -107,54 +107,54 @@
 		t.Fatalf("a job that fails everywhere was started %d times in 40 s", starts)
 	}
 	code, _ := sim.Nodes["a"].Cancel("wk-1")
-	want(t, "abort", code, 200)
+	requireEqual(t, "abort", code, 200)
 	sim.Run(3 * time.Second)
 	for i := range 8 {
-		want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
+		requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
 	}
 	failing := sim.Agents["vm-2"]
 	for range 10 {
 		failing.FinishTasks("error")
 		sim.Run(time.Second)
 	}
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
 }
 
 func TestScaleOutForDemandAndScaleInWhenIdle(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Cloud.LosesResponses = true
-	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 16)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 16)).Status, 201)
 	sim.Advance(8 * time.Second)
 	names := make(map[string]int)
 	for _, request := range sim.Cloud.ScaleOutRequests {
 		names[request.RequestID] = request.Count
-		want(t, "spot", request.Spot, true)
+		requireEqual(t, "spot", request.Spot, true)
 	}
 	total := 0
 	for _, n := range names {
 		total += n
 	}
-	want(t, "machines requested while all responses are lost", total, 4)
+	requireEqual(t, "machines requested while all responses are lost", total, 4)
 	sim.Cloud.LosesResponses = false
 	sim.Advance(8 * time.Second)
 	for _, m := range append([]simtest.CloudMachine(nil), sim.Cloud.Machines...) {
 		sim.StartAgent(m)
 	}
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 16)
+	requireEqual(t, "running", sim.runningTasks(), 16)
 	sim.FinishAllTasks()
 	sim.Run(2 * time.Minute)
-	want(t, "released machines", len(sim.Cloud.Released), 4)
-	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
+	requireEqual(t, "released machines", len(sim.Cloud.Released), 4)
+	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
 // A machine whose boot never ends is charged until it is released, so it has to be
 // released and replaced.
 func TestFailedBootsAreReturnedAndReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Advance(3 * time.Minute)
-	want(t, "released machines", sim.Cloud.Released[0], "vm-900001")
+	requireEqual(t, "released machines", sim.Cloud.Released[0], "vm-900001")
 	if sim.Cloud.Created < 2 {
 		t.Fatal("no other machine was rented")
 	}
@@ -167,13 +167,13 @@
 	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "s2", CPUs: 2, MemoryGB: 8, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 30, Zones: []string{"z1"}}}
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(15 * time.Second) // until the leader has read the catalog again
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
 	sim.Run(5 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
-	want(t, "urgent", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 4).With("urgency", "urgent")).Status, 201)
+	requireEqual(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "urgent", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 4).With("urgency", "urgent")).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "standard tasks that still run", strings.Join(agent.Running(), " "), "wk-1/0 wk-1/1")
-	want(t, "starts", agent.Starts, 2)
+	requireEqual(t, "standard tasks that still run", strings.Join(agent.Running(), " "), "wk-1/0 wk-1/1")
+	requireEqual(t, "starts", agent.Starts, 2)
 }
 
 // While a shard is not registered, all tasks of its jobs count towards the limits of their
@@ -183,11 +183,11 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	follower, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 12).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 12).With("crew", "red")).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 4)
+	requireEqual(t, "running", sim.runningTasks(), 4)
 	sim.Crash(follower.Name)
-	want(t, "CPUs counted after the owner has crashed", controllerOf(lead).leader.usage.teams["red"].cpus, 24)
+	requireEqual(t, "CPUs counted after the owner has crashed", controllerOf(lead).leader.usage.teams["red"].cpus, 24)
 	sim.State.HiddenPrefix = "own/" + follower.Name
 	sim.Crash(lead.Name)
 	sim.Advance(4 * time.Second)
@@ -198,13 +198,13 @@
 			status = next.Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status
 		}
 	}
-	want(t, "submit", status, 201)
+	requireEqual(t, "submit", status, 201)
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.Run(3 * time.Second)
-	want(t, "running while a shard's jobs are not read", sim.runningTasks(), 0)
+	requireEqual(t, "running while a shard's jobs are not read", sim.runningTasks(), 0)
 	sim.State.HiddenPrefix = ""
 	sim.Run(12 * time.Second)
-	want(t, "running", sim.runningTasks(), 4)
+	requireEqual(t, "running", sim.runningTasks(), 4)
 }
 
 // A team releases what it has borrowed beyond its guarantee, and no more than that, when
@@ -216,12 +216,12 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(15 * time.Second)
 	n := sim.Nodes["a"]
-	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 20).With("crew", "red")).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 20).With("crew", "red")).Status, 201)
 	sim.Run(10 * time.Second)
-	want(t, "red running", controllerOf(n).owner.Job("wk-1").Running(), 8)
-	want(t, "submit", n.Submit(simtest.BatchJob("wk-2", 20)).Status, 201)
+	requireEqual(t, "red running", controllerOf(n).owner.Job("wk-1").Running(), 8)
+	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-2", 20)).Status, 201)
 	sim.Run(20 * time.Second)
-	want(t, "running of each", fmt.Sprint(controllerOf(n).owner.Job("wk-1").Running(), controllerOf(n).owner.Job("wk-2").Running()), "4 4")
+	requireEqual(t, "running of each", fmt.Sprint(controllerOf(n).owner.Job("wk-1").Running(), controllerOf(n).owner.Job("wk-2").Running()), "4 4")
 	starts := 0
 	for _, agent := range sim.Agents {
 		starts += agent.Starts
@@ -230,5 +230,5 @@
 	for _, agent := range sim.Agents {
 		starts -= agent.Starts
 	}
-	want(t, "starts after each team has its guarantee", starts, 0)
+	requireEqual(t, "starts after each team has its guarantee", starts, 0)
 }
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -44,12 +44,12 @@
 			var got []uint32
 			for _, victim := range victims {
 				got = append(got, victim.key.task)
-				want(t, "stop requested", victim.stopRequested, true)
-				want(t, "preemptions", victim.job.preemptions, 1)
-				want(t, "CPUs that are being stopped", victim.job.team.stoppingCPUs, 2.0)
+				requireEqual(t, "stop requested", victim.stopRequested, true)
+				requireEqual(t, "preemptions", victim.job.preemptions, 1)
+				requireEqual(t, "CPUs that are being stopped", victim.job.team.stoppingCPUs, 2.0)
 			}
-			want(t, "victims", fmt.Sprint(got), fmt.Sprint(test.want))
-			want(t, "CPUs", cpus, test.cpus)
+			requireEqual(t, "victims", fmt.Sprint(got), fmt.Sprint(test.want))
+			requireEqual(t, "CPUs", cpus, test.cpus)
 		})
 	}
 }
@@ -83,7 +83,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			p, m := preemptionFixture(now, protocol.PriorityStandard, 10*time.Second)
 			test.change(p, m, &m.tasks[0])
-			want(t, "preemptible", p.preemptible(m, &m.tasks[0], now), test.want)
+			requireEqual(t, "preemptible", p.preemptible(m, &m.tasks[0], now), test.want)
 		})
 	}
 }
@@ -92,13 +92,13 @@
 	const now = time.Hour
 	_, m := preemptionFixture(now, protocol.PriorityStandard, 50*time.Second, 20*time.Second)
 	running, other := &m.tasks[0], &m.tasks[1]
-	want(t, "its run time", preemptionCost(m, running, now), 50*time.Second)
+	requireEqual(t, "its run time", preemptionCost(m, running, now), 50*time.Second)
 	running.job.spec.CheckpointIntervalS, running.job.spec.CheckpointDurationS = 60, 3
-	want(t, "its checkpoint and the margin", preemptionCost(m, running, now), 4*time.Second)
+	requireEqual(t, "its checkpoint and the margin", preemptionCost(m, running, now), 4*time.Second)
 	other.state = protocol.TaskFetching
-	want(t, "a fetch for it alone", preemptionCost(m, other, now), 20*time.Second)
+	requireEqual(t, "a fetch for it alone", preemptionCost(m, other, now), 20*time.Second)
 	running.state, running.job.image = protocol.TaskFetching, other.job.image
-	want(t, "a fetch that another task also waits for", preemptionCost(m, other, now), time.Duration(0))
+	requireEqual(t, "a fetch that another task also waits for", preemptionCost(m, other, now), time.Duration(0))
 }
 
 func TestCostLimit(t *testing.T) {
@@ -115,7 +115,7 @@
 		{"all are not enough", 7, noCostLimit},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			want(t, "limit", costLimit(candidates, test.neededCPUs), test.want)
+			requireEqual(t, "limit", costLimit(candidates, test.neededCPUs), test.want)
 		})
 	}
 }
--- a/internal/coordination/previous_version_test.go
+++ b/internal/coordination/previous_version_test.go
@@ -23,7 +23,7 @@
 // meshSchema is the mesh protocol of the version before.
 type meshSchema struct {
 	once  sync.Once
-	found protoreflect.MessageDescriptor
+	frame protoreflect.MessageDescriptor
 	err   error
 }
 
@@ -47,13 +47,13 @@
 		}
 		d, err := files.FindDescriptorByName("cobaltvale.mesh.Frame")
 		if s.err = err; err == nil {
-			s.found, _ = d.(protoreflect.MessageDescriptor)
+			s.frame, _ = d.(protoreflect.MessageDescriptor)
 		}
 	})
-	if s.err != nil || s.found == nil {
+	if s.err != nil || s.frame == nil {
 		t.Fatalf("the schema of the version before: %v", s.err)
 	}
-	return s.found
+	return s.frame
 }
 
 // filter is what is left of a frame where that version sends or reads it.
--- a/internal/coordination/quarantine_test.go
+++ b/internal/coordination/quarantine_test.go
@@ -46,7 +46,7 @@
 			q := &quarantine{machines: &machines, jobs: map[string]*trackedJob{"a": a, "b": b}}
 			m, other := machines.add("vm-1"), machines.add("vm-2")
 			c.run(q, m, other, a, b)
-			want(t, "quarantined", m.quarantined, c.want)
+			requireEqual(t, "quarantined", m.quarantined, c.want)
 		})
 	}
 }
@@ -58,9 +58,9 @@
 	q := &quarantine{machines: &machines, jobs: map[string]*trackedJob{"a": a, "b": b}}
 	m := machines.add("vm-1")
 	_, quarantined := q.recordFailure(m, a, 10)
-	want(t, "after one job", quarantined, false)
+	requireEqual(t, "after one job", quarantined, false)
 	_, quarantined = q.recordFailure(m, b, 10)
-	want(t, "after two", quarantined, true)
+	requireEqual(t, "after two", quarantined, true)
 	_, quarantined = q.recordFailure(m, b, 10)
-	want(t, "after one more failure", quarantined, false)
+	requireEqual(t, "after one more failure", quarantined, false)
 }
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -36,10 +36,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestReconciler(&machineTable{})
-			want(t, "proof", r.proofFor(&c.machine, shard, c.known, now), c.want)
+			requireEqual(t, "proof", r.proofFor(&c.machine, shard, c.known, now), c.want)
 			if !c.machine.terminated {
 				late := max(c.machine.lastHeartbeat, shard.registeredAt) + testLeaseTimeout
-				want(t, "proof after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
+				requireEqual(t, "proof after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
 			}
 		})
 	}
@@ -54,21 +54,21 @@
 	m := machines.add("vm-1")
 	m.lastHeartbeat, m.recordedByEarlierLeader = 105*time.Second, true
 	now := 120 * time.Second
-	want(t, "decisions without an owner", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	requireEqual(t, "decisions without an owner", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	shards.setOwner(shard, &peer{member: "a"})
 	shard.registeredAt = 110 * time.Second
-	want(t, "decisions with a machine recorded by an earlier leader", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	requireEqual(t, "decisions with a machine recorded by an earlier leader", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.lastHeartbeat, m.lastCurrentHeartbeat = now, now
 	m.tasks = []replicaOnMachine{{state: protocol.TaskRunning}} // of an unknown job
-	want(t, "decisions while machines may be unknown", len(r.updateReconciled(&shards, recoveryProgress{}, now)), 0)
+	requireEqual(t, "decisions while machines may be unknown", len(r.updateReconciled(&shards, recoveryProgress{}, now)), 0)
 	decisions := r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
-	want(t, "decisions", len(decisions), 1)
-	want(t, "no unknown replicas", decisions[0].noUnknownReplicas, false)
-	want(t, "machines proven by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
-	want(t, "decisions with an unknown replica", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	requireEqual(t, "decisions", len(decisions), 1)
+	requireEqual(t, "no unknown replicas", decisions[0].noUnknownReplicas, false)
+	requireEqual(t, "machines proven by heartbeat", decisions[0].proofs[provenByHeartbeat], 1)
+	requireEqual(t, "decisions with an unknown replica", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 	m.tasks[0].state = protocol.TaskExited
 	decisions = r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)
-	want(t, "decisions once it has exited", len(decisions), 1)
-	want(t, "no unknown replicas once it has exited", decisions[0].noUnknownReplicas, true)
-	want(t, "decisions after that", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
+	requireEqual(t, "decisions once it has exited", len(decisions), 1)
+	requireEqual(t, "no unknown replicas once it has exited", decisions[0].noUnknownReplicas, true)
+	requireEqual(t, "decisions after that", len(r.updateReconciled(&shards, recoveryProgress{machinesKnown: true}, now)), 0)
 }
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -18,7 +18,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent2.Running()) == 1 {
 		agent1, agent2 = agent2, agent1
@@ -39,7 +39,7 @@
 		agent1.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	want(t, "replicas on the machine that sends heartbeats", len(agent1.Running()), 0)
+	requireEqual(t, "replicas on the machine that sends heartbeats", len(agent1.Running()), 0)
 }
 
 // A new owner doesn't know where its predecessor started tasks, so recovered tasks start again
@@ -48,23 +48,23 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	agent1.FinishTasks("halted")
 	sim.StartMembers()
 	sim.Advance(3 * time.Second)
 	agent2.Silent = true
-	want(t, "new job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
+	requireEqual(t, "new job", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
 	sim.HeartbeatFor(8, agent1)
 	if got := agent1.Running(); len(got) != 1 || !strings.HasPrefix(got[0], "wk-2") {
 		t.Fatalf("running %v, want only a task of the new job wk-2", got)
 	}
 	agent2.ExpireLease()
 	sim.HeartbeatFor(25, agent1)
-	want(t, "running after the silent machine's lease has expired", len(agent1.Running()), 4)
+	requireEqual(t, "running after the silent machine's lease has expired", len(agent1.Running()), 4)
 }
 
 // Until the new leader has read the machine records, it can't know of a machine that sends no
@@ -73,9 +73,9 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	sim.State.HiddenPrefix = "fleet/"
@@ -85,7 +85,7 @@
 	sim.StartMembers()
 	sim.Advance(3 * time.Second)
 	sim.HeartbeatFor(8, agent1)
-	want(t, "replicas", len(agent1.Running()), 0)
+	requireEqual(t, "replicas", len(agent1.Running()), 0)
 }
 
 // A shard registration that did not reach the leader is sent again with the leader's next peer
@@ -111,14 +111,14 @@
 	sim.Run(2 * time.Second)
 	late := agent.HeartbeatBody()
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 1)
+	requireEqual(t, "running", len(agent.Running()), 1)
 	other := sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "late heartbeat", sim.Leader().Call("POST", "/checkin", late).Status, 503)
+	requireEqual(t, "late heartbeat", sim.Leader().Call("POST", "/checkin", late).Status, 503)
 	sim.HeartbeatFor(5, other)
-	want(t, "replicas on the other machine", len(other.Running()), 0)
+	requireEqual(t, "replicas on the other machine", len(other.Running()), 0)
 
 	// The same holds for a heartbeat without the leader's fencing token.
 	agent.Heartbeat()
@@ -130,9 +130,9 @@
 	stale := agent.HeartbeatBody()
 	agent.Tasks, agent.FencingToken = tasks, old
 	agent.Sequence -= 50
-	want(t, "heartbeat without the token", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
+	requireEqual(t, "heartbeat without the token", sim.Leader().Call("POST", "/checkin", stale).Status, 200)
 	sim.HeartbeatFor(5, other)
-	want(t, "replicas on the other machine", len(other.Running()), 0)
+	requireEqual(t, "replicas on the other machine", len(other.Running()), 0)
 }
 
 // The starts in a response that never arrives stay sent until the machine's next heartbeat
@@ -142,11 +142,11 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	agent.DropsStarts = true
-	want(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
 	agent.DropsStarts = false
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "running", len(agent.Running()), 2)
 }
 
 func TestSilentMachineIsLostOnlyAfterItsLease(t *testing.T) {
@@ -155,21 +155,21 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36).With("crew", "blue")).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36).With("crew", "blue")).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 36)
+	requireEqual(t, "running", sim.runningTasks(), 36)
 	agent := sim.AddMachine("vm-x", "z2")
 	sim.Run(time.Second)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
 	sim.HeartbeatFor(15, agent)
-	want(t, "replicas before the leases have expired", len(agent.Running()), 0)
+	requireEqual(t, "replicas before the leases have expired", len(agent.Running()), 0)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].ExpireLease()
 	}
 	sim.HeartbeatFor(8, agent)
-	want(t, "replicas after the leases have expired", len(agent.Running()), 4)
+	requireEqual(t, "replicas after the leases have expired", len(agent.Running()), 4)
 }
 
 // Heartbeats may be missed while the stream from the leader is broken, so an owner counts
@@ -179,9 +179,9 @@
 	sim.AddMachines(9)
 	sim.Run(2 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 36)
+	requireEqual(t, "running", sim.runningTasks(), 36)
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
@@ -204,25 +204,25 @@
 			lost++
 		}
 	}
-	want(t, "tasks taken for lost", lost, 0)
+	requireEqual(t, "tasks taken for lost", lost, 0)
 	alive.Silent = true
 	sim.Advance(9 * time.Second)
-	want(t, "active tasks once the leases have expired on the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
+	requireEqual(t, "active tasks once the leases have expired on the new stream", controllerOf(follower).owner.Job("wk-1").Active(), 0)
 }
 
 func TestSilentMachineIsReleasedAndItsTaskRestarted(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	if len(agent2.Running()) == 1 {
 		agent1, agent2 = agent2, agent1
 	}
 	agent1.Silent = true
 	sim.HeartbeatFor(10, agent2)
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
-	want(t, "replica", len(agent2.Running()), 1)
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	requireEqual(t, "replica", len(agent2.Running()), 1)
 }
 
 // Tasks of a cancelled job that are still on machines when all controllers crash are unknown
@@ -231,15 +231,15 @@
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Run(3 * time.Second)
 	code, status := sim.Nodes["a"].Cancel("wk-1")
-	want(t, "cancel", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "cancel", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.CrashAll()
 	sim.Advance(8 * time.Second)
 	sim.StartMembers()
 	sim.Run(10 * time.Second)
-	want(t, "tasks left on the machine", len(agent.Tasks), 0)
+	requireEqual(t, "tasks left on the machine", len(agent.Tasks), 0)
 }
 
 // The next leader reads from the state service which machines need a proof before recovered
@@ -249,20 +249,20 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.AddMachine("vm-2", "z2")
 	sim.Run(3 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 8)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "running", sim.runningTasks(), 8)
 	sim.Agents["vm-2"].PreemptionNotice = 30.0
 	sim.Agents["vm-2"].FinishTasks("done")
 	sim.Run(6 * time.Second)
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
-	want(t, "second submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	requireEqual(t, "second submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	sim.CrashAll()
 	sim.Advance(8 * time.Second)
 	sim.Agents["vm-1"].FinishTasks("done")
 	sim.StartMembers()
 	sim.Run(6 * time.Second)
-	want(t, "running soon after the restart", sim.runningTasks(), 4)
+	requireEqual(t, "running soon after the restart", sim.runningTasks(), 4)
 }
 
 // A shard may be released in the same batch in which its jobs have changed. The leader must
@@ -271,13 +271,13 @@
 func TestChangedJobsOfALostShardContinue(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	job := controllerOf(follower).owner.Job("wk-1")
 	controllerOf(follower).owner.MarkChanged(job)
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.DeliverAll()
 	sim.AddMachine("vm-1", "z1")
-	sim.Run(beyondAnyLease)
-	want(t, "running", sim.runningTasks(), 2)
+	sim.Run(longerThanAnyLease)
+	requireEqual(t, "running", sim.runningTasks(), 2)
 }
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -26,7 +26,7 @@
 					id := scenario.submitService(scenario.Follower(), 6)
 					other := scenario.submitService(scenario.Leader(), 2)
 					scenario.play(5, func(int) {})
-					want(t, "replicas", len(scenario.machinesByTask(id)), 6)
+					requireEqual(t, "replicas", len(scenario.machinesByTask(id)), 6)
 					agents := scenario.busyMachines(4)
 					for _, agent := range agents {
 						fault(agent, true)
@@ -41,9 +41,9 @@
 						fault(agent, false)
 					}
 					scenario.play(25, func(int) {})
-					want(t, "left of it", len(scenario.machinesByTask(id)), 0)
+					requireEqual(t, "left of it", len(scenario.machinesByTask(id)), 0)
 					scenario.recoverAndCheck()
-					want(t, "replicas of the other", len(scenario.machinesByTask(other)), 2)
+					requireEqual(t, "replicas of the other", len(scenario.machinesByTask(other)), 2)
 				})
 			}
 		}
@@ -82,7 +82,7 @@
 					owner := scenario.Follower()
 					id := scenario.submitService(owner, 4)
 					scenario.play(25, func(int) {})
-					want(t, "replicas", len(scenario.machinesByTask(id)), 4)
+					requireEqual(t, "replicas", len(scenario.machinesByTask(id)), 4)
 					on := scenario.Agents[scenario.machinesByTask(id)[id+"/0"]]
 					for _, task := range on.Tasks {
 						if task.Name == id+"/0" {
@@ -103,7 +103,7 @@
 					if scenario.cancelRequested[id] {
 						left = 0
 					}
-					want(t, "replicas at the end", len(scenario.machinesByTask(id)), left)
+					requireEqual(t, "replicas at the end", len(scenario.machinesByTask(id)), left)
 				})
 			}
 		}
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -35,9 +35,9 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
+	requireEqual(t, "submit", sim.Follower().Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "replicas", len(sim.machinesByTask("wk-1")), 3)
+	requireEqual(t, "replicas", len(sim.machinesByTask("wk-1")), 3)
 	for _, cause := range []string{"done", "error", "halted"} {
 		sim.Run(25 * time.Second)
 		was := sim.machinesByTask("wk-1")["wk-1/0"]
@@ -60,10 +60,10 @@
 			}
 		}
 		sim.Run(4 * time.Second)
-		want(t, "replicas after "+cause, len(sim.machinesByTask("wk-1")), 3)
+		requireEqual(t, "replicas after "+cause, len(sim.machinesByTask("wk-1")), 3)
 		for _, name := range sim.Names {
 			code, s := sim.Nodes[name].Status("wk-1")
-			want(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
+			requireEqual(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
 		}
 	}
 	for key := range sim.State.Keys {
@@ -72,11 +72,11 @@
 		}
 	}
 	code, status := sim.Follower().Cancel("wk-1")
-	want(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
+	requireEqual(t, "cancelled", fmt.Sprint(code, status), "200withdrawn")
 	sim.Run(3 * time.Second)
-	want(t, "replicas that remain", len(sim.machinesByTask("wk-1")), 0)
-	want(t, "repeated submission", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
-	sim.wantStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
+	requireEqual(t, "replicas that remain", len(sim.machinesByTask("wk-1")), 0)
+	requireEqual(t, "repeated submission", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 3)).Status, 200)
+	sim.requireStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 }
 
 // A service whose tasks end at once is restarted with a delay instead of in a tight loop,
@@ -90,7 +90,7 @@
 	n := sim.Leader()
 	starts := 0
 	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
-	want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	for range 90 {
 		sim.Run(time.Second)
 		sim.BootMachines(time.Second)
@@ -99,7 +99,7 @@
 		t.Fatalf("%d starts in 90 s of a service that ends at once, want 5 to 40", starts)
 	}
 	for m := range controllerOf(n).leader.machines.all {
-		want(t, "quarantined", m.quarantined, false)
+		requireEqual(t, "quarantined", m.quarantined, false)
 	}
 	for _, agent := range sim.Agents {
 		agent.TaskDuration = 0
@@ -108,7 +108,7 @@
 		sim.Run(time.Second)
 		sim.BootMachines(0)
 	}
-	want(t, "replicas", len(sim.machinesByTask("wk-1")), 2)
+	requireEqual(t, "replicas", len(sim.machinesByTask("wk-1")), 2)
 }
 
 // Replicas of services keep running, without being started again, when leaders crash one
@@ -118,10 +118,10 @@
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
 	for i, name := range sim.Names {
-		want(t, "submit", sim.Nodes[name].Submit(simtest.ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
+		requireEqual(t, "submit", sim.Nodes[name].Submit(simtest.ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 	}
 	sim.Run(4 * time.Second)
-	want(t, "replicas", sim.runningTasks(), 6)
+	requireEqual(t, "replicas", sim.runningTasks(), 6)
 	for range 2 {
 		lead := sim.Leader().Name
 		sim.Crash(lead)
@@ -133,10 +133,10 @@
 	sim.Advance(5 * time.Second)
 	sim.StartMembers()
 	sim.Run(15 * time.Second)
-	want(t, "replicas that still run", sim.runningTasks(), 6)
-	want(t, "starts", sim.startCount(), 6)
+	requireEqual(t, "replicas that still run", sim.runningTasks(), 6)
+	requireEqual(t, "starts", sim.startCount(), 6)
 	for i := range sim.Names {
-		sim.wantStatus(sim.Nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
+		sim.requireStatus(sim.Nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
 	}
 }
 
@@ -146,20 +146,20 @@
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	n := sim.Nodes["a"]
-	want(t, "at the limit", n.Submit(simtest.ServiceJob("wk-1", 16).With("crew", "red")).Status, 201)
-	want(t, "beyond it", n.Submit(simtest.ServiceJob("wk-2", 17).With("crew", "red")).Status, 422)
-	want(t, "an array", n.Submit(simtest.BatchJob("wk-3", 17).With("crew", "red")).Status, 201)
-	want(t, "no limit", n.Submit(simtest.ServiceJob("wk-4", 17)).Status, 201)
-	want(t, "no urgency", n.Submit(simtest.ServiceJob("wk-5", 1).With("urgency", nil)).Status, 400)
-	want(t, "a gang", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", "gang")).Status, 400)
-	want(t, "no form", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", nil)).Status, 400)
-	want(t, "a run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", 30.0)).Status, 400)
-	want(t, "no run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", nil)).Status, 400)
-	want(t, "out of range", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", -1.0)).Status, 400)
-	want(t, "fits no machine", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
-	want(t, "no allowed type", n.Submit(simtest.ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
-	want(t, "unknown team", n.Submit(simtest.ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
-	want(t, "a retry with another spec", n.Submit(simtest.ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
+	requireEqual(t, "at the limit", n.Submit(simtest.ServiceJob("wk-1", 16).With("crew", "red")).Status, 201)
+	requireEqual(t, "beyond it", n.Submit(simtest.ServiceJob("wk-2", 17).With("crew", "red")).Status, 422)
+	requireEqual(t, "an array", n.Submit(simtest.BatchJob("wk-3", 17).With("crew", "red")).Status, 201)
+	requireEqual(t, "no limit", n.Submit(simtest.ServiceJob("wk-4", 17)).Status, 201)
+	requireEqual(t, "no urgency", n.Submit(simtest.ServiceJob("wk-5", 1).With("urgency", nil)).Status, 400)
+	requireEqual(t, "a gang", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", "gang")).Status, 400)
+	requireEqual(t, "no form", n.Submit(simtest.ServiceJob("wk-6", 1).With("form", nil)).Status, 400)
+	requireEqual(t, "a run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", 30.0)).Status, 400)
+	requireEqual(t, "no run time", n.Submit(simtest.ServiceJob("wk-6", 1).With("expectedS", nil)).Status, 400)
+	requireEqual(t, "out of range", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", -1.0)).Status, 400)
+	requireEqual(t, "fits no machine", n.Submit(simtest.ServiceJob("wk-6", 1).With("vcpus", 9.0)).Status, 422)
+	requireEqual(t, "no allowed type", n.Submit(simtest.ServiceJob("wk-6", 1).With("breeds", []string{"x"})).Status, 422)
+	requireEqual(t, "unknown team", n.Submit(simtest.ServiceJob("wk-6", 1).With("crew", "green")).Status, 422)
+	requireEqual(t, "a retry with another spec", n.Submit(simtest.ServiceJob("wk-1", 17).With("crew", "red")).Status, 200)
 }
 
 // While a member runs the previous version, which would treat a service as an array, new
@@ -173,22 +173,22 @@
 	sim.Start("c")
 	sim.Run(10 * time.Second)
 	r := sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2))
-	want(t, "service", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
-	want(t, "array", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "service", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
+	requireEqual(t, "array", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	sim.Crash("c")
 	sim.Run(30 * time.Second)
-	want(t, "service while the member may return with the previous version", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 503)
+	requireEqual(t, "service while the member may return with the previous version", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 503)
 	sim.Run(50 * time.Second)
-	want(t, "service after the member was down for long", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "service after the member was down for long", sim.Nodes["a"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "service after the member returned with the previous version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 503)
-	want(t, "repeated submission of the known service", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 200)
+	requireEqual(t, "service after the member returned with the previous version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 503)
+	requireEqual(t, "repeated submission of the known service", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-1", 2)).Status, 200)
 	sim.Crash("c")
 	delete(sim.PreviousVersion, "c")
 	sim.Start("c")
 	sim.Run(10 * time.Second)
-	want(t, "service when all members run this version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
+	requireEqual(t, "service when all members run this version", sim.Nodes["b"].Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
 }
 
 // When all machines that it may use are full, a service preempts tasks of any lower
@@ -200,16 +200,16 @@
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "urgent", n.Submit(simtest.BatchJob("wk-1", 8).With("urgency", "urgent")).Status, 201)
+	requireEqual(t, "urgent", n.Submit(simtest.BatchJob("wk-1", 8).With("urgency", "urgent")).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 8)
-	want(t, "service", n.Submit(simtest.ServiceJob("wk-2", 3)).Status, 201)
+	requireEqual(t, "running", sim.runningTasks(), 8)
+	requireEqual(t, "service", n.Submit(simtest.ServiceJob("wk-2", 3)).Status, 201)
 	sim.Run(6 * time.Second)
-	want(t, "replicas", len(sim.machinesByTask("wk-2")), 3)
-	want(t, "second service", n.Submit(simtest.ServiceJob("wk-3", 8)).Status, 201)
+	requireEqual(t, "replicas", len(sim.machinesByTask("wk-2")), 3)
+	requireEqual(t, "second service", n.Submit(simtest.ServiceJob("wk-3", 8)).Status, 201)
 	sim.Run(10 * time.Second)
-	want(t, "replicas of the first", len(sim.machinesByTask("wk-2")), 3)
-	want(t, "replicas of both", sim.runningTasks(), 8)
+	requireEqual(t, "replicas of the first", len(sim.machinesByTask("wk-2")), 3)
+	requireEqual(t, "replicas of both", sim.runningTasks(), 8)
 }
 
 // Replicas of a service leave a machine that the cloud is about to reclaim one after the
@@ -223,9 +223,9 @@
 			first := sim.AddMachine("vm-0", "z1")
 			sim.Run(2 * time.Second)
 			n := sim.Leader()
-			want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
+			requireEqual(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 3)).Status, 201)
 			sim.Run(4 * time.Second)
-			want(t, "replicas", len(first.Running()), 3)
+			requireEqual(t, "replicas", len(first.Running()), 3)
 			if room {
 				sim.AddMachine("vm-1", "z1")
 				sim.AddMachine("vm-2", "z1")
@@ -237,13 +237,13 @@
 				sim.Run(time.Second)
 				least = min(least, len(sim.machinesByTask("wk-1")))
 				if !room && left > 5 {
-					want(t, "replicas that stay without room elsewhere", len(first.Running()), 3)
+					requireEqual(t, "replicas that stay without room elsewhere", len(first.Running()), 3)
 				}
 			}
-			want(t, "replicas that remain on the machine", len(first.Running()), 0)
+			requireEqual(t, "replicas that remain on the machine", len(first.Running()), 0)
 			if room {
-				want(t, "moved replicas", len(sim.machinesByTask("wk-1")), 3)
-				want(t, "at least 2 replicas at all times", least >= 2, true)
+				requireEqual(t, "moved replicas", len(sim.machinesByTask("wk-1")), 3)
+				requireEqual(t, "at least 2 replicas at all times", least >= 2, true)
 			}
 		})
 	}
@@ -267,12 +267,12 @@
 		t.Fatal(err)
 	}
 	j := f.GetRegisterShard().GetJobs()[0]
-	want(t, "content of a registration", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
+	requireEqual(t, "content of a registration", fmt.Sprintf("%s %d %t %t", j.GetJob(), j.GetTasks(), j.GetCancelling(), j.GetService()), "wk-000003 700 true false")
 	again, err := proto.MarshalOptions{Deterministic: true}.Marshal(&f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "same bytes when encoded again", bytes.Equal(again, raw), true)
+	requireEqual(t, "same bytes when encoded again", bytes.Equal(again, raw), true)
 	j.Service = true
 	if again, err = proto.Marshal(&f); err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 	if again, err = (proto.MarshalOptions{Deterministic: true}).Marshal(old); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "the previous version reads a service as an array", bytes.Equal(again, raw), true)
+	requireEqual(t, "the previous version reads a service as an array", bytes.Equal(again, raw), true)
 }
 
 // Frames of unknown kinds, or without the expected content, are ignored, and the stream
@@ -310,7 +310,7 @@
 		controllerOf(other).LinkFrame(other.Links[lead.Name], &f)
 		sim.DeliverAll()
 	}
-	want(t, "submit", other.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit", other.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "running", sim.runningTasks(), 2)
+	requireEqual(t, "running", sim.runningTasks(), 2)
 }
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -64,7 +64,7 @@
 // is complete accordingly.
 func (l *leader) setShardOwner(shard *shardState, p *peer) {
 	l.shards.setOwner(shard, p)
-	l.publisher.setCompleteFor(l.shards.numbersOwnedBy)
+	l.publisher.setCompleteForShards(l.shards.numbersOwnedBy)
 }
 
 // handleSubscriberDown removes a member whose stream has ended.
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -14,23 +14,23 @@
 	return shard.NewOwner(shard.Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
 		WorkerLeaseTimeout: c.workerLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
-		Clock: c.env.Clock, Log: c.log, Leader: leaderStreamOf{&c.subscription}, FinalStatuses: c.statuses, Admission: c.admission,
+		Clock: c.env.Clock, Log: c.log, Leader: shardLeaderStream{&c.subscription}, FinalStatuses: c.statuses, Admission: c.admission,
 		OpenRecords: func(name string, lease, version uint64, onLost func()) shard.Records {
 			return storage.NewShard(c.store, name, c.identity, lease, version, onLost)
 		},
 	})
 }
 
-// leaderStreamOf is the subscription as the owner sees it.
-type leaderStreamOf struct{ subscription *subscription }
+// shardLeaderStream is the subscription as the owner sees it.
+type shardLeaderStream struct{ subscription *subscription }
 
 // RegisterShards implements shard.LeaderStream.
-func (l leaderStreamOf) RegisterShards() { l.subscription.registerShards() }
+func (l shardLeaderStream) RegisterShards() { l.subscription.registerShards() }
 
 // RegisterShard implements shard.LeaderStream.
-func (l leaderStreamOf) RegisterShard(held *shard.Shard) { l.subscription.registerShard(held) }
+func (l shardLeaderStream) RegisterShard(held *shard.Shard) { l.subscription.registerShard(held) }
 
 // PublishSummaries implements shard.LeaderStream.
-func (l leaderStreamOf) PublishSummaries(shard string, jobs []*meshpb.JobSummary) {
+func (l shardLeaderStream) PublishSummaries(shard string, jobs []*meshpb.JobSummary) {
 	l.subscription.publishSummaries(shard, jobs)
 }
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -26,15 +26,15 @@
 	dead := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner := sim.Follower()
-	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(dead.Running()), 1)
+	requireEqual(t, "running", len(dead.Running()), 1)
 	sim.Cloud.RefusesRelease = true
 	dead.Silent = true
 	agent2, agent3 := sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
 	dead.ExpireLease()
-	sim.Run(beyondAnyLease)
-	want(t, "replicas on the other machines", len(agent2.Running())+len(agent3.Running()), 1)
+	sim.Run(longerThanAnyLease)
+	requireEqual(t, "replicas on the other machines", len(agent2.Running())+len(agent3.Running()), 1)
 	live, other := agent2, agent3
 	if len(agent3.Running()) == 1 {
 		live, other = agent3, agent2
@@ -43,14 +43,14 @@
 	sim.Advance(500 * time.Millisecond)
 	sim.Start(owner.Name)
 	sim.Run(5 * time.Second)
-	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "running")
-	want(t, "live replicas after the shard was acquired", len(live.Running()), 1)
+	sim.requireStatus(sim.Nodes[owner.Name], "wk-1", 200, "running")
+	requireEqual(t, "live replicas after the shard was acquired", len(live.Running()), 1)
 	sim.Cloud.RefusesRelease = false
 	sim.Run(10 * time.Second) // the lost machine is released
-	want(t, "second replicas", len(other.Running()), 0)
+	requireEqual(t, "second replicas", len(other.Running()), 0)
 	live.FinishTasks("done")
 	sim.Run(3 * time.Second)
-	sim.wantStatus(sim.Nodes[owner.Name], "wk-1", 200, "done")
+	sim.requireStatus(sim.Nodes[owner.Name], "wk-1", 200, "done")
 }
 
 // A heartbeat of a later epoch proves lost what the machine held, even without the leader's
@@ -61,9 +61,9 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner := sim.Follower()
-	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 1)
+	requireEqual(t, "running", len(agent.Running()), 1)
 	agent2 := sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
 	agent.ExpireLease()
@@ -73,16 +73,16 @@
 	agent.FencingToken, agent.Silent = token, true
 	sim.Cloud.RefusesRelease = true // so that a release does not prove the loss
 	sim.Run(3 * time.Second)
-	want(t, "replicas on the second machine", len(agent2.Running()), 1)
+	requireEqual(t, "replicas on the second machine", len(agent2.Running()), 1)
 	sim.Crash(owner.Name)
 	sim.Advance(500 * time.Millisecond)
 	sim.Start(owner.Name)
 	sim.Run(5 * time.Second)
-	want(t, "live replicas after the shard was acquired", len(agent2.Running()), 1)
+	requireEqual(t, "live replicas after the shard was acquired", len(agent2.Running()), 1)
 	agent3 := sim.AddMachine("vm-3", "z1")
 	agent2.Silent = true // before it can receive a stop command
 	sim.Run(4 * time.Second)
-	want(t, "second replicas", len(agent3.Running()), 0)
+	requireEqual(t, "second replicas", len(agent3.Running()), 0)
 }
 
 // Among several listed replicas of a recovered task the one with the highest number counts, in
@@ -94,11 +94,11 @@
 	old.Silent = true
 	sim.Run(2 * time.Second)
 	old.Silent = false
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	live.Heartbeat()
 	sim.Advance(time.Second)
 	live.Heartbeat()
-	want(t, "running", len(live.Running()), 1)
+	requireEqual(t, "running", len(live.Running()), 1)
 	for _, task := range live.Tasks {
 		// An earlier replica, as a delayed heartbeat of its machine might list it.
 		old.Tasks["old"] = &simtest.AgentTask{Name: task.Name, Replica: task.Replica - 1, State: "fetching"}
@@ -109,13 +109,13 @@
 	sim.Advance(3 * time.Second)
 	sim.HeartbeatFor(3, old)
 	sim.Run(3 * time.Second)
-	want(t, "replicas with the highest number", len(live.Running()), 1)
+	requireEqual(t, "replicas with the highest number", len(live.Running()), 1)
 	old.Tasks = make(map[string]*simtest.AgentTask)
 	sim.Run(3 * time.Second)
-	want(t, "second replicas", len(old.Running()), 0)
+	requireEqual(t, "second replicas", len(old.Running()), 0)
 	live.FinishTasks("done")
 	sim.Run(3 * time.Second)
-	sim.wantStatus(sim.Nodes["a"], "wk-1", 200, "done")
+	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
 // A leader that was paused while its clock kept running resumes with older heartbeats and
@@ -127,10 +127,10 @@
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	old, owner := sim.Leader(), sim.Follower()
-	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-	want(t, "submit to the leader", old.Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "submit to the leader", old.Submit(simtest.BatchJob("wk-2", 1)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", len(agent.Running()), 3)
+	requireEqual(t, "running", len(agent.Running()), 3)
 	early := agent.HeartbeatBody()
 	old.Paused = true
 	sim.Advance(5 * time.Second)
@@ -143,7 +143,7 @@
 	sim.Run(4 * time.Second)
 	late := agent.HeartbeatBody()
 	for _, id := range []string{"wk-1", "wk-2"} {
-		sim.wantStatus(owner, id, 200, "done")
+		sim.requireStatus(owner, id, 200, "done")
 	}
 	calls := len(sim.Cloud.ScaleOutRequests) + len(sim.Cloud.ReleaseSizes)
 	sim.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, _ func(storage.Response)) bool {
@@ -172,12 +172,12 @@
 		controllerOf(old).Tick()
 		controllerOf(old).EndBatch()
 	}
-	want(t, "calls to the cloud", len(sim.Cloud.ScaleOutRequests)+len(sim.Cloud.ReleaseSizes), calls)
+	requireEqual(t, "calls to the cloud", len(sim.Cloud.ScaleOutRequests)+len(sim.Cloud.ReleaseSizes), calls)
 	sim.Reconnect(old.Name)
 	sim.State.OnTransaction = nil
 	sim.Run(6 * time.Second)
-	want(t, "own shard acquired again", controllerOf(old).owner.Shard(old.Name) != nil, true)
-	sim.wantStatus(old, "wk-2", 200, "done")
+	requireEqual(t, "own shard acquired again", controllerOf(old).owner.Shard(old.Name) != nil, true)
+	sim.requireStatus(old, "wk-2", 200, "done")
 }
 
 // An owner that was paused finds offers among its frames that were made before the pause. It
@@ -188,12 +188,12 @@
 	agent1 := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
 	owner, lead := sim.Follower(), sim.Leader()
-	want(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	owner.Paused = true
 	agent1.HeartbeatTo(lead) // the offer stays queued at the owner
-	want(t, "running", len(agent1.Running()), 0)
+	requireEqual(t, "running", len(agent1.Running()), 0)
 	sim.Pause(owner.Name, 30*time.Second)
-	want(t, "running for the new owner", len(agent1.Running()), 1)
+	requireEqual(t, "running for the new owner", len(agent1.Running()), 1)
 	sim.AddMachine("vm-2", "z1")
 	sim.Resume(owner.Name)
 	if _, s := owner.Status("wk-1"); s.Status == "pending" {
@@ -202,13 +202,13 @@
 	sim.Run(2 * time.Second)
 	agent1.FinishTasks("done")
 	sim.Run(2 * time.Second)
-	sim.wantStatus(lead, "wk-1", 200, "done")
+	sim.requireStatus(lead, "wk-1", 200, "done")
 	if code, s := owner.Status("wk-1"); code == 200 && s.Status != "done" {
 		t.Fatalf("the paused owner reported wk-1 as %q after it was done", s.Status)
 	}
 	sim.Reconnect(owner.Name)
 	sim.Run(4 * time.Second)
-	sim.wantStatus(owner, "wk-1", 200, "done")
+	sim.requireStatus(owner, "wk-1", 200, "done")
 }
 
 // During an outage of the state service a leader acts only while every member keeps extending
@@ -221,10 +221,10 @@
 	lead, other := sim.Leader(), sim.Follower()
 	sim.State.Unavailable[""] = true
 	sim.Run(6 * time.Second)
-	want(t, "heartbeat during the outage", agent.HeartbeatTo(lead).Status, 200)
+	requireEqual(t, "heartbeat during the outage", agent.HeartbeatTo(lead).Status, 200)
 	other.Paused = true
 	sim.Advance(3 * time.Second)
-	want(t, "heartbeat without all extensions", agent.HeartbeatTo(lead).Status, 503)
+	requireEqual(t, "heartbeat without all extensions", agent.HeartbeatTo(lead).Status, 503)
 	stream := lead.Links[other.Name]
 	for i, f := range stream.Queue { // only the first request has arrived
 		if f.GetLeaseExtensionRequest() != nil {
@@ -232,12 +232,12 @@
 			break
 		}
 	}
-	want(t, "queued extension requests", len(stream.Queue), 1)
+	requireEqual(t, "queued extension requests", len(stream.Queue), 1)
 	other.Paused = false
 	sim.DeliverAll()
-	want(t, "heartbeat after late extensions", agent.HeartbeatTo(lead).Status, 503)
+	requireEqual(t, "heartbeat after late extensions", agent.HeartbeatTo(lead).Status, 503)
 	sim.Advance(time.Second)
-	want(t, "heartbeat with new extensions", agent.HeartbeatTo(lead).Status, 200)
+	requireEqual(t, "heartbeat with new extensions", agent.HeartbeatTo(lead).Status, 200)
 }
 
 // A response states until when it may be sent, so that a controller that was paused in between
@@ -250,18 +250,18 @@
 	lead, follower := sim.Leader(), sim.Follower()
 	startedAt := sim.Now()
 	r := agent.HeartbeatTo(follower)
-	want(t, "heartbeat", r.Status, 200)
+	requireEqual(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil < startedAt || r.ValidUntil > startedAt+responseLifetime {
 		t.Fatalf("a follower's response is valid for %v", r.ValidUntil-startedAt)
 	}
 	r = agent.HeartbeatTo(lead)
-	want(t, "heartbeat", r.Status, 200)
+	requireEqual(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(lead).tuning.StateLease {
 		t.Fatalf("a leader's response is valid for %v", r.ValidUntil-sim.Now())
 	}
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	r = follower.Call("GET", "/submissions/wk-1", nil)
-	want(t, "poll", r.Status, 200)
+	requireEqual(t, "poll", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(follower).tuning.StateLease {
 		t.Fatalf("an owner's response is valid for %v", r.ValidUntil-sim.Now())
 	}
@@ -284,7 +284,7 @@
 	sim.Crash(back.Name)
 	sim.Advance(8 * time.Second)
 	key := storage.ShardKey(back.Name)
-	want(t, "shard acquired by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, true)
+	requireEqual(t, "shard acquired by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 	sim.Start(back.Name)
 	lead.Paused = true // so that it learns late that the shard is requested
 	for !controllerOf(back).election.Registered() || !controllerOf(back).election.ViewLoaded() {
@@ -303,8 +303,8 @@
 		sim.Advance(tickInterval)
 	}
 	sim.Advance(time.Second)
-	want(t, "shard acquired after the extension has ended", controllerOf(back).owner.Shard(back.Name) != nil, true)
-	want(t, "shard still held by the leader, so only the extension was waited for", controllerOf(lead).owner.Shard(back.Name) != nil, true)
+	requireEqual(t, "shard acquired after the extension has ended", controllerOf(back).owner.Shard(back.Name) != nil, true)
+	requireEqual(t, "shard still held by the leader, so only the extension was waited for", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 }
 
 // A member that restarts and finds its shard's key deleted need not wait for extensions that
@@ -316,7 +316,7 @@
 	lead, back := sim.Leader(), sim.Follower()
 	sim.Crash(back.Name)
 	sim.Advance(8 * time.Second)
-	want(t, "shard acquired by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, true)
+	requireEqual(t, "shard acquired by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, true)
 	key := storage.ShardKey(back.Name)
 	sim.State.Revision++
 	sim.State.DeleteKey(key) // the holder's lease has expired, and it does not know yet
@@ -324,10 +324,10 @@
 	for range 8 {
 		sim.Advance(tickInterval)
 		if controllerOf(back).owner.Shard(back.Name) != nil {
-			want(t, "shard still held by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, false)
+			requireEqual(t, "shard still held by the leader", controllerOf(lead).owner.Shard(back.Name) != nil, false)
 		}
 	}
-	want(t, "shard acquired at once", controllerOf(back).owner.Shard(back.Name) != nil, true)
+	requireEqual(t, "shard acquired at once", controllerOf(back).owner.Shard(back.Name) != nil, true)
 }
 
 // A claim of the leader key, delayed by the network, is applied after its sender has granted
@@ -352,7 +352,7 @@
 		sim.Advance(tickInterval)
 	}
 	sim.Advance(time.Second)
-	want(t, "leads after the extension has ended", controllerOf(other).leader != nil, true)
+	requireEqual(t, "leads after the extension has ended", controllerOf(other).leader != nil, true)
 }
 
 // A member that runs alone serves all users and jobs, so it must use the state service's whole
@@ -362,15 +362,15 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Run(2 * time.Second)
 	last := sim.Leader()
-	want(t, "active members", controllerOf(last).activeMembers(), 3)
+	requireEqual(t, "active members", controllerOf(last).activeMembers(), 3)
 	for _, name := range sim.Names {
 		if name != last.Name {
 			sim.Crash(name)
 		}
 	}
-	want(t, "active members while the others hold keys", controllerOf(last).activeMembers(), 3)
+	requireEqual(t, "active members while the others hold keys", controllerOf(last).activeMembers(), 3)
 	sim.Advance(10 * time.Second)
-	want(t, "active members once their keys are gone", controllerOf(last).activeMembers(), 1)
+	requireEqual(t, "active members once their keys are gone", controllerOf(last).activeMembers(), 1)
 	before, accepted := sim.State.Writes, 0
 	// Each submission takes one change, and all share another. The burst is 150 changes, the
 	// rate 300 * 0.8 changes a second.
@@ -406,7 +406,7 @@
 		sim.AddMachine(fmt.Sprintf("vm-%02d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 36)).Status, 201)
 	sim.Run(28 * time.Second) // by then the cloud's list has had all of them for a while
 	silentSince := sim.Now()
 	for i := range 6 {
@@ -415,7 +415,7 @@
 	gone := sim.Cloud.Machines[0].Name
 	sim.Cloud.Machines = sim.Cloud.Machines[1:]
 	sim.Run(15 * time.Second)
-	want(t, "released after the silence limit", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{gone}))
+	requireEqual(t, "released after the silence limit", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{gone}))
 	sim.Run(20 * time.Second) // by then their leases have expired
 	for name, agent := range sim.Agents {
 		if agent.Silent {
@@ -425,18 +425,18 @@
 			delete(sim.Agents, name)
 		}
 	}
-	want(t, "released when their leases have expired", len(sim.Cloud.Released), 1)
+	requireEqual(t, "released when their leases have expired", len(sim.Cloud.Released), 1)
 	// Their tasks wait for them, so only the missing machine is replaced. Urgent tasks get
 	// machines of their own.
-	want(t, "machines created for the waiting tasks", sim.Cloud.Created, 1)
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
+	requireEqual(t, "machines created for the waiting tasks", sim.Cloud.Created, 1)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "more than 5 machines created with urgent tasks", sim.Cloud.Created > 5, true)
+	requireEqual(t, "more than 5 machines created with urgent tasks", sim.Cloud.Created > 5, true)
 	for len(sim.Cloud.Released) < 6 && sim.Now() < silentSince+2*time.Minute {
 		sim.Run(time.Second)
 	}
-	want(t, "at least 6 machines released in the end", len(sim.Cloud.Released) >= 6, true)
-	want(t, "more than 50 s after they fell silent", sim.Now()-silentSince > 50*time.Second, true)
+	requireEqual(t, "at least 6 machines released in the end", len(sim.Cloud.Released) >= 6, true)
+	requireEqual(t, "more than 50 s after they fell silent", sim.Now()-silentSince > 50*time.Second, true)
 }
 
 // A job that has missed its deadline still has value for the users if it is done by the next
@@ -451,7 +451,7 @@
 		{Kind: "finished", Class: "other", WithinS: 1000, Share: 0.9},
 	}
 	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, "d")
-	want(t, "share and time of the strictest start objective", [2]float64{objective.Share, objective.WithinS}, [2]float64{0.98, 12})
+	requireEqual(t, "share and time of the strictest start objective", [2]float64{objective.Share, objective.WithinS}, [2]float64{0.98, 12})
 	const submitted = int64(1e12) // Unix time in ms
 	job := &trackedJob{spec: &meshpb.JobSummary{Class: "d", EstimateS: 30, SubmittedMs: submitted, DeadlineMs: submitted + 100_000}, started: true}
 	for _, test := range []struct {
@@ -488,9 +488,9 @@
 	for range 4 {
 		sim.Advance(recordInterval)
 	}
-	want(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 360)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 360)).Status, 201)
 	sim.Run(3 * time.Second)
-	want(t, "running", sim.runningTasks(), 360)
+	requireEqual(t, "running", sim.runningTasks(), 360)
 	if largest < 4<<10 {
 		t.Fatalf("the largest record takes %d bytes, too few to test the limit", largest)
 	}
@@ -508,10 +508,10 @@
 	sim.Run(4 * time.Second)
 	owner := sim.Follower()
 	for i := range 8 {
-		want(t, "submit", owner.Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
+		requireEqual(t, "submit", owner.Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 60)).Status, 201)
 	}
 	sim.Run(6 * time.Second)
-	want(t, "running", sim.runningTasks(), 480)
+	requireEqual(t, "running", sim.runningTasks(), 480)
 	all := make([]*simtest.Agent, 0, machines) // including those that will be released
 	for _, agent := range sim.Agents {
 		all = append(all, agent)
@@ -530,9 +530,9 @@
 		agent.ExpireLease() // as after a power loss
 	}
 	writesBefore, callsBefore, startsBefore := sim.State.Transactions, len(sim.Cloud.ReleaseSizes), starts()
-	sim.Run(beyondAnyLease)
-	want(t, "running after the loss", sim.runningTasks(), 480)
-	want(t, "starts", starts()-startsBefore, lost)
+	sim.Run(longerThanAnyLease)
+	requireEqual(t, "running after the loss", sim.runningTasks(), 480)
+	requireEqual(t, "starts", starts()-startsBefore, lost)
 	if n := sim.State.Transactions - writesBefore; n > 6 { // machine records are rewritten without the released ones
 		t.Fatalf("the loss took %d writes, want at most 6", n)
 	}
@@ -542,7 +542,7 @@
 	before := sim.State.Transactions
 	sim.Crash(owner.Name)
 	sim.Run(8 * time.Second)
-	want(t, "running after the takeover", sim.runningTasks(), 480)
+	requireEqual(t, "running after the takeover", sim.runningTasks(), 480)
 	if n := sim.State.Transactions - before; n > 4 {
 		t.Fatalf("the takeover took %d writes, want at most 4", n)
 	}
@@ -559,7 +559,7 @@
 	}
 	sim.Run(10 * time.Second)
 	follower := sim.Follower()
-	want(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 30)).Status, 201)
+	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 30)).Status, 201)
 	sim.Run(3 * time.Second)
 	sim.Crash(follower.Name)
 	lead := sim.Leader()
@@ -585,7 +585,7 @@
 	sim.AddMachines(6)
 	sim.Run(8 * time.Second)
 	lead := sim.Leader()
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 40)).Status, 201)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 40)).Status, 201)
 	sim.Run(3 * time.Second)
 	lost := []string{"vm-1", "vm-3"}
 	old := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
@@ -605,6 +605,6 @@
 	sim.Cloud.Machines = kept
 	sim.Run(6 * time.Second)
 	next := controllerOf(sim.Leader())
-	want(t, "reconciled", next.owner.Shard(lead.Name).Reconciled(), true)
-	want(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
+	requireEqual(t, "reconciled", next.owner.Shard(lead.Name).Reconciled(), true)
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -123,7 +123,7 @@
 // that it ends.
 func TestPreemptionOfAJobIsBounded(t *testing.T) {
 	sim, n := newFixedFleet(t, 2, 20*time.Second)
-	want(t, "submit", n.Submit(simtest.BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	for s := range 240 {
 		if s%30 == 0 { // too short a time for the job: without the bound it would always be preempted
@@ -147,7 +147,7 @@
 	}
 	sim.Run(3 * time.Second)
 	for i, n := range sim.Names {
-		want(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
+		requireEqual(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
 	}
 	sim.Run(4 * time.Second)
 	sim.Cloud.RefusesRelease = true // so that no release proves the lost machines terminated
@@ -173,16 +173,16 @@
 func TestCostOfAHeartbeatIsIndependentOfFleetSize(t *testing.T) {
 	perHeartbeat := func(machines, jobs int) float64 {
 		sim, n := newFixedFleet(t, machines, 0)
-		want(t, "submit", n.Submit(simtest.BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
+		requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-0", machines).With("vcpus", 5.0).With("plate", "img-0")).Status, 201)
 		sim.Run(3 * time.Second)
-		want(t, "running", sim.runningTasks(), machines)
+		requireEqual(t, "running", sim.runningTasks(), machines)
 		// None of these fits next to the running tasks: there are too few CPUs or too little memory.
 		for i := range jobs {
 			request := simtest.BatchJob(fmt.Sprintf("wk-1%d", i), 3).With("plate", fmt.Sprint("img-", i%12)).With("vcpus", 8.0)
 			if i%2 == 0 {
 				request.With("vcpus", 1.0).With("ramGb", 64.0)
 			}
-			want(t, "submit", n.Submit(request).Status, 201)
+			requireEqual(t, "submit", n.Submit(request).Status, 201)
 			sim.Advance(50 * time.Millisecond)
 			if i%40 == 39 {
 				sim.Run(time.Second)
@@ -225,12 +225,12 @@
 			if checkpoints {
 				guest.With("proofEveryS", 30.0).With("proofS", 2.0)
 			}
-			want(t, "guest", sim.Leader().Submit(guest).Status, 201)
+			requireEqual(t, "guest", sim.Leader().Submit(guest).Status, 201)
 			sim.Run(10 * time.Second)
-			want(t, "guest's tasks", sim.runningTasks(), 16)
+			requireEqual(t, "guest's tasks", sim.runningTasks(), 16)
 			sim.Cloud.RefusesScaleOut = true
 			owner := sim.Follower()
-			want(t, "standard job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
+			requireEqual(t, "standard job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
 			sim.Run(8 * time.Second)
 			count := func(job string) int {
 				n := 0
@@ -246,9 +246,9 @@
 			// Each machine of 8 CPUs holds a standard task of 6 and a guest's task of 2. On one
 			// of them the latter is the guest's first task, which keeps running: the standard
 			// task has the place of the three others of 2 CPUs.
-			want(t, "standard tasks", count("wk-2"), 4)
-			want(t, "remaining tasks of the guest", count("wk-1"), 4)
-			want(t, "the guest's first task runs", fmt.Sprint(sim.machineOfTask("wk-1/0") != nil), "true")
+			requireEqual(t, "standard tasks", count("wk-2"), 4)
+			requireEqual(t, "remaining tasks of the guest", count("wk-1"), 4)
+			requireEqual(t, "the guest's first task runs", fmt.Sprint(sim.machineOfTask("wk-1/0") != nil), "true")
 			for range 30 { // the guest's tasks restart where standard tasks have ended
 				sim.finishTask(fmt.Sprint("wk-2/", 0))
 				sim.finishTask(fmt.Sprint("wk-2/", 1))
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -26,7 +26,7 @@
 	}
 	const jobs = 60
 	for i := range jobs {
-		want(t, "submit", sim.Nodes[other].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
+		requireEqual(t, "submit", sim.Nodes[other].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
 	storm := func(what string, first, status int, most int) {
 		t.Helper()
@@ -40,7 +40,7 @@
 		}
 		sim.Advance(api.StatusTimeout)
 		for _, r := range got {
-			want(t, what, r.Status, status)
+			requireEqual(t, what, r.Status, status)
 		}
 		if n := sim.State.Requests - before; n > most {
 			t.Fatalf("%d polls about %s took %d requests", len(got), what, n)
@@ -54,7 +54,7 @@
 	sim.Run(10 * time.Second)
 	for i := range jobs {
 		code, _ := follower.Cancel(fmt.Sprint("wk-", i+1))
-		want(t, "abort", code, 200)
+		requireEqual(t, "abort", code, 200)
 		sim.Advance(tickInterval)
 	}
 	storm("jobs that are over", 1, 200, 20)
@@ -79,12 +79,12 @@
 		before = append(before, follower.Send("GET", fmt.Sprint("/submissions/wk-", i+1)))
 	}
 	sim.DeliverAll()
-	want(t, "a read is under way", held != nil, true)
-	want(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "a read is under way", held != nil, true)
+	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	after := follower.Send("GET", "/submissions/wk-1")
 	sim.DeliverAll()
 	held()
 	sim.Advance(100 * time.Millisecond)
-	want(t, "asked before it was accepted", before[0].Status, 404)
-	want(t, "asked after it was accepted", after.Status, 200)
+	requireEqual(t, "asked before it was accepted", before[0].Status, 404)
+	requireEqual(t, "asked after it was accepted", after.Status, 200)
 }
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -25,16 +25,16 @@
 // not know, because its read of the unfinished jobs is late, and tasks of shards
 // that nobody has registered go to every member.
 type statusPublisher struct {
-	members     int // of the deployment
-	subscribers []*subscriber
-	lastStream  uint64
+	memberCount      int // of the deployment
+	subscribers      []*subscriber
+	lastStreamNumber uint64
 }
 
 // subscriber is a member that owns shards, and so one that statuses are published to.
 type subscriber struct {
-	peer        *peer
-	stream      uint64   // changes whenever it has to be told everything anew
-	completeFor []uint32 // numbers of the shards that it owns
+	peer              *peer
+	streamNumber      uint64   // changes whenever it has to be told everything anew
+	completeForShards []uint32 // numbers of the shards that it owns
 }
 
 // statusContent is how much of a machine a published status says.
@@ -70,12 +70,12 @@
 // write writes what is new of a machine to one subscriber. The first that a stream
 // hears of a machine is its name and, once that is current, its whole list.
 func (p *statusPublisher) write(s *subscriber, m *machine, content statusContent, now time.Duration) {
-	for len(m.statusStreams) < p.members {
+	for len(m.statusStreams) < p.memberCount {
 		m.statusStreams = append(m.statusStreams, 0)
 	}
 	batch := s.peer.statusBatch(now)
 	current := content != statusPresence
-	first := m.statusStreams[s.peer.index] != s.stream
+	first := m.statusStreams[s.peer.index] != s.streamNumber
 	status := &meshpb.MachineStatus{MachineIndex: m.index, Epoch: m.epoch, Seq: m.sequence, Current: current}
 	if first {
 		batch.Names = append(batch.Names, &meshpb.MachineName{MachineIndex: m.index, Name: m.name, Zone: m.zone})
@@ -85,16 +85,16 @@
 	}
 	if current {
 		status.Unchanged = !first && content == statusUnchanged
-		status.CompleteForShards = s.completeFor
-		m.statusStreams[s.peer.index] = s.stream
+		status.CompleteForShards = s.completeForShards
+		m.statusStreams[s.peer.index] = s.streamNumber
 	}
 	if current && !status.Unchanged {
 		status.Tasks = m.taskStatusesFor(s.peer)
 	}
 	batch.Statuses = append(batch.Statuses, status)
-	s.peer.batchedTasks += len(status.Tasks) + len(status.Images)
+	s.peer.batchedItems += len(status.Tasks) + len(status.Images)
 	// However long machines' lists are, a frame stays within its size.
-	if s.peer.batchedTasks >= maxItemsPerFrame || len(batch.Statuses) >= maxMachinesPerFrame {
+	if s.peer.batchedItems >= maxItemsPerFrame || len(batch.Statuses) >= maxMachinesPerFrame {
 		s.peer.flush()
 	}
 }
@@ -103,13 +103,13 @@
 // registered a shard. What a machine listed whose lease has expired is gone; so is
 // what it listed in an earlier epoch, see endEpoch.
 func (p *statusPublisher) subscribe(to *peer, completeFor []uint32, machines *machineTable, leases machineLeases, now time.Duration) subscriptionSummary {
-	p.lastStream++
+	p.lastStreamNumber++
 	target := p.subscriber(to)
 	if target == nil {
-		target = &subscriber{peer: to, completeFor: completeFor}
+		target = &subscriber{peer: to, completeForShards: completeFor}
 		p.subscribers = append(p.subscribers, target)
 	}
-	target.stream = p.lastStream
+	target.streamNumber = p.lastStreamNumber
 	var summary subscriptionSummary
 	for m := range machines.all {
 		if m.lastCurrentHeartbeat > 0 && !m.terminated && !leases.expired(m, now) {
@@ -141,11 +141,11 @@
 	}
 }
 
-// setCompleteFor takes in anew which shards each subscriber owns. It is called
+// setCompleteForShards takes in anew which shards each subscriber owns. It is called
 // whenever an owner changes, as the statuses that go out from then on say so.
-func (p *statusPublisher) setCompleteFor(numbersOwnedBy func(*peer) []uint32) {
+func (p *statusPublisher) setCompleteForShards(numbersOwnedBy func(*peer) []uint32) {
 	for _, s := range p.subscribers {
-		s.completeFor = numbersOwnedBy(s.peer)
+		s.completeForShards = numbersOwnedBy(s.peer)
 	}
 }
 
