--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -9,26 +9,26 @@
 
 // How many jobs and how many commands go into one frame.
 const (
-	summariesPerFrame = 200
-	commandsPerFrame  = 5000
+	maxSummariesPerFrame = 200
+	maxCommandsPerFrame  = 5000
 )
 
 // A frame may take a megabyte; job descriptions in one stay well below that, even
 // if each names as many machine types as it may.
 const (
-	summaryFrameBytes = 512 << 10
-	summaryBaseBytes  = 256 // of a job's fields that have no names
+	maxSummaryFrameBytes = 512 << 10
+	summaryBaseBytes     = 256 // of a job's fields that have no names
 )
 
-// summariesThatFit is how many of the jobs go into one frame.
-func summariesThatFit(jobs []*meshpb.JobSummary) int {
+// countSummariesThatFit is how many of the jobs go into one frame.
+func countSummariesThatFit(jobs []*meshpb.JobSummary) int {
 	size := 0
 	for i, d := range jobs {
 		size += summaryBaseBytes + len(d.Job) + len(d.Team) + len(d.Class) + len(d.Image) + len(d.Zone)
 		for _, t := range d.Types {
 			size += len(t)
 		}
-		if i == summariesPerFrame || (i > 0 && size > summaryFrameBytes) {
+		if i == maxSummariesPerFrame || (i > 0 && size > maxSummaryFrameBytes) {
 			return i
 		}
 	}
@@ -39,25 +39,25 @@
 // whose frames count, and decides nothing else. It lasts as long as its link and its
 // leader's fencing token.
 type subscription struct {
-	c            *Controller
+	controller   *Controller
 	leader       *peer
 	fencingToken uint64
 }
 
 func (s *subscription) reset() {
 	s.leader, s.fencingToken = nil, 0
-	s.c.owner.ResetStream()
+	s.controller.owner.ResetStream()
 }
 
 // allRegistered tells whether the leader has confirmed every shard of this
 // process that is recovered.
 func (s *subscription) allRegistered() bool {
-	return s.c.owner.AllRegistrationsConfirmed() && s.leader != nil
+	return s.controller.owner.AllRegistrationsConfirmed() && s.leader != nil
 }
 
 // registerShards offers this process's shards to the member that leads now.
 func (s *subscription) registerShards() {
-	c := s.c
+	c := s.controller
 	leadership, known := c.election.Leader()
 	var to *peer
 	if known {
@@ -86,9 +86,9 @@
 
 // registerShard tells the leader of a shard and its jobs.
 func (s *subscription) registerShard(held *shard.Shard) {
-	jobs := s.c.owner.BeginRegistration(held)
+	jobs := s.controller.owner.BeginRegistration(held)
 	for {
-		n := summariesThatFit(jobs)
+		n := countSummariesThatFit(jobs)
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_RegisterShard{RegisterShard: &meshpb.RegisterShard{
 			Shard: held.Name(), Version: held.KeyVersion(), FencingToken: s.fencingToken, Jobs: jobs[:n], More: n < len(jobs)}}})
 		jobs = jobs[n:]
@@ -98,15 +98,15 @@
 	}
 }
 
-func (s *subscription) onShardRegistered(p *peer, answer *meshpb.ShardRegistered) {
+func (s *subscription) handleShardRegistered(p *peer, answer *meshpb.ShardRegistered) {
 	if p == s.leader && answer.FencingToken == s.fencingToken {
-		s.c.owner.ConfirmRegistration(answer)
+		s.controller.owner.ConfirmRegistration(answer)
 	}
 }
 
-func (s *subscription) onMachineStatuses(p *peer, f *meshpb.MachineStatuses) {
+func (s *subscription) handleMachineStatuses(p *peer, f *meshpb.MachineStatuses) {
 	if p == s.leader {
-		s.c.owner.HandleMachineStatuses(f)
+		s.controller.owner.HandleMachineStatuses(f)
 	}
 }
 
@@ -116,7 +116,7 @@
 		return
 	}
 	for len(jobs) > 0 {
-		n := summariesThatFit(jobs)
+		n := countSummariesThatFit(jobs)
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_JobSummaries{JobSummaries: &meshpb.JobSummaries{Shard: shard, Jobs: jobs[:n]}}})
 		jobs = jobs[n:]
 	}
@@ -124,59 +124,59 @@
 
 // flushCommands sends what has gathered.
 func (s *subscription) flushCommands() {
-	for rest := s.c.owner.TakeCommands(); len(rest) > 0 && s.leader != nil; rest = rest[min(len(rest), commandsPerFrame):] {
-		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_MachineCommands{MachineCommands: &meshpb.MachineCommands{Commands: rest[:min(len(rest), commandsPerFrame)]}}})
+	for rest := s.controller.owner.TakeCommands(); len(rest) > 0 && s.leader != nil; rest = rest[min(len(rest), maxCommandsPerFrame):] {
+		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_MachineCommands{MachineCommands: &meshpb.MachineCommands{Commands: rest[:min(len(rest), maxCommandsPerFrame)]}}})
 	}
 }
 
-// onPeerHeartbeat has losses judged by the leader's clock: a heartbeat tells that every
+// handlePeerHeartbeat has losses judged by the leader's clock: a heartbeat tells that every
 // machine's which the leader answered before it has been passed on already.
-func (s *subscription) onPeerHeartbeat(p *peer, b *meshpb.PeerHeartbeat) {
+func (s *subscription) handlePeerHeartbeat(p *peer, b *meshpb.PeerHeartbeat) {
 	if p != s.leader || b.FencingToken != s.fencingToken {
 		return
 	}
-	for held := range s.c.owner.UnconfirmedShards() {
+	for held := range s.controller.owner.UnconfirmedShards() {
 		// The leader had not yet heard of its own election when the first
 		// registration came, or this one crosses its answer: registering twice
 		// only starts the clock later.
 		s.registerShard(held)
 	}
-	s.c.owner.ExpireLeases(b.ClockUs)
+	s.controller.owner.ExpireLeases(b.ClockUs)
 }
 
-func (s *subscription) onMachineTerminated(p *peer, f *meshpb.MachineTerminated) {
+func (s *subscription) handleMachineTerminated(p *peer, f *meshpb.MachineTerminated) {
 	if p == s.leader {
-		s.c.owner.HandleMachineTerminated(f.Name)
+		s.controller.owner.HandleMachineTerminated(f.Name)
 	}
 }
 
-func (s *subscription) onReconciled(p *peer, f *meshpb.Reconciled) {
+func (s *subscription) handleReconciled(p *peer, f *meshpb.Reconciled) {
 	if p == s.leader && f.FencingToken == s.fencingToken {
-		s.c.owner.HandleReconciled(f)
+		s.controller.owner.HandleReconciled(f)
 	}
 }
 
-func (s *subscription) onReturnedBindings(p *peer, f *meshpb.ReturnedBindings) {
+func (s *subscription) handleReturnedBindings(p *peer, f *meshpb.ReturnedBindings) {
 	if p == s.leader {
-		s.c.owner.ReturnBindings(f.Bindings)
+		s.controller.owner.ReturnBindings(f.Bindings)
 	}
 }
 
-// onOffer answers with the tasks that go to the machine. An owner that may
+// handleOffer answers with the tasks that go to the machine. An owner that may
 // not act gives nothing away.
-func (s *subscription) onOffer(p *peer, f *meshpb.Offer) {
+func (s *subscription) handleOffer(p *peer, f *meshpb.Offer) {
 	if p != s.leader {
 		return
 	}
 	bindings := &meshpb.Bindings{OfferId: f.Id}
-	if s.c.election.MayAct(s.c.now()) {
-		s.c.owner.Bind(f, bindings)
+	if s.controller.election.MayAct(s.controller.now()) {
+		s.controller.owner.Bind(f, bindings)
 	}
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_Bindings{Bindings: bindings}})
 }
 
-// silenceAfter is how long a machine may say nothing before it gets no more
+// silenceLimit is how long a machine may say nothing before it gets no more
 // offers.
-func (c *Controller) silenceAfter() time.Duration {
+func (c *Controller) silenceLimit() time.Duration {
 	return seconds(c.cfg.Settings.Workers.HeartbeatIntervalS * c.tuning.SilenceHeartbeats)
 }
--- a/internal/coordination/supply_test.go
+++ b/internal/coordination/supply_test.go
@@ -36,8 +36,8 @@
 			if test.urgent {
 				job.priority = protocol.PriorityUrgent
 			}
-			want(t, "without room", a.takeSupply(job, test.tasks, s, 0), test.want)
-			want(t, "the machine is needed", m.neededByPendingTasks, test.needed)
+			requireEqual(t, "without room", a.takeSupply(job, test.tasks, s, 0), test.want)
+			requireEqual(t, "the machine is needed", m.neededByPendingTasks, test.needed)
 		})
 	}
 }
--- a/internal/coordination/team_usage_test.go
+++ b/internal/coordination/team_usage_test.go
@@ -18,17 +18,17 @@
 	u, job := newTestUsage()
 	job.placed, job.offered = 1, 1
 	u.update(job)
-	want(t, "placed and on offer", job.team.cpus, 8)
-	want(t, "dominant share", job.team.dominantShare(), 1)
+	requireEqual(t, "placed and on offer", job.team.cpus, 8)
+	requireEqual(t, "dominant share", job.team.dominantShare(), 1)
 	m := &machine{tasks: []replicaOnMachine{{job: job, state: protocol.TaskRunning}, {job: job, state: protocol.TaskExited}}}
 	u.countReplicas(m)
 	u.countReplicas(m) // counted already
-	want(t, "live replicas", job.liveReplicas, 1)
+	requireEqual(t, "live replicas", job.liveReplicas, 1)
 	job.ended = true
 	u.update(job)
-	want(t, "use by live replicas of the ended job", job.team.cpus, 4)
+	requireEqual(t, "use by live replicas of the ended job", job.team.cpus, 4)
 	u.uncountReplicas(m)
-	want(t, "use without live replicas", job.team.cpus, 0)
+	requireEqual(t, "use without live replicas", job.team.cpus, 0)
 }
 
 func TestTeamLimit(t *testing.T) {
@@ -52,7 +52,7 @@
 			job.placed = c.placed
 			u.update(job)
 			u.unreconciled.cpus = c.unreconciled
-			want(t, "within the limit", u.withinLimit(job, c.known), c.want)
+			requireEqual(t, "within the limit", u.withinLimit(job, c.known), c.want)
 		})
 	}
 }
@@ -62,19 +62,19 @@
 	catalog := map[string]*protocol.MachineType{"m8": {Name: "m8", CPUs: 8}, "m16": {Name: "m16", CPUs: 16}}
 	m := &machine{recordedByEarlierLeader: true, lastHeartbeat: time.Second}
 	u.updateUnreconciled(m, catalog, 2*time.Second)
-	want(t, "of an unknown type", u.unreconciled.cpus, 16)
+	requireEqual(t, "of an unknown type", u.unreconciled.cpus, 16)
 	m.typeName = "m8"
 	u.updateUnreconciled(m, catalog, 2*time.Second)
-	want(t, "of a known type", u.unreconciled.cpus, 8)
+	requireEqual(t, "of a known type", u.unreconciled.cpus, 8)
 	m.lastCurrentHeartbeat = 3 * time.Second
 	m.tasks = []replicaOnMachine{{job: job, state: protocol.TaskRunning}}
 	u.countReplicas(m)
 	u.updateUnreconciled(m, catalog, 3*time.Second)
-	want(t, "with known jobs only", u.unreconciled.cpus, 0)
+	requireEqual(t, "with known jobs only", u.unreconciled.cpus, 0)
 	m.tasks = append(m.tasks, replicaOnMachine{state: protocol.TaskRunning})
 	u.updateUnreconciled(m, catalog, 3*time.Second)
-	want(t, "with an unknown job", u.unreconciled.cpus, 8)
+	requireEqual(t, "with an unknown job", u.unreconciled.cpus, 8)
 	u.updateUnreconciled(m, catalog, m.lastHeartbeat+time.Minute+1)
-	want(t, "after the lease has expired", u.unreconciled.cpus, 0)
-	want(t, "live replicas after the lease has expired", job.liveReplicas, 0)
+	requireEqual(t, "after the lease has expired", u.unreconciled.cpus, 0)
+	requireEqual(t, "live replicas after the lease has expired", job.liveReplicas, 0)
 }
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -49,15 +49,15 @@
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			versionsSideBySide(t, seed)
+			testVersionsSideBySide(t, seed)
 		})
 	}
 }
 
-func versionsSideBySide(t *testing.T, seed uint64) {
+func testVersionsSideBySide(t *testing.T, seed uint64) {
 	t.Helper()
 	names := []string{"a", "b", "c"}
-	scenario := newFaultScenarioIn(t, newSimulationWith(t, loweredStateLimits, names, names...), seed, 8)
+	scenario := newFaultScenarioIn(t, newUpgradeSimulation(t, loweredStateLimits, names, names...), seed, 8)
 	scenario.setTaskDuration(2 * time.Second)
 	oldLed, newLed := false, false
 	order := []string{scenario.Follower().Name, "", ""}
@@ -133,7 +133,7 @@
 		for step := range 6 {
 			t.Run(fmt.Sprint("takeover ", takeover, ", step ", step), func(t *testing.T) {
 				t.Parallel()
-				scenario := newFaultScenarioIn(t, newSimulationWith(t, loweredStateLimits, nil, "a", "b", "c"), uint64(step), 8)
+				scenario := newFaultScenarioIn(t, newUpgradeSimulation(t, loweredStateLimits, nil, "a", "b", "c"), uint64(step), 8)
 				scenario.setTaskDuration(time.Second)
 				scenario.play(16, func(s int) {
 					for range 5 {
@@ -153,7 +153,7 @@
 					scenario.lowerStateLimits()
 				})
 				scenario.recoverAndCheck()
-				want(t, "limits hold", scenario.State.Limits != nil, true)
+				requireEqual(t, "limits hold", scenario.State.Limits != nil, true)
 			})
 		}
 	}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -20,7 +20,7 @@
 	}
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 4).With("apart", true)).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.ServiceJob("wk-1", 4).With("apart", true)).Status, 201)
 	for range 20 {
 		sim.Run(time.Second)
 		sim.BootMachines(0)
@@ -35,7 +35,7 @@
 		t.Fatalf("ordinary machines rented by zone: %v", zones)
 	}
 	sim.Cloud.RefusesScaleOut = true
-	want(t, "array", n.Submit(simtest.BatchJob("wk-2", 200)).Status, 201)
+	requireEqual(t, "array", n.Submit(simtest.BatchJob("wk-2", 200)).Status, 201)
 	for range 10 {
 		sim.Run(time.Second)
 	}
@@ -44,7 +44,7 @@
 		t.Fatal("nothing of the array runs")
 	}
 	began := sim.Now()
-	want(t, "next", n.Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
+	requireEqual(t, "next", n.Submit(simtest.ServiceJob("wk-3", 2)).Status, 201)
 	for len(sim.machinesByTask("wk-3")) < 2 && sim.Now()-began < 20*time.Second {
 		sim.Run(time.Second)
 	}
@@ -64,15 +64,15 @@
 	sim.AddMachine("vm-3", "z2")
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
+	requireEqual(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 4)).Status, 201)
+	requireEqual(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 4)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "in one zone that has one machine with room", n.Submit(simtest.ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
+	requireEqual(t, "in one zone that has one machine with room", n.Submit(simtest.ServiceJob("wk-3", 2).With("hall", "z2")).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "its replicas", len(sim.machinesByTask("wk-3")), 2)
+	requireEqual(t, "its replicas", len(sim.machinesByTask("wk-3")), 2)
 	on := sim.machinesByTask("wk-2")
-	want(t, "replicas", len(on), 4)
+	requireEqual(t, "replicas", len(on), 4)
 	per := make(map[string]int)
 	for _, m := range on {
 		if per[m]++; per[m] > 2 {
@@ -93,12 +93,12 @@
 			sim.AddMachines(3)
 			sim.Run(2 * time.Second)
 			n := sim.Leader()
-			want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
+			requireEqual(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 			sim.Run(4 * time.Second)
-			want(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
+			requireEqual(t, "submit", n.Submit(simtest.ServiceJob("wk-2", 6)).Status, 201)
 			sim.Agents["vm-0"].Heartbeat()
 			sim.Agents["vm-1"].Heartbeat()
-			want(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesByTask("wk-2")), started)
+			requireEqual(t, fmt.Sprint("started by two heartbeats, wanted in ", within), len(sim.machinesByTask("wk-2")), started)
 		})
 	}
 }
@@ -112,17 +112,17 @@
 			first := sim.AddMachine("vm-0", "z1")
 			sim.Run(2 * time.Second)
 			n := sim.Leader()
-			want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
+			requireEqual(t, "first", n.Submit(simtest.ServiceJob("wk-1", 1)).Status, 201)
 			sim.Run(4 * time.Second)
 			second := sim.AddMachine("vm-1", "z1")
 			sim.Run(4 * time.Second)
-			want(t, "where the image is", sim.machinesByTask("wk-1")["wk-1/0"], "vm-0")
+			requireEqual(t, "where the image is", sim.machinesByTask("wk-1")["wk-1/0"], "vm-0")
 			first.Heartbeat()
 			sim.Advance(since - tickInterval)
-			want(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
+			requireEqual(t, "second", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
 			second.Heartbeat()
 			first.Heartbeat()
-			want(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesByTask("wk-2")["wk-2/0"], goesTo)
+			requireEqual(t, fmt.Sprint("goes to, last heartbeat before ", since), sim.machinesByTask("wk-2")["wk-2/0"], goesTo)
 		})
 	}
 }
@@ -144,7 +144,7 @@
 					ordinary += request.Count
 				}
 			}
-			want(t, "ordinary machines for "+aim, ordinary, map[string]int{"wait": 4}[aim])
+			requireEqual(t, "ordinary machines for "+aim, ordinary, map[string]int{"wait": 4}[aim])
 		})
 	}
 }
@@ -162,7 +162,7 @@
 			sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
 			sim.Run(90 * time.Second) // until all know the catalogue
 			if c.seen {
-				want(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
+				requireEqual(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
 			} else {
 				for _, name := range sim.Names {
 					controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
@@ -174,7 +174,7 @@
 			for _, request := range sim.Cloud.ScaleOutRequests {
 				types[request.Type] = true
 			}
-			want(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
+			requireEqual(t, fmt.Sprintf("types rented at %v, seen: %v", c.price, c.seen), fmt.Sprint(types), fmt.Sprint(map[string]bool{c.typ: true}))
 		})
 	}
 }
@@ -189,13 +189,13 @@
 	sim.AddMachine("vm-0", "z1").MachineType = "m16"
 	sim.Run(2 * time.Second)
 	n := sim.Leader()
-	want(t, "first", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
+	requireEqual(t, "first", n.Submit(simtest.ServiceJob("wk-1", 2)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "array", n.Submit(simtest.BatchJob("wk-2", 4).With("ramGb", 100.0)).Status, 201)
+	requireEqual(t, "array", n.Submit(simtest.BatchJob("wk-2", 4).With("ramGb", 100.0)).Status, 201)
 	sim.Run(2 * time.Second)
-	want(t, "second", n.Submit(simtest.ServiceJob("wk-3", 3)).Status, 201)
+	requireEqual(t, "second", n.Submit(simtest.ServiceJob("wk-3", 3)).Status, 201)
 	sim.Run(4 * time.Second)
-	want(t, "replicas", fmt.Sprint(len(sim.machinesByTask("wk-1")), len(sim.machinesByTask("wk-3"))), "2 3")
+	requireEqual(t, "replicas", fmt.Sprint(len(sim.machinesByTask("wk-1")), len(sim.machinesByTask("wk-3"))), "2 3")
 }
 
 // Machines are not kept for prompt starts while the cloud has too few of their type
@@ -209,15 +209,15 @@
 		l.autoscaler.counts.reportedCPUs = 1600
 		return l.warmPool.affordableMachines(l.env.cloud.Catalog()["m8"], kind, now)
 	}
-	want(t, "a part of the fleet", kept(), 10)
+	requireEqual(t, "a part of the fleet", kept(), 10)
 	l.kinds.exclusiveNeedAt["m8"] = now
-	want(t, "others need the type, the cloud has it", kept(), 10)
+	requireEqual(t, "others need the type, the cloud has it", kept(), 10)
 	l.kinds.refusedUntil[kind] = now + cloud.CapacityBackoff
-	want(t, "the cloud refuses it", kept(), 0)
+	requireEqual(t, "the cloud refuses it", kept(), 0)
 	now += cloud.CapacityBackoff + contentionWindow
 	l.kinds.exclusiveNeedAt["m8"] = now
-	want(t, "it has not for a while", kept(), 10)
+	requireEqual(t, "it has not for a while", kept(), 10)
 	l.kinds.refusedUntil[kind] = now
 	delete(l.kinds.exclusiveNeedAt, "m8")
-	want(t, "nobody needs it", kept(), 10)
+	requireEqual(t, "nobody needs it", kept(), 10)
 }
