--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -15,10 +15,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// redLimit is the limit of the team red in simtest.SettingsFormat.
+// redLimit is the limit of team red in simtest.SettingsFormat, in CPUs.
 const redLimit = 32
 
-// newEscrowSimulation is a deployment that divides limits among its shards.
+// newEscrowSimulation starts a deployment that divides limits among its shards.
 func newEscrowSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
@@ -27,8 +27,8 @@
 	return sim
 }
 
-// newEscrowScenario is a scenario of one. At every tick the records and what the machines hold
-// are looked at, besides all rules.
+// newEscrowScenario returns a scenario in such a deployment. Besides the invariants of every
+// scenario, each tick checks the allocations and the use on the machines.
 func newEscrowScenario(t *testing.T, seed uint64, machines int) *faultScenario {
 	t.Helper()
 	return withAllocationChecks(newFaultScenarioIn(t, newEscrowSimulation(t), seed, machines))
@@ -50,7 +50,7 @@
 	return scenario
 }
 
-// quotaRecord is a team's record in the state service.
+// quotaRecord returns a team's quota record in the state service.
 func (sim *simulation) quotaRecord(team string) quota.Record {
 	var r quota.Record
 	if entry := sim.State.Keys[storage.QuotaKey(team)]; entry != nil {
@@ -61,7 +61,7 @@
 	return r
 }
 
-// shardOf is the shard that a job's record names.
+// shardOf returns the shard that a job's record names.
 func (sim *simulation) shardOf(job string) string {
 	var r storage.JobRecord
 	if entry := sim.State.Keys[storage.JobKey(job)]; entry != nil {
@@ -72,27 +72,27 @@
 	return r.Shard
 }
 
-// checkAllocations looks at what has to be true at every moment: allocations sum to
-// the limit at the most, no shard's tasks on machines use more than its allocation,
-// and no holder counts on more than the record says.
+// checkAllocations checks what must hold at any time: the sum of the allocations is at most
+// the limit, the tasks of a shard on machines use at most the shard's allocation, and no
+// holder assumes a larger allocation than the record has.
 func (scenario *faultScenario) checkAllocations() {
 	r := scenario.quotaRecord("red")
 	if limit := quota.LimitOf(redLimit, 0); !r.Allocated().Within(limit) {
 		scenario.T.Fatalf("allocations of %v in all, the limit is %v", r.Allocated(), limit)
 	}
-	use := make(map[string]quota.Amount)
+	useByShard := make(map[string]quota.Amount)
 	for _, agent := range scenario.Agents {
 		for _, task := range agent.Tasks {
 			id, _, _ := strings.Cut(task.Name, "/")
 			if request := scenario.jobs[id]; task.State != "ended" && request["crew"] == "red" {
-				ledger := scenario.shardOf(id)
-				use[ledger] = use[ledger].Add(quota.AmountOf(request["vcpus"].(float64), 0))
+				shardName := scenario.shardOf(id)
+				useByShard[shardName] = useByShard[shardName].Add(quota.AmountOf(request["vcpus"].(float64), 0))
 			}
 		}
 	}
-	for ledger, u := range use {
-		if got := r.Shares[ledger].Allocation; !u.Within(got) {
-			scenario.T.Fatalf("tasks of shard %s use %v out of an allocation of %v", ledger, u, got)
+	for shardName, use := range useByShard {
+		if allocation := r.Shares[shardName].Allocation; !use.Within(allocation) {
+			scenario.T.Fatalf("tasks of shard %s use %v out of an allocation of %v", shardName, use, allocation)
 		}
 	}
 	for _, name := range scenario.Names {
@@ -101,28 +101,29 @@
 			continue
 		}
 		for shard := range controllerOf(n).owner.Shards() {
-			ledger := shard.Name()
-			got := controllerOf(n).admission.Allocation(ledger, "red")
-			if controllerOf(n).admission.IsComplete(ledger) && !got.Within(r.Shares[ledger].Allocation) {
-				scenario.T.Fatalf("%s counts on %v for shard %s, the record says %v", name, got, ledger, r.Shares[ledger].Allocation)
+			shardName := shard.Name()
+			allocation := controllerOf(n).admission.Allocation(shardName, "red")
+			if controllerOf(n).admission.IsComplete(shardName) && !allocation.Within(r.Shares[shardName].Allocation) {
+				scenario.T.Fatalf("%s assumes an allocation of %v for shard %s, the record has %v", name, allocation, shardName, r.Shares[shardName].Allocation)
 			}
 		}
 	}
 }
 
-// submitRedJobs come at all controllers, more than the limit allows, some cancelled.
-func (scenario *faultScenario) submitRedJobs(s int) {
+// submitRedJobs submits jobs of red at all controllers, more than the limit allows, and cancels
+// some.
+func (scenario *faultScenario) submitRedJobs(second int) {
 	for _, name := range scenario.Names {
-		if n := scenario.Nodes[name]; n.Up && s%2 == 0 {
+		if n := scenario.Nodes[name]; n.Up && second%2 == 0 {
 			scenario.submit(n, 1+scenario.rand.IntN(5), "crew", "red")
 		}
 	}
-	if s%3 == 0 {
+	if second%3 == 0 {
 		scenario.cancelRandomJobs(2)
 	}
 }
 
-// submitRedEverywhere hands a job of red in at each controller.
+// submitRedEverywhere submits a job of red at each controller.
 func (sim *simulation) submitRedEverywhere(tasks int) {
 	sim.T.Helper()
 	for i, name := range sim.Names {
@@ -132,15 +133,15 @@
 	}
 }
 
-// redCPUsInUse is what red's live tasks on machines use.
+// redCPUsInUse returns what the running tasks use if all are red's: 2 CPUs each.
 func (sim *simulation) redCPUsInUse() float64 {
 	return float64(sim.runningTasks()) * 2
 }
 
 func TestLimitsAcrossControllers(t *testing.T) {
 	for name, script := range map[string]func(scenario *faultScenario) func(second int){
-		"all is well": func(scenario *faultScenario) func(int) { return scenario.submitRedJobs },
-		"transfers are lost, and applied or not": func(scenario *faultScenario) func(int) {
+		"no faults": func(scenario *faultScenario) func(int) { return scenario.submitRedJobs },
+		"transfers are applied without an answer": func(scenario *faultScenario) func(int) {
 			scenario.loseTransactions(0.3, true)
 			return scenario.submitRedJobs
 		},
@@ -148,16 +149,16 @@
 			scenario.loseTransactions(0.3, false)
 			return scenario.submitRedJobs
 		},
-		"transfers are repeated":                        repeatTransfers,
-		"views are seconds old":                         makeViewsStale,
-		"a holder freezes in a transfer":                pauseHolderInTransfer,
-		"an owner and the leader are lost together":     crashOwnerAndLeader,
-		"an outage while allocations are short":         outageWhileAllocationsAreShort,
-		"one controller is refused alone":               refuseOneController,
-		"everything is restarted at once":               restartAllControllers,
-		"jobs are cancelled on machines that hang":      cancelOnSilentMachines,
-		"machines end, and tasks are replicated":        failBusyMachines,
-		"a shard goes to another member and comes back": moveShardAndBack,
+		"transfers are repeated":                     repeatTransfers,
+		"watches are seconds behind":                 makeViewsStale,
+		"a holder freezes in a transfer":             pauseHolderInTransfer,
+		"an owner and the leader crash together":     crashOwnerAndLeader,
+		"an outage while allocations are short":      outageWhileAllocationsAreShort,
+		"the state service refuses one controller":   refuseOneController,
+		"all controllers restart at once":            restartAllControllers,
+		"jobs are cancelled on silent machines":      cancelOnSilentMachines,
+		"machines fail, and their tasks start again": failBusyMachines,
+		"a shard moves to another member and back":   moveShardAndBack,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -175,8 +176,8 @@
 	}
 }
 
-// checkAudit replays what all processes have recorded. In faults guarantees may
-// have to wait; limits hold all the same, and nothing is missing.
+// checkAudit verifies the audit records of all processes. Under faults a team may have to wait
+// for its guarantee, but limits must hold and no record may be missing.
 func (scenario *faultScenario) checkAudit() {
 	scenario.T.Helper()
 	report := audit.Verify(scenario.AuditStreams, 5*time.Second)
@@ -186,11 +187,11 @@
 		}
 	}
 	if len(report.Teams) != 1 || report.Teams[0].Admissions < scenario.redStarts {
-		scenario.T.Errorf("machines have started %d tasks, the history shows %+v", scenario.redStarts, report.Teams)
+		scenario.T.Errorf("machines have started %d tasks of red, the audit records show %+v", scenario.redStarts, report.Teams)
 	}
 }
 
-// isTransfer tells whether a transaction changes a team's record.
+// isTransfer reports whether a transaction changes a team's quota record.
 func isTransfer(t *protocol.Transaction) bool {
 	return len(t.Then) > 0 && strings.HasPrefix(t.Then[0].Put, storage.QuotaPrefix)
 }
@@ -213,7 +214,7 @@
 	return func(s int) {
 		scenario.submitRedJobs(s)
 		clear(scenario.State.StalledWatches)
-		if s < 36 { // each in turn hears nothing for six seconds
+		if s < 36 { // each controller's watch stalls in turn, for 6 s
 			scenario.State.StalledWatches[scenario.Names[s/6%3]] = true
 		}
 	}
@@ -221,9 +222,9 @@
 
 func pauseHolderInTransfer(scenario *faultScenario) func(int) {
 	var frozen string
-	caught := false
+	freezing := false
 	scenario.State.OnTransaction = func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-		if !caught || frozen != "" || !isTransfer(t) {
+		if !freezing || frozen != "" || !isTransfer(t) {
 			return false
 		}
 		frozen = from
@@ -232,14 +233,14 @@
 		return true
 	}
 	return func(s int) {
-		caught = s >= 8
+		freezing = s >= 8
 		scenario.submitRedJobs(s)
 		if s == 22 && frozen != "" {
 			scenario.Nodes[frozen].Paused = false
 			scenario.DeliverAll()
 			scenario.Reconnect(frozen)
 		}
-		if n := scenario.Nodes[frozen]; s == 13 && n != nil { // the others take its silence for a cut
+		if n := scenario.Nodes[frozen]; s == 13 && n != nil { // the others take its silence for a disconnection
 			for _, other := range scenario.Names {
 				if other != frozen {
 					controllerOf(scenario.Nodes[other]).LinkDown(scenario.Nodes[other].Links[frozen])
@@ -299,13 +300,13 @@
 }
 
 func cancelOnSilentMachines(scenario *faultScenario) func(int) {
-	var hung []*simtest.Agent
+	var faulty []*simtest.Agent
 	return func(s int) {
 		scenario.submitRedJobs(s)
 		switch s % 14 {
 		case 5:
-			hung = scenario.busyMachines(4)
-			for i, agent := range hung {
+			faulty = scenario.busyMachines(4)
+			for i, agent := range faulty {
 				agent.Silent, agent.LosesResponses = i%2 == 0, i%2 == 1
 			}
 			scenario.cancelRandomJobs(20)
@@ -314,7 +315,7 @@
 				scenario.restart(scenario.Leader().Name)
 			}
 		case 12:
-			for _, agent := range hung {
+			for _, agent := range faulty {
 				agent.Silent, agent.LosesResponses = false, false
 			}
 		}
@@ -345,7 +346,7 @@
 	}
 }
 
-// Two or three faults at a time, whichever they are.
+// Limits hold while two or three random faults occur at a time.
 func TestLimitsUnderConcurrentFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -357,8 +358,8 @@
 	}
 }
 
-// Two controllers want the last free room at the same instant: one gets it, and the
-// other the next that frees.
+// Two controllers ask for the last free capacity of a team at the same time: one gets it, and
+// the other gets the capacity that is released next.
 func TestLastCapacityIsGrantedOnce(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(6)
@@ -376,14 +377,13 @@
 	requireEqual(t, "running at the limit", sim.runningTasks(), 16)
 	sim.finishTask("wk-1/0")
 	sim.Run(6 * time.Second)
-	requireEqual(t, "both run", sim.runningTasks(), 16)
+	requireEqual(t, "running after a task has finished", sim.runningTasks(), 16)
 	for i, name := range []string{"b", "c"} {
 		sim.requireStatus(sim.Nodes[name], fmt.Sprint("wk-", i+2), 200, "running")
 	}
 }
 
-// A team's guarantee is met within seconds after its work has moved to another
-// controller, while another team would take all room.
+// A team's guarantee is met within seconds after its demand has moved to another controller.
 func TestGuaranteeFollowsDemand(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(4)
@@ -395,11 +395,11 @@
 	sim.Run(3 * time.Second)
 	requireEqual(t, "submit", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 4).With("crew", "red")).Status, 201)
 	sim.Run(4 * time.Second)
-	requireEqual(t, "running of a guarantee of 8 CPUs", sim.runningTasks(), 4)
+	requireEqual(t, "running within a guarantee of 8 CPUs", sim.runningTasks(), 4)
 }
 
-// A remainder that is not enough for a task at each of three controllers comes
-// together at one, which has the time to use it; then allocations stay as they are.
+// The unused remainder of a limit is too small for a task at each of three controllers. It is
+// transferred to one of them, which has time to use it, and then allocations stay unchanged.
 func TestRemainderStaysWithOneController(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(8)
@@ -410,12 +410,13 @@
 	writes := sim.State.Transactions
 	sim.Run(20 * time.Second)
 	if got := sim.State.Transactions - writes; got > 4 {
-		t.Errorf("%d transactions in 20 s though nothing changes", got)
+		t.Errorf("%d transactions in 20 s without any change, want at most 4", got)
 	}
 }
 
-// The limit is lowered by new settings, one controller after the other, two of them
-// lost meanwhile: nothing is stopped, and nothing starts until use is below it.
+// New settings lower a team's limit. The controllers restart with them one after the other, two
+// of them after having been down. No task is stopped, and none starts until use is below the
+// new limit.
 func TestLimitLoweredWhileRunning(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(6)
@@ -444,26 +445,26 @@
 			requireEqual(t, "starts while use is above the limit", starts, 0)
 		}
 	}
-	requireEqual(t, "running at the lower limit", sim.redCPUsInUse(), 16.0)
+	requireEqual(t, "CPUs in use at the lower limit", sim.redCPUsInUse(), 16.0)
 	if starts == 0 {
-		t.Error("nothing starts below the lower limit")
+		t.Error("no task starts below the lower limit")
 	}
 }
 
-// anyRunningTask names a running task.
+// anyRunningTask returns the name of a running task.
 func (sim *simulation) anyRunningTask() string {
 	for _, name := range sim.AgentNames() {
 		if tasks := sim.Agents[name].Running(); len(tasks) > 0 {
 			return tasks[0]
 		}
 	}
-	sim.T.Fatal("nothing runs")
+	sim.T.Fatal("no task is running")
 	return ""
 }
 
-// While a member of the version before runs allocations bind nobody; once all
-// members divide limits they do, and after one goes back to that version no longer.
-// The version before passes over the records that it finds.
+// While a member of the previous version runs, allocations are not enforced. They are once all
+// members divide limits, and no longer after a member has returned to the previous version. The
+// previous version ignores the quota records that it finds.
 func TestAllocationsAlongsideThePreviousVersion(t *testing.T) {
 	sim := prepareSimulation(t, "", []string{"b"}, "a", "b", "c")
 	sim.Tuning.QuotaEscrow = true
@@ -472,8 +473,8 @@
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(30)
 	sim.Run(8 * time.Second)
-	requireEqual(t, "running beside the version before", sim.runningTasks(), 16)
-	requireEqual(t, "shares", len(sim.quotaRecord("red").Shares), 0)
+	requireEqual(t, "running alongside the previous version", sim.runningTasks(), 16)
+	requireEqual(t, "shares alongside the previous version", len(sim.quotaRecord("red").Shares), 0)
 	sim.Crash("b")
 	delete(sim.PreviousVersion, "b")
 	sim.Start("b")
@@ -485,22 +486,22 @@
 		sim.Run(2 * time.Second)
 	}
 	sim.Run(4 * time.Second)
-	requireEqual(t, "running out of allocations", sim.runningTasks(), 16)
+	requireEqual(t, "running within allocations", sim.runningTasks(), 16)
 	requireEqual(t, "allocated", sim.quotaRecord("red").Allocated(), quota.AmountOf(redLimit, 0))
 	sim.Crash("b")
 	sim.PreviousVersion["b"] = true
 	sim.Start("b")
 	sim.Run(longerThanAnyLease)
-	if n := len(sim.quotaRecord("red").Shares); n > 1 { // b's own is b's to withdraw
-		t.Errorf("%d shares are left beside the version before", n)
+	if n := len(sim.quotaRecord("red").Shares); n > 1 { // only b may withdraw its own share
+		t.Errorf("%d shares are left alongside the previous version, want at most 1", n)
 	}
 	sim.finishTask(sim.anyRunningTask())
 	sim.Run(4 * time.Second)
-	requireEqual(t, "running beside the version before again", sim.runningTasks(), 16)
+	requireEqual(t, "running alongside the previous version again", sim.runningTasks(), 16)
 }
 
-// Demands that are malformed, old or not the holder's are dropped and change
-// nothing, and a record that can't be read keeps its team waiting, and no other.
+// Demands that are malformed, outdated or not from the shard's holder are dropped and change
+// nothing. An unreadable quota record keeps its own team waiting, and no other team.
 func TestMalformedQuotaMessagesAreDropped(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(2)
@@ -508,7 +509,7 @@
 	c := controllerOf(sim.Nodes["a"])
 	p := c.peers["b"]
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
-	for what, f := range map[string]*meshpb.QuotaDemands{
+	for fault, demands := range map[string]*meshpb.QuotaDemands{
 		"another's shard": {Seq: 1000, Demands: []*meshpb.QuotaDemand{{Shard: "c", Team: "red", Target: amount, SmallestPending: amount}}},
 		"no shard":        {Seq: 1001, Demands: []*meshpb.QuotaDemand{{Shard: "x", Team: "red", Target: amount, SmallestPending: amount}}},
 		"no team":         {Seq: 1002, Demands: []*meshpb.QuotaDemand{{Shard: "b", Team: "x", Target: amount, SmallestPending: amount}}},
@@ -517,8 +518,8 @@
 	} {
 		p.lastQuotaSequence = 0
 		before := c.admission.Dropped()
-		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: f}})
-		requireEqual(t, what+": dropped", c.admission.Dropped(), before+1)
+		c.dispatch(p, &meshpb.Frame{Body: &meshpb.Frame_QuotaDemands{QuotaDemands: demands}})
+		requireEqual(t, fault+": dropped", c.admission.Dropped(), before+1)
 	}
 	sim.State.Put(storage.QuotaKey("red"), sim.Codec.Encode(map[string]any{"s": "no shares"}))
 	sim.Run(2 * time.Second)
@@ -528,7 +529,8 @@
 	requireEqual(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
 }
 
-// A team's name may be longer than a key.
+// A team's name may be too long for a key of the state service. The controller must then not
+// start, and say so in one line.
 func TestTeamNameTooLongForAKey(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a")
 	sim.Tuning.QuotaEscrow = true
@@ -538,30 +540,30 @@
 	}
 	file.Settings.Teams[0].Name = strings.Repeat("x", 120)
 	if _, err := New(file, sim.Tuning, Env{Clock: sim}, 1); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("got %v, want one line that says so", err)
+		t.Fatalf("got error %v, want an error of one line", err)
 	}
 }
 
-// With both checks broken, the allocations and the leader's count, the audit finds
-// that the limit was exceeded.
+// Both checks of a team's limit are disabled: the allocations and the leader's count. The audit
+// must find that the limit was exceeded.
 func TestAuditFindsAnExceededLimit(t *testing.T) {
 	sim := newEscrowSimulation(t)
 	sim.AddMachines(10)
 	for _, n := range sim.Nodes {
-		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // the leader's count, not the manager's limit
+		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // disables the leader's count, not the allocations
 	}
-	for _, name := range sim.Names { // the members say that they don't divide limits
+	for _, name := range sim.Names { // disables the allocations: members seem not to divide limits
 		sim.State.Announce(storage.ProcessKey(name), sim.Codec.Encode(storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat}))
 	}
 	sim.Run(2 * time.Second)
 	sim.submitRedEverywhere(12)
 	sim.Run(8 * time.Second)
 	if sim.redCPUsInUse() <= redLimit {
-		t.Fatalf("red uses %v CPUs, the quota is not broken", sim.redCPUsInUse())
+		t.Fatalf("red uses %v CPUs, the limit is not exceeded", sim.redCPUsInUse())
 	}
 	found := false
 	for _, f := range audit.Verify(sim.AuditStreams, time.Second).Findings {
 		found = found || (f.Kind == audit.Overshoot && f.Team == "red")
 	}
-	requireEqual(t, "the audit finds it", found, true)
+	requireEqual(t, "the audit finds the excess", found, true)
 }
--- a/internal/coordination/admission_wiring.go
+++ b/internal/coordination/admission_wiring.go
@@ -8,8 +8,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// newAdmission makes what admits tasks against their teams' limits. With quota.escrow
-// this process says in the keys that it holds that it divides limits.
+// newAdmission returns the admission control, which admits tasks within their teams'
+// limits. With quota.escrow it sets the record format in this process's identity, which
+// tells other members through the keys that it holds that this process divides limits
+// among shards.
 func (c *Controller) newAdmission() (*admission.Control, error) {
 	if c.tuning.QuotaEscrow {
 		c.identity.RecordFormat = storage.QuotaRecordFormat
@@ -39,7 +41,7 @@
 	}
 }
 
-// handleQuotaDemands takes what another member's shards lack.
+// handleQuotaDemands handles the demands for quota of another member's shards.
 func (c *Controller) handleQuotaDemands(p *peer, f *meshpb.QuotaDemands) {
 	holds := func(shard string) bool {
 		holder, held := c.election.ShardHolder(shard)
--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// newUserAPI makes the users' API.
+// newUserAPI returns the users' API.
 func (c *Controller) newUserAPI() *api.API {
 	return api.New(api.Config{
 		Clock:     c.env.Clock,
@@ -26,7 +26,8 @@
 	})
 }
 
-// apiAuthority is the election as the users' API sees it, which is made after that.
+// apiAuthority implements api.Authority. It looks the election up at each call, because
+// the election is created after the users' API.
 type apiAuthority struct{ controller *Controller }
 
 func (a apiAuthority) MayAct(now time.Duration) bool { return a.controller.election.MayAct(now) }
@@ -41,7 +42,7 @@
 	return a.controller.election.AllMembersReadServices(now)
 }
 
-// apiMembers are the other members as the users' API sees them.
+// apiMembers implements api.Members with the other members.
 type apiMembers struct{ controller *Controller }
 
 func (m apiMembers) Connected(member string) bool {
@@ -54,48 +55,50 @@
 }
 
 func (m apiMembers) Reachability() api.Reachability {
-	seen := api.Reachability{Alone: len(m.controller.peers) > 0}
+	reachability := api.Reachability{Alone: len(m.controller.peers) > 0}
 	for _, p := range m.controller.peers {
-		seen.OtherServed = seen.OtherServed || (p.link != nil && p.stateServiceReachable)
-		seen.Alone = seen.Alone && p.link == nil
+		reachability.OtherServed = reachability.OtherServed || (p.link != nil && p.stateServiceReachable)
+		reachability.Alone = reachability.Alone && p.link == nil
 	}
-	return seen
+	return reachability
 }
 
-// apiCatalogue is what submissions are checked against.
+// apiCatalogue implements api.Catalogue: the teams and machine types that submissions are
+// checked against.
 type apiCatalogue struct{ controller *Controller }
 
-func (s apiCatalogue) Team(name string) *settings.Team { return s.controller.team(name) }
+func (c apiCatalogue) Team(name string) *settings.Team { return c.controller.team(name) }
 
-func (s apiCatalogue) MachineTypes() map[string]*protocol.MachineType {
-	return s.controller.cloud.Catalog()
+func (c apiCatalogue) MachineTypes() map[string]*protocol.MachineType {
+	return c.controller.cloud.Catalog()
 }
 
-// handleJobQuery has a member's question answered, unless its stream has ended meanwhile.
+// handleJobQuery answers a member's query, unless the stream that it came on has ended
+// by then.
 func (c *Controller) handleJobQuery(from *peer, query *meshpb.JobQuery) {
 	link := from.link
 	c.userAPI.HandleJobQuery(query, func(result *meshpb.JobQueryResult) {
-		if from.link == link { // on another stream the number may be another question's
+		if from.link == link { // on another stream the same id may be that of another query
 			result.Id = query.Id
 			from.send(&meshpb.Frame{Body: &meshpb.Frame_JobQueryResult{JobQueryResult: result}})
 		}
 	})
 }
 
-// unavailable refuses a request for now.
-func (c *Controller) unavailableResponse(why string) Response {
-	return c.errorResponse(http.StatusServiceUnavailable, why, 1)
+// unavailableResponse builds a 503 response that asks the client to retry after a second.
+func (c *Controller) unavailableResponse(reason string) Response {
+	return c.errorResponse(http.StatusServiceUnavailable, reason, 1)
 }
 
-// errorResponse refuses a request.
-func (c *Controller) errorResponse(status int, why string, retryAfterS int) Response {
-	return Response{Status: status, Body: c.codec.Encode(protocol.ErrorBody{Error: why}), RetryAfterS: retryAfterS}
+// errorResponse builds a response that rejects a request.
+func (c *Controller) errorResponse(status int, reason string, retryAfterS int) Response {
+	return Response{Status: status, Body: c.codec.Encode(protocol.ErrorBody{Error: reason}), RetryAfterS: retryAfterS}
 }
 
-// HandleHTTP takes a request and calls reply once, now or later.
+// HandleHTTP handles a request. It calls reply once, before it returns or later.
 func (c *Controller) HandleHTTP(req *Request, reply func(Response)) {
 	path, _, _ := strings.Cut(req.Path, "?")
-	need := func(method string) bool {
+	requireMethod := func(method string) bool {
 		if req.Method != method {
 			reply(c.errorResponse(405, "wrong method", 0))
 			return false
@@ -105,23 +108,23 @@
 	rest, isJob := strings.CutPrefix(path, "/submissions/")
 	switch {
 	case path == "/ready":
-		if need("GET") {
+		if requireMethod("GET") {
 			c.userAPI.Ready(reply)
 		}
 	case path == heartbeatPath:
-		if need("POST") {
+		if requireMethod("POST") {
 			c.handleHeartbeat(req, reply)
 		}
 	case path == "/submissions":
-		if need("POST") {
+		if requireMethod("POST") {
 			c.userAPI.Submit(req.Body, reply)
 		}
 	case isJob && strings.HasSuffix(rest, "/abort") && !strings.Contains(strings.TrimSuffix(rest, "/abort"), "/"):
-		if need("POST") {
+		if requireMethod("POST") {
 			c.userAPI.Cancel(strings.TrimSuffix(rest, "/abort"), reply)
 		}
 	case isJob && rest != "" && !strings.Contains(rest, "/"):
-		if need("GET") {
+		if requireMethod("GET") {
 			c.userAPI.Status(rest, reply)
 		}
 	default:
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -10,13 +10,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// The meeting before all others: the state service refuses the leader alone,
-// another member confirms a cancellation, then the state service is down for
-// everybody, for longer than a cancellation has, while workers send heartbeats to whoever
-// answers them. Whoever answers a heartbeat must then know of the cancellation, or
-// cease to answer. checkInvariants looks for what is left of it after cancel_s.
+// The tests of this file guard against a sequence of faults: the state service refuses only
+// the leader, another member confirms a cancellation, and then the state service is down for
+// all members for longer than cancel_s, while machines send heartbeats to any member that
+// answers. A member that answers heartbeats must then know of the cancellation, or stop
+// answering. checkInvariants fails a test if a task of the job is left after cancel_s.
 
-// newLongJobScenario starts a long job of an owner that doesn't lead, and returns both.
+// newLongJobScenario returns a scenario in which two long jobs run: one with 8 tasks, whose
+// owner doesn't lead and whose id it returns, and one with 4 tasks, which the leader owns.
 func newLongJobScenario(t *testing.T, seed uint64) (scenario *faultScenario, lead, owner *simtest.Node, id string) {
 	t.Helper()
 	scenario = newFaultScenario(t, seed, 4)
@@ -28,7 +29,7 @@
 	return scenario, lead, owner, id
 }
 
-// otherNode is the member that is neither.
+// otherNode returns the first node that is neither a nor b.
 func (scenario *faultScenario) otherNode(a, b *simtest.Node) *simtest.Node {
 	for _, name := range scenario.Names {
 		if n := scenario.Nodes[name]; n != a && n != b {
@@ -38,20 +39,20 @@
 	return nil
 }
 
-// playOutageAfterCancellation lets the state service be down for everybody for longer than a
-// cancellation has, and wants the cancelled job's tasks gone by then.
+// playOutageAfterCancellation makes the state service unavailable to all members for longer
+// than cancel_s. The cancelled job's tasks must be gone by then.
 func (scenario *faultScenario) playOutageAfterCancellation(id string) {
 	scenario.T.Helper()
 	if scenario.knownStatus[id] != protocol.StatusCancelled {
 		scenario.T.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
 	}
 	scenario.State.Unavailable[""] = true
-	scenario.play(50, func(int) {}) // check fails the test if something runs on
+	scenario.play(50, func(int) {}) // checkInvariants fails the test if a cancelled task still runs
 	scenario.recoverAndCheck()
 }
 
-// As on the page, at several lengths of the refusal, whoever owns the job and
-// whoever confirms.
+// The sequence described above: for several durations of the refusal, each owner of the job,
+// disconnected members, jobs and services.
 func TestCancellationBetweenLeaderRefusalAndOutage(t *testing.T) {
 	for _, refused := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
 		for _, owns := range []string{"leader", "confirming", "third"} {
@@ -93,7 +94,7 @@
 		scenario.Advance(100 * time.Millisecond)
 	}
 	if owns == "third" {
-		scenario.restart(third.Name) // it ends with what it knows
+		scenario.restart(third.Name) // its next process does not know of the cancellation
 	}
 	if refused >= 10*time.Second && owns != "third" && mesh == "whole" {
 		requireEqual(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
@@ -103,8 +104,9 @@
 	scenario.recoverAndCheck()
 }
 
-// The end is written and read by others, who confirm it; its writer alone gets no
-// answer, and so does not know. Nothing may wait for that.
+// An owner's write of a job's end is applied, but the owner gets no answer. Other members
+// read the record and confirm the cancellation while the owner does not know of it. The
+// cancellation must not depend on the owner.
 func TestCancellationUnknownToItsOwner(t *testing.T) {
 	scenario, _, owner, id := newLongJobScenario(t, 1)
 	scenario.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
@@ -117,14 +119,14 @@
 	}
 	scenario.query(owner, "ABORT", id)
 	scenario.DeliverAll()
-	scenario.query(scenario.Leader(), "ABORT", id) // reads what is written
+	scenario.query(scenario.Leader(), "ABORT", id) // reads the written record
 	scenario.DeliverAll()
 	scenario.playOutageAfterCancellation(id)
 }
 
-// The owner confirms a cancellation and ends before the leader has heard of it;
-// it is back before the outage, but not with its shard. Its process extends as
-// others do, and nobody is left who knows.
+// An owner confirms a cancellation and crashes before the leader is told. It restarts before
+// the outage but can't acquire its shard. Its new process grants lease extensions like any
+// other member, and no running process knows of the cancellation.
 func TestCancellationSurvivesOwnerCrash(t *testing.T) {
 	scenario, lead, owner, id := newLongJobScenario(t, 2)
 	scenario.Disconnect(lead.Name, owner.Name)
@@ -146,9 +148,10 @@
 	scenario.playOutageAfterCancellation(id)
 }
 
-// An owner has not seen that another member leads now, since its watch tells
-// nothing: it would tell the old leader what is cancelled. It believes the next
-// one, so that this one may go on in the outage; without that all leases would end.
+// An owner's watch reports nothing, so it does not see that another member leads now, and it
+// would report a cancellation to the old leader. The owner must accept the new leader from that
+// leader's own messages, so that the new leader can continue in the outage. Otherwise all leases
+// would end.
 func TestOwnerUnawareOfTheNextLeader(t *testing.T) {
 	scenario, lead, owner, id := newLongJobScenario(t, 3)
 	scenario.submit(owner, 2)
@@ -164,6 +167,6 @@
 	started := scenario.startedTasks
 	scenario.State.Unavailable[""] = true
 	scenario.play(50, func(int) {})
-	requireEqual(t, "running, started anew", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
+	requireEqual(t, "running tasks, tasks started in the outage", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
 	scenario.playOutageAfterCancellation(id)
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -1,13 +1,13 @@
-// Package coordination is the inside of a controller: the shards that it holds
-// with the jobs in them, leadership of the fleet, placement, autoscaling, users'
-// requests and recovery.
+// Package coordination implements a controller: the shards that it holds with their
+// jobs, leadership of the fleet, placement, autoscaling, users' requests and
+// recovery.
 //
-// It owns all of a controller's state but for what it holds at the state service
-// and may act on, which package election decides. It promises that all of its
-// state belongs to one goroutine: the world reaches it as commands on an
-// EventLoop, and it reaches the world through the interfaces of Env.
+// It owns all of a controller's state except which keys of the state service the
+// controller holds and may act on; package election decides that. All of its state
+// belongs to one goroutine: input reaches it as commands on an EventLoop, and it
+// reaches the outside through the interfaces of Env.
 //
-// It never opens a connection, starts a goroutine or waits.
+// It never opens a connection, starts a goroutine or blocks.
 package coordination
 
 import (
@@ -31,22 +31,23 @@
 )
 
 const (
-	responseLifetime   = 4 * time.Second        // agents of machines drop responses that are older
-	stateRetryInterval = 400 * time.Millisecond // after a read that the state service did not answer
+	responseLifetime   = 4 * time.Second        // agents on machines drop responses that are older
+	stateRetryInterval = 400 * time.Millisecond // before a read that the state service did not answer is repeated
 
-	// burstShare is the part of the state service's bursts that one controller uses.
+	// burstShare is the fraction of the state service's burst limits that one controller
+	// uses.
 	burstShare = 0.5
 )
 
-// Env is the outside world.
+// Env has the interfaces through which a Controller reaches the outside.
 type Env struct {
-	Clock storage.Clock    // steady; all spans and deadlines are on it
-	Wall  func() time.Time // for what users see
+	Clock storage.Clock    // monotonic; the clock of all durations and deadlines
+	Wall  func() time.Time // the time of day, for what users see
 	Rand  *rand.Rand
-	State storage.Caller // of the state service
-	Cloud storage.Caller // of the cloud
+	State storage.Caller // sends requests to the state service
+	Cloud storage.Caller // sends requests to the cloud
 	Log   zerolog.Logger
-	Audit func(audit.Record) // takes records of admissions without waiting; nil: none are kept
+	Audit func(audit.Record) // writes a record of an admission without blocking; nil: none are written
 }
 
 // Controller is the state of one controller. Only the goroutine that runs its
@@ -60,13 +61,13 @@
 	log    zerolog.Logger
 
 	startedAt time.Duration
-	identity  storage.Holder // of this process, in the keys that it holds
+	identity  storage.Holder // written into the keys that this process holds
 
-	deferredCalls  []func()        // to be called before the batch ends
-	loopbackFrames []*meshpb.Frame // to this very process, the same
+	deferredCalls  []func()        // called before the batch ends
+	loopbackFrames []*meshpb.Frame // sent to this process itself; delivered before the batch ends
 
 	election   *election.Election
-	peers      map[string]*peer // every other member
+	peers      map[string]*peer // every other member, by name
 	selfPeer   *peer            // this member
 	peerByLink map[Link]*peer
 
@@ -78,15 +79,15 @@
 	subscription subscription
 	forwarder    heartbeatForwarder
 	balancer     heartbeatBalancer
-	cloud        *cloud.Inventory // every member keeps the catalogue
+	cloud        *cloud.Inventory // every member reads the catalog, leader or not
 
 	responseEvents        eventcount.Counter // by responseEvent
 	lastPeerHeartbeat     time.Duration
 	lastFinishedTaskFlush time.Duration
 }
 
-// New builds a controller. incarnation tells this process from earlier ones of
-// the same member. It fails if the settings can't be served.
+// New returns a controller. incarnation distinguishes this process from earlier
+// processes of the same member. New fails if the settings can't be supported.
 func New(cfg *settings.File, tuning settings.Tuning, env Env, incarnation uint64) (*Controller, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
@@ -131,7 +132,7 @@
 	return c, nil
 }
 
-// newIdentity is what a process of a member writes into the keys that it holds.
+// newIdentity returns what a process of a member writes into the keys that it holds.
 func newIdentity(member string, incarnation uint64) storage.Holder {
 	return storage.Holder{
 		Member:       member,
@@ -140,8 +141,9 @@
 	}
 }
 
-// stateServiceLimits are what this process uses of the state service at first,
-// when all members are thought to use it.
+// stateServiceLimits returns the limits of this process's use of the state service
+// from its start on. Until the rates are set again, the process assumes that all
+// members use the state service.
 func (c *Controller) stateServiceLimits() storage.Limits {
 	rps, writeRPS := c.stateServiceShare(1 + len(c.cfg.Peers))
 	limits := c.cfg.Settings.State.Effective()
@@ -156,14 +158,15 @@
 	}
 }
 
-// Tick does what time asks for. It is called about ten times a second.
+// Tick does the periodic work and handles timeouts. It is called about ten times a
+// second.
 func (c *Controller) Tick() {
 	now := c.now()
 	c.store.Poll()
 	c.election.Tick(now)
 	if now-c.lastPeerHeartbeat >= peerHeartbeatInterval {
 		c.lastPeerHeartbeat = now
-		c.subscription.registerShards() // whatever event was missed
+		c.subscription.registerShards() // in case an event that should have caused it was missed
 		c.sendPeerHeartbeats(now)
 	}
 	if now-c.lastFinishedTaskFlush >= storage.FlushInterval {
@@ -181,8 +184,8 @@
 	}
 }
 
-// EndBatch does what the commands of a batch left to do, and sends what they
-// gathered for other members.
+// EndBatch completes the work that the commands of a batch deferred, and sends what
+// they queued for other members.
 func (c *Controller) EndBatch() {
 	for c.batchPending() {
 		c.runDeferred()
@@ -199,14 +202,14 @@
 	}
 }
 
-// batchPending tells whether the batch has left anything to do in this process.
+// batchPending reports whether the batch has left work to do in this process.
 func (c *Controller) batchPending() bool {
 	return len(c.deferredCalls) > 0 || len(c.loopbackFrames) > 0 ||
 		c.owner.HasUnpublished() || c.selfPeer.machineStatuses != nil
 }
 
-// runDeferred delivers the frames to this very process and calls what was put
-// off, frames first.
+// runDeferred delivers the frames that this process sent to itself and calls the
+// deferred functions. A function is called only while no such frame is left.
 func (c *Controller) runDeferred() {
 	for len(c.deferredCalls) > 0 || len(c.loopbackFrames) > 0 {
 		if len(c.loopbackFrames) > 0 {
@@ -221,8 +224,8 @@
 	}
 }
 
-// runLater calls a function before the present batch ends, but not within the
-// call that asked for it.
+// runLater defers a function: it is called before the present batch ends, but not
+// within the caller of runLater.
 func (c *Controller) runLater(fn func()) { c.deferredCalls = append(c.deferredCalls, fn) }
 
 func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
@@ -237,8 +240,8 @@
 	return nil
 }
 
-// workerLeaseTimeout is how long after the arrival of a machine's heartbeat its
-// lease has surely ended.
+// workerLeaseTimeout returns how long after the arrival of a machine's heartbeat the
+// machine's lease is guaranteed to have ended.
 func (c *Controller) workerLeaseTimeout() time.Duration {
 	return seconds(c.cfg.Settings.Workers.LeaseS*election.ClockDriftFactor) + responseLifetime
 }
--- a/internal/coordination/dispatch.go
+++ b/internal/coordination/dispatch.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// dispatch hands a frame of a member to the part of the controller that it is
-// for. Frames that a later version may send are passed over.
+// dispatch passes a member's frame to the part of the controller that handles it.
+// Frames of unknown types, which a later version may send, are ignored.
 func (c *Controller) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_PeerHeartbeat:
@@ -35,7 +35,7 @@
 	}
 }
 
-// dispatch takes what a leader tells the holders of shards.
+// dispatch handles the frames that a leader sends to the owners of shards.
 func (s *subscription) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_ShardRegistered:
@@ -53,7 +53,7 @@
 	}
 }
 
-// dispatch takes what the holders of shards tell their leader.
+// dispatch handles the frames that the owners of shards send to their leader.
 func (l *leader) dispatch(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_RegisterShard:
@@ -67,8 +67,8 @@
 	}
 }
 
-// dispatchToElection takes what members ask and tell each other of the keys that
-// they hold.
+// dispatchToElection handles the requests and responses that members exchange about
+// the keys that they hold.
 func (c *Controller) dispatchToElection(from *peer, frame *meshpb.Frame) {
 	switch body := frame.Body.(type) {
 	case *meshpb.Frame_Handover:
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -10,7 +10,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// newElection prepares the election of a controller whose other parts are ready.
+// newElection returns the election of a controller. The controller's other components
+// must exist already.
 func newElection(c *Controller) *election.Election {
 	peers := make([]election.Peer, 0, len(c.peers))
 	for _, p := range c.peers {
@@ -33,7 +34,7 @@
 	})
 }
 
-// electionShards are the shards that this process holds.
+// electionShards implements election.Shards with the shards that this process holds.
 type electionShards struct{ owner *shard.Owner }
 
 func (s electionShards) Held() iter.Seq2[string, uint64] {
@@ -66,7 +67,8 @@
 
 func (s electionShards) RemoveAll() { s.owner.RemoveAllShards() }
 
-// electionRegistrations tells which shards are registered with a leader.
+// electionRegistrations implements election.Registrations: it reports which shards are
+// registered with a leader.
 type electionRegistrations struct{ controller *Controller }
 
 func (r electionRegistrations) HeldShardsConfirmed() bool {
@@ -77,7 +79,8 @@
 	return r.controller.leader == nil || r.controller.leader.shards.allRegistered()
 }
 
-// electionObserver passes on what the election has decided or seen.
+// electionObserver implements election.Observer: it passes the election's decisions and
+// observations to the controller's other components.
 type electionObserver struct{ controller *Controller }
 
 func (o electionObserver) LeadershipAcquired(fencingToken uint64) {
@@ -96,13 +99,13 @@
 	o.controller.admission.ObserveAll(items)
 }
 
-// Member is the peer's name.
+// Member returns the peer's member name.
 func (p *peer) Member() string { return p.member }
 
-// Connected tells whether there is a stream to the peer.
+// Connected reports whether a stream to the peer is open.
 func (p *peer) Connected() bool { return p.link != nil }
 
-// RequestHandover asks the peer to give a shard up.
+// RequestHandover asks the peer to release a shard.
 func (p *peer) RequestHandover(shard string) {
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_Handover{Handover: &meshpb.Handover{Shard: shard}}})
 }
@@ -112,7 +115,8 @@
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeRequest{UptimeRequest: &meshpb.UptimeRequest{}}})
 }
 
-// RequestLeaseExtension asks the peer not to claim this process's keys for a while.
+// RequestLeaseExtension asks the peer for an extension, for the time of which it does not
+// claim this process's keys.
 func (p *peer) RequestLeaseExtension(request *meshpb.LeaseExtensionRequest) {
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
 }
--- a/internal/coordination/event_loop.go
+++ b/internal/coordination/event_loop.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// EventLoop serializes all that touches a controller's state: whoever brings
-// something posts a function, and the one goroutine that runs Run calls them in
-// batches. Heartbeats of machines wait in a queue of their own: when they all
-// come at once, health checks, users and other members do not wait behind them.
+// EventLoop serializes access to a controller's state. Other goroutines post
+// functions, and the one goroutine that runs Run calls them in batches. Heartbeats of
+// machines have a queue of their own, so that health checks, users' requests and
+// other members' frames do not wait behind them when all machines send at once.
 //
 // Post, TryPost and Stop may be called from any goroutine.
 type EventLoop struct {
@@ -21,7 +21,7 @@
 	tickInterval         = 100 * time.Millisecond
 )
 
-// NewEventLoop makes a loop with empty queues.
+// NewEventLoop returns a loop with empty queues.
 func NewEventLoop() *EventLoop {
 	return &EventLoop{
 		commands:   make(chan func(), commandQueueLength),
@@ -30,8 +30,8 @@
 	}
 }
 
-// Post adds a command. It waits while the queue is full, which holds back
-// whoever brings more, and drops the command once the loop has been stopped.
+// Post adds a command. It blocks while the queue is full, which slows the callers
+// down, and drops the command once the loop has been stopped.
 func (e *EventLoop) Post(command func()) {
 	select {
 	case e.commands <- command:
@@ -39,8 +39,9 @@
 	}
 }
 
-// TryPost adds the command that handles a request and tells whether it did: if
-// the queue of the request's class is full, the request is to be refused at once.
+// TryPost adds the command that handles a request and reports whether it did. It
+// fails if the queue of the request's class is full; the caller must then reject the
+// request at once.
 func (e *EventLoop) TryPost(class RequestClass, command func()) bool {
 	queue := e.commands
 	if class == ClassHeartbeat {
@@ -54,12 +55,12 @@
 	}
 }
 
-// Stop ends Run. It must be called once only.
+// Stop ends Run. It must be called only once.
 func (e *EventLoop) Stop() { close(e.stopped) }
 
-// Run calls the commands and ticks the controller on the calling goroutine, until
-// Stop. onIdle is called whenever both queues are empty; it may wait for the
-// next turn of whoever brings more.
+// Run calls the commands and ticks the controller on the calling goroutine until
+// Stop. After a batch that leaves both queues empty it calls onIdle, which may block
+// until the goroutines that post commands have had a turn.
 func (e *EventLoop) Run(controller *Controller, onIdle func()) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -84,7 +85,8 @@
 	}
 }
 
-// drain calls what is queued, up to a batch, commands before heartbeats.
+// drain calls at most maxBatchSize queued commands and heartbeats. A heartbeat is
+// called only while no command is queued.
 func (e *EventLoop) drain() {
 	for range maxBatchSize {
 		select {
--- a/internal/coordination/harness_test.go
+++ b/internal/coordination/harness_test.go
@@ -12,31 +12,31 @@
 // simulation is a deployment of this package's controllers.
 type simulation struct{ *simtest.Deployment }
 
-// newSimulation starts a deployment of some members.
+// newSimulation starts a deployment of the named members.
 func newSimulation(t testing.TB, names ...string) *simulation {
 	t.Helper()
 	return newUpgradeSimulation(t, "", nil, names...)
 }
 
-// newUpgradeSimulation has limits that the state service will have later, and members that
-// run the version before.
-func newUpgradeSimulation(t testing.TB, next string, before []string, names ...string) *simulation {
+// newUpgradeSimulation starts a deployment whose settings announce the next limits of the
+// state service, and some of whose members run the previous version.
+func newUpgradeSimulation(t testing.TB, nextLimits string, previousVersion []string, names ...string) *simulation {
 	t.Helper()
-	sim := prepareSimulation(t, next, before, names...)
+	sim := prepareSimulation(t, nextLimits, previousVersion, names...)
 	sim.StartAll()
 	return sim
 }
 
-// prepareSimulation makes a simulation none of whose processes has started.
-func prepareSimulation(t testing.TB, next string, before []string, names ...string) *simulation {
+// prepareSimulation returns a simulation in which no process has started.
+func prepareSimulation(t testing.TB, nextLimits string, previousVersion []string, names ...string) *simulation {
 	t.Helper()
 	sim := &simulation{}
-	sim.Deployment = simtest.NewDeployment(t, simtest.Options{Members: names, PreviousVersion: before, NextLimits: next,
+	sim.Deployment = simtest.NewDeployment(t, simtest.Options{Members: names, PreviousVersion: previousVersion, NextLimits: nextLimits,
 		TickInterval: tickInterval, NewProcess: newProcess, OnFrame: sim.checkFrame})
 	return sim
 }
 
-// process has the deployment drive a controller.
+// process implements simtest.Process with a controller.
 type process struct{ *Controller }
 
 func newProcess(config simtest.ProcessConfig) (simtest.Process, error) {
@@ -46,13 +46,13 @@
 		return nil, err
 	}
 	if config.PreviousVersion {
-		controller.identity.RecordFormat = 0 // its own key says what that version's does
+		controller.identity.RecordFormat = 0 // the previous version's keys name no record format
 		controller.election = newElection(controller)
 	}
 	return process{controller}, nil
 }
 
-// controllerOf is the controller that a node's present process runs.
+// controllerOf returns the controller that a node's current process runs.
 func controllerOf(n *simtest.Node) *Controller { return n.Process.(process).Controller }
 
 func (p process) HandleHTTP(req *simtest.HTTPRequest, reply func(simtest.HTTPResponse)) {
@@ -66,8 +66,8 @@
 func (p process) Leads() bool                                  { return p.leader != nil }
 func (p process) MayAct() bool                                 { return p.election.MayAct(p.now()) }
 
-// checkFrame checks what a controller sends. To and from a member of the version before
-// only what that version knows gets through.
+// checkFrame checks a frame that a controller sends, and returns it as it arrives. A frame
+// to or from a member that runs the previous version is reduced to what that version knows.
 func (sim *simulation) checkFrame(from, to *simtest.Node, f *meshpb.Frame) *meshpb.Frame {
 	if sim.PreviousVersion[from.Name] {
 		f = withoutUnknownTasks(controllerOf(from), to.Name, f)
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -12,12 +12,12 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-const longerThanAnyLease = 30 * time.Second // any lease with all its margins
+const longerThanAnyLease = 30 * time.Second // every lease, with all its margins, has ended by then
 
-func requireEqual[T comparable](t *testing.T, what string, got, expected T) {
+func requireEqual[T comparable](t *testing.T, what string, got, want T) {
 	t.Helper()
-	if got != expected {
-		t.Fatalf("%s: got %v, want %v", what, got, expected)
+	if got != want {
+		t.Fatalf("%s: got %v, want %v", what, got, want)
 	}
 }
 
@@ -29,22 +29,22 @@
 	}
 }
 
-// runningTasks is how many tasks run on all workers together.
+// runningTasks returns how many tasks run on all machines together.
 func (sim *simulation) runningTasks() int {
-	n := 0
+	count := 0
 	for _, agent := range sim.Agents {
-		n += len(agent.Running())
+		count += len(agent.Running())
 	}
-	return n
+	return count
 }
 
 func TestFinishedJobIsKnownEverywhere(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	at := sim.Follower()
-	requireEqual(t, "submit", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
-	requireEqual(t, "retry", at.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
+	owner := sim.Follower()
+	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
+	requireEqual(t, "retry", owner.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	for _, name := range sim.Names {
 		requireEqual(t, "retry at "+name, sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
@@ -52,13 +52,13 @@
 	requireEqual(t, "running on eight CPUs", len(agent.Running()), 4)
 	agent.FinishTasks("done")
 	sim.Run(3 * time.Second)
-	sim.requireStatus(at, "wk-1", 200, "running")
+	sim.requireStatus(owner, "wk-1", 200, "running")
 	agent.FinishTasks("done")
 	sim.Run(3 * time.Second)
 	for _, name := range sim.Names {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 	}
-	requireEqual(t, "tasks left on the worker", len(agent.Tasks), 0)
+	requireEqual(t, "tasks left on the machine", len(agent.Tasks), 0)
 	sim.CrashAll()
 	sim.Advance(10 * time.Second)
 	sim.StartMembers()
@@ -71,18 +71,18 @@
 	requireEqual(t, "a job nobody submitted", code, 404)
 }
 
-// A transaction without an answer is resolved under a new version before
-// anything is concluded from it, whether it was applied or not.
+// A transaction that got no answer may have been applied or not. Its outcome is resolved
+// under a new version of the key before anything is concluded from it.
 func TestCreationWithUnknownOutcomeIsResolved(t *testing.T) {
 	for _, applied := range []bool{true, false} {
 		t.Run(fmt.Sprint("applied: ", applied), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b")
-			hit := false
+			intercepted := false
 			sim.State.OnTransaction = func(_ string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-				if hit || len(txn.Then) == 0 || !strings.HasPrefix(txn.Then[0].Put, "job/") {
+				if intercepted || len(txn.Then) == 0 || !strings.HasPrefix(txn.Then[0].Put, "job/") {
 					return false
 				}
-				hit = true
+				intercepted = true
 				if applied {
 					apply()
 				}
@@ -139,8 +139,9 @@
 	requireEqual(t, "abort of an unknown job", code, 404)
 }
 
-// While the end of a job is being written another node may tell it already;
-// its owner must not answer from memory then (went_back).
+// While the write of a job's end has no answer yet, another node may already report the end.
+// The owner must not answer from memory then: its older status would contradict the one
+// that users have seen (rule went_back).
 func TestNoStaleStatusWhileTheEndIsWritten(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
@@ -162,7 +163,8 @@
 	requireEqual(t, "abort", r.Status, 200)
 }
 
-// Finished tasks are forgotten by their machine only once they are written.
+// A machine is told to remove its finished tasks only after they are written to the state
+// service.
 func TestFinishedTasksStayOnTheMachineUntilWritten(t *testing.T) {
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -192,7 +194,8 @@
 	requireEqual(t, "starts", agent.Starts, 8)
 }
 
-// Until an owner has registered, all of its shard counts against the limit.
+// Until an owner has registered its shard with a new leader, all tasks of the shard's unfinished
+// jobs count against the team's limit.
 func TestLimitHoldsAcrossFailures(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(8)
@@ -281,8 +284,8 @@
 	requireEqual(t, "a good heartbeat", agent.Heartbeat().Status, 200)
 }
 
-// Work that is accepted has to be held in memory; what would not fit is
-// refused with a time to come back, and known jobs are still known.
+// Accepted jobs are held in memory. A submission that would not fit is rejected with a time
+// for a retry, while requests for known jobs are still answered.
 func TestSubmissionsAreBoundedByMemory(t *testing.T) {
 	sim := newSimulation(t, "a")
 	n := sim.Nodes["a"]
@@ -293,17 +296,17 @@
 			accepted++
 			continue
 		}
-		requireEqual(t, "refusal", fmt.Sprintf("%d %v", r.Status, r.RetryAfterS > 1), "503 true")
+		requireEqual(t, "rejection", fmt.Sprintf("%d %v", r.Status, r.RetryAfterS > 1), "503 true")
 	}
 	requireEqual(t, "accepted", accepted, 3)
 	requireEqual(t, "a known job", n.Submit(simtest.BatchJob("wk-0", 100_000)).Status, 200)
 	code, _ := n.Cancel("wk-0")
 	requireEqual(t, "abort", code, 200)
-	requireEqual(t, "once there is room again", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
+	requireEqual(t, "submit after the cancellation freed memory", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
 }
 
-// A machine that falls silent with a cancelled task on it is returned before
-// the task is overdue, however many others are silent too.
+// A machine that stops sending heartbeats with a cancelled task on it is returned before the
+// cancellation's time limit, however many other machines are silent too.
 func TestCancelledTaskOnSilentMachineEnds(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(9)
@@ -322,8 +325,8 @@
 	requireEqual(t, "still running", sim.runningTasks(), 0)
 }
 
-// An owner that knows a job to be over has what a machine lists of it ended,
-// also if its word to the leader went missing.
+// An owner that knows that a job has ended stops the tasks of it that a machine still lists,
+// also if the leader missed the owner's summary of the job.
 func TestOwnerStopsTasksTheLeaderMissed(t *testing.T) {
 	sim := newSimulation(t, "a", "b")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -334,8 +337,8 @@
 	requireEqual(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
 	requireEqual(t, "abort", code, 200)
-	j := controllerOf(sim.Leader()).leader.jobs.get("wk-1")
-	j.ended = false
+	job := controllerOf(sim.Leader()).leader.jobs.get("wk-1")
+	job.ended = false
 	sim.Run(fullStatusInterval + 3*time.Second)
 	requireEqual(t, "running", len(agent.Running()), 0)
 }
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -14,8 +14,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// A start that a worker was given by a leader that is no more must be proven
-// absent to the new one before another replica goes out.
+// A leader sends starts to machines and crashes. The new leader must not start another
+// replica of a task before it has proof that the crashed leader's start is absent.
 func TestCrashedLeadersStartsAreNotRepeated(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1, agent2 := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -41,7 +41,7 @@
 	requireEqual(t, "starts", agent1.Starts+agent2.Starts, 8)
 }
 
-// A restarted member gets its shard back, also when the leader has it.
+// A restarted member gets its shard back, also when the leader has acquired it.
 func TestShardReturnsToItsMember(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -50,19 +50,19 @@
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) == nil {
-		t.Fatal("the leader did not take the shard")
+		t.Fatal("the leader did not acquire the crashed member's shard")
 	}
 	requireEqual(t, "running", sim.runningTasks(), 2)
 	sim.Start(follower.Name)
 	sim.Run(10 * time.Second)
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) != nil || controllerOf(follower).owner.Shard(follower.Name) == nil {
-		t.Fatal("the shard did not go back")
+		t.Fatal("the shard did not return to the restarted member")
 	}
 	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
-// A restart faster than the lease: the shard and the leader key are taken
-// over at once, and the new fencing token is higher.
+// A leader restarts before its lease expires: the new process acquires the shard and the
+// leader key at once, under a higher fencing token.
 func TestQuickRestartReacquiresItsKeys(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
@@ -74,11 +74,11 @@
 		t.Fatal("the restarted leader does not lead under a new fencing token")
 	}
 	if shard := controllerOf(lead).owner.Shard(lead.Name); shard == nil || !shard.Recovered() {
-		t.Fatal("the restarted member has no shard")
+		t.Fatal("the restarted member has not recovered its shard")
 	}
 }
 
-// A transaction that is applied after its sender was replaced must not count.
+// A transaction that arrives at the state service after its sender was replaced must fail.
 func TestLateTransactionIsFenced(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	follower := sim.Follower()
@@ -91,7 +91,7 @@
 		return false
 	}
 	r := follower.Submit(simtest.BatchJob("wk-1", 2))
-	requireEqual(t, "answered while its fate is open", r.Status, 0)
+	requireEqual(t, "answered while its outcome is unknown", r.Status, 0)
 	sim.Crash(follower.Name)
 	sim.Run(10 * time.Second)
 	requireEqual(t, "late transaction", late().Status, 409)
@@ -99,8 +99,8 @@
 	requireEqual(t, "poll", code, 404)
 }
 
-// One member alone is refused by the state service: it must stop acting
-// before another takes its keys.
+// The state service refuses a single member's requests. That member must stop acting before
+// another member claims its keys.
 func TestMemberRefusedByStateServiceStopsActing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -120,10 +120,10 @@
 		}
 	}
 	if sim.Leader() == lead {
-		t.Fatal("the refused member still leads")
+		t.Fatal("the member that the state service refuses still leads")
 	}
-	// It has heard from the next leader and forwards heartbeats to it; it answers
-	// none by itself.
+	// The member knows the next leader and forwards heartbeats to it. It answers none
+	// by itself.
 	agent.FencingToken = 0
 	if r := agent.HeartbeatTo(lead); r.Status == 200 {
 		requireEqual(t, "fencing token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
@@ -136,8 +136,9 @@
 	requireEqual(t, "ready again", lead.Call("GET", "/ready", nil).Status, 200)
 }
 
-// A member that is silent on the mesh grants no extension: in an outage the
-// holder then stops with its lease, as that member may claim its keys.
+// A disconnected member can't grant a lease extension. In an outage of the state service
+// a holder must then stop acting when its lease ends, because that member may claim its
+// keys.
 func TestLeaseEndsWithoutAllExtensions(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -150,8 +151,8 @@
 	requireEqual(t, "acts while all extend", controllerOf(lead).election.MayAct(sim.Now()), true)
 	sim.Disconnect(lead.Name, sim.Follower().Name)
 	sim.Advance(2500 * time.Millisecond)
-	requireEqual(t, "acts without a extension", controllerOf(lead).election.MayAct(sim.Now()), false)
-	// Heartbeats are refused meanwhile; that is not the machines' silence.
+	requireEqual(t, "acts without the extension of one member", controllerOf(lead).election.MayAct(sim.Now()), false)
+	// Heartbeats are rejected meanwhile. That must not count as silence of the machines.
 	sim.Run(12 * time.Second)
 	sim.Connect(lead.Name, sim.Follower().Name)
 	sim.State.Unavailable[""] = false
@@ -160,10 +161,10 @@
 	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
-// The state service refuses the leader alone, and then everybody: the next
-// leader goes on, although the first has not seen it take the key. Refused its
-// extension, nobody acted until the end of the outage, and nothing was cancelled
-// in time.
+// The state service first refuses only the leader, and then all members. The second leader
+// must continue in the outage, although the first leader has not seen it claim the key and
+// still has to grant it extensions. Without that extension no member would act until the
+// end of the outage, and tasks would not be cancelled in time.
 func TestOutageAfterStateServiceRefusedTheLeader(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -173,95 +174,95 @@
 	sim.State.Unavailable[first.Name] = true
 	sim.Run(10 * time.Second)
 	second := sim.Leader()
-	requireEqual(t, "another leads", second != first, true)
+	requireEqual(t, "another member leads", second != first, true)
 	sim.State.Unavailable[""] = true
-	for range 50 { // longer than a cancellation has
+	for range 50 { // seconds; longer than cancel_s
 		sim.Run(time.Second)
 		if !controllerOf(second).election.MayAct(sim.Now()) {
-			t.Fatal("the leader stops in an outage although everybody extends")
+			t.Fatal("the leader stops acting in an outage although all members grant extensions")
 		}
-		requireEqual(t, "acts that lost its key", controllerOf(first).election.MayAct(sim.Now()), false)
+		requireEqual(t, "the first leader acts without its key", controllerOf(first).election.MayAct(sim.Now()), false)
 	}
 	requireEqual(t, "running", len(agent.Running()), 2)
 	sim.State.Unavailable[""], sim.State.Unavailable[first.Name] = false, false
 	sim.Run(5 * time.Second)
 	code, status := first.Status("wk-1")
-	requireEqual(t, "known to the first", fmt.Sprint(code, status.Status == "running" || status.Status == "pending"), "200 true")
+	requireEqual(t, "the job is known to the first leader", fmt.Sprint(code, status.Status == "running" || status.Status == "pending"), "200 true")
 }
 
-// Whatever is refused to whom, whoever restarts, and whatever transactions are
-// carried out late, two processes never act on the same key.
+// Under random refusals by the state service, restarts, disconnections and transactions
+// that are applied late, two processes never act on the same key at the same time.
 func TestKeyNeverHasTwoHolders(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		sim := newSimulation(t, "a", "b", "c")
-		type late struct {
+		type lateTransaction struct {
 			at    time.Duration
 			apply func() storage.Response
 		}
-		var unanswered []late
-		lateOnes := 0 // of 10
+		var unanswered []lateTransaction
+		lateOfTen := 0 // how many transactions of 10 are applied late, on average
 		sim.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-			if r.IntN(10) >= lateOnes {
+			if r.IntN(10) >= lateOfTen {
 				return false
 			}
-			unanswered = append(unanswered, late{sim.Now() + time.Duration(2000+r.IntN(10000))*time.Millisecond, apply})
+			unanswered = append(unanswered, lateTransaction{sim.Now() + time.Duration(2000+r.IntN(10000))*time.Millisecond, apply})
 			done(storage.Response{})
 			return true
 		}
 		for range 250 {
-			kept := unanswered[:0]
-			for _, l := range unanswered {
-				if l.at <= sim.Now() && !sim.State.Unavailable[""] {
-					l.apply()
+			waiting := unanswered[:0]
+			for _, transaction := range unanswered {
+				if transaction.at <= sim.Now() && !sim.State.Unavailable[""] {
+					transaction.apply()
 					continue
 				}
-				kept = append(kept, l)
+				waiting = append(waiting, transaction)
 			}
-			unanswered = kept
+			unanswered = waiting
 			if r.IntN(20) == 0 {
-				lateOnes = max(0, r.IntN(12)-6)
+				lateOfTen = max(0, r.IntN(12)-6)
 			}
-			n := sim.Names[r.IntN(3)]
+			member := sim.Names[r.IntN(3)]
 			switch r.IntN(30) {
 			case 0:
-				sim.State.Unavailable[n] = !sim.State.Unavailable[n]
+				sim.State.Unavailable[member] = !sim.State.Unavailable[member]
 			case 1:
 				sim.State.Unavailable[""] = !sim.State.Unavailable[""]
 			case 2:
-				if sim.Nodes[n].Up {
-					sim.Crash(n)
+				if sim.Nodes[member].Up {
+					sim.Crash(member)
 				} else {
-					sim.Start(n)
+					sim.Start(member)
 				}
 			case 3:
 				other := sim.Names[r.IntN(3)]
-				if other != n && sim.Nodes[n].Up && sim.Nodes[other].Up {
-					if sim.Nodes[n].Links[other] != nil {
-						sim.Disconnect(n, other)
+				if other != member && sim.Nodes[member].Up && sim.Nodes[other].Up {
+					if sim.Nodes[member].Links[other] != nil {
+						sim.Disconnect(member, other)
 					} else {
-						sim.Connect(n, other)
+						sim.Connect(member, other)
 					}
 				}
 			}
 			sim.Advance(200 * time.Millisecond)
 			leaders := 0
-			held := make(map[string]int)
+			holders := make(map[string]int)
 			for _, name := range sim.Names {
-				x := sim.Nodes[name]
-				if !x.Up || !controllerOf(x).election.MayAct(sim.Now()) {
+				node := sim.Nodes[name]
+				if !node.Up || !controllerOf(node).election.MayAct(sim.Now()) {
 					continue
 				}
-				if controllerOf(x).leader != nil {
+				if controllerOf(node).leader != nil {
 					leaders++
 				}
-				for shard := range controllerOf(x).owner.Shards() {
-					held[shard.Name()]++
+				for shard := range controllerOf(node).owner.Shards() {
+					holders[shard.Name()]++
 				}
 			}
-			for l, k := range held {
-				if k > 1 {
-					t.Fatalf("seed %d: %d members act on shard %s", seed, k, l)
+			for shard, count := range holders {
+				if count > 1 {
+					t.Fatalf("seed %d: %d members act on shard %s", seed, count, shard)
 				}
 			}
 			if leaders > 1 {
@@ -302,8 +303,8 @@
 	requireEqual(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 }
 
-// The answers that name a leader which no worker reaches would lead every
-// worker back to it.
+// A leader that receives no heartbeats must resign. Otherwise the other members' responses
+// would keep redirecting every machine to a leader that no machine reaches.
 func TestLeaderWithoutHeartbeatsResigns(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -311,17 +312,17 @@
 	lead := sim.Leader()
 	sim.Advance(20 * time.Second)
 	if controllerOf(lead).leader != nil {
-		t.Fatal("still leading")
+		t.Fatal("a leader that receives no heartbeats still leads")
 	}
 	next := sim.Leader()
 	sim.Run(10 * time.Second)
 	if sim.Leader() != next {
-		t.Fatal("leadership does not rest")
+		t.Fatal("leadership changed again although heartbeats arrive")
 	}
 }
 
-// An owner that the leader cannot reach gives its shard up: users who cancel
-// there would be told so while the tasks run on.
+// An owner that is disconnected from the leader must release its shard. Otherwise it would
+// confirm users' cancellations while the tasks continue to run.
 func TestOwnerPartitionedFromTheLeaderReleasesItsShard(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -338,13 +339,13 @@
 	sim.Connect(follower.Name, lead.Name)
 	sim.Run(8 * time.Second)
 	if controllerOf(follower).owner.Shard(follower.Name) == nil {
-		t.Fatal("the shard did not come back")
+		t.Fatal("the shard did not return to the reconnected member")
 	}
 	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
-// A shard that is acquired again under the same leader registers again: else its
-// jobs would wait for ever, and their ends would not reach the leader.
+// A shard that is acquired again under the same leader must be registered again. Otherwise
+// its jobs would stay pending for ever, and their ends would not reach the leader.
 func TestReacquiredShardRegistersAgain(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -356,7 +357,7 @@
 	controllerOf(follower).election.ReleaseShard(follower.Name, election.ReleasedToOwnMember)
 	sim.Run(8 * time.Second)
 	if shard := controllerOf(follower).owner.Shard(follower.Name); shard == nil || !shard.Registered() {
-		t.Fatal("the shard has not registered")
+		t.Fatal("the reacquired shard is not registered")
 	}
 	code, status := follower.Cancel("wk-1")
 	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,39 +10,40 @@
 const (
 	peerHeartbeatInterval = time.Second
 
-	// maxHeartbeatsPerFrame is how many forwarded heartbeats or responses go into
-	// one frame, so that it stays within its size however long they are.
+	// maxHeartbeatsPerFrame limits the forwarded heartbeats or responses in one frame,
+	// so that the frame stays within its maximum size however long they are.
 	maxHeartbeatsPerFrame = 12
 )
 
-// Link is an ordered stream of frames to another member, until it is down. It
-// is closed by whoever opened it, and here only if it is not wanted.
+// Link is an ordered stream of frames to another member, until it is down. The
+// transport that opened it closes it; this package closes only links to unknown
+// members.
 type Link interface {
 	Send(*meshpb.Frame)
-	// Flush sends what has been buffered.
+	// Flush sends the buffered frames.
 	Flush()
 	Close()
 }
 
-// peer is a member as this one sees it. The member itself is one of them,
-// reached by a link that loops back.
+// peer is another member, as this one sees it. This member is also a peer of itself,
+// over a loopback link.
 type peer struct {
 	member      string
-	index       int    // dense; this member's own is 0
+	index       int    // from 1 on without gaps; this member's own is 0
 	link        Link   // nil while down
-	streamCount uint64 // streams so far
+	streamCount uint64 // streams opened so far
 
-	// Gathered until the next flush.
+	// Queued until the next flush.
 	machineStatuses     *meshpb.MachineStatuses
-	batchedItems        int // in machineStatuses
+	batchedItems        int // tasks and images in machineStatuses
 	forwardedHeartbeats []*meshpb.ForwardedHeartbeat
 	heartbeatResponses  []*meshpb.HeartbeatResponse
 
-	stateServiceReachable bool   // as it said last
-	lastQuotaSequence     uint64 // of its last quota demands on this stream
+	stateServiceReachable bool   // by its last heartbeat
+	lastQuotaSequence     uint64 // sequence number of its last quota demands on this stream
 }
 
-// send sends a frame after all that has been gathered.
+// send sends a frame after everything that is queued for the peer.
 func (p *peer) send(frame *meshpb.Frame) {
 	p.flush()
 	if p.link != nil {
@@ -50,8 +51,8 @@
 	}
 }
 
-// statusBatch returns the machine statuses that go out together, to add one to.
-// Their clock is that of the last.
+// statusBatch returns the queued frame of machine statuses, for the caller to add one.
+// It sets the frame's clock to now, so the clock of a frame is that of its last status.
 func (p *peer) statusBatch(now time.Duration) *meshpb.MachineStatuses {
 	if p.machineStatuses == nil {
 		p.machineStatuses = &meshpb.MachineStatuses{}
@@ -60,7 +61,7 @@
 	return p.machineStatuses
 }
 
-// flush sends what has been gathered.
+// flush sends what is queued.
 func (p *peer) flush() {
 	statuses, heartbeats, responses := p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses
 	p.discardBatch()
@@ -79,7 +80,7 @@
 	}
 }
 
-// discardBatch forgets what has been gathered.
+// discardBatch discards what is queued.
 func (p *peer) discardBatch() {
 	p.machineStatuses, p.forwardedHeartbeats, p.heartbeatResponses = nil, nil, nil
 }
@@ -92,8 +93,8 @@
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtension{LeaseExtension: extension}})
 }
 
-// loopbackLink delivers frames to this very process, once the command that sent
-// them is done.
+// loopbackLink delivers frames to this process itself, once the command that sent them
+// has returned.
 type loopbackLink struct{ controller *Controller }
 
 func (l loopbackLink) Send(frame *meshpb.Frame) {
@@ -104,7 +105,7 @@
 
 func (loopbackLink) Close() {}
 
-// LinkUp tells that a stream to a member has begun.
+// LinkUp handles the start of a stream to a member.
 func (c *Controller) LinkUp(link Link, member string) {
 	p := c.peers[member]
 	if p == nil {
@@ -123,7 +124,7 @@
 	c.subscription.registerShards()
 }
 
-// LinkDown tells that a stream has ended.
+// LinkDown handles the end of a stream.
 func (c *Controller) LinkDown(link Link) {
 	p := c.peerByLink[link]
 	if p == nil {
@@ -145,15 +146,16 @@
 	c.forwarder.handlePeerDown(p)
 }
 
-// LinkFrame takes one frame of a stream.
+// LinkFrame handles a frame that arrived on a stream.
 func (c *Controller) LinkFrame(link Link, frame *meshpb.Frame) {
 	if p := c.peerByLink[link]; p != nil {
 		c.dispatch(p, frame)
 	}
 }
 
-// sendPeerHeartbeats tells every member that this one lives and, from a leader
-// that may act, up to when all that machines have reported has been passed on.
+// sendPeerHeartbeats sends a heartbeat to every member, including this one. The heartbeat
+// of a leader that may act also carries the time, on the leader's clock, up to which the
+// leader has passed on everything that machines have reported.
 func (c *Controller) sendPeerHeartbeats(now time.Duration) {
 	c.balancer.rebalance(now, c.leader != nil)
 	c.store.SetRates(c.stateServiceShare(c.activeMembers()))
@@ -181,20 +183,20 @@
 	}
 }
 
-// activeMembers counts the members that use the state service: those in reach,
-// and those that hold a key although they are not.
+// activeMembers returns how many members use the state service: this one, those that
+// are connected, and those that hold a key although they are not connected.
 func (c *Controller) activeMembers() int {
-	n := 1
+	count := 1
 	for _, p := range c.peers {
 		if p.link != nil || c.election.HoldsAnyKey(p.member) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// stateServiceShare is this member's part of the state service's rates if as
-// many members use it.
+// stateServiceShare returns this member's share of the state service's rates if the
+// given number of members use it.
 func (c *Controller) stateServiceShare(members int) (rps, writeRPS float64) {
 	share := c.tuning.WriteShare / float64(members)
 	limits := c.cfg.Settings.State.Effective()
--- a/internal/coordination/previous_version_test.go
+++ b/internal/coordination/previous_version_test.go
@@ -14,13 +14,12 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// A member that runs production's version is played by this one with what it knows
-// less: its key names no version of records, it ignores settings.state.next, and it
-// sends and reads frames by the schema in testdata/production. What else it does is
-// what this version does; the two programs themselves meet on the days of upgrades,
-// see docs/results.md.
+// In these tests a member of production's version is a controller of this version with some
+// differences: its key names no record format, it ignores settings.state.next, and it sends
+// and reads frames by the schema in testdata/production. In all else it behaves as this
+// version does. The two real programs run together in the upgrade runs, see docs/results.md.
 
-// meshSchema is the mesh protocol of the version before.
+// meshSchema is the mesh protocol of the previous version, read once.
 type meshSchema struct {
 	once  sync.Once
 	frame protoreflect.MessageDescriptor
@@ -29,7 +28,7 @@
 
 var previousSchema meshSchema
 
-// descriptor is what a frame is in it.
+// descriptor returns the schema's description of a frame.
 func (s *meshSchema) descriptor(t testing.TB) protoreflect.MessageDescriptor {
 	t.Helper()
 	s.once.Do(func() {
@@ -51,12 +50,13 @@
 		}
 	})
 	if s.err != nil || s.frame == nil {
-		t.Fatalf("the schema of the version before: %v", s.err)
+		t.Fatalf("can't read the schema of the previous version: %v", s.err)
 	}
 	return s.frame
 }
 
-// filter is what is left of a frame where that version sends or reads it.
+// filter returns a frame without the fields that the schema does not have, as the previous
+// version sends or reads it.
 func (s *meshSchema) filter(t testing.TB, f *meshpb.Frame) *meshpb.Frame {
 	t.Helper()
 	raw, err := proto.Marshal(f)
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -7,20 +7,21 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// A service is cancelled at a node that does not lead while machines with its
-// replicas can't be reached, and the leader ends; they go on when they may. faultScenario
-// checks that nothing of it is left after cancel_s, and that nothing starts.
+// A service is cancelled at a node that does not lead while machines that run its replicas
+// are unreachable, and in some cases the leader restarts. The machines become reachable again
+// after some time. faultScenario checks that no replica is left after cancel_s and that none
+// starts.
 func TestCancelledServiceOnUnreachableMachines(t *testing.T) {
 	for name, fault := range map[string]func(agent *simtest.Agent, on bool){
-		"hung": func(agent *simtest.Agent, on bool) { agent.Silent = on },
-		"deaf": func(agent *simtest.Agent, on bool) { agent.LosesResponses = on },
-		"loses its starts": func(agent *simtest.Agent, on bool) {
+		"silent":          func(agent *simtest.Agent, on bool) { agent.Silent = on },
+		"loses responses": func(agent *simtest.Agent, on bool) { agent.LosesResponses = on },
+		"loses responses and starts": func(agent *simtest.Agent, on bool) {
 			agent.LosesResponses, agent.DropsStarts = on, on
 		},
 	} {
 		for _, lasts := range []int{6, 30} {
-			for _, leaderEnds := range []bool{false, true} {
-				t.Run(fmt.Sprint(name, " for ", lasts, " s, leader ends ", leaderEnds), func(t *testing.T) {
+			for _, leaderRestarts := range []bool{false, true} {
+				t.Run(fmt.Sprint(name, " for ", lasts, " s, leader restarts ", leaderRestarts), func(t *testing.T) {
 					t.Parallel()
 					scenario := newFaultScenario(t, uint64(lasts), 6)
 					id := scenario.submitService(scenario.Follower(), 6)
@@ -33,7 +34,7 @@
 					}
 					scenario.query(scenario.Follower(), "ABORT", id)
 					scenario.play(lasts, func(s int) {
-						if s == 2 && leaderEnds {
+						if s == 2 && leaderRestarts {
 							scenario.restart(scenario.Leader().Name)
 						}
 					})
@@ -41,42 +42,43 @@
 						fault(agent, false)
 					}
 					scenario.play(25, func(int) {})
-					requireEqual(t, "left of it", len(scenario.machinesByTask(id)), 0)
+					requireEqual(t, "replicas left of the cancelled service", len(scenario.machinesByTask(id)), 0)
 					scenario.recoverAndCheck()
-					requireEqual(t, "replicas of the other", len(scenario.machinesByTask(other)), 2)
+					requireEqual(t, "replicas of the other service", len(scenario.machinesByTask(other)), 2)
 				})
 			}
 		}
 	}
 }
 
-// A replica ends by itself in the very moment in which its service is cancelled, its
-// owner or the leader ends, both do, or its machine is about to be taken away.
+// A replica of a service ends by itself at the same time as another event: its service is
+// cancelled, its owner, the leader or all controllers restart, its machine is about to be
+// preempted, or a response to its machine is lost.
 func TestReplicaEndsDuringOtherFaults(t *testing.T) {
 	for _, why := range []string{"done", "error"} {
 		for name, event := range map[string]func(scenario *faultScenario, owner *simtest.Node, id string, on *simtest.Agent){
 			"cancelled": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
 				scenario.query(owner, "ABORT", id)
 			},
-			"cancelled nearby": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
+			"cancelled at another node": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
 				scenario.query(scenario.otherNode(owner, scenario.Leader()), "ABORT", id)
 			},
-			"the owner ends": func(scenario *faultScenario, owner *simtest.Node, _ string, _ *simtest.Agent) {
+			"the owner restarts": func(scenario *faultScenario, owner *simtest.Node, _ string, _ *simtest.Agent) {
 				scenario.restart(owner.Name)
 			},
-			"the leader ends": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
+			"the leader restarts": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
 				scenario.restart(scenario.Leader().Name)
 			},
-			"all end": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
+			"all restart": func(scenario *faultScenario, _ *simtest.Node, _ string, _ *simtest.Agent) {
 				scenario.restart("a")
 				scenario.restart("b")
 				scenario.restart("c")
 			},
-			"its machine goes":  func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.PreemptionNotice = 8.0 },
-			"an answer is lost": func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.LosesResponses = true },
+			"its machine is preempted": func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.PreemptionNotice = 8.0 },
+			"responses are lost":       func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.LosesResponses = true },
 		} {
-			for _, sooner := range []bool{false, true} {
-				t.Run(fmt.Sprint(why, ", ", name, ", reported before ", sooner), func(t *testing.T) {
+			for _, reportedBefore := range []bool{false, true} {
+				t.Run(fmt.Sprint(why, ", ", name, ", reported before ", reportedBefore), func(t *testing.T) {
 					t.Parallel()
 					scenario := newFaultScenario(t, 5, 6)
 					owner := scenario.Follower()
@@ -89,11 +91,11 @@
 							task.State, task.Cause = "ended", why
 						}
 					}
-					if sooner {
+					if reportedBefore {
 						on.Heartbeat()
 					}
 					event(scenario, owner, id, on)
-					if !sooner {
+					if !reportedBefore {
 						on.Heartbeat()
 					}
 					scenario.play(20, func(int) {})
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -6,10 +6,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// memoryShareOfJobs is the part of this process's memory that unfinished jobs may take.
+// memoryShareOfJobs is the fraction of this process's memory limit that unfinished jobs
+// may use.
 const memoryShareOfJobs = 0.25
 
-// newOwner makes the owner of this member's shards.
+// newOwner returns the owner of the shards that this process holds.
 func (c *Controller) newOwner() *shard.Owner {
 	return shard.NewOwner(shard.Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
@@ -21,7 +22,7 @@
 	})
 }
 
-// shardLeaderStream is the subscription as the owner sees it.
+// shardLeaderStream implements shard.LeaderStream with the controller's subscription.
 type shardLeaderStream struct{ subscription *subscription }
 
 // RegisterShards implements shard.LeaderStream.
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -11,8 +11,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// In a storm of polls, what many users ask costs few reads: about jobs that
-// nobody submitted, about jobs of an owner that is gone, about jobs long over.
+// Many concurrent status queries cost few reads of the state service, for jobs that were never
+// submitted, for jobs of another member, for jobs whose owner has crashed and for jobs that
+// have ended.
 func TestManyStatusQueriesCostFewReads(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
@@ -28,7 +29,7 @@
 	for i := range jobs {
 		requireEqual(t, "submit", sim.Nodes[other].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 1)).Status, 201)
 	}
-	storm := func(what string, first, status int, most int) {
+	queryAll := func(what string, first, status int, maxRequests int) {
 		t.Helper()
 		before := sim.State.Requests
 		var got []*simtest.HTTPResponse
@@ -42,26 +43,26 @@
 		for _, r := range got {
 			requireEqual(t, what, r.Status, status)
 		}
-		if n := sim.State.Requests - before; n > most {
-			t.Fatalf("%d polls about %s took %d requests", len(got), what, n)
+		if n := sim.State.Requests - before; n > maxRequests {
+			t.Fatalf("%d polls about %s took %d requests, want at most %d", len(got), what, n, maxRequests)
 		}
 	}
-	storm("jobs that nobody submitted", 1000, 404, 20)
-	storm("jobs of another member", 1, 200, 90) // each is read once
-	storm("jobs of another member, again", 1, 200, 20)
+	queryAll("jobs that were never submitted", 1000, 404, 20)
+	queryAll("jobs of another member", 1, 200, 90) // each job is read once
+	queryAll("jobs of another member, again", 1, 200, 20)
 	sim.Crash(other)
-	storm("jobs whose owner is gone", 1, 200, 30)
+	queryAll("jobs whose owner has crashed", 1, 200, 30)
 	sim.Run(10 * time.Second)
 	for i := range jobs {
 		code, _ := follower.Cancel(fmt.Sprint("wk-", i+1))
 		requireEqual(t, "abort", code, 200)
 		sim.Advance(tickInterval)
 	}
-	storm("jobs that are over", 1, 200, 20)
+	queryAll("jobs that have ended", 1, 200, 20)
 }
 
-// A question is never answered by a read that began before it: the job may have
-// been accepted meanwhile, and 404 would have forgotten it.
+// A query must not be answered with the result of a shared read that began before the query:
+// the job may have been accepted in between, and a 404 would deny an accepted job.
 func TestSharedReadsBeginAfterTheQuery(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead, follower := sim.Leader(), sim.Follower()
@@ -70,12 +71,12 @@
 		if from != follower.Name || len(txn.Then) > 0 || held != nil {
 			return false
 		}
-		r := apply() // carried out now, answered later
+		r := apply() // applied now, answered later
 		held = func() { done(r) }
 		return true
 	}
 	var before []*simtest.HTTPResponse
-	for i := range 8 { // enough to be asked about together
+	for i := range 8 { // enough that their records are read together
 		before = append(before, follower.Send("GET", fmt.Sprint("/submissions/wk-", i+1)))
 	}
 	sim.DeliverAll()
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -7,53 +7,54 @@
 )
 
 const (
-	fullStatusInterval  = 10 * time.Second // an unchanged status is published in full again
+	fullStatusInterval  = 10 * time.Second // after this time an unchanged status is published in full again
 	maxMachinesPerFrame = 250
-	maxItemsPerFrame    = 5000 // tasks and images, but for those of a frame's last machine
+	maxItemsPerFrame    = 5000 // tasks and images; a frame's last machine may exceed it
 )
 
-// statusPublisher passes the status of machines on to the members that own shards.
-// It owns the streams to them, and of a machine statusStreams, lastFullStatus and
-// imagesChanged.
+// statusPublisher publishes the statuses of machines to the members that own shards.
+// It owns the streams to them, and the fields statusStreams, lastFullStatus and
+// imagesChanged of every machine.
 //
-// Owners conclude from what a status lacks, so each names the shards for which its
-// list of tasks is complete: those that its receiver has registered.
+// An owner concludes that a task is not on a machine if the status does not list it.
+// Therefore each status names the shards for which its list of tasks is complete:
+// those that its receiver has registered.
 //
-// Why a list is complete for them. The leader leaves out only tasks of jobs whose
-// shard another member has registered. A shard has one such member at a time, so no
-// task of the receiver's own shards is left out. Tasks of jobs that this leader does
-// not know, because its read of the unfinished jobs is late, and tasks of shards
-// that nobody has registered go to every member.
+// The list is complete for them because the leader leaves out only tasks of jobs whose
+// shard another member has registered. A shard is registered by one member at a time,
+// so no task of the receiver's own shards is left out. Tasks of jobs that this leader
+// does not know, because it has not finished reading the unfinished jobs, and tasks of
+// shards that no member has registered go to every subscriber.
 type statusPublisher struct {
-	memberCount      int // of the deployment
+	memberCount      int // of the deployment, this one included
 	subscribers      []*subscriber
 	lastStreamNumber uint64
 }
 
-// subscriber is a member that owns shards, and so one that statuses are published to.
+// subscriber is a member that owns shards, so machine statuses are published to it.
 type subscriber struct {
 	peer              *peer
-	streamNumber      uint64   // changes whenever it has to be told everything anew
+	streamNumber      uint64   // a new number means that every machine has to be published again
 	completeForShards []uint32 // numbers of the shards that it owns
 }
 
-// statusContent is how much of a machine a published status says.
+// statusContent is how much a published status contains about its machine.
 type statusContent int
 
 const (
-	statusPresence  statusContent = iota // a heartbeat came without this leader's fencing token
+	statusPresence  statusContent = iota // only that a heartbeat came; it lacked this leader's fencing token
 	statusUnchanged                      // the tasks are those of the last status
 	statusFull
 )
 
-// subscriptionSummary is what a new subscriber was told.
+// subscriptionSummary counts what a new subscriber was sent.
 type subscriptionSummary struct {
 	machines        int
 	unknownReplicas int // of jobs that the leader did not know when they were listed
 }
 
-// publish writes a machine's status to every subscriber, before its heartbeat is
-// responded to.
+// publish writes a machine's status to every subscriber. It must be called before the
+// response to the machine's heartbeat is sent.
 func (p *statusPublisher) publish(m *machine, content statusContent, now time.Duration) {
 	if content == statusUnchanged && now-m.lastFullStatus > fullStatusInterval {
 		content = statusFull
@@ -67,8 +68,9 @@
 	m.imagesChanged = false
 }
 
-// write writes what is new of a machine to one subscriber. The first that a stream
-// hears of a machine is its name and, once that is current, its whole list.
+// write writes a machine's status to one subscriber. The first status of a machine on
+// a stream comes with the machine's name, and the first current one lists all of its
+// tasks and images.
 func (p *statusPublisher) write(s *subscriber, m *machine, content statusContent, now time.Duration) {
 	for len(m.statusStreams) < p.memberCount {
 		m.statusStreams = append(m.statusStreams, 0)
@@ -93,15 +95,15 @@
 	}
 	batch.Statuses = append(batch.Statuses, status)
 	s.peer.batchedItems += len(status.Tasks) + len(status.Images)
-	// However long machines' lists are, a frame stays within its size.
+	// Keeps the frame within its maximum size however long machines' lists are.
 	if s.peer.batchedItems >= maxItemsPerFrame || len(batch.Statuses) >= maxMachinesPerFrame {
 		s.peer.flush()
 	}
 }
 
-// subscribe writes what every machine last listed to a member that has just
-// registered a shard. What a machine listed whose lease has expired is gone; so is
-// what it listed in an earlier epoch, see endEpoch.
+// subscribe writes what every machine last listed to a member that has just registered
+// a shard. Machines whose lease has expired are left out, because what they listed no
+// longer runs. What a machine listed in an earlier epoch has been removed by endEpoch.
 func (p *statusPublisher) subscribe(to *peer, completeFor []uint32, machines *machineTable, leases machineLeases, now time.Duration) subscriptionSummary {
 	p.lastStreamNumber++
 	target := p.subscriber(to)
@@ -121,7 +123,7 @@
 	return summary
 }
 
-// subscriber returns a member's subscription, or nil.
+// subscriber returns the subscriber of a member, or nil.
 func (p *statusPublisher) subscriber(of *peer) *subscriber {
 	for _, s := range p.subscribers {
 		if s.peer == of {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// unsubscribe forgets a member whose stream has ended.
+// unsubscribe removes a member whose stream has ended.
 func (p *statusPublisher) unsubscribe(of *peer) {
 	for i, s := range p.subscribers {
 		if s.peer == of {
@@ -141,8 +143,8 @@
 	}
 }
 
-// setCompleteForShards takes in anew which shards each subscriber owns. It is called
-// whenever an owner changes, as the statuses that go out from then on say so.
+// setCompleteForShards updates which shards each subscriber owns. It must be called
+// whenever an owner changes, because the statuses sent from then on name these shards.
 func (p *statusPublisher) setCompleteForShards(numbersOwnedBy func(*peer) []uint32) {
 	for _, s := range p.subscribers {
 		s.completeForShards = numbersOwnedBy(s.peer)
@@ -156,13 +158,14 @@
 	}
 }
 
-// ownedByAnother tells whether another member than p owns a replica's shard. Of a
-// replica whose job is not known that can't be said.
+// ownedByAnother reports whether a member other than p is known to own the replica's
+// shard. It returns false for a replica whose job is not known.
 func (r *replicaOnMachine) ownedByAnother(p *peer) bool {
 	return r.job != nil && r.job.shard != nil && r.job.shard.owner != nil && r.job.shard.owner != p
 }
 
-// taskStatusesFor returns what a machine lists that is not surely another member's.
+// taskStatusesFor returns the statuses of the replicas that the machine lists, except
+// those that are known to be another member's.
 func (m *machine) taskStatusesFor(p *peer) []*meshpb.TaskStatus {
 	var tasks []*meshpb.TaskStatus
 	for i := range m.tasks {
@@ -176,13 +179,13 @@
 	return tasks
 }
 
-// unknownReplicas counts the listed replicas whose jobs are not known.
+// unknownReplicas returns how many replicas of unknown jobs the machine lists.
 func (m *machine) unknownReplicas() int {
-	n := 0
+	count := 0
 	for i := range m.tasks {
 		if m.tasks[i].job == nil {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -7,26 +7,27 @@
 	"github.com/cobaltvale/cobaltvale/internal/shard"
 )
 
-// How many jobs and how many commands go into one frame.
+// The limits on the jobs and on the commands in one frame.
 const (
 	maxSummariesPerFrame = 200
 	maxCommandsPerFrame  = 5000
 )
 
-// A frame may take a megabyte; job descriptions in one stay well below that, even
-// if each names as many machine types as it may.
+// A frame may take at most 1 MB. The job summaries in one stay well below that, even if
+// each names as many machine types as is allowed.
 const (
 	maxSummaryFrameBytes = 512 << 10
-	summaryBaseBytes     = 256 // of a job's fields that have no names
+	summaryBaseBytes     = 256 // allowance for a job's fields that are not strings
 )
 
-// countSummariesThatFit is how many of the jobs go into one frame.
+// countSummariesThatFit returns how many of the jobs, from the first on, fit into one
+// frame.
 func countSummariesThatFit(jobs []*meshpb.JobSummary) int {
 	size := 0
-	for i, d := range jobs {
-		size += summaryBaseBytes + len(d.Job) + len(d.Team) + len(d.Class) + len(d.Image) + len(d.Zone)
-		for _, t := range d.Types {
-			size += len(t)
+	for i, job := range jobs {
+		size += summaryBaseBytes + len(job.Job) + len(job.Team) + len(job.Class) + len(job.Image) + len(job.Zone)
+		for _, machineType := range job.Types {
+			size += len(machineType)
 		}
 		if i == maxSummariesPerFrame || (i > 0 && size > maxSummaryFrameBytes) {
 			return i
@@ -35,9 +36,9 @@
 	return len(jobs)
 }
 
-// subscription is the owner's end of the leader's ordered stream of frames. It tells
-// whose frames count, and decides nothing else. It lasts as long as its link and its
-// leader's fencing token.
+// subscription is the owner's end of the leader's ordered stream of frames. It decides
+// which member's frames are accepted, and nothing else. It ends with its link and
+// with its leader's fencing token.
 type subscription struct {
 	controller   *Controller
 	leader       *peer
@@ -49,13 +50,14 @@
 	s.controller.owner.ResetStream()
 }
 
-// allRegistered tells whether the leader has confirmed every shard of this
-// process that is recovered.
+// allRegistered reports whether a leader is known and has confirmed every shard that
+// this process has recovered.
 func (s *subscription) allRegistered() bool {
 	return s.controller.owner.AllRegistrationsConfirmed() && s.leader != nil
 }
 
-// registerShards offers this process's shards to the member that leads now.
+// registerShards registers this process's shards with the member that leads now, and
+// resets the subscription if the leader changed or is not connected.
 func (s *subscription) registerShards() {
 	c := s.controller
 	leadership, known := c.election.Leader()
@@ -84,7 +86,7 @@
 	}
 }
 
-// registerShard tells the leader of a shard and its jobs.
+// registerShard sends the leader the registration of a shard with its jobs.
 func (s *subscription) registerShard(held *shard.Shard) {
 	jobs := s.controller.owner.BeginRegistration(held)
 	for {
@@ -110,7 +112,7 @@
 	}
 }
 
-// publishSummaries tells the leader what has changed of a shard's jobs.
+// publishSummaries sends the leader the summaries of a shard's changed jobs.
 func (s *subscription) publishSummaries(shard string, jobs []*meshpb.JobSummary) {
 	if s.leader == nil || s.leader.link == nil {
 		return
@@ -122,23 +124,24 @@
 	}
 }
 
-// flushCommands sends what has gathered.
+// flushCommands sends the queued commands to the leader.
 func (s *subscription) flushCommands() {
 	for rest := s.controller.owner.TakeCommands(); len(rest) > 0 && s.leader != nil; rest = rest[min(len(rest), maxCommandsPerFrame):] {
 		s.leader.send(&meshpb.Frame{Body: &meshpb.Frame_MachineCommands{MachineCommands: &meshpb.MachineCommands{Commands: rest[:min(len(rest), maxCommandsPerFrame)]}}})
 	}
 }
 
-// handlePeerHeartbeat has losses judged by the leader's clock: a heartbeat tells that every
-// machine's which the leader answered before it has been passed on already.
+// handlePeerHeartbeat expires the leases of machines by the leader's clock. Frames are in
+// order, so every machine heartbeat that the leader answered before it sent this peer
+// heartbeat has already been passed on to this process.
 func (s *subscription) handlePeerHeartbeat(p *peer, b *meshpb.PeerHeartbeat) {
 	if p != s.leader || b.FencingToken != s.fencingToken {
 		return
 	}
 	for held := range s.controller.owner.UnconfirmedShards() {
-		// The leader had not yet heard of its own election when the first
-		// registration came, or this one crosses its answer: registering twice
-		// only starts the clock later.
+		// The first registration arrived before the leader knew of its own election,
+		// or its answer is still on the way. In the latter case registering twice is
+		// harmless: it only moves the start of the clock for losses to a later time.
 		s.registerShard(held)
 	}
 	s.controller.owner.ExpireLeases(b.ClockUs)
@@ -162,8 +165,8 @@
 	}
 }
 
-// handleOffer answers with the tasks that go to the machine. An owner that may
-// not act gives nothing away.
+// handleOffer answers an offer with the tasks that the owner binds to the machine. An
+// owner that may not act binds none.
 func (s *subscription) handleOffer(p *peer, f *meshpb.Offer) {
 	if p != s.leader {
 		return
@@ -175,7 +178,7 @@
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_Bindings{Bindings: bindings}})
 }
 
-// silenceLimit is how long a machine may say nothing before it gets no more
+// silenceLimit returns how long a machine may send no heartbeat before it gets no more
 // offers.
 func (c *Controller) silenceLimit() time.Duration {
 	return seconds(c.cfg.Settings.Workers.HeartbeatIntervalS * c.tuning.SilenceHeartbeats)
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -8,8 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// loweredStateLimits are the limits that the state service has from some moment on, as the
-// settings of this version announce them.
+// loweredStateLimits announces, in the settings of this version, the limits that the state
+// service will have later; see lowerStateLimits.
 const loweredStateLimits = `
 [settings.state.next]
 write_rps = 60.0
@@ -17,12 +17,12 @@
 txn_ops = 3
 `
 
-// lowerStateLimits has the state service hold to lowerLimits from now on.
+// lowerStateLimits makes the state service enforce loweredStateLimits from now on.
 func (scenario *faultScenario) lowerStateLimits() {
 	scenario.State.Limits = &simtest.StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.Now()}
 }
 
-// upgrade ends a member and starts it with this version.
+// upgrade stops a member that runs the previous version and starts it with this version.
 func (scenario *faultScenario) upgrade(name string) {
 	scenario.Crash(name)
 	scenario.Run(2 * time.Second)
@@ -30,7 +30,7 @@
 	scenario.Start(name)
 }
 
-// submitArrays comes with a job or two a second, some large, and some cancellations.
+// submitArrays submits one or two jobs a second, some of them large, and cancels some.
 func (scenario *faultScenario) submitArrays(second int) {
 	scenario.submit(scenario.randomNode(), 1+scenario.rand.IntN(6), "crew", []string{"red", "blue"}[second%2])
 	if second%7 == 0 {
@@ -41,10 +41,11 @@
 	}
 }
 
-// Old and new version side by side: the old one leads, owns and relays, and so does
-// the new one; each takes up what the other wrote. A process that ends before its
-// turn comes back old, also after its neighbours were replaced. Once all are new
-// the state service lowers its limits, and services come.
+// Members of the previous and of this version run together in an upgrade, one member after the
+// other. Members of either version lead, own shards and forward heartbeats, and read what the
+// other version wrote. A member that crashes before its upgrade restarts with the previous
+// version, also after the others were upgraded. Once all run this version, the state service
+// lowers its limits and services are submitted.
 func TestVersionsSideBySide(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,7 +60,7 @@
 	names := []string{"a", "b", "c"}
 	scenario := newFaultScenarioIn(t, newUpgradeSimulation(t, loweredStateLimits, names, names...), seed, 8)
 	scenario.setTaskDuration(2 * time.Second)
-	oldLed, newLed := false, false
+	previousLed, currentLed := false, false
 	order := []string{scenario.Follower().Name, "", ""}
 	if seed%2 == 0 {
 		order[0] = scenario.Leader().Name
@@ -72,9 +73,9 @@
 	script := func(s int) {
 		if lead := scenario.activeLeader(); lead != nil {
 			for _, other := range scenario.Names {
-				beside := scenario.Nodes[other].Up && scenario.PreviousVersion[other] != scenario.PreviousVersion[lead.Name]
-				oldLed = oldLed || (beside && scenario.PreviousVersion[lead.Name])
-				newLed = newLed || (beside && !scenario.PreviousVersion[lead.Name])
+				mixed := scenario.Nodes[other].Up && scenario.PreviousVersion[other] != scenario.PreviousVersion[lead.Name]
+				previousLed = previousLed || (mixed && scenario.PreviousVersion[lead.Name])
+				currentLed = currentLed || (mixed && !scenario.PreviousVersion[lead.Name])
 			}
 		}
 		if s < 64 {
@@ -83,7 +84,7 @@
 		switch s {
 		case 8:
 			scenario.upgrade(order[0])
-		case 14: // one ends before its turn, and comes back old
+		case 14: // a crash before the upgrade: it restarts with the previous version
 			scenario.restart(order[1])
 		case 18:
 			scenario.loseTransactions(0.2, seed%3 == 0)
@@ -91,9 +92,9 @@
 			scenario.upgrade(order[1])
 		case 24:
 			scenario.loseTransactions(0, true)
-		case 26: // the last old one ends, so that a new one leads
+		case 26: // the last member of the previous version stops, so that one of this version leads
 			scenario.Crash(order[2])
-		case 32: // it is back beside new neighbours, and for a while alone
+		case 32: // it returns among members of this version, and from 36 to 42 it is the only one up
 			scenario.Start(order[2])
 		case 36:
 			scenario.Crash(order[0])
@@ -120,14 +121,15 @@
 			services++
 		}
 	}
-	if !oldLed || !newLed || services == 0 {
-		t.Fatalf("an old member led beside new ones: %v, a new one beside old ones: %v, services: %d", oldLed, newLed, services)
+	if !previousLed || !currentLed || services == 0 {
+		t.Fatalf("while both versions ran, a member of the previous version led: %v, one of this version: %v; services: %d", previousLed, currentLed, services)
 	}
 }
 
-// The limits fall while jobs begin, finish and end, and while a shard is acquired:
-// nothing that this version writes is beyond them, nothing that it has begun to
-// write gets stuck, and the rate's refusals cost nobody a job.
+// The state service lowers its limits while jobs are submitted, finish and are cancelled, and
+// while a shard is acquired. Nothing that this version writes may exceed the new limits, no
+// write that it has begun may get stuck, and no job may be lost to writes that the state
+// service refuses for their rate.
 func TestStateLimitsLoweredDuringOperation(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		for step := range 6 {
@@ -147,13 +149,13 @@
 					}
 					if takeover {
 						scenario.Crash(scenario.Leader().Name)
-						scenario.Advance(2 * time.Second) // others acquire its shard about now
+						scenario.Advance(2 * time.Second) // by now other members acquire its shard
 					}
 					scenario.Advance(time.Duration(step) * 100 * time.Millisecond)
 					scenario.lowerStateLimits()
 				})
 				scenario.recoverAndCheck()
-				requireEqual(t, "limits hold", scenario.State.Limits != nil, true)
+				requireEqual(t, "limits are enforced", scenario.State.Limits != nil, true)
 			})
 		}
 	}
