--- a/internal/admission/audit_records.go
+++ b/internal/admission/audit_records.go
@@ -5,16 +5,16 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// newRecord begins the audit's record of a change of what a claim's team has spent,
+// newAuditRecord begins the audit's record of a change of what a claim's team has spent,
 // before the change is made.
-func (c *Control) newRecord(claim *Claim, kind audit.Kind, task int32, replica uint64) audit.Record {
+func (c *Control) newAuditRecord(claim *Claim, kind audit.Kind, task int32, replica uint64) audit.Record {
 	return audit.Record{Kind: kind, Shard: claim.Shard, FencingToken: claim.FencingToken, Team: claim.Team, Job: claim.Job,
 		Task: uint32(task), Replica: replica, Amount: c.manager.LimitedPart(claim.Team, claim.Amount),
 		SpentBefore: c.manager.Spent(claim.Shard, claim.Team)}
 }
 
 // record completes a record and hands it to the audit.
-func (c *Control) record(r audit.Record) {
+func (c *Control) appendAuditRecord(r audit.Record) {
 	if c.config.Audit == nil {
 		return
 	}
@@ -25,7 +25,7 @@
 	r.TimeMs = c.config.Wall().UnixMilli()
 	r.Allocation, r.Limit, r.Revision = c.manager.Allocation(r.Shard, r.Team)
 	r.Revision = max(r.Revision, r.FencingToken) // what the holder before did was before the shard was acquired
-	r.Guarantee = c.guarantee[r.Team]
+	r.Guarantee = c.guarantees[r.Team]
 	c.config.Audit(r)
 }
 
@@ -39,14 +39,14 @@
 
 // recordBlocked records when a team begins to wait for an allocation, and when that
 // is over.
-func (c *Control) recordBlocked(key account, smallest quota.Amount) {
+func (c *Control) recordBlocked(key accountKey, smallest quota.Amount) {
 	blocked := c.manager.Blocked(key.shard, key.team)
-	if blocked == c.blocked[key] {
+	if blocked == c.recordedBlocked[key] {
 		return
 	}
-	r := audit.Record{Kind: audit.Unblocked, Shard: key.shard, FencingToken: c.held[key.shard].fencingToken, Team: key.team, Amount: smallest}
-	if delete(c.blocked, key); blocked {
-		r.Kind, c.blocked[key] = audit.Blocked, true
+	r := audit.Record{Kind: audit.Unblocked, Shard: key.shard, FencingToken: c.heldShards[key.shard].fencingToken, Team: key.team, Amount: smallest}
+	if delete(c.recordedBlocked, key); blocked {
+		r.Kind, c.recordedBlocked[key] = audit.Blocked, true
 	}
-	c.record(r)
+	c.appendAuditRecord(r)
 }
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -33,13 +33,13 @@
 const maxTeamsPerTransfer = 8
 
 // Records is where the teams' records are kept. Callbacks come on the owning goroutine.
-type Records interface {
+type RecordStore interface {
 	QuotaRecords(done func(items []protocol.KeyValue, err error))
 	TransferQuota(transfer *quota.Transfer, done func(storage.TxnResult))
 }
 
 // Shards is what admission asks the owner of this process's shards.
-type Shards interface {
+type ShardOwner interface {
 	// StartableTasks calls visit for each job with tasks that could start now, as far as
 	// anything but their team's limit is concerned.
 	StartableTasks(visit func(claim *Claim, tasks int))
@@ -57,42 +57,42 @@
 	TransferInterval time.Duration
 	MaxTxnOps        int // of the state service
 
-	Records   Records
-	Codec     *protocol.Codec
-	Clock     storage.Clock
-	Wall      func() time.Time
-	Log       zerolog.Logger
-	Audit     func(audit.Record)         // takes records without waiting; nil: none are kept
-	Broadcast func(*meshpb.QuotaDemands) // tells all other members what is lacking
+	RecordStore      RecordStore
+	Codec            *protocol.Codec
+	Clock            storage.Clock
+	Wall             func() time.Time
+	Log              zerolog.Logger
+	Audit            func(audit.Record)         // takes records without waiting; nil: none are kept
+	BroadcastDemands func(*meshpb.QuotaDemands) // tells all other members what is lacking
 }
 
 // Control admits replicas of one process's shards.
 type Control struct {
-	config    Config
-	manager   *quota.Manager // nil without quota.escrow
-	guarantee map[string]quota.Amount
-	shards    Shards
-	held      map[string]*heldShard
+	config     Config
+	manager    *quota.Manager // nil without quota.escrow
+	guarantees map[string]quota.Amount
+	shardOwner ShardOwner
+	heldShards map[string]*heldShard
 
-	readingRecords bool          // the records are being read
-	recordsStale   bool          // they have to be read (again) before anything is planned
-	nextReadAt     time.Duration // not before
-	nextDemandsAt  time.Duration
-	demandSequence uint64
-	blocked        map[account]bool // told to the audit
+	readingRecords  bool          // the records are being read
+	recordsStale    bool          // they have to be read (again) before anything is planned
+	nextReadAt      time.Duration // not before
+	nextDemandsAt   time.Duration
+	demandSequence  uint64
+	recordedBlocked map[accountKey]bool // told to the audit
 
-	dropped         uint64 // messages and records that made no sense
-	droppedLoggedAt time.Duration
+	dropped          uint64 // messages and records that made no sense
+	lastDropLoggedAt time.Duration
 }
 
 // heldShard is a shard that this process holds.
 type heldShard struct {
 	fencingToken uint64
-	complete     bool // all that earlier holders admitted is counted or proven lost
+	reconciled   bool // all that earlier holders admitted is counted or proven lost
 }
 
 // account names a team at a shard.
-type account struct{ shard, team string }
+type accountKey struct{ shard, team string }
 
 // Claim is what each replica of a job's tasks takes of its team's limit.
 type Claim struct {
@@ -106,15 +106,15 @@
 func AmountOf(job *protocol.Job) quota.Amount { return quota.AmountOf(job.CPUs, job.GPUs) }
 
 // New makes a control that holds no shard yet. It fails if a team's name is too long for
-// the key of its record. SetShards has to be called before Tick.
+// the key of its record. SetShardOwner has to be called before Tick.
 func New(config Config) (*Control, error) {
 	c := &Control{config: config}
 	if !config.Enabled {
 		return c, nil
 	}
-	c.held = make(map[string]*heldShard)
-	c.guarantee = make(map[string]quota.Amount)
-	c.blocked = make(map[account]bool)
+	c.heldShards = make(map[string]*heldShard)
+	c.guarantees = make(map[string]quota.Amount)
+	c.recordedBlocked = make(map[accountKey]bool)
 	division := quota.Config{Shards: config.Shards, TransferInterval: config.TransferInterval,
 		TeamsPerTransfer: min(maxTeamsPerTransfer, config.MaxTxnOps)}
 	for _, t := range config.Teams {
@@ -125,14 +125,14 @@
 			return nil, fmt.Errorf("quota.escrow: the name of team %q is too long", t.Name)
 		}
 		division.Teams = append(division.Teams, quota.Team{Name: t.Name, Limit: quota.LimitOf(t.CPUsMax, t.GPUsMax)})
-		c.guarantee[t.Name] = quota.AmountOf(t.CPUs, t.GPUs)
+		c.guarantees[t.Name] = quota.AmountOf(t.CPUs, t.GPUs)
 	}
 	c.manager = quota.New(division)
 	return c, nil
 }
 
-// SetShards names the owner of this process's shards.
-func (c *Control) SetShards(shards Shards) { c.shards = shards }
+// SetShardOwner names the owner of this process's shards.
+func (c *Control) SetShardOwner(shards ShardOwner) { c.shardOwner = shards }
 
 // Enabled tells whether limits are divided at all.
 func (c *Control) Enabled() bool { return c.manager != nil }
@@ -148,52 +148,52 @@
 	return allocation
 }
 
-// OpenShard notes that this process has acquired a shard with a fencing token.
-func (c *Control) OpenShard(shard string, fencingToken uint64) {
+// AddHeldShard notes that this process has acquired a shard with a fencing token.
+func (c *Control) AddHeldShard(shard string, fencingToken uint64) {
 	if c.manager == nil {
 		return
 	}
-	c.held[shard] = &heldShard{fencingToken: fencingToken}
-	c.manager.AcquireShard(shard, fencingToken)
+	c.heldShards[shard] = &heldShard{fencingToken: fencingToken}
+	c.manager.AddHeldShard(shard, fencingToken)
 	c.recordsStale = true
 }
 
-// CloseShard notes that this process holds a shard no more.
-func (c *Control) CloseShard(shard string) {
+// RemoveHeldShard notes that this process holds a shard no more.
+func (c *Control) RemoveHeldShard(shard string) {
 	if c.manager == nil {
 		return
 	}
-	delete(c.held, shard)
-	c.manager.ReleaseShard(shard)
-	for key := range c.blocked {
+	delete(c.heldShards, shard)
+	c.manager.RemoveHeldShard(shard)
+	for key := range c.recordedBlocked {
 		if key.shard == shard {
-			delete(c.blocked, key)
+			delete(c.recordedBlocked, key)
 		}
 	}
 }
 
 // Complete notes that all that earlier holders of a held shard admitted is counted or
 // proven lost.
-func (c *Control) Complete(shard string) {
-	held := c.held[shard]
-	if held == nil || held.complete {
+func (c *Control) MarkReconciled(shard string) {
+	held := c.heldShards[shard]
+	if held == nil || held.reconciled {
 		return
 	}
-	held.complete = true
+	held.reconciled = true
 	c.manager.MarkReconciled(shard)
-	for team := range c.guarantee {
-		c.record(audit.Record{Kind: audit.ShardReconciled, Shard: shard, FencingToken: held.fencingToken, Team: team})
+	for team := range c.guarantees {
+		c.appendAuditRecord(audit.Record{Kind: audit.ShardReconciled, Shard: shard, FencingToken: held.fencingToken, Team: team})
 	}
 }
 
-// IsComplete tells whether Complete was called for a held shard.
-func (c *Control) IsComplete(shard string) bool {
-	held := c.held[shard]
-	return held != nil && held.complete
+// IsReconciled tells whether Complete was called for a held shard.
+func (c *Control) IsReconciled(shard string) bool {
+	held := c.heldShards[shard]
+	return held != nil && held.reconciled
 }
 
 // Admissible is how many of n tasks the claim's allocation has room for.
-func (c *Control) Admissible(claim *Claim, n int) int {
+func (c *Control) AdmissibleCount(claim *Claim, n int) int {
 	if !c.Limited(claim) {
 		return n
 	}
@@ -209,11 +209,11 @@
 	if c.manager.Enforced() {
 		kind = audit.Admitted
 	}
-	r := c.newRecord(claim, kind, task, replica)
+	r := c.newAuditRecord(claim, kind, task, replica)
 	if !c.manager.Admit(claim.Shard, claim.Team, claim.Amount) {
 		return false
 	}
-	c.record(r)
+	c.appendAuditRecord(r)
 	return true
 }
 
@@ -222,9 +222,9 @@
 	if !c.Limited(claim) {
 		return
 	}
-	r := c.newRecord(claim, audit.Released, task, replica)
+	r := c.newAuditRecord(claim, audit.Released, task, replica)
 	c.manager.Release(claim.Shard, claim.Team, claim.Amount)
-	c.record(r)
+	c.appendAuditRecord(r)
 }
 
 // ChargeInherited charges the claim for tasks of which a replica may run that an earlier
@@ -233,14 +233,14 @@
 	if !c.Limited(claim) || tasks == 0 {
 		return
 	}
-	r := c.newRecord(claim, audit.JobRecovered, 0, 0)
+	r := c.newAuditRecord(claim, audit.JobRecovered, 0, 0)
 	c.manager.Charge(claim.Shard, claim.Team, claim.Amount.Mul(tasks))
-	c.record(r)
+	c.appendAuditRecord(r)
 }
 
-// RecordFound notes that the replica of a task charged as inherited is known now.
-func (c *Control) RecordFound(claim *Claim, task int32, replica uint64) {
+// RecordReplicaFound notes that the replica of a task charged as inherited is known now.
+func (c *Control) RecordReplicaFound(claim *Claim, task int32, replica uint64) {
 	if c.Limited(claim) {
-		c.record(c.newRecord(claim, audit.ReplicaFound, task, replica))
+		c.appendAuditRecord(c.newAuditRecord(claim, audit.ReplicaFound, task, replica))
 	}
 }
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -22,16 +22,16 @@
 // fixture is a control of the shard "a" of a single member, whose world the test plays.
 type fixture struct {
 	*Control
-	t         *testing.T
-	now       time.Duration
-	codec     *protocol.Codec
-	version   uint64
-	stored    []protocol.KeyValue
-	readError error
-	reads     int
-	writes    int
-	waiting   int
-	audited   []audit.Record
+	t            *testing.T
+	now          time.Duration
+	codec        *protocol.Codec
+	revision     uint64
+	stored       []protocol.KeyValue
+	readError    error
+	reads        int
+	writes       int
+	pendingTasks int
+	auditRecords []audit.Record
 }
 
 // Now implements storage.Clock.
@@ -46,18 +46,18 @@
 // TransferQuota implements Records: every transfer is applied.
 func (f *fixture) TransferQuota(transfer *quota.Transfer, done func(storage.TxnResult)) {
 	f.writes++
-	f.version++
+	f.revision++
 	f.stored = nil
 	for _, tt := range transfer.Teams {
-		f.stored = append(f.stored, protocol.KeyValue{Key: storage.QuotaKey(tt.Team), Value: f.codec.Encode(tt.Record), Version: f.version})
+		f.stored = append(f.stored, protocol.KeyValue{Key: storage.QuotaKey(tt.Team), Value: f.codec.Encode(tt.Record), Version: f.revision})
 	}
-	done(storage.TxnResult{Outcome: storage.Applied, Revision: f.version})
+	done(storage.TxnResult{Outcome: storage.Applied, Revision: f.revision})
 }
 
 // StartableTasks implements Shards.
 func (f *fixture) StartableTasks(visit func(claim *Claim, tasks int)) {
-	if f.waiting > 0 {
-		visit(claim(), f.waiting)
+	if f.pendingTasks > 0 {
+		visit(claim(), f.pendingTasks)
 	}
 }
 
@@ -81,29 +81,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fixture{t: t, now: time.Second, codec: codec, version: 10}
+	f := &fixture{t: t, now: time.Second, codec: codec, revision: 10}
 	f.Control, err = New(Config{Enabled: true, Shards: []string{"a"}, Teams: []settings.Team{{Name: team, CPUsMax: 2}}, MaxTxnOps: 8,
-		Records: f, Codec: codec, Clock: f, Wall: func() time.Time { return time.Unix(0, 0) }, Log: zerolog.Nop(),
-		Audit: func(r audit.Record) { f.audited = append(f.audited, r) }, Broadcast: func(*meshpb.QuotaDemands) {}})
+		RecordStore: f, Codec: codec, Clock: f, Wall: func() time.Time { return time.Unix(0, 0) }, Log: zerolog.Nop(),
+		Audit: func(r audit.Record) { f.auditRecords = append(f.auditRecords, r) }, BroadcastDemands: func(*meshpb.QuotaDemands) {}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.SetShards(f)
+	f.SetShardOwner(f)
 	return f
 }
 
 // tick lets a second pass in which the member may do anything.
 func (f *fixture) tick() {
 	f.now += time.Second
-	f.Tick(f.now, Entitlement{AllDivideLimits: true, MayAct: true, LeaseValid: true})
+	f.Tick(f.now, TickConditions{AllMembersDivideLimits: true, MayAct: true, LeaseValid: true})
 }
 
 // ready opens the shard and ticks until its allocation is there.
-func (f *fixture) ready() {
+func (f *fixture) acquireReadyShard() {
 	f.t.Helper()
-	f.OpenShard("a", 1)
-	f.Complete("a")
-	f.waiting = 3
+	f.AddHeldShard("a", 1)
+	f.MarkReconciled("a")
+	f.pendingTasks = 3
 	for range 5 {
 		f.tick()
 	}
@@ -117,20 +117,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.OpenShard("a", 1)
-	c.Complete("a")
-	if c.Enabled() || c.Limited(claim()) || c.Admissible(claim(), 100) != 100 || !c.Admit(claim(), 0, 1) {
+	c.AddHeldShard("a", 1)
+	c.MarkReconciled("a")
+	if c.Enabled() || c.Limited(claim()) || c.AdmissibleCount(claim(), 100) != 100 || !c.Admit(claim(), 0, 1) {
 		t.Error("a limit without quota.escrow")
 	}
 	c.Release(claim(), 0, 1)
-	c.CloseShard("a")
-	c.Tick(time.Second, Entitlement{})
+	c.RemoveHeldShard("a")
+	c.Tick(time.Second, TickConditions{})
 }
 
 func TestAdmissionUpToTheAllocation(t *testing.T) {
 	f := newFixture(t)
-	f.ready()
-	if n := f.Admissible(claim(), 3); n != 2 {
+	f.acquireReadyShard()
+	if n := f.AdmissibleCount(claim(), 3); n != 2 {
 		t.Errorf("%d of 3 are admissible, want 2", n)
 	}
 	for i, want := range []bool{true, true, false} {
@@ -147,7 +147,7 @@
 // What an earlier holder admitted counts, so that nothing more fits.
 func TestInheritedReplicasAreCharged(t *testing.T) {
 	f := newFixture(t)
-	f.ready()
+	f.acquireReadyShard()
 	f.ChargeInherited(claim(), 2)
 	if f.Admit(claim(), 0, 1) {
 		t.Error("admitted beside what an earlier holder admitted")
@@ -156,19 +156,19 @@
 
 // Nothing is admitted of a shard until the records were read after it was acquired and
 // what earlier holders admitted is known.
-func TestNothingIsAdmittedBeforeTheShardIsComplete(t *testing.T) {
+func TestNothingIsAdmittedBeforeTheShardIsReconciled(t *testing.T) {
 	f := newFixture(t)
-	f.OpenShard("a", 1)
+	f.AddHeldShard("a", 1)
 	for range 5 {
 		f.tick()
 	}
-	if f.IsComplete("a") || f.Admit(claim(), 0, 1) {
+	if f.IsReconciled("a") || f.Admit(claim(), 0, 1) {
 		t.Error("admitted though earlier holders may have admitted something")
 	}
-	f.Complete("a")
+	f.MarkReconciled("a")
 	f.readError = errors.New("no answer")
-	f.OpenShard("a", 2)
-	f.Complete("a")
+	f.AddHeldShard("a", 2)
+	f.MarkReconciled("a")
 	reads := f.reads
 	for range 3 {
 		f.tick()
@@ -181,19 +181,19 @@
 	}
 }
 
-func TestEntitlement(t *testing.T) {
+func TestTickConditions(t *testing.T) {
 	f := newFixture(t)
-	f.OpenShard("a", 1)
-	f.Complete("a")
-	f.waiting = 1
+	f.AddHeldShard("a", 1)
+	f.MarkReconciled("a")
+	f.pendingTasks = 1
 	for range 5 {
 		f.now += time.Second
-		f.Tick(f.now, Entitlement{AllDivideLimits: true, MayAct: true})
+		f.Tick(f.now, TickConditions{AllMembersDivideLimits: true, MayAct: true})
 	}
 	if f.writes != 0 {
 		t.Errorf("%d transfers without a valid lease", f.writes)
 	}
-	f.Tick(f.now, Entitlement{MayAct: true})
+	f.Tick(f.now, TickConditions{MayAct: true})
 	if !f.Admit(claim(), 0, 1) {
 		t.Error("not admitted while some member does not divide limits")
 	}
@@ -201,11 +201,11 @@
 
 func TestAuditOfAdmissions(t *testing.T) {
 	f := newFixture(t)
-	f.ready()
-	f.audited = nil
+	f.acquireReadyShard()
+	f.auditRecords = nil
 	f.Admit(claim(), 4, 7)
 	f.Release(claim(), 4, 7)
-	f.RecordFound(claim(), 4, 8)
+	f.RecordReplicaFound(claim(), 4, 8)
 	want := []struct {
 		kind          audit.Kind
 		replica       uint64
@@ -215,11 +215,11 @@
 		{audit.Released, 7, quota.AmountOf(1, 0), quota.Amount{}},
 		{audit.ReplicaFound, 8, quota.Amount{}, quota.Amount{}},
 	}
-	if len(f.audited) != len(want) {
-		t.Fatalf("%d records, want %d", len(f.audited), len(want))
+	if len(f.auditRecords) != len(want) {
+		t.Fatalf("%d records, want %d", len(f.auditRecords), len(want))
 	}
 	for i, w := range want {
-		r := f.audited[i]
+		r := f.auditRecords[i]
 		if r.Kind != w.kind || r.Task != 4 || r.Replica != w.replica || r.SpentBefore != w.before || r.SpentAfter != w.after {
 			t.Errorf("record %d: %+v, want %+v", i, r, w)
 		}
@@ -230,7 +230,7 @@
 }
 
 // Messages that make no sense are counted and change nothing.
-func TestSenselessDemandsAreDropped(t *testing.T) {
+func TestInvalidDemandsAreDropped(t *testing.T) {
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for _, test := range []struct {
 		name   string
@@ -243,8 +243,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			from := Sender{Member: "b", LastSequence: 5, Holds: func(string) bool { return test.holds }}
-			if got, want := f.OnDemands(from, test.demand), max(from.LastSequence, test.demand.Seq); got != want {
+			from := Sender{Member: "b", LastSequence: 5, HoldsShard: func(string) bool { return test.holds }}
+			if got, want := f.HandleDemands(from, test.demand), max(from.LastSequence, test.demand.Seq); got != want {
 				t.Errorf("the last sequence is %d, want %d", got, want)
 			}
 			if f.Dropped() != 1 {
@@ -262,8 +262,8 @@
 	}{{"unreadable", true}, {"deleted", false}} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.ready()
-			f.ObserveRecord(team, []byte{0xff}, f.version+1, test.present)
+			f.acquireReadyShard()
+			f.ObserveRecord(team, []byte{0xff}, f.revision+1, test.present)
 			if f.Dropped() != 1 || f.Admit(claim(), 0, 1) {
 				t.Errorf("%d dropped, and the team's tasks are admitted", f.Dropped())
 			}
--- a/internal/admission/demands.go
+++ b/internal/admission/demands.go
@@ -14,26 +14,26 @@
 )
 
 // Entitlement is what this process may do at a time.
-type Entitlement struct {
-	AllDivideLimits bool // every member that has ever started divides limits among the shards
-	MayAct          bool // the keys of the shards are surely still this process's
-	LeaseValid      bool // its lease surely lasts
+type TickConditions struct {
+	AllMembersDivideLimits bool // every member that has ever started divides limits among the shards
+	MayAct                 bool // the keys of the shards are surely still this process's
+	LeaseValid             bool // its lease surely lasts
 }
 
 // Tick does what time asks for. It is called about ten times a second.
-func (c *Control) Tick(now time.Duration, entitlement Entitlement) {
+func (c *Control) Tick(now time.Duration, entitlement TickConditions) {
 	if c.manager == nil {
 		return
 	}
-	c.setEnforced(entitlement.AllDivideLimits)
+	c.setEnforced(entitlement.AllMembersDivideLimits)
 	c.readRecords(now)
 	c.updatePending(now)
-	c.manager.Balance(now)
+	c.manager.UpdateCeilings(now)
 	if entitlement.MayAct {
 		c.broadcastDemands(now)
 	}
 	if entitlement.LeaseValid {
-		c.transfer(now)
+		c.startTransfer(now)
 	}
 }
 
@@ -46,34 +46,34 @@
 }
 
 // pendingAmounts are what a team's tasks that could start would use.
-type pendingAmounts struct{ all, smallest quota.Amount }
+type pendingAmounts struct{ total, smallest quota.Amount }
 
 // updatePending tells the manager what waits, and the leader what has changed of that.
 func (c *Control) updatePending(now time.Duration) {
-	pending := make(map[account]*pendingAmounts)
-	c.shards.StartableTasks(func(claim *Claim, tasks int) {
+	pending := make(map[accountKey]*pendingAmounts)
+	c.shardOwner.StartableTasks(func(claim *Claim, tasks int) {
 		if !c.Limited(claim) {
 			return
 		}
-		key, size := account{claim.Shard, claim.Team}, c.manager.LimitedPart(claim.Team, claim.Amount)
+		key, size := accountKey{claim.Shard, claim.Team}, c.manager.LimitedPart(claim.Team, claim.Amount)
 		if p := pending[key]; p != nil {
-			p.all, p.smallest = p.all.Add(size.Mul(tasks)), p.smallest.Min(size)
+			p.total, p.smallest = p.total.Add(size.Mul(tasks)), p.smallest.Min(size)
 		} else {
 			pending[key] = &pendingAmounts{size.Mul(tasks), size}
 		}
 	})
-	for shard := range c.held {
-		for team := range c.guarantee {
-			key := account{shard, team}
+	for shard := range c.heldShards {
+		for team := range c.guarantees {
+			key := accountKey{shard, team}
 			var p pendingAmounts
 			if waiting := pending[key]; waiting != nil {
 				p = *waiting
 			}
-			c.manager.SetPending(shard, team, p.all, p.smallest, now)
+			c.manager.SetPending(shard, team, p.total, p.smallest, now)
 			c.recordBlocked(key, p.smallest)
 		}
 	}
-	c.shards.AllocationsChanged()
+	c.shardOwner.AllocationsChanged()
 }
 
 // broadcastDemands tells the other members what this one's shards lack.
@@ -90,9 +90,9 @@
 	f := &meshpb.QuotaDemands{Seq: c.demandSequence}
 	for _, d := range demands {
 		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Shard: d.Shard, Team: d.Team, Target: amountToProto(d.Target),
-			SmallestPending: amountToProto(d.SmallestPending), PendingUs: d.Waited.Microseconds()})
+			SmallestPending: amountToProto(d.SmallestPending), PendingUs: d.PendingFor.Microseconds()})
 	}
-	c.config.Broadcast(f)
+	c.config.BroadcastDemands(f)
 }
 
 func amountToProto(a quota.Amount) *meshpb.QuotaAmount {
@@ -109,12 +109,12 @@
 	// LastSequence is the number of its last demands on this stream.
 	LastSequence uint64
 	// Holds tells whether it holds a shard, as far as this member knows.
-	Holds func(shard string) bool
+	HoldsShard func(shard string) bool
 }
 
-// OnDemands takes what another member lacks, and returns the number of its last demands.
+// HandleDemands takes what another member lacks, and returns the number of its last demands.
 // They count only for shards that the member holds.
-func (c *Control) OnDemands(from Sender, f *meshpb.QuotaDemands) (lastSequence uint64) {
+func (c *Control) HandleDemands(from Sender, f *meshpb.QuotaDemands) (lastSequence uint64) {
 	if c.manager == nil {
 		return from.LastSequence
 	}
@@ -123,14 +123,14 @@
 		return from.LastSequence
 	}
 	for _, d := range f.Demands {
-		if !from.Holds(d.Shard) {
+		if !from.HoldsShard(d.Shard) {
 			c.drop(dropNotHolder, from.Member)
 			continue
 		}
 		demand := quota.Demand{Shard: d.Shard, Team: d.Team, Target: amountFromProto(d.Target), SmallestPending: amountFromProto(d.SmallestPending),
-			Waited: time.Duration(d.PendingUs) * time.Microsecond}
+			PendingFor: time.Duration(d.PendingUs) * time.Microsecond}
 		if err := c.manager.ObserveDemand(demand, c.config.Clock.Now()); err != nil {
-			c.dropWith(dropMalformed, err, from.Member)
+			c.dropWithError(dropMalformed, err, from.Member)
 		}
 	}
 	return f.Seq
@@ -160,15 +160,15 @@
 func (c *Control) Dropped() uint64 { return c.dropped }
 
 // drop counts what made no sense and was dropped, with a line now and then.
-func (c *Control) drop(reason dropReason, from string) { c.dropWith(reason, nil, from) }
+func (c *Control) drop(reason dropReason, from string) { c.dropWithError(reason, nil, from) }
 
-// dropWith is drop with the error that tells more.
-func (c *Control) dropWith(reason dropReason, err error, from string) {
+// dropWithError is drop with the error that tells more.
+func (c *Control) dropWithError(reason dropReason, err error, from string) {
 	c.dropped++
 	now := c.config.Clock.Now()
-	if c.droppedLoggedAt != 0 && now-c.droppedLoggedAt < droppedLogInterval {
+	if c.lastDropLoggedAt != 0 && now-c.lastDropLoggedAt < droppedLogInterval {
 		return
 	}
-	c.droppedLoggedAt = now
+	c.lastDropLoggedAt = now
 	c.config.Log.Error().Stringer("reason", reason).AnErr("error", err).Str("from", from).Uint64("dropped", c.dropped).Msg("quota message dropped")
 }
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -8,8 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// recordsReadRetry is after how long a read of the records is tried again.
-const recordsReadRetry = 300 * time.Millisecond
+// recordsReadRetryInterval is after how long a read of the records is tried again.
+const recordsReadRetryInterval = 300 * time.Millisecond
 
 // ObserveRecord takes a team's record, or its absence, as the watch shows it.
 func (c *Control) ObserveRecord(team string, value []byte, version uint64, present bool) {
@@ -18,21 +18,21 @@
 		return
 	case !present:
 		// Nobody drops records; whoever did it by hand has to write it anew.
-		c.manager.ObserveUnreadable(team, version)
+		c.manager.ObserveUnreadableRecord(team, version)
 		c.drop(dropRecordDeleted, storage.QuotaKey(team))
 		return
 	}
 	var r quota.Record
 	if err := c.config.Codec.Decode(value, &r); err != nil {
-		c.manager.ObserveUnreadable(team, version)
-		c.dropWith(dropRecordUnreadable, err, storage.QuotaKey(team))
+		c.manager.ObserveUnreadableRecord(team, version)
+		c.dropWithError(dropRecordUnreadable, err, storage.QuotaKey(team))
 		return
 	}
-	c.manager.Observe(team, r, version)
+	c.manager.ObserveRecord(team, r, version)
 }
 
-// ObserveAll takes a listing that has every record that there is.
-func (c *Control) ObserveAll(items []protocol.KeyValue) {
+// ObserveAbsentRecords takes a listing that has every record that there is.
+func (c *Control) ObserveAbsentRecords(items []protocol.KeyValue) {
 	if c.manager == nil {
 		return
 	}
@@ -42,9 +42,9 @@
 			seen[team] = true
 		}
 	}
-	for team := range c.guarantee {
+	for team := range c.guarantees {
 		if !seen[team] {
-			c.manager.ObserveAbsent(team)
+			c.manager.ObserveAbsentRecord(team)
 		}
 	}
 }
@@ -56,14 +56,14 @@
 		return
 	}
 	c.readingRecords, c.recordsStale = true, false
-	before := make(map[string]*heldShard, len(c.held)) // that were acquired before this read
-	for name, shard := range c.held {
+	before := make(map[string]*heldShard, len(c.heldShards)) // that were acquired before this read
+	for name, shard := range c.heldShards {
 		before[name] = shard
 	}
-	c.config.Records.QuotaRecords(func(items []protocol.KeyValue, err error) {
+	c.config.RecordStore.QuotaRecords(func(items []protocol.KeyValue, err error) {
 		c.readingRecords = false
 		if err != nil {
-			c.recordsStale, c.nextReadAt = true, c.config.Clock.Now()+recordsReadRetry
+			c.recordsStale, c.nextReadAt = true, c.config.Clock.Now()+recordsReadRetryInterval
 			return
 		}
 		for _, it := range items {
@@ -71,37 +71,37 @@
 				c.ObserveRecord(team, it.Value, it.Version, true)
 			}
 		}
-		c.ObserveAll(items)
+		c.ObserveAbsentRecords(items)
 		for name, shard := range before {
-			if c.held[name] == shard {
+			if c.heldShards[name] == shard {
 				c.manager.MarkRecordsFresh(name)
 			}
 		}
-		c.shards.AllocationsChanged()
+		c.shardOwner.AllocationsChanged()
 	})
 }
 
 // transfer has the manager's next change of allocations written.
-func (c *Control) transfer(now time.Duration) {
+func (c *Control) startTransfer(now time.Duration) {
 	if c.readingRecords || c.recordsStale {
 		return
 	}
-	for name, version := range c.shards.KeyVersions() {
-		c.manager.UpdateFence(name, version)
+	for name, version := range c.shardOwner.KeyVersions() {
+		c.manager.UpdateKeyVersion(name, version)
 	}
-	transfer := c.manager.Plan(now)
+	transfer := c.manager.PlanTransfer(now)
 	if transfer == nil {
 		return
 	}
-	c.config.Records.TransferQuota(transfer, func(r storage.TxnResult) {
+	c.config.RecordStore.TransferQuota(transfer, func(r storage.TxnResult) {
 		switch r.Outcome {
 		case storage.Applied:
-			c.manager.Applied(r.Revision)
-			c.shards.AllocationsChanged()
+			c.manager.TransferApplied(r.Revision)
+			c.shardOwner.AllocationsChanged()
 		case storage.Rejected:
-			c.manager.NotApplied()
+			c.manager.TransferNotApplied()
 		default:
-			c.manager.OutcomeUnknown()
+			c.manager.TransferOutcomeUnknown()
 			c.recordsStale = true
 		}
 	})
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -12,33 +12,33 @@
 )
 
 // memory is a sink in memory. While it is held nothing is written.
-type memory struct {
+type memorySink struct {
 	bytes.Buffer
-	hold chan struct{}
-	fail bool
+	unblock    chan struct{}
+	failWrites bool
 }
 
-func (m *memory) Write(b []byte) (int, error) {
-	if m.hold != nil {
-		<-m.hold
+func (m *memorySink) Write(b []byte) (int, error) {
+	if m.unblock != nil {
+		<-m.unblock
 	}
-	if m.fail {
+	if m.failWrites {
 		return 0, errors.New("no space")
 	}
 	return m.Buffer.Write(b)
 }
 
-func (*memory) Close() error { return nil }
+func (*memorySink) Close() error { return nil }
 
-func admission(job string, task uint32, after int64) Record {
+func admittedRecord(job string, task uint32, after int64) Record {
 	size := quota.AmountOf(2, 0)
 	return Record{Kind: Admitted, Shard: "a", FencingToken: 3, Team: "red", Revision: 5, Job: job, Task: task, Replica: 1, Amount: size, TimeMs: 1000 + int64(task),
 		SpentBefore: quota.AmountOf(float64(after)-2, 0), SpentAfter: quota.AmountOf(float64(after), 0), Allocation: quota.AmountOf(8, 0), Limit: quota.LimitOf(8, 0), Guarantee: quota.AmountOf(4, 0)}
 }
 
-func written(t *testing.T, records ...Record) []byte {
+func writeStream(t *testing.T, records ...Record) []byte {
 	t.Helper()
-	sink := &memory{}
+	sink := &memorySink{}
 	w, err := NewWriter(sink, Header{Member: "a", Process: "1", StartedMs: 1000}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
@@ -52,9 +52,9 @@
 	return sink.Bytes()
 }
 
-func stream(t *testing.T, records ...Record) *Stream {
+func newStream(t *testing.T, records ...Record) *Stream {
 	t.Helper()
-	s, err := Read("a.audit", written(t, records...))
+	s, err := Read("a.audit", writeStream(t, records...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,9 +64,9 @@
 func TestStreamIsReadAsWritten(t *testing.T) {
 	var records []Record
 	for i := range uint32(3 * recordsPerSegment) {
-		records = append(records, admission("wk-1", i, 2))
+		records = append(records, admittedRecord("wk-1", i, 2))
 	}
-	s := stream(t, records...)
+	s := newStream(t, records...)
 	if len(s.Records) != len(records) || !s.HasLastSegment || s.Dropped != 0 || s.Header.Member != "a" {
 		t.Fatalf("%d records, ended %v, dropped %d, header %+v", len(s.Records), s.HasLastSegment, s.Dropped, s.Header)
 	}
@@ -79,8 +79,8 @@
 }
 
 // Whatever is changed, cut off, left out or added shows, with file and offset.
-func TestDamagedStreamsAreRefused(t *testing.T) {
-	good := written(t, admission("wk-1", 0, 2), admission("wk-1", 1, 4))
+func TestDamagedStreamsAreRejected(t *testing.T) {
+	good := writeStream(t, admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4))
 	for i := range good {
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x10
@@ -117,20 +117,20 @@
 
 // A sink that is slower than the records come makes nobody wait, and what was
 // dropped shows.
-func TestSlowSinkDropsAndSaysSo(t *testing.T) {
-	sink := &memory{}
+func TestSlowSinkDropsAreCounted(t *testing.T) {
+	sink := &memorySink{}
 	w, err := NewWriter(sink, Header{Member: "a"}, func(err error) { t.Error(err) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	sink.hold = make(chan struct{})
+	sink.unblock = make(chan struct{})
 	for i := range uint32(4 * maxQueuedRecords) {
-		w.Append(admission("wk-1", i, 2))
+		w.Append(admittedRecord("wk-1", i, 2))
 	}
 	if w.Dropped() == 0 {
 		t.Fatal("nothing was dropped")
 	}
-	close(sink.hold)
+	close(sink.unblock)
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -138,18 +138,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wantFindings(t, Verify([]*Stream{s}, time.Second), "records were dropped", "")
+	requireFinding(t, Verify([]*Stream{s}, time.Second), "records were dropped", "")
 }
 
 func TestSinkFailureIsReportedOnce(t *testing.T) {
-	sink := &memory{}
+	sink := &memorySink{}
 	failed := make(chan error, 1)
 	w, err := NewWriter(sink, Header{Member: "a"}, func(err error) { failed <- err })
 	if err != nil {
 		t.Fatal(err)
 	}
-	sink.fail = true
-	w.Append(admission("wk-1", 0, 2))
+	sink.failWrites = true
+	w.Append(admittedRecord("wk-1", 0, 2))
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// wantFindings looks for a text in a report's findings, or for none of a kind.
-func wantFindings(t *testing.T, r *Report, text string, kind FindingKind) {
+// requireFinding looks for a text in a report's findings, or for none of a kind.
+func requireFinding(t *testing.T, r *Report, text string, kind FindingKind) {
 	t.Helper()
 	for _, f := range r.Findings {
 		if text != "" && strings.Contains(f.Text, text) && (kind == "" || f.Kind == kind) {
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestVerifyFindsWhatIsWrong(t *testing.T) {
+func TestVerifyFindsViolations(t *testing.T) {
 	release := func(r Record) Record {
 		r.Kind, r.SpentBefore, r.SpentAfter = Released, r.SpentAfter, r.SpentBefore
 		return r
@@ -184,8 +184,8 @@
 		r.Shard, r.FencingToken = shard, fencingToken
 		return r
 	}
-	a0, a1 := admission("wk-1", 0, 2), admission("wk-1", 1, 4)
-	full := []Record{a0, a1, admission("wk-1", 2, 6), admission("wk-1", 3, 8)}
+	a0, a1 := admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4)
+	full := []Record{a0, a1, admittedRecord("wk-1", 2, 6), admittedRecord("wk-1", 3, 8)}
 	blocked := Record{Kind: Blocked, Shard: "b", FencingToken: 4, Team: "red", Revision: 5, TimeMs: 1100, Amount: quota.AmountOf(2, 0), Limit: quota.LimitOf(8, 0), Guarantee: quota.AmountOf(4, 0)}
 	later := func(ms int64) Record { return at(release(a0), 5, ms) }
 	counted := Record{Kind: JobRecovered, Shard: "a", FencingToken: 9, Team: "red", Revision: 9, TimeMs: 2000, Job: "wk-1", Limit: quota.LimitOf(8, 0)}
@@ -199,14 +199,14 @@
 		kind    FindingKind
 	}{
 		{"all is well", [][]Record{full}, "", ""},
-		{"over the limit", [][]Record{full, {of(admission("wk-2", 0, 2), "b", 4)}}, "is used in all", Overshoot},
-		{"beyond the allocation", [][]Record{{a0, admission("wk-1", 1, 9)}}, "of an allocation", Overshoot},
+		{"over the limit", [][]Record{full, {of(admittedRecord("wk-2", 0, 2), "b", 4)}}, "is used in all", Overshoot},
+		{"beyond the allocation", [][]Record{{a0, admittedRecord("wk-1", 1, 9)}}, "of an allocation", Overshoot},
 		{"admitted twice", [][]Record{{a0}, {of(a0, "b", 4)}}, "is admitted at b while", Overshoot},
-		{"passed on by a new revision, though clocks differ", [][]Record{append(full[:4:4], at(release(full[3]), 5, 9000)), {at(of(admission("wk-2", 0, 2), "b", 4), 6, 500)}}, "", ""},
+		{"passed on by a new revision, though clocks differ", [][]Record{append(full[:4:4], at(release(full[3]), 5, 9000)), {at(of(admittedRecord("wk-2", 0, 2), "b", 4), 6, 500)}}, "", ""},
 		{"released, which nobody admitted", [][]Record{{release(a0)}}, "which nobody admitted", Gap},
 		{"found, which nobody admitted", [][]Record{{counted, found}}, "which nobody admitted", Gap},
 		{"taken over", [][]Record{full[:1], {counted, found, completed}}, "", ""},
-		{"spent does not go on where it ended", [][]Record{{a0, admission("wk-1", 1, 6)}}, "begins with", Gap},
+		{"spent does not go on where it ended", [][]Record{{a0, admittedRecord("wk-1", 1, 6)}}, "begins with", Gap},
 		{"kept from the guarantee", [][]Record{{a0, later(4000)}, {blocked}}, "of its guarantee", GuaranteeUnmet},
 		{"blocked for a moment", [][]Record{{a0, later(1500)}, {blocked}}, "", ""},
 		{"blocked beyond the guarantee", [][]Record{append(full[:3:3], at(release(full[2]), 5, 9000)), {blocked}}, "", ""},
@@ -214,18 +214,18 @@
 		t.Run(c.what, func(t *testing.T) {
 			var streams []*Stream
 			for _, records := range c.streams {
-				streams = append(streams, stream(t, records...))
+				streams = append(streams, newStream(t, records...))
 			}
-			wantFindings(t, Verify(streams, 2*time.Second), c.text, c.kind)
+			requireFinding(t, Verify(streams, 2*time.Second), c.text, c.kind)
 		})
 	}
-	s := stream(t, full...)
+	s := newStream(t, full...)
 	s.Records = append(s.Records[:1:1], s.Records[2:]...)
-	wantFindings(t, Verify([]*Stream{s}, time.Second), "record 3 follows where 2 is due", Gap)
-	s = stream(t, full...)
+	requireFinding(t, Verify([]*Stream{s}, time.Second), "record 3 follows where 2 is due", Gap)
+	s = newStream(t, full...)
 	s.HasLastSegment = false
 	r := Verify([]*Stream{s}, time.Second)
-	wantFindings(t, r, "no last segment", Gap)
+	requireFinding(t, r, "no last segment", Gap)
 	if got := fmt.Sprint(r.Teams[0].Peak, r.Teams[0].Admissions); got != "{8000 0} 4" {
 		t.Errorf("highest use and admissions: %s", got)
 	}
--- a/internal/audit/errors_test.go
+++ b/internal/audit/errors_test.go
@@ -9,8 +9,8 @@
 )
 
 // A caller can tell why a stream can't be read, and where.
-func TestReadErrorsTellTheCause(t *testing.T) {
-	good := written(t, admission("wk-1", 0, 2), admission("wk-1", 1, 4))
+func TestReadErrorsNameTheCause(t *testing.T) {
+	good := writeStream(t, admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4))
 	first := len(fileMagic)
 	second := first + segmentLength(good, first)
 	changed := bytes.Clone(good)
@@ -47,8 +47,8 @@
 
 // A segment whose hash is right but that has no header in the first place, or one in a
 // later place, is not where it was written.
-func TestMisplacedSegmentsAreRefused(t *testing.T) {
-	sink := &memory{}
+func TestMisplacedSegmentsAreRejected(t *testing.T) {
+	sink := &memorySink{}
 	w, err := newWriter(sink, Header{Member: "a"}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -40,7 +40,7 @@
 	if s.Header != header || !s.HasLastSegment || s.Dropped != 0 || len(s.Records) != len(goldenRecords()) {
 		t.Fatalf("got %d records, header %+v, last segment %v, dropped %d", len(s.Records), s.Header, s.HasLastSegment, s.Dropped)
 	}
-	sink := &memory{}
+	sink := &memorySink{}
 	w, err := newWriter(sink, header, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -68,12 +68,12 @@
 	if len(data) < len(fileMagic) || string(data[:len(fileMagic)]) != fileMagic {
 		return nil, &ReadError{Name: name, Err: ErrNotStream}
 	}
-	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxExpandedSegment))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxExpandedSegmentBytes))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	defer decoder.Close()
-	r := &reader{stream: &Stream{Name: name}, data: data, offset: len(fileMagic), decoder: decoder, chain: blake3.Sum256([]byte(fileMagic))}
+	r := &reader{stream: &Stream{Name: name}, data: data, offset: len(fileMagic), decoder: decoder, lastHash: blake3.Sum256([]byte(fileMagic))}
 	for r.offset < len(data) {
 		if err := r.readSegment(); err != nil {
 			return nil, &ReadError{Name: name, Offset: r.offset, Err: err}
@@ -92,7 +92,7 @@
 	offset   int // of the next segment
 	segments int // read so far
 	decoder  *zstd.Decoder
-	chain    [hashBytes]byte
+	lastHash [hashBytes]byte
 }
 
 // readSegment adds the next segment to the stream.
@@ -139,8 +139,8 @@
 		return nil, fmt.Errorf("%w in a segment", ErrTruncated)
 	}
 	payload := rest[lengthBytes+hashBytes:][:length]
-	r.chain = chainHash(r.chain, payload)
-	if string(r.chain[:]) != string(rest[lengthBytes:][:hashBytes]) {
+	r.lastHash = chainHash(r.lastHash, payload)
+	if string(r.lastHash[:]) != string(rest[lengthBytes:][:hashBytes]) {
 		return nil, ErrChainBroken
 	}
 	return payload, nil
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -83,9 +83,9 @@
 // A stream begins with fileMagic. Each segment then has the length of its compressed
 // content (big endian), the hash of it and of all segments before it, and the content.
 const (
-	fileMagic          = "CVAUDIT1"
-	lengthBytes        = 4
-	hashBytes          = 32
-	maxSegmentBytes    = 16 << 20  // compressed
-	maxExpandedSegment = 256 << 20 // expanded
+	fileMagic               = "CVAUDIT1"
+	lengthBytes             = 4
+	hashBytes               = 32
+	maxSegmentBytes         = 16 << 20  // compressed
+	maxExpandedSegmentBytes = 256 << 20 // expanded
 )
--- a/internal/audit/replay.go
+++ b/internal/audit/replay.go
@@ -18,11 +18,11 @@
 	running       map[taskKey]runningReplica
 	inUse         quota.Amount
 	// admissions holds the number of each task's latest replica that was admitted.
-	admissions    map[taskKey]uint64
-	recoveredJobs map[holderKey]map[string]bool // jobs that a holder has read
-	spent         map[holderKey]quota.Amount    // as the holder's last record says
-	blocked       map[holderKey]*blockedSpan
-	lastMs        int64
+	lastAdmittedReplicas map[taskKey]uint64
+	recoveredJobs        map[holderKey]map[string]bool // jobs that a holder has read
+	spent                map[holderKey]quota.Amount    // as the holder's last record says
+	blocked              map[holderKey]*blockedState
+	lastTimeMs           int64
 }
 
 // taskKey names a task: it has one replica at a time.
@@ -44,10 +44,10 @@
 	fencingToken uint64
 }
 
-// blockedSpan is since when a blocked team has been within its guarantee.
-type blockedSpan struct {
+// blockedState is since when a blocked team has been within its guarantee.
+type blockedState struct {
 	smallestPending, guarantee quota.Amount
-	withinMs                   int64 // 0: it is not
+	withinGuaranteeSinceMs     int64 // 0: it is not
 	reported                   bool
 }
 
@@ -55,19 +55,19 @@
 func newReplay(team string, guaranteeWait time.Duration) *replay {
 	return &replay{
 		team: team, guaranteeWait: guaranteeWait, usage: TeamUsage{Team: team},
-		findingCounts: make(map[FindingKind]int),
-		running:       make(map[taskKey]runningReplica),
-		admissions:    make(map[taskKey]uint64),
-		recoveredJobs: make(map[holderKey]map[string]bool),
-		spent:         make(map[holderKey]quota.Amount),
-		blocked:       make(map[holderKey]*blockedSpan),
+		findingCounts:        make(map[FindingKind]int),
+		running:              make(map[taskKey]runningReplica),
+		lastAdmittedReplicas: make(map[taskKey]uint64),
+		recoveredJobs:        make(map[holderKey]map[string]bool),
+		spent:                make(map[holderKey]quota.Amount),
+		blocked:              make(map[holderKey]*blockedState),
 	}
 }
 
 // addFinding keeps a finding, unless there are enough of its kind.
 func (r *replay) addFinding(kind FindingKind, event historyEvent, format string, args ...any) {
 	r.findingCounts[kind]++
-	if r.findingCounts[kind] <= maxFindings {
+	if r.findingCounts[kind] <= maxFindingsPerKind {
 		r.findings = append(r.findings, Finding{Kind: kind, Team: r.team, TimeMs: event.TimeMs, Text: fmt.Sprintf(format, args...)})
 	}
 }
@@ -83,7 +83,7 @@
 		r.addFinding(Gap, event, "record %d of stream %d begins with %v spent at %s, the one before ended with %v", event.Seq, event.stream, event.SpentBefore, event.Shard, before)
 	}
 	r.spent[holder] = event.SpentAfter
-	r.lastMs = max(r.lastMs, event.TimeMs)
+	r.lastTimeMs = max(r.lastTimeMs, event.TimeMs)
 	switch event.Kind {
 	case Admitted, AdmittedUnenforced:
 		r.applyAdmitted(event, holder)
@@ -99,7 +99,7 @@
 	case ShardReconciled:
 		r.applyShardReconciled(holder)
 	case Blocked:
-		r.blocked[holder] = &blockedSpan{smallestPending: event.Amount, guarantee: event.Guarantee}
+		r.blocked[holder] = &blockedState{smallestPending: event.Amount, guarantee: event.Guarantee}
 	case Unblocked:
 		delete(r.blocked, holder)
 	default:
@@ -118,7 +118,7 @@
 		r.inUse = r.inUse.Sub(earlier.amount)
 	}
 	r.running[key] = runningReplica{holder.shard, holder.fencingToken, event.Amount}
-	r.admissions[key] = event.Replica
+	r.lastAdmittedReplicas[key] = event.Replica
 	r.inUse = r.inUse.Add(event.Amount)
 	if event.Kind == Admitted && !event.SpentAfter.Within(event.Allocation) {
 		r.addFinding(Overshoot, event, "%s spends %v of an allocation of %v", event.Shard, event.SpentAfter, event.Allocation)
@@ -163,7 +163,7 @@
 	}
 	// A holder that does not know yet that it was replaced may have recorded the end
 	// of a replica that the next one still finds.
-	if admittedReplica, ok := r.admissions[key]; !ok || admittedReplica != event.Replica {
+	if admittedReplica, ok := r.lastAdmittedReplicas[key]; !ok || admittedReplica != event.Replica {
 		r.addFinding(Gap, event, "%s/%d runs, which nobody admitted", event.Job, event.Task)
 	}
 	r.running[key] = runningReplica{holder.shard, holder.fencingToken, event.Amount}
@@ -192,13 +192,13 @@
 func (r *replay) checkGuarantees(event historyEvent) {
 	for holder, blocked := range r.blocked {
 		if !r.inUse.Add(blocked.smallestPending).Within(blocked.guarantee.Min(event.Limit)) {
-			blocked.withinMs = 0
+			blocked.withinGuaranteeSinceMs = 0
 			continue
 		}
-		if blocked.withinMs == 0 {
-			blocked.withinMs = event.TimeMs
+		if blocked.withinGuaranteeSinceMs == 0 {
+			blocked.withinGuaranteeSinceMs = event.TimeMs
 		}
-		if waited := time.Duration(event.TimeMs-blocked.withinMs) * time.Millisecond; waited > r.guaranteeWait && !blocked.reported {
+		if waited := time.Duration(event.TimeMs-blocked.withinGuaranteeSinceMs) * time.Millisecond; waited > r.guaranteeWait && !blocked.reported {
 			blocked.reported = true
 			r.addFinding(GuaranteeUnmet, event, "tasks of %v wait at %s for %s while the team uses %v of its guarantee of %v",
 				blocked.smallestPending, holder.shard, waited, r.inUse, blocked.guarantee)
@@ -208,10 +208,10 @@
 
 // finish concludes the replay.
 func (r *replay) finish() {
-	r.checkGuarantees(historyEvent{Record: &Record{TimeMs: r.lastMs, Limit: r.usage.Limit}})
+	r.checkGuarantees(historyEvent{Record: &Record{TimeMs: r.lastTimeMs, Limit: r.usage.Limit}})
 	for kind, n := range r.findingCounts {
-		if n > maxFindings {
-			r.findings = append(r.findings, Finding{Kind: kind, Team: r.team, TimeMs: r.lastMs, Text: fmt.Sprintf("%d more of this kind", n-maxFindings)})
+		if n > maxFindingsPerKind {
+			r.findings = append(r.findings, Finding{Kind: kind, Team: r.team, TimeMs: r.lastTimeMs, Text: fmt.Sprintf("%d more of this kind", n-maxFindingsPerKind)})
 		}
 	}
 }
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -47,8 +47,8 @@
 	Findings []Finding
 }
 
-// maxFindings bounds the findings of each team and kind that are told in full.
-const maxFindings = 20
+// maxFindingsPerKind bounds the findings of each team and kind that are told in full.
+const maxFindingsPerKind = 20
 
 // Verify replays the streams of all controllers together. A team is found to be kept from
 // its guarantee if it is blocked within it for longer than guaranteeWait.
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -22,10 +22,10 @@
 // come, records are dropped, and the stream shows how many. Any number of goroutines may
 // use it.
 type Writer struct {
-	sink    io.WriteCloser
-	encoder *zstd.Encoder
-	chain   [hashBytes]byte // of the last segment; the write loop's
-	onError func(error)
+	sink     io.WriteCloser
+	encoder  *zstd.Encoder
+	lastHash [hashBytes]byte // of the last segment; the write loop's
+	onError  func(error)
 
 	mu      sync.Mutex // of seq and dropped
 	seq     uint64
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	w := &Writer{
-		sink: sink, encoder: encoder, chain: blake3.Sum256([]byte(fileMagic)), onError: onError,
+		sink: sink, encoder: encoder, lastHash: blake3.Sum256([]byte(fileMagic)), onError: onError,
 		records: make(chan Record, maxQueuedRecords), closing: make(chan struct{}), done: make(chan struct{}),
 	}
 	if _, err := sink.Write([]byte(fileMagic)); err != nil {
@@ -147,8 +147,8 @@
 	out = w.encoder.EncodeAll(content, out)
 	payload := out[lengthBytes+hashBytes:]
 	binary.BigEndian.PutUint32(out, uint32(len(payload)))
-	w.chain = chainHash(w.chain, payload)
-	copy(out[lengthBytes:], w.chain[:])
+	w.lastHash = chainHash(w.lastHash, payload)
+	copy(out[lengthBytes:], w.lastHash[:])
 	if _, err := w.sink.Write(out); err != nil {
 		return fmt.Errorf("audit: %w", err)
 	}
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -103,7 +103,7 @@
 		for shard := range controllerOf(n).owner.Shards() {
 			shardName := shard.Name()
 			allocation := controllerOf(n).admission.Allocation(shardName, "red")
-			if controllerOf(n).admission.IsComplete(shardName) && !allocation.Within(r.Shares[shardName].Allocation) {
+			if controllerOf(n).admission.IsReconciled(shardName) && !allocation.Within(r.Shares[shardName].Allocation) {
 				scenario.T.Fatalf("%s assumes an allocation of %v for shard %s, the record has %v", name, allocation, shardName, r.Shares[shardName].Allocation)
 			}
 		}
--- a/internal/coordination/admission_wiring.go
+++ b/internal/coordination/admission_wiring.go
@@ -23,14 +23,14 @@
 	return admission.New(admission.Config{
 		Enabled: c.tuning.QuotaEscrow, Shards: shards, Teams: c.cfg.Settings.Teams,
 		TransferInterval: c.tuning.QuotaTransferInterval, MaxTxnOps: c.cfg.Settings.State.Effective().TxnOps,
-		Records: c.store, Codec: c.codec, Clock: c.env.Clock, Wall: c.env.Wall, Log: c.log, Audit: c.env.Audit,
-		Broadcast: c.broadcastQuotaDemands,
+		RecordStore: c.store, Codec: c.codec, Clock: c.env.Clock, Wall: c.env.Wall, Log: c.log, Audit: c.env.Audit,
+		BroadcastDemands: c.broadcastQuotaDemands,
 	})
 }
 
 func (c *Controller) tickAdmission(now time.Duration) {
 	if c.admission.Enabled() {
-		c.admission.Tick(now, admission.Entitlement{AllDivideLimits: c.election.AllMembersDivideLimits(),
+		c.admission.Tick(now, admission.TickConditions{AllMembersDivideLimits: c.election.AllMembersDivideLimits(),
 			MayAct: c.election.MayAct(now), LeaseValid: c.election.LeaseValid(now)})
 	}
 }
@@ -47,5 +47,5 @@
 		holder, held := c.election.ShardHolder(shard)
 		return held && holder == p.member
 	}
-	p.lastQuotaSequence = c.admission.OnDemands(admission.Sender{Member: p.member, LastSequence: p.lastQuotaSequence, Holds: holds}, f)
+	p.lastQuotaSequence = c.admission.HandleDemands(admission.Sender{Member: p.member, LastSequence: p.lastQuotaSequence, HoldsShard: holds}, f)
 }
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -96,7 +96,7 @@
 }
 
 func (o electionObserver) KeysListed(items []protocol.KeyValue) {
-	o.controller.admission.ObserveAll(items)
+	o.controller.admission.ObserveAbsentRecords(items)
 }
 
 // Member returns the peer's member name.
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -10,16 +10,16 @@
 }
 
 const (
-	thousandths = 1000
-	// roundingSlack is how far a product of decimal fractions may lie beside a
+	thousandthsPerUnit = 1000
+	// roundingTolerance is how far a product of decimal fractions may lie beside a
 	// whole number of thousandths.
-	roundingSlack = 1e-6
-	largestAmount = int64(1) << 50
+	roundingTolerance = 1e-6
+	largestAmount     = int64(1) << 50
 )
 
 // AmountOf is the amount of whole and partial CPUs and GPUs that a task uses, rounded up.
 func AmountOf(cpus, gpus float64) Amount {
-	up := func(v float64) int64 { return clamp(math.Ceil(v*thousandths - roundingSlack)) }
+	up := func(v float64) int64 { return clamp(math.Ceil(v*thousandthsPerUnit - roundingTolerance)) }
 	return Amount{CPUs: up(cpus), GPUs: up(gpus)}
 }
 
@@ -33,7 +33,7 @@
 		if v <= 0 {
 			return Unlimited
 		}
-		return clamp(math.Floor(v*thousandths + roundingSlack))
+		return clamp(math.Floor(v*thousandthsPerUnit + roundingTolerance))
 	}
 	return Amount{CPUs: down(cpus), GPUs: down(gpus)}
 }
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -18,7 +18,7 @@
 	Shard, Team     string
 	Target          Amount        // the allocation that it would like
 	SmallestPending Amount        // its smallest pending task
-	Waited          time.Duration // how long none of its tasks has been admitted
+	PendingFor      time.Duration // how long none of its tasks has been admitted
 }
 
 // receivedDemand is another holder's demand with when it was received.
@@ -49,7 +49,7 @@
 
 // ownDemand returns what a held shard lacks of a team's limit, and whether it lacks
 // anything.
-func (m *Manager) ownDemand(t *team, shard string, now time.Duration) (Demand, bool) {
+func (m *Manager) ownDemand(t *teamState, shard string, now time.Duration) (Demand, bool) {
 	held := m.heldShards[shard]
 	if !held.ready() || held.accounts[t.Name] == nil {
 		return Demand{}, false
@@ -57,7 +57,7 @@
 	account := held.accounts[t.Name]
 	d := Demand{Shard: shard, Team: t.Name, Target: t.desiredAllocation(account), SmallestPending: account.smallestPending}
 	if account.hasPending {
-		d.Waited = now - account.pendingSince
+		d.PendingFor = now - account.pendingSince
 	}
 	return d, !account.pending.IsZero() && !d.Target.Within(t.record.Shares[shard].Allocation)
 }
@@ -71,8 +71,8 @@
 		return fmt.Errorf("%w: team %q has no limit", ErrInvalidDemand, d.Team)
 	}
 	none, most := Amount{}, Amount{largestAmount, largestAmount}
-	if !none.Within(d.Target) || !d.Target.Within(most) || !none.Within(d.SmallestPending) || d.Waited < 0 {
-		return fmt.Errorf("%w: target %v, smallest pending task %v, waited %v", ErrInvalidDemand, d.Target, d.SmallestPending, d.Waited)
+	if !none.Within(d.Target) || !d.Target.Within(most) || !none.Within(d.SmallestPending) || d.PendingFor < 0 {
+		return fmt.Errorf("%w: target %v, smallest pending task %v, waited %v", ErrInvalidDemand, d.Target, d.SmallestPending, d.PendingFor)
 	}
 	m.demands[accountKey{d.Shard, d.Team}] = receivedDemand{d, now}
 	return nil
@@ -80,7 +80,7 @@
 
 // unmetDemands returns the fresh demands for a team that its record does not meet, those
 // that have waited for longest first.
-func (m *Manager) unmetDemands(t *team, record Record, now time.Duration) []Demand {
+func (m *Manager) unmetDemands(t *teamState, record Record, now time.Duration) []Demand {
 	var out []Demand
 	for _, shard := range m.config.Shards {
 		d, lacks := m.ownDemand(t, shard, now)
@@ -88,7 +88,7 @@
 			received, ok := m.demands[accountKey{shard, t.Name}]
 			lacks = ok && now-received.receivedAt <= demandTTL
 			d = received.Demand
-			d.Waited += now - received.receivedAt
+			d.PendingFor += now - received.receivedAt
 		}
 		if _, registered := record.Shares[shard]; lacks && registered && !d.Target.Within(record.Shares[shard].Allocation) {
 			out = append(out, d)
@@ -100,5 +100,5 @@
 
 // compare orders demands: who has waited for longer comes first.
 func (d Demand) compare(other Demand) int {
-	return cmp.Or(cmp.Compare(other.Waited, d.Waited), cmp.Compare(d.Shard, other.Shard))
+	return cmp.Or(cmp.Compare(other.PendingFor, d.PendingFor), cmp.Compare(d.Shard, other.Shard))
 }
--- a/internal/quota/example_test.go
+++ b/internal/quota/example_test.go
@@ -12,8 +12,8 @@
 	limit := quota.LimitOf(8, 0)
 	manager := quota.New(quota.Config{Shards: []string{"ctl-0"}, Teams: []quota.Team{{Name: "north", Limit: limit}}, TeamsPerTransfer: 1})
 	manager.SetEnforced(true)
-	manager.AcquireShard("ctl-0", 1)
-	manager.Observe("north", quota.Record{Shares: map[string]quota.Share{"ctl-0": {Allocation: quota.AmountOf(4, 0), Limit: limit}}}, 2)
+	manager.AddHeldShard("ctl-0", 1)
+	manager.ObserveRecord("north", quota.Record{Shares: map[string]quota.Share{"ctl-0": {Allocation: quota.AmountOf(4, 0), Limit: limit}}}, 2)
 	manager.MarkRecordsFresh("ctl-0")
 	manager.MarkReconciled("ctl-0")
 	for range 3 {
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// idleTurnLimit is how long a holder keeps its turn without using the room that it has
+	// idlePrecedenceTimeout is how long a holder keeps its turn without using the room that it has
 	// been given for a task.
-	idleTurnLimit = 20 * time.Second
+	idlePrecedenceTimeout = 20 * time.Second
 	// unlimitedCount stands for no bound of a number of tasks.
 	unlimitedCount = 1 << 30
 )
@@ -34,27 +34,27 @@
 // concurrent use. Times are those of the caller's monotonic clock.
 type Manager struct {
 	config         Config
-	teams          map[string]*team
+	teams          map[string]*teamState
 	teamNames      []string // sorted
 	heldShards     map[string]*heldShard
 	demands        map[accountKey]receivedDemand // of other holders
 	enforced       bool
 	inFlight       *Transfer // whose outcome has not been told yet
 	nextTransferAt time.Duration
-	nextTeam       int // where the next plan begins among the teams
+	nextTeamIndex  int // where the next plan begins among the teams
 }
 
 // accountKey names a team at a shard.
 type accountKey struct{ shard, team string }
 
 // team is one team's durable record as last seen.
-type team struct {
+type teamState struct {
 	Team
-	record         Record
-	version        uint64 // of the record; 0 while there is none
-	known          bool   // it was read, or is known to be missing
-	unreadable     bool   // it can't be read
-	outcomeUnknown bool   // a transfer on condition of the version may have been applied, or may be later
+	record           Record
+	version          uint64 // of the record; 0 while there is none
+	recordKnown      bool   // it was read, or is known to be missing
+	recordUnreadable bool   // it can't be read
+	outcomeUnknown   bool   // a transfer on condition of the version may have been applied, or may be later
 	// lowerBounds are what held shards have at least while transfers that take from them
 	// may have been applied, or may still be.
 	lowerBounds map[string]Amount
@@ -62,7 +62,7 @@
 
 // heldShard is a shard that this process holds.
 type heldShard struct {
-	fence        uint64 // version of the shard's key
+	keyVersion   uint64 // version of the shard's key
 	recordsFresh bool   // the records were read after it was acquired
 	reconciled   bool   // all that earlier holders may have spent is counted or proven lost
 	accounts     map[string]*account
@@ -76,9 +76,9 @@
 	// pendingSince is when tasks began to wait, or the last was admitted, or the account
 	// lost its turn.
 	pendingSince time.Duration
-	// usableSince is since when the allocation has had room for the smallest of them, or
+	// idleSince is since when the allocation has had room for the smallest of them, or
 	// has had none.
-	usableSince              time.Duration
+	idleSince                time.Duration
 	hasPending, smallestFits bool
 	admittedSinceUpdate      bool    // since the last SetPending
 	ceiling                  *Amount // while other shards lack their share; nil: none
@@ -88,12 +88,12 @@
 func New(config Config) *Manager {
 	m := &Manager{
 		config:     config,
-		teams:      make(map[string]*team),
+		teams:      make(map[string]*teamState),
 		heldShards: make(map[string]*heldShard),
 		demands:    make(map[accountKey]receivedDemand),
 	}
 	for _, t := range config.Teams {
-		m.teams[t.Name] = &team{Team: t, lowerBounds: make(map[string]Amount)}
+		m.teams[t.Name] = &teamState{Team: t, lowerBounds: make(map[string]Amount)}
 	}
 	m.teamNames = slices.Sorted(maps.Keys(m.teams))
 	return m
@@ -112,7 +112,7 @@
 }
 
 // limitedPart returns the part of an amount that the team's limit bounds.
-func (t *team) limitedPart(a Amount) Amount {
+func (t *teamState) limitedPart(a Amount) Amount {
 	if t.Limit.CPUs == Unlimited {
 		a.CPUs = 0
 	}
@@ -130,21 +130,21 @@
 // Enforced tells whether admission goes by allocations.
 func (m *Manager) Enforced() bool { return m.enforced }
 
-// AcquireShard notes that this process has acquired a shard, whose key has the version
+// AddHeldShard notes that this process has acquired a shard, whose key has the version
 // fence. Nothing is admitted for it until MarkRecordsFresh and MarkReconciled.
-func (m *Manager) AcquireShard(shard string, fence uint64) {
-	m.heldShards[shard] = &heldShard{fence: fence, accounts: make(map[string]*account)}
+func (m *Manager) AddHeldShard(shard string, fence uint64) {
+	m.heldShards[shard] = &heldShard{keyVersion: fence, accounts: make(map[string]*account)}
 }
 
-// UpdateFence notes that a held shard's key has a new version.
-func (m *Manager) UpdateFence(shard string, fence uint64) {
+// UpdateKeyVersion notes that a held shard's key has a new version.
+func (m *Manager) UpdateKeyVersion(shard string, fence uint64) {
 	if h := m.heldShards[shard]; h != nil {
-		h.fence = fence
+		h.keyVersion = fence
 	}
 }
 
-// ReleaseShard notes that a shard is held no more.
-func (m *Manager) ReleaseShard(shard string) {
+// RemoveHeldShard notes that a shard is held no more.
+func (m *Manager) RemoveHeldShard(shard string) {
 	delete(m.heldShards, shard)
 	for _, t := range m.teams {
 		delete(t.lowerBounds, shard)
@@ -172,7 +172,7 @@
 func (h *heldShard) ready() bool { return h != nil && h.recordsFresh && h.reconciled }
 
 // account returns a team's account at a held shard, or nil.
-func (m *Manager) account(shard, name string) (*team, *account) {
+func (m *Manager) account(shard, name string) (*teamState, *account) {
 	t, h := m.teams[name], m.heldShards[shard]
 	if t == nil || h == nil {
 		return t, nil
@@ -249,7 +249,7 @@
 
 // allocation is what a shard certainly has: what the record says, less what
 // transfers under way may have taken.
-func (t *team) allocation(shard string) Amount {
+func (t *teamState) allocation(shard string) Amount {
 	a := t.record.Shares[shard].Allocation
 	if lowerBound, ok := t.lowerBounds[shard]; ok {
 		a = a.Min(lowerBound)
@@ -258,8 +258,8 @@
 }
 
 // available is what may be spent now.
-func (m *Manager) available(shard string, t *team, a *account) Amount {
-	if !m.heldShards[shard].ready() || !t.known || t.unreadable || !m.divided(t.record) {
+func (m *Manager) available(shard string, t *teamState, a *account) Amount {
+	if !m.heldShards[shard].ready() || !t.recordKnown || t.recordUnreadable || !m.allSharesRegistered(t.record) {
 		return Amount{}
 	}
 	if !t.record.Allocated().Within(t.record.LimitInForce(t.Limit)) {
@@ -274,7 +274,7 @@
 
 // divided tells whether every shard has its share in a team's record. A shard
 // without one may have spent what nobody has counted.
-func (m *Manager) divided(r Record) bool {
+func (m *Manager) allSharesRegistered(r Record) bool {
 	for _, shard := range m.config.Shards {
 		if _, ok := r.Shares[shard]; !ok {
 			return false
@@ -285,29 +285,29 @@
 
 // Observe takes a team's record as the state service has it. One that is older than the
 // last changes nothing.
-func (m *Manager) Observe(name string, r Record, version uint64) {
+func (m *Manager) ObserveRecord(name string, r Record, version uint64) {
 	t := m.teams[name]
 	if t == nil || version <= t.version {
 		return
 	}
 	// Whatever was sent on condition of an earlier version has been applied, and
 	// then shows here, or never will be.
-	t.record, t.version, t.known, t.unreadable, t.outcomeUnknown = r, version, true, !r.valid(), false
+	t.record, t.version, t.recordKnown, t.recordUnreadable, t.outcomeUnknown = r, version, true, !r.valid(), false
 	clear(t.lowerBounds)
 }
 
-// ObserveUnreadable notes that a team's record can't be read: nothing of the team is
+// ObserveUnreadableRecord notes that a team's record can't be read: nothing of the team is
 // admitted until an operator repairs it.
-func (m *Manager) ObserveUnreadable(name string, version uint64) {
+func (m *Manager) ObserveUnreadableRecord(name string, version uint64) {
 	if t := m.teams[name]; t != nil && version > t.version {
-		t.version, t.unreadable = version, true
+		t.version, t.recordUnreadable = version, true
 	}
 }
 
-// ObserveAbsent notes that a team was read to have no record.
-func (m *Manager) ObserveAbsent(name string) {
+// ObserveAbsentRecord notes that a team was read to have no record.
+func (m *Manager) ObserveAbsentRecord(name string) {
 	if t := m.teams[name]; t != nil && t.version == 0 {
-		t.known = true
+		t.recordKnown = true
 	}
 }
 
@@ -324,10 +324,10 @@
 		a.pendingSince = now
 	}
 	if fits != a.smallestFits || a.admittedSinceUpdate {
-		a.usableSince = now
+		a.idleSince = now
 	}
-	if fits && now-a.usableSince > idleTurnLimit {
-		a.pendingSince, a.usableSince = now, now
+	if fits && now-a.idleSince > idlePrecedenceTimeout {
+		a.pendingSince, a.idleSince = now, now
 	}
 	a.hasPending, a.smallestFits, a.admittedSinceUpdate = hasPending, fits, false
 }
@@ -341,6 +341,6 @@
 
 // desiredAllocation is what a held shard would like to have of a team's limit. A burst
 // may take all that is free: what it has not spent yet goes to others as they ask for it.
-func (t *team) desiredAllocation(a *account) Amount {
+func (t *teamState) desiredAllocation(a *account) Amount {
 	return a.spent.Add(a.pending).Min(t.Limit.Max(a.spent))
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -16,53 +16,53 @@
 	t                   *rapid.T
 	now                 time.Duration
 	revision            uint64
-	records             map[string]stored
-	fences              map[string]uint64 // by shard
-	holder              map[string]*controller
-	nodes               []*controller
+	records             map[string]storedRecord
+	keyVersions         map[string]uint64 // by shard
+	holders             map[string]*controller
+	controllers         []*controller
 	running             map[accountKey][]Amount // what machines hold, whoever admitted it
-	late                []func()                // transactions that the network holds
+	delayedTransactions []func()                // transactions that the network holds
 	outage              bool
 	admitted, takeovers int
-	limits              map[string]Amount // the highest that any holder's settings have named
+	highestLimits       map[string]Amount // the highest that any holder's settings have named
 }
 
-type stored struct {
+type storedRecord struct {
 	record  Record
 	version uint64
 }
 
 type controller struct {
-	name     string
-	manager  *Manager
-	limit    Amount
-	up       bool
-	frozen   bool
-	unread   []func()     // news of records that have not arrived
-	releases []accountKey // ends that it has not been told of, with amounts
-	amounts  []Amount
-	waiting  map[accountKey]Amount
+	name                string
+	manager             *Manager
+	limit               Amount
+	up                  bool
+	frozen              bool
+	undeliveredRecords  []func()     // news of records that have not arrived
+	undeliveredReleases []accountKey // ends that it has not been told of, with amounts
+	releaseAmounts      []Amount
+	pending             map[accountKey]Amount
 }
 
 const modelStep = 100 * time.Millisecond
 
 var (
-	modelShards = []string{"a", "b", "c"}
-	modelTeams  = []string{"red", "blue"}
-	modelLimit  = LimitOf(16, 4)
-	modelSizes  = []Amount{AmountOf(1, 0), AmountOf(2, 1), AmountOf(3.5, 0), AmountOf(7, 2)}
+	modelShards    = []string{"a", "b", "c"}
+	modelTeams     = []string{"red", "blue"}
+	modelLimit     = LimitOf(16, 4)
+	modelTaskSizes = []Amount{AmountOf(1, 0), AmountOf(2, 1), AmountOf(3.5, 0), AmountOf(7, 2)}
 )
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, records: make(map[string]stored), fences: make(map[string]uint64), holder: make(map[string]*controller),
-		running: make(map[accountKey][]Amount), limits: make(map[string]Amount)}
+	m := &model{t: t, records: make(map[string]storedRecord), keyVersions: make(map[string]uint64), holders: make(map[string]*controller),
+		running: make(map[accountKey][]Amount), highestLimits: make(map[string]Amount)}
 	for _, name := range modelShards {
-		m.nodes = append(m.nodes, &controller{name: name, limit: modelLimit})
+		m.controllers = append(m.controllers, &controller{name: name, limit: modelLimit})
 	}
 	for _, team := range modelTeams {
-		m.limits[team] = modelLimit
+		m.highestLimits[team] = modelLimit
 	}
-	for _, c := range m.nodes {
+	for _, c := range m.controllers {
 		m.start(c)
 		m.acquireShard(c, c.name)
 	}
@@ -76,19 +76,19 @@
 	}
 	c.manager = New(Config{Shards: modelShards, Teams: teams, TransferInterval: modelStep, TeamsPerTransfer: 2})
 	c.manager.SetEnforced(true)
-	c.up, c.frozen, c.unread, c.releases, c.amounts = true, false, nil, nil, nil
-	c.waiting = make(map[accountKey]Amount)
+	c.up, c.frozen, c.undeliveredRecords, c.undeliveredReleases, c.releaseAmounts = true, false, nil, nil, nil
+	c.pending = make(map[accountKey]Amount)
 	for _, name := range modelTeams {
-		m.read(c, name)
+		m.readRecord(c, name)
 	}
 }
 
 // read tells a controller what the state service has now.
-func (m *model) read(c *controller, team string) {
+func (m *model) readRecord(c *controller, team string) {
 	if s, ok := m.records[team]; ok {
-		c.manager.Observe(team, s.record, s.version)
+		c.manager.ObserveRecord(team, s.record, s.version)
 	} else {
-		c.manager.ObserveAbsent(team)
+		c.manager.ObserveAbsentRecord(team)
 	}
 }
 
@@ -96,15 +96,15 @@
 // machines' proof of it.
 func (m *model) acquireShard(c *controller, shard string) {
 	m.revision++
-	m.fences[shard], m.holder[shard] = m.revision, c
-	c.manager.AcquireShard(shard, m.revision)
+	m.keyVersions[shard], m.holders[shard] = m.revision, c
+	c.manager.AddHeldShard(shard, m.revision)
 	for _, team := range modelTeams {
 		for _, a := range m.running[accountKey{shard, team}] {
 			c.manager.Charge(shard, team, a)
 		}
 	}
 	for _, team := range modelTeams {
-		m.read(c, team)
+		m.readRecord(c, team)
 	}
 	c.manager.MarkRecordsFresh(shard)
 	c.manager.MarkReconciled(shard)
@@ -113,8 +113,8 @@
 
 // commit carries a transaction out if its conditions hold.
 func (m *model) commit(x *Transfer) bool {
-	for shard, fence := range x.Fences {
-		if m.fences[shard] != fence {
+	for shard, fence := range x.KeyVersions {
+		if m.keyVersions[shard] != fence {
 			return false
 		}
 	}
@@ -125,11 +125,11 @@
 	}
 	m.revision++
 	for _, tt := range x.Teams {
-		m.records[tt.Team] = stored{tt.Record.copyForChange(), m.revision}
-		for _, c := range m.nodes {
+		m.records[tt.Team] = storedRecord{tt.Record.clone(), m.revision}
+		for _, c := range m.controllers {
 			if c.up {
 				at := m.records[tt.Team]
-				c.unread = append(c.unread, func() { c.manager.Observe(tt.Team, at.record, at.version) })
+				c.undeliveredRecords = append(c.undeliveredRecords, func() { c.manager.ObserveRecord(tt.Team, at.record, at.version) })
 			}
 		}
 	}
@@ -141,23 +141,23 @@
 	mgr := c.manager
 	for _, shard := range modelShards {
 		for _, team := range modelTeams {
-			w := c.waiting[accountKey{shard, team}]
-			mgr.SetPending(shard, team, w, modelSizes[0].Min(w), m.now)
+			w := c.pending[accountKey{shard, team}]
+			mgr.SetPending(shard, team, w, modelTaskSizes[0].Min(w), m.now)
 		}
 	}
-	mgr.Balance(m.now)
-	x := mgr.Plan(m.now)
+	mgr.UpdateCeilings(m.now)
+	x := mgr.PlanTransfer(m.now)
 	if x == nil {
 		return
 	}
 	if m.outage {
-		mgr.NotApplied()
+		mgr.TransferNotApplied()
 		return
 	}
 	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "lost", "late", "twice", "refused", "never"}).Draw(m.t, "outcome") {
 	case "answered":
 		if m.commit(x) {
-			mgr.Applied(m.revision)
+			mgr.TransferApplied(m.revision)
 			return
 		}
 		m.outcomeUnknown(c)
@@ -165,43 +165,45 @@
 		m.commit(x)
 		m.outcomeUnknown(c)
 	case "late":
-		m.late = append(m.late, func() { m.commit(x) })
+		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(x) })
 		m.outcomeUnknown(c)
 	case "twice":
-		m.late = append(m.late, func() { m.commit(x) })
+		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(x) })
 		if m.commit(x) {
-			mgr.Applied(m.revision)
+			mgr.TransferApplied(m.revision)
 			return
 		}
 		m.outcomeUnknown(c)
 	case "refused":
-		mgr.NotApplied()
+		mgr.TransferNotApplied()
 	case "never":
 		m.outcomeUnknown(c)
 	}
 }
 
 func (m *model) outcomeUnknown(c *controller) {
-	for _, team := range c.manager.OutcomeUnknown() {
-		m.read(c, team)
+	for _, team := range c.manager.TransferOutcomeUnknown() {
+		m.readRecord(c, team)
 	}
 }
 
-func (m *model) node() *controller { return rapid.SampledFrom(m.nodes).Draw(m.t, "controller") }
+func (m *model) drawController() *controller {
+	return rapid.SampledFrom(m.controllers).Draw(m.t, "controller")
+}
 
-func (c *controller) acts() bool { return c.up && !c.frozen }
+func (c *controller) active() bool { return c.up && !c.frozen }
 
-func (m *model) often(what string, parts int) bool {
+func (m *model) drawLikely(what string, parts int) bool {
 	return rapid.IntRange(1, parts).Draw(m.t, what) > 1
 }
 
 func (m *model) actions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){
-		"trouble": func(*rapid.T) { m.trouble() },
-		"end":     func(*rapid.T) { m.end() },
+		"trouble": func(*rapid.T) { m.injectFault() },
+		"end":     func(*rapid.T) { m.endTasks() },
 		"late": func(*rapid.T) {
-			if len(m.late) > 0 { // it stays, and may be carried out again
-				m.late[rapid.IntRange(0, len(m.late)-1).Draw(m.t, "which")]()
+			if len(m.delayedTransactions) > 0 { // it stays, and may be carried out again
+				m.delayedTransactions[rapid.IntRange(0, len(m.delayedTransactions)-1).Draw(m.t, "which")]()
 			}
 		},
 		"": func(t *rapid.T) {
@@ -219,21 +221,21 @@
 // work has each controller that acts do what it does all the time.
 func (m *model) work() {
 	m.now += modelStep
-	for _, c := range m.nodes {
-		if !c.acts() {
+	for _, c := range m.controllers {
+		if !c.active() {
 			continue
 		}
-		if m.often("news arrive", 3) {
-			for _, tell := range c.unread {
+		if m.drawLikely("news arrive", 3) {
+			for _, tell := range c.undeliveredRecords {
 				tell()
 			}
-			c.unread = nil
+			c.undeliveredRecords = nil
 		}
-		if m.often("proofs arrive", 3) {
-			for i, key := range c.releases {
-				c.manager.Release(key.shard, key.team, c.amounts[i])
+		if m.drawLikely("proofs arrive", 3) {
+			for i, key := range c.undeliveredReleases {
+				c.manager.Release(key.shard, key.team, c.releaseAmounts[i])
 			}
-			c.releases, c.amounts = nil, nil
+			c.undeliveredReleases, c.releaseAmounts = nil, nil
 		}
 		m.tick(c)
 		m.sendDemands(c)
@@ -243,8 +245,8 @@
 
 func (m *model) sendDemands(from *controller) {
 	for _, d := range from.manager.Demands(m.now) {
-		for _, to := range m.nodes {
-			if to != from && to.acts() && m.often("demand arrives", 4) {
+		for _, to := range m.controllers {
+			if to != from && to.active() && m.drawLikely("demand arrives", 4) {
 				// One that the receiver may not take, as of a shard that it holds itself, changes nothing.
 				if err := to.manager.ObserveDemand(d, m.now); err != nil && !errors.Is(err, ErrInvalidDemand) {
 					m.t.Fatal(err)
@@ -257,50 +259,50 @@
 // admit has a controller try to admit tasks at the shards that it holds.
 func (m *model) admit(c *controller) {
 	for _, shard := range modelShards {
-		if m.holder[shard] != c || !m.often("work comes", 3) {
+		if m.holders[shard] != c || !m.drawLikely("work comes", 3) {
 			continue
 		}
 		key := accountKey{shard, rapid.SampledFrom(modelTeams).Draw(m.t, "team")}
-		size := rapid.SampledFrom(modelSizes).Draw(m.t, "size")
-		c.waiting[key] = size.Mul(3)
+		size := rapid.SampledFrom(modelTaskSizes).Draw(m.t, "size")
+		c.pending[key] = size.Mul(3)
 		if c.manager.Admit(key.shard, key.team, size) {
 			m.running[key] = append(m.running[key], size)
 			m.admitted++
-			delete(c.waiting, key)
+			delete(c.pending, key)
 		}
 	}
 }
 
 // end ends a task; its holder is told later.
-func (m *model) end() {
+func (m *model) endTasks() {
 	for _, shard := range modelShards {
 		for _, team := range modelTeams {
 			key := accountKey{shard, team}
 			tasks := m.running[key]
-			if len(tasks) == 0 || !m.often("ends", 2) {
+			if len(tasks) == 0 || !m.drawLikely("ends", 2) {
 				continue
 			}
-			if c := m.holder[shard]; c.up {
-				c.releases, c.amounts = append(c.releases, key), append(c.amounts, tasks[0])
+			if c := m.holders[shard]; c.up {
+				c.undeliveredReleases, c.releaseAmounts = append(c.undeliveredReleases, key), append(c.releaseAmounts, tasks[0])
 			}
 			m.running[key] = tasks[1:]
 		}
 	}
 }
 
-func (m *model) trouble() {
+func (m *model) injectFault() {
 	switch rapid.SampledFrom([]string{"crash", "all crash", "freeze", "freeze", "wake", "takeover", "takeover", "outage", "limit"}).Draw(m.t, "trouble") {
 	case "crash":
-		m.crash(m.node())
+		m.crash(m.drawController())
 	case "all crash":
 		m.crashAll()
 	case "freeze":
-		m.node().frozen = true
+		m.drawController().frozen = true
 	case "wake":
-		m.wake(m.node())
+		m.resume(m.drawController())
 	case "takeover":
-		for range m.nodes {
-			m.recoverShard(m.node())
+		for range m.controllers {
+			m.takeOverShards(m.drawController())
 		}
 	case "outage":
 		m.outage = !m.outage
@@ -312,40 +314,40 @@
 func (m *model) crash(c *controller) { c.up = false }
 
 func (m *model) crashAll() {
-	for _, c := range m.nodes {
+	for _, c := range m.controllers {
 		c.up = false
 	}
 }
 
 // wake has a controller go on. It has lost the shards that were taken from it, and
 // what it reads first is the present state.
-func (m *model) wake(c *controller) {
+func (m *model) resume(c *controller) {
 	if !c.frozen || !c.up {
 		return
 	}
 	c.frozen = false
 	for _, shard := range modelShards {
-		if m.holder[shard] != c {
-			c.manager.ReleaseShard(shard)
+		if m.holders[shard] != c {
+			c.manager.RemoveHeldShard(shard)
 		}
 	}
 }
 
-// recoverShard has a controller that acts take what one has that does not; a crashed one
+// takeOverShards has a controller that acts take what one has that does not; a crashed one
 // comes back.
-func (m *model) recoverShard(lost *controller) {
-	if lost.acts() {
+func (m *model) takeOverShards(lost *controller) {
+	if lost.active() {
 		return
 	}
 	if !lost.up {
 		m.start(lost)
 	}
-	for _, c := range m.nodes {
-		if !c.acts() {
+	for _, c := range m.controllers {
+		if !c.active() {
 			continue
 		}
 		for _, shard := range modelShards {
-			if m.holder[shard] == lost {
+			if m.holders[shard] == lost {
 				m.acquireShard(c, shard)
 			}
 		}
@@ -355,12 +357,12 @@
 
 // changeLimit restarts a controller with another limit.
 func (m *model) changeLimit() {
-	c := m.node()
+	c := m.drawController()
 	c.limit = rapid.SampledFrom([]Amount{modelLimit, LimitOf(9, 4), LimitOf(12, 2)}).Draw(m.t, "limit")
 	m.crash(c)
 	m.start(c)
 	for _, shard := range modelShards {
-		if m.holder[shard] == c {
+		if m.holders[shard] == c {
 			m.acquireShard(c, shard)
 		}
 	}
@@ -370,8 +372,8 @@
 func (m *model) check() error {
 	for _, team := range modelTeams {
 		r := m.records[team].record
-		if !r.Allocated().Within(m.limits[team]) {
-			return fmt.Errorf("%s: allocations of %v in all, the limit is %v", team, r.Allocated(), m.limits[team])
+		if !r.Allocated().Within(m.highestLimits[team]) {
+			return fmt.Errorf("%s: allocations of %v in all, the limit is %v", team, r.Allocated(), m.highestLimits[team])
 		}
 		for _, shard := range modelShards {
 			if err := m.checkShare(shard, team, r.Shares[shard].Allocation); err != nil {
@@ -390,7 +392,7 @@
 	if !use.Within(allocation) {
 		return fmt.Errorf("%s at %s: %v runs out of an allocation of %v", team, shard, use, allocation)
 	}
-	c := m.holder[shard]
+	c := m.holders[shard]
 	if !c.up || c.manager.heldShards[shard] == nil {
 		return nil
 	}
@@ -427,12 +429,12 @@
 }
 
 // The check finds managers that don't go by their allocations.
-func TestModelFindsABrokenManager(t *testing.T) {
+func TestModelDetectsExceededAllocation(t *testing.T) {
 	m := newModel(nil)
 	if err := m.check(); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range m.nodes {
+	for _, c := range m.controllers {
 		c.manager.SetEnforced(false)
 		if size := AmountOf(7, 2); c.manager.Admit(c.name, "red", size) {
 			key := accountKey{c.name, "red"}
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -4,35 +4,35 @@
 
 // plan works out a team's next record.
 type plan struct {
-	manager *Manager
-	team    *team
-	now     time.Duration
-	record  Record
-	changed map[string]bool // held shards whose fence the change needs
+	manager       *Manager
+	team          *teamState
+	now           time.Duration
+	record        Record
+	changedShards map[string]bool // held shards whose fence the change needs
 }
 
 // build changes the record, and tells whether anything changed.
 func (p *plan) build() bool {
 	for _, shard := range p.manager.config.Shards {
 		if h := p.manager.heldShards[shard]; h.ready() {
-			p.register(shard, h)
+			p.registerShare(shard, h)
 		}
 	}
 	if p.team.outcomeUnknown {
 		p.rewriteUnchanged()
 	}
-	if !p.manager.enforced || !p.manager.divided(p.record) {
-		return len(p.changed) > 0
+	if !p.manager.enforced || !p.manager.allSharesRegistered(p.record) {
+		return len(p.changedShards) > 0
 	}
 	limit := p.record.LimitInForce(p.team.Limit)
 	if excess := p.record.Allocated().Sub(limit).NonNegative(); !excess.IsZero() {
 		p.returnExcess(excess)
-		return len(p.changed) > 0
+		return len(p.changedShards) > 0
 	}
 	unmet := p.manager.unmetDemands(p.team, p.record, p.now)
-	p.takeUnallocated(unmet)
-	p.giveUnspent(unmet)
-	return len(p.changed) > 0
+	p.allocateFree(unmet)
+	p.transferUnspent(unmet)
+	return len(p.changedShards) > 0
 }
 
 // rewriteUnchanged has the record written whatever its content: once it has a new version,
@@ -40,7 +40,7 @@
 func (p *plan) rewriteUnchanged() {
 	for _, shard := range p.manager.config.Shards {
 		if _, registered := p.record.Shares[shard]; registered && p.manager.heldShards[shard].ready() {
-			p.changed[shard] = true
+			p.changedShards[shard] = true
 			return
 		}
 	}
@@ -55,19 +55,19 @@
 func (p *plan) setAllocation(shard string, allocation Amount) {
 	if p.record.Shares[shard].Allocation != allocation {
 		p.record.allocate(shard, allocation)
-		p.changed[shard] = true
+		p.changedShards[shard] = true
 	}
 }
 
 // register gives a held shard its share, which begins with what it has spent as
 // far as that is free. While not all members divide limits there are no shares, so
 // that each starts from what it has spent by then.
-func (p *plan) register(shard string, h *heldShard) {
+func (p *plan) registerShare(shard string, h *heldShard) {
 	share, registered := p.record.Shares[shard]
 	if !p.manager.enforced {
 		if registered {
 			delete(p.record.Shares, shard)
-			p.changed[shard] = true
+			p.changedShards[shard] = true
 		}
 		return
 	}
@@ -82,7 +82,7 @@
 		}
 	}
 	p.record.Shares[shard] = share
-	p.changed[shard] = true
+	p.changedShards[shard] = true
 }
 
 // unspent is what a held shard certainly has and does not use.
@@ -112,9 +112,9 @@
 	}
 }
 
-// takeUnallocated has held shards take what they lack from what no shard has. Each of
+// allocateFree has held shards take what they lack from what no shard has. Each of
 // those that lack something gets its part, or what its smallest task needs.
-func (p *plan) takeUnallocated(unmet []Demand) {
+func (p *plan) allocateFree(unmet []Demand) {
 	for i, d := range unmet {
 		if !p.manager.heldShards[d.Shard].ready() {
 			continue
@@ -138,8 +138,8 @@
 	return Amount{}
 }
 
-// giveUnspent moves unspent allocations of held shards to those that lack something.
-func (p *plan) giveUnspent(unmet []Demand) {
+// transferUnspent moves unspent allocations of held shards to those that lack something.
+func (p *plan) transferUnspent(unmet []Demand) {
 	for _, d := range unmet {
 		missing := d.Target.Sub(p.record.Shares[d.Shard].Allocation).Sub(p.unallocated()).NonNegative()
 		for _, shard := range p.manager.config.Shards {
@@ -173,7 +173,7 @@
 		}
 		return Amount{}
 	}
-	if !p.record.Shares[d.Shard].isBelow(p.team.fairShare(shard, unmet), d) {
+	if !p.record.Shares[d.Shard].isBelowFairShare(p.team.fairShare(shard, unmet), d) {
 		return Amount{}
 	}
 	entitled := p.manager.entitlement(p.team, shard, a, unmet, p.now)
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -16,8 +16,8 @@
 	Limit Amount `cbor:"l"`
 }
 
-// copyForChange returns a copy to change.
-func (r Record) copyForChange() Record {
+// clone returns a copy to change.
+func (r Record) clone() Record {
 	shares := maps.Clone(r.Shares)
 	if shares == nil {
 		shares = make(map[string]Share)
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -6,8 +6,8 @@
 // record is replaced if it still has the version that it was read with, and each
 // fence's shard key still has its version.
 type Transfer struct {
-	Teams  []TeamTransfer
-	Fences map[string]uint64 // by shard
+	Teams       []TeamTransfer
+	KeyVersions map[string]uint64 // by shard
 }
 
 // TeamTransfer replaces one team's record.
@@ -19,7 +19,7 @@
 
 // Balance brings up to date how much each held shard may use while others lack
 // their part. It is called every now and then, before Plan.
-func (m *Manager) Balance(now time.Duration) {
+func (m *Manager) UpdateCeilings(now time.Duration) {
 	for key, d := range m.demands {
 		if now-d.receivedAt > demandTTL {
 			delete(m.demands, key)
@@ -30,7 +30,7 @@
 		unmet := m.unmetDemands(t, t.record, now)
 		for shard, h := range m.heldShards {
 			if a := h.accounts[name]; a != nil {
-				a.ceiling = m.ceiling(t, shard, a, unmet, now)
+				a.ceiling = m.ceilingFor(t, shard, a, unmet, now)
 			}
 		}
 	}
@@ -39,10 +39,10 @@
 // ceiling is how much a shard with pending tasks may use while another has less
 // than its fair share and lacks more: what it uses beyond that goes to the other as
 // its tasks end. Without it a busy holder would use again at once all that it frees.
-func (m *Manager) ceiling(t *team, shard string, a *account, unmet []Demand, now time.Duration) *Amount {
+func (m *Manager) ceilingFor(t *teamState, shard string, a *account, unmet []Demand, now time.Duration) *Amount {
 	fair := t.fairShare(shard, unmet)
 	for _, d := range unmet {
-		if d.Shard != shard && t.record.Shares[d.Shard].isBelow(fair, d) {
+		if d.Shard != shard && t.record.Shares[d.Shard].isBelowFairShare(fair, d) {
 			entitled := m.entitlement(t, shard, a, unmet, now)
 			return &entitled
 		}
@@ -54,7 +54,7 @@
 // room for one task more if it has waited for longer than any of the others. Else tasks
 // larger than a fair share would never start, and what does not divide evenly would stay
 // unused.
-func (m *Manager) entitlement(t *team, shard string, a *account, unmet []Demand, now time.Duration) Amount {
+func (m *Manager) entitlement(t *teamState, shard string, a *account, unmet []Demand, now time.Duration) Amount {
 	entitled := t.fairShare(shard, unmet)
 	own, _ := m.ownDemand(t, shard, now)
 	own.Shard = shard
@@ -68,7 +68,7 @@
 
 // fairShare is a shard's part of the limit while it and all that lack something
 // have work.
-func (t *team) fairShare(shard string, unmet []Demand) Amount {
+func (t *teamState) fairShare(shard string, unmet []Demand) Amount {
 	contenders := 1
 	for _, d := range unmet {
 		if d.Shard != shard {
@@ -78,34 +78,34 @@
 	return t.record.LimitInForce(t.Limit).dividedBy(contenders)
 }
 
-// isBelow tells whether a share has less than a fair one of what the demand lacks.
-func (s Share) isBelow(fair Amount, d Demand) bool {
+// isBelowFairShare tells whether a share has less than a fair one of what the demand lacks.
+func (s Share) isBelowFairShare(fair Amount, d Demand) bool {
 	missing := d.Target.Sub(s.Allocation)
 	return (missing.CPUs > 0 && s.Allocation.CPUs < fair.CPUs) || (missing.GPUs > 0 && s.Allocation.GPUs < fair.GPUs)
 }
 
 // Plan returns the next transaction, or nil while there is none to make or one is
 // under way.
-func (m *Manager) Plan(now time.Duration) *Transfer {
+func (m *Manager) PlanTransfer(now time.Duration) *Transfer {
 	if m.inFlight != nil || now < m.nextTransferAt || len(m.teamNames) == 0 {
 		return nil
 	}
-	transfer := &Transfer{Fences: make(map[string]uint64)}
-	start := m.nextTeam
+	transfer := &Transfer{KeyVersions: make(map[string]uint64)}
+	start := m.nextTeamIndex
 	for i := range m.teamNames {
 		if len(transfer.Teams) == m.config.TeamsPerTransfer {
 			break
 		}
 		t := m.teams[m.teamNames[(start+i)%len(m.teamNames)]]
-		m.nextTeam = (start + i + 1) % len(m.teamNames)
-		p := plan{manager: m, team: t, now: now, record: t.record.copyForChange(), changed: make(map[string]bool)}
-		if !t.known || t.unreadable || !p.build() {
+		m.nextTeamIndex = (start + i + 1) % len(m.teamNames)
+		p := plan{manager: m, team: t, now: now, record: t.record.clone(), changedShards: make(map[string]bool)}
+		if !t.recordKnown || t.recordUnreadable || !p.build() {
 			continue
 		}
 		transfer.Teams = append(transfer.Teams, TeamTransfer{Team: t.Name, Version: t.version, Record: p.record})
-		for shard := range p.changed {
-			transfer.Fences[shard] = m.heldShards[shard].fence
-			t.holdBack(shard, p.record.Shares[shard].Allocation)
+		for shard := range p.changedShards {
+			transfer.KeyVersions[shard] = m.heldShards[shard].keyVersion
+			t.reduceLowerBound(shard, p.record.Shares[shard].Allocation)
 		}
 	}
 	if len(transfer.Teams) == 0 {
@@ -115,8 +115,8 @@
 	return transfer
 }
 
-// holdBack keeps a shard from spending more than a transfer under way leaves it.
-func (t *team) holdBack(shard string, allocation Amount) {
+// reduceLowerBound keeps a shard from spending more than a transfer under way leaves it.
+func (t *teamState) reduceLowerBound(shard string, allocation Amount) {
 	if lowerBound, ok := t.lowerBounds[shard]; ok {
 		allocation = allocation.Min(lowerBound)
 	}
@@ -124,18 +124,18 @@
 }
 
 // Applied notes that the transaction under way was carried out, and made that revision of
-// the state service. There must be one; so for NotApplied and OutcomeUnknown.
-func (m *Manager) Applied(revision uint64) {
+// the state service. There must be one; so for TransferNotApplied and TransferOutcomeUnknown.
+func (m *Manager) TransferApplied(revision uint64) {
 	transfer := m.inFlight
 	m.inFlight = nil
 	for _, transferred := range transfer.Teams {
-		m.Observe(transferred.Team, transferred.Record, revision)
+		m.ObserveRecord(transferred.Team, transferred.Record, revision)
 	}
 }
 
-// NotApplied notes that the transaction under way was not carried out and never will
+// TransferNotApplied notes that the transaction under way was not carried out and never will
 // be.
-func (m *Manager) NotApplied() {
+func (m *Manager) TransferNotApplied() {
 	for _, transferred := range m.inFlight.Teams {
 		if t := m.teams[transferred.Team]; !t.outcomeUnknown {
 			clear(t.lowerBounds)
@@ -144,10 +144,10 @@
 	m.inFlight = nil
 }
 
-// OutcomeUnknown notes that the transaction under way failed its conditions or got no
+// TransferOutcomeUnknown notes that the transaction under way failed its conditions or got no
 // answer, and returns the teams whose records have to be read again. What it may
 // have taken stays out of use until a newer record shows what became of it.
-func (m *Manager) OutcomeUnknown() []string {
+func (m *Manager) TransferOutcomeUnknown() []string {
 	var names []string
 	for _, transferred := range m.inFlight.Teams {
 		names = append(names, transferred.Team)
--- a/internal/shard/admission.go
+++ b/internal/shard/admission.go
@@ -6,9 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/admission"
 )
 
-var _ admission.Shards = (*Owner)(nil)
+var _ admission.ShardOwner = (*Owner)(nil)
 
-// StartableTasks implements admission.Shards.
+// StartableTasks implements admission.ShardOwner.
 func (o *Owner) StartableTasks(visit func(claim *admission.Claim, tasks int)) {
 	for _, job := range o.jobs {
 		if startable := job.startableTasks(); startable > 0 {
@@ -17,7 +17,7 @@
 	}
 }
 
-// KeyVersions implements admission.Shards.
+// KeyVersions implements admission.ShardOwner.
 func (o *Owner) KeyVersions() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) {
 		for name, shard := range o.shards {
@@ -28,7 +28,7 @@
 	}
 }
 
-// AllocationsChanged implements admission.Shards. It marks for publishing each job whose
+// AllocationsChanged implements admission.ShardOwner. It marks for publishing each job whose
 // number of tasks that may start differs from the number that the leader was last told.
 func (o *Owner) AllocationsChanged() {
 	for _, job := range o.jobs {
--- a/internal/shard/job_summary.go
+++ b/internal/shard/job_summary.go
@@ -8,7 +8,7 @@
 // admissibleTasks returns how many tasks of a job may start now and fit into the allocation
 // of their team.
 func (o *Owner) admissibleTasks(job *Job) int {
-	return o.admission.Admissible(&job.claim, job.startableTasks())
+	return o.admission.AdmissibleCount(&job.claim, job.startableTasks())
 }
 
 // summarize returns what the leader has to know of a job whose specification it has.
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -105,7 +105,7 @@
 	o.orphans.init(func(orphan *orphanedReplica) {
 		o.admission.Release(&orphan.claim, orphan.task, orphan.replica)
 	})
-	o.admission.SetShards(o)
+	o.admission.SetShardOwner(o)
 	return o
 }
 
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -31,7 +31,7 @@
 		return
 	}
 	o.orphans.releaseReconciled(shard.name)
-	o.admission.Complete(shard.name)
+	o.admission.MarkReconciled(shard.name)
 }
 
 // reconcileForOlderLeader reconciles the shards that a leader has reported as reconciled
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -63,7 +63,7 @@
 		o.RemoveShard(name)
 	})
 	o.shards[name] = shard
-	o.admission.OpenShard(name, version)
+	o.admission.AddHeldShard(name, version)
 	shard.records.Recover(func(jobs []storage.RecoveredJob) {
 		for i := range jobs {
 			o.recoverJob(shard, &jobs[i])
@@ -101,7 +101,7 @@
 	}
 	shard.records.Close()
 	delete(o.shards, name)
-	o.admission.CloseShard(name)
+	o.admission.RemoveHeldShard(name)
 	o.orphans.removeShard(name)
 	for _, job := range shard.jobs {
 		job.ended = true
--- a/internal/shard/task_status.go
+++ b/internal/shard/task_status.go
@@ -108,7 +108,7 @@
 	}
 	job.setReplica(task, listed.status.Replica)
 	if !listed.exited() {
-		o.admission.RecordFound(&job.claim, task, listed.status.Replica)
+		o.admission.RecordReplicaFound(&job.claim, task, listed.status.Replica)
 	}
 	return true
 }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -92,7 +92,7 @@
 	})
 	advance()
 	store.TransferQuota(&quota.Transfer{
-		Fences: map[string]uint64{"n": shard.Version()},
+		KeyVersions: map[string]uint64{"n": shard.Version()},
 		Teams: []quota.TeamTransfer{{Team: "vogel uni", Version: 0, Record: quota.Record{Shares: map[string]quota.Share{
 			"n": {Allocation: quota.Amount{CPUs: 1500, GPUs: 2000}, Limit: quota.Amount{CPUs: 3000, GPUs: 4000}}}}}},
 	}, func(TxnResult) {})
--- a/internal/storage/quota_records.go
+++ b/internal/storage/quota_records.go
@@ -9,7 +9,7 @@
 // the shard keys still have the versions on which the change is based.
 func (s *Store) TransferQuota(transfer *quota.Transfer, done func(TxnResult)) {
 	var t protocol.Transaction
-	for shard, version := range transfer.Fences {
+	for shard, version := range transfer.KeyVersions {
 		t.If = append(t.If, protocol.Condition{Key: ShardKey(shard), Version: version})
 	}
 	for _, change := range transfer.Teams {
