--- a/internal/admission/audit_records.go
+++ b/internal/admission/audit_records.go
@@ -5,15 +5,16 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// newAuditRecord begins the audit's record of a change of what a claim's team has spent,
-// before the change is made.
+// newAuditRecord returns the audit record of a change of what a claim's team has spent. It is
+// called before the change is made, as it takes the amount spent before.
 func (c *Control) newAuditRecord(claim *Claim, kind audit.Kind, task int32, replica uint64) audit.Record {
 	return audit.Record{Kind: kind, Shard: claim.Shard, FencingToken: claim.FencingToken, Team: claim.Team, Job: claim.Job,
 		Task: uint32(task), Replica: replica, Amount: c.manager.LimitedPart(claim.Team, claim.Amount),
 		SpentBefore: c.manager.Spent(claim.Shard, claim.Team)}
 }
 
-// record completes a record and hands it to the audit.
+// appendAuditRecord completes a record with the state after the change and passes it to the
+// audit log.
 func (c *Control) appendAuditRecord(r audit.Record) {
 	if c.config.Audit == nil {
 		return
@@ -24,7 +25,7 @@
 	}
 	r.TimeMs = c.config.Wall().UnixMilli()
 	r.Allocation, r.Limit, r.Revision = c.manager.Allocation(r.Shard, r.Team)
-	r.Revision = max(r.Revision, r.FencingToken) // what the holder before did was before the shard was acquired
+	r.Revision = max(r.Revision, r.FencingToken) // the previous holder's records come before the shard's acquisition
 	r.Guarantee = c.guarantees[r.Team]
 	c.config.Audit(r)
 }
@@ -37,8 +38,8 @@
 	return false
 }
 
-// recordBlocked records when a team begins to wait for an allocation, and when that
-// is over.
+// recordBlocked appends an audit record when a team starts to wait for an allocation, and when
+// it no longer waits.
 func (c *Control) recordBlocked(key accountKey, smallest quota.Amount) {
 	blocked := c.manager.Blocked(key.shard, key.team)
 	if blocked == c.recordedBlocked[key] {
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -1,18 +1,17 @@
-// Package admission decides whether one more replica of a task may start, as far as its
-// team's limit is concerned. It wires the division of teams' limits among the shards
-// (package quota) to the shards that this process holds: every replica is admitted here
-// first, out of its shard's allocation, and released once it is proven lost.
+// Package admission decides whether one more replica of a task may start within its team's
+// limit. It connects the division of teams' limits among the shards (package quota) with the
+// shards that this process holds: every replica is first admitted here, out of its shard's
+// allocation, and released once it is proven lost.
 //
-// It owns this process's view of the allocations and what the audit is told of them. It
-// promises that a shard's spending never exceeds its allocation while allocations are
-// enforced, that nothing is transferred by a holder whose lease may have ended, and that
-// records and messages that make no sense change nothing. It does no I/O and has no
-// clock of its own, never decides which task starts where, and keeps no jobs: those are
-// the owner's (package shard). Without quota.escrow there is no manager and nothing is
-// limited.
+// It owns this process's view of the allocations and produces the audit records of them. It
+// guarantees that what a shard has spent never exceeds its allocation while allocations are
+// enforced, that a holder whose lease may have ended transfers nothing, and that invalid records
+// and messages change nothing. It does no I/O and has no clock of its own. It never decides
+// which task starts on which machine, and keeps no jobs: those belong to the owner (package
+// shard). Without quota.escrow there is no manager and nothing is limited.
 //
-// Nothing in it is safe for concurrent use: the goroutine that owns the controller's
-// state calls it and receives its callbacks.
+// Nothing in it is safe for concurrent use: the goroutine that owns the controller's state calls
+// it and receives its callbacks.
 package admission
 
 import (
@@ -32,81 +31,81 @@
 
 const maxTeamsPerTransfer = 8
 
-// Records is where the teams' records are kept. Callbacks come on the owning goroutine.
+// RecordStore stores the teams' records. It calls back on the owning goroutine.
 type RecordStore interface {
 	QuotaRecords(done func(items []protocol.KeyValue, err error))
 	TransferQuota(transfer *quota.Transfer, done func(storage.TxnResult))
 }
 
-// Shards is what admission asks the owner of this process's shards.
+// ShardOwner owns the jobs of the shards that this process holds.
 type ShardOwner interface {
-	// StartableTasks calls visit for each job with tasks that could start now, as far as
-	// anything but their team's limit is concerned.
+	// StartableTasks calls visit for each job with tasks that could start now if their team's
+	// limit is not considered.
 	StartableTasks(visit func(claim *Claim, tasks int))
-	// KeyVersions yields the shards with the present versions of their keys.
+	// KeyVersions yields the held shards with the present versions of their keys.
 	KeyVersions() iter.Seq2[string, uint64]
-	// AllocationsChanged is called when the answers of Admissible may have changed.
+	// AllocationsChanged is called when the results of AdmissibleCount may have changed.
 	AllocationsChanged()
 }
 
-// Config is what a Control needs.
+// Config has the settings and dependencies of a Control.
 type Config struct {
 	Enabled          bool // quota.escrow
 	Shards           []string
 	Teams            []settings.Team
 	TransferInterval time.Duration
-	MaxTxnOps        int // of the state service
+	MaxTxnOps        int // maximum number of operations in one transaction of the state service
 
 	RecordStore      RecordStore
 	Codec            *protocol.Codec
 	Clock            storage.Clock
 	Wall             func() time.Time
 	Log              zerolog.Logger
-	Audit            func(audit.Record)         // takes records without waiting; nil: none are kept
-	BroadcastDemands func(*meshpb.QuotaDemands) // tells all other members what is lacking
+	Audit            func(audit.Record)         // receives audit records and must not block; nil: none are kept
+	BroadcastDemands func(*meshpb.QuotaDemands) // sends demands to all other members
 }
 
-// Control admits replicas of one process's shards.
+// Control admits replicas of the tasks of one process's shards.
 type Control struct {
 	config     Config
-	manager    *quota.Manager // nil without quota.escrow
-	guarantees map[string]quota.Amount
+	manager    *quota.Manager          // nil without quota.escrow
+	guarantees map[string]quota.Amount // of the teams with a limit
 	shardOwner ShardOwner
 	heldShards map[string]*heldShard
 
-	readingRecords  bool          // the records are being read
-	recordsStale    bool          // they have to be read (again) before anything is planned
-	nextReadAt      time.Duration // not before
+	readingRecords  bool          // a read of the records is in progress
+	recordsStale    bool          // the records have to be read (again) before anything is planned
+	nextReadAt      time.Duration // earliest time of the next read
 	nextDemandsAt   time.Duration
 	demandSequence  uint64
-	recordedBlocked map[accountKey]bool // told to the audit
+	recordedBlocked map[accountKey]bool // teams that are blocked according to the audit records
 
-	dropped          uint64 // messages and records that made no sense
+	dropped          uint64 // number of dropped messages and records
 	lastDropLoggedAt time.Duration
 }
 
 // heldShard is a shard that this process holds.
 type heldShard struct {
 	fencingToken uint64
-	reconciled   bool // all that earlier holders admitted is counted or proven lost
+	reconciled   bool // everything that earlier holders admitted is counted or proven lost
 }
 
-// account names a team at a shard.
+// accountKey identifies a team at a shard.
 type accountKey struct{ shard, team string }
 
-// Claim is what each replica of a job's tasks takes of its team's limit.
+// Claim is what each replica of a job's tasks uses of its team's limit, and at which shard.
 type Claim struct {
 	Shard        string
-	FencingToken uint64 // that the shard was acquired with
+	FencingToken uint64 // with which the shard was acquired
 	Team, Job    string
-	Amount       quota.Amount
+	Amount       quota.Amount // of one replica
 }
 
-// AmountOf is what one replica of a job's tasks takes.
+// AmountOf returns what one replica of a job's tasks uses.
 func AmountOf(job *protocol.Job) quota.Amount { return quota.AmountOf(job.CPUs, job.GPUs) }
 
-// New makes a control that holds no shard yet. It fails if a team's name is too long for
-// the key of its record. SetShardOwner has to be called before Tick.
+// New returns a control that holds no shard yet. It fails if a team's name is too long for the
+// key of its record. SetShardOwner must be called before Tick.
 func New(config Config) (*Control, error) {
 	c := &Control{config: config}
 	if !config.Enabled {
@@ -115,7 +114,7 @@
 	c.heldShards = make(map[string]*heldShard)
 	c.guarantees = make(map[string]quota.Amount)
 	c.recordedBlocked = make(map[accountKey]bool)
-	division := quota.Config{Shards: config.Shards, TransferInterval: config.TransferInterval,
+	quotaConfig := quota.Config{Shards: config.Shards, TransferInterval: config.TransferInterval,
 		TeamsPerTransfer: min(maxTeamsPerTransfer, config.MaxTxnOps)}
 	for _, t := range config.Teams {
 		if t.CPUsMax <= 0 && t.GPUsMax <= 0 {
@@ -124,31 +123,32 @@
 		if len(storage.QuotaKey(t.Name)) > storage.MaxKeyLength {
 			return nil, fmt.Errorf("quota.escrow: the name of team %q is too long", t.Name)
 		}
-		division.Teams = append(division.Teams, quota.Team{Name: t.Name, Limit: quota.LimitOf(t.CPUsMax, t.GPUsMax)})
+		quotaConfig.Teams = append(quotaConfig.Teams, quota.Team{Name: t.Name, Limit: quota.LimitOf(t.CPUsMax, t.GPUsMax)})
 		c.guarantees[t.Name] = quota.AmountOf(t.CPUs, t.GPUs)
 	}
-	c.manager = quota.New(division)
+	c.manager = quota.New(quotaConfig)
 	return c, nil
 }
 
-// SetShardOwner names the owner of this process's shards.
+// SetShardOwner sets the owner of the shards that this process holds.
 func (c *Control) SetShardOwner(shards ShardOwner) { c.shardOwner = shards }
 
-// Enabled tells whether limits are divided at all.
+// Enabled reports whether limits are divided at all (quota.escrow).
 func (c *Control) Enabled() bool { return c.manager != nil }
 
-// Limited tells whether a claim's replicas are counted.
+// Limited reports whether the replicas of a claim count against a limit.
 func (c *Control) Limited(claim *Claim) bool {
 	return c.manager != nil && c.manager.HasLimit(claim.Team)
 }
 
-// Allocation returns what a team may use at a shard, as far as this process knows.
+// Allocation returns what a shard is guaranteed to have of a team's limit, as known to this
+// process.
 func (c *Control) Allocation(shard, team string) quota.Amount {
 	allocation, _, _ := c.manager.Allocation(shard, team)
 	return allocation
 }
 
-// AddHeldShard notes that this process has acquired a shard with a fencing token.
+// AddHeldShard records that this process has acquired a shard with a fencing token.
 func (c *Control) AddHeldShard(shard string, fencingToken uint64) {
 	if c.manager == nil {
 		return
@@ -158,7 +158,7 @@
 	c.recordsStale = true
 }
 
-// RemoveHeldShard notes that this process holds a shard no more.
+// RemoveHeldShard records that this process no longer holds a shard.
 func (c *Control) RemoveHeldShard(shard string) {
 	if c.manager == nil {
 		return
@@ -172,7 +172,7 @@
 	}
 }
 
-// Complete notes that all that earlier holders of a held shard admitted is counted or
+// MarkReconciled records that everything earlier holders of a held shard admitted is counted or
 // proven lost.
 func (c *Control) MarkReconciled(shard string) {
 	held := c.heldShards[shard]
@@ -186,21 +186,22 @@
 	}
 }
 
-// IsReconciled tells whether Complete was called for a held shard.
+// IsReconciled reports whether MarkReconciled was called for a held shard.
 func (c *Control) IsReconciled(shard string) bool {
 	held := c.heldShards[shard]
 	return held != nil && held.reconciled
 }
 
-// Admissible is how many of n tasks the claim's allocation has room for.
-func (c *Control) AdmissibleCount(claim *Claim, n int) int {
+// AdmissibleCount returns how many of count tasks the claim's allocation has room for.
+func (c *Control) AdmissibleCount(claim *Claim, count int) int {
 	if !c.Limited(claim) {
-		return n
+		return count
 	}
-	return min(n, c.manager.AdmissibleCount(claim.Shard, claim.Team, claim.Amount))
+	return min(count, c.manager.AdmissibleCount(claim.Shard, claim.Team, claim.Amount))
 }
 
-// Admit charges the claim for a task's next replica, or tells that there is no room.
+// Admit charges the claim for a task's next replica, or returns false if the allocation has no
+// room for it.
 func (c *Control) Admit(claim *Claim, task int32, replica uint64) bool {
 	if !c.Limited(claim) {
 		return true
@@ -217,7 +218,7 @@
 	return true
 }
 
-// Release gives back what a replica used that is proven lost or has ended.
+// Release subtracts what a replica used that is proven lost or has ended.
 func (c *Control) Release(claim *Claim, task int32, replica uint64) {
 	if !c.Limited(claim) {
 		return
@@ -227,8 +228,8 @@
 	c.appendAuditRecord(r)
 }
 
-// ChargeInherited charges the claim for tasks of which a replica may run that an earlier
-// holder admitted.
+// ChargeInherited charges the claim for tasks of which a replica may run that an earlier holder
+// admitted.
 func (c *Control) ChargeInherited(claim *Claim, tasks int) {
 	if !c.Limited(claim) || tasks == 0 {
 		return
@@ -238,7 +239,8 @@
 	c.appendAuditRecord(r)
 }
 
-// RecordReplicaFound notes that the replica of a task charged as inherited is known now.
+// RecordReplicaFound appends the audit record of a replica, now known, of a task that
+// ChargeInherited has charged.
 func (c *Control) RecordReplicaFound(claim *Claim, task int32, replica uint64) {
 	if c.Limited(claim) {
 		c.appendAuditRecord(c.newAuditRecord(claim, audit.ReplicaFound, task, replica))
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -19,7 +19,8 @@
 
 const team = "red"
 
-// fixture is a control of the shard "a" of a single member, whose world the test plays.
+// fixture is a control of the shard "a" of a single member, with the record store, shard owner
+// and clock that the test simulates.
 type fixture struct {
 	*Control
 	t            *testing.T
@@ -48,8 +49,8 @@
 	f.writes++
 	f.revision++
 	f.stored = nil
-	for _, tt := range transfer.Teams {
-		f.stored = append(f.stored, protocol.KeyValue{Key: storage.QuotaKey(tt.Team), Value: f.codec.Encode(tt.Record), Version: f.revision})
+	for _, change := range transfer.Teams {
+		f.stored = append(f.stored, protocol.KeyValue{Key: storage.QuotaKey(change.Team), Value: f.codec.Encode(change.Record), Version: f.revision})
 	}
 	done(storage.TxnResult{Outcome: storage.Applied, Revision: f.revision})
 }
@@ -69,12 +70,12 @@
 // AllocationsChanged implements Shards.
 func (f *fixture) AllocationsChanged() {}
 
-// claim is a job's of the team with one CPU for each task.
+// claim returns the claim of a job of the team whose tasks use one CPU each.
 func claim() *Claim {
 	return &Claim{Shard: "a", FencingToken: 1, Team: team, Job: "wk-1", Amount: quota.AmountOf(1, 0)}
 }
 
-// newFixture makes a control of a team that may use two CPUs.
+// newFixture returns a control with a team that may use two CPUs.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	codec, err := protocol.NewCodec()
@@ -92,13 +93,13 @@
 	return f
 }
 
-// tick lets a second pass in which the member may do anything.
+// tick lets one second pass, under conditions in which the member may do everything.
 func (f *fixture) tick() {
 	f.now += time.Second
 	f.Tick(f.now, TickConditions{AllMembersDivideLimits: true, MayAct: true, LeaseValid: true})
 }
 
-// ready opens the shard and ticks until its allocation is there.
+// acquireReadyShard adds the shard and ticks until it has its whole allocation.
 func (f *fixture) acquireReadyShard() {
 	f.t.Helper()
 	f.AddHeldShard("a", 1)
@@ -108,7 +109,7 @@
 		f.tick()
 	}
 	if got := f.Allocation("a", team); got != quota.AmountOf(2, 0) {
-		f.t.Fatalf("the allocation is %v", got)
+		f.t.Fatalf("the allocation is %v, want the whole limit", got)
 	}
 }
 
@@ -120,7 +121,7 @@
 	c.AddHeldShard("a", 1)
 	c.MarkReconciled("a")
 	if c.Enabled() || c.Limited(claim()) || c.AdmissibleCount(claim(), 100) != 100 || !c.Admit(claim(), 0, 1) {
-		t.Error("a limit without quota.escrow")
+		t.Error("a team is limited without quota.escrow")
 	}
 	c.Release(claim(), 0, 1)
 	c.RemoveHeldShard("a")
@@ -140,22 +141,22 @@
 	}
 	f.Release(claim(), 0, 0)
 	if !f.Admit(claim(), 2, 3) {
-		t.Error("no room after a release")
+		t.Error("not admitted after a release")
 	}
 }
 
-// What an earlier holder admitted counts, so that nothing more fits.
+// Replicas that an earlier holder admitted count, so that no more fit the allocation.
 func TestInheritedReplicasAreCharged(t *testing.T) {
 	f := newFixture(t)
 	f.acquireReadyShard()
 	f.ChargeInherited(claim(), 2)
 	if f.Admit(claim(), 0, 1) {
-		t.Error("admitted beside what an earlier holder admitted")
+		t.Error("admitted although replicas of an earlier holder use the whole allocation")
 	}
 }
 
-// Nothing is admitted of a shard until the records were read after it was acquired and
-// what earlier holders admitted is known.
+// Nothing is admitted for a shard until the records were read after its acquisition and
+// everything that earlier holders admitted is counted.
 func TestNothingIsAdmittedBeforeTheShardIsReconciled(t *testing.T) {
 	f := newFixture(t)
 	f.AddHeldShard("a", 1)
@@ -163,7 +164,7 @@
 		f.tick()
 	}
 	if f.IsReconciled("a") || f.Admit(claim(), 0, 1) {
-		t.Error("admitted though earlier holders may have admitted something")
+		t.Error("admitted although replicas of earlier holders may not be counted")
 	}
 	f.MarkReconciled("a")
 	f.readError = errors.New("no answer")
@@ -174,10 +175,10 @@
 		f.tick()
 	}
 	if f.Admit(claim(), 0, 1) {
-		t.Error("admitted though the records were not read")
+		t.Error("admitted although the records were not read")
 	}
 	if f.reads != reads+3 {
-		t.Errorf("%d reads in 3 s that got no answer", f.reads-reads)
+		t.Errorf("%d reads in 3 s without an answer, want 3", f.reads-reads)
 	}
 }
 
@@ -224,12 +225,12 @@
 			t.Errorf("record %d: %+v, want %+v", i, r, w)
 		}
 		if r.Shard != "a" || r.FencingToken != 1 || r.Team != team || r.Job != "wk-1" || r.Amount != quota.AmountOf(1, 0) {
-			t.Errorf("record %d is of another claim: %+v", i, r)
+			t.Errorf("record %d has fields of another claim: %+v", i, r)
 		}
 	}
 }
 
-// Messages that make no sense are counted and change nothing.
+// Messages that are invalid or outdated are counted and change nothing.
 func TestInvalidDemandsAreDropped(t *testing.T) {
 	amount := &meshpb.QuotaAmount{Cpus: 1000}
 	for _, test := range []struct {
@@ -245,7 +246,7 @@
 			f := newFixture(t)
 			from := Sender{Member: "b", LastSequence: 5, HoldsShard: func(string) bool { return test.holds }}
 			if got, want := f.HandleDemands(from, test.demand), max(from.LastSequence, test.demand.Seq); got != want {
-				t.Errorf("the last sequence is %d, want %d", got, want)
+				t.Errorf("the last sequence number is %d, want %d", got, want)
 			}
 			if f.Dropped() != 1 {
 				t.Errorf("%d dropped, want 1", f.Dropped())
@@ -254,7 +255,7 @@
 	}
 }
 
-// A record that can't be read or was deleted keeps its team waiting.
+// A record that can't be read or was deleted blocks its team's tasks.
 func TestUnreadableRecord(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -265,7 +266,7 @@
 			f.acquireReadyShard()
 			f.ObserveRecord(team, []byte{0xff}, f.revision+1, test.present)
 			if f.Dropped() != 1 || f.Admit(claim(), 0, 1) {
-				t.Errorf("%d dropped, and the team's tasks are admitted", f.Dropped())
+				t.Errorf("%d dropped, want 1, or the team's task was admitted", f.Dropped())
 			}
 		})
 	}
@@ -274,6 +275,6 @@
 func TestTeamNameThatIsTooLong(t *testing.T) {
 	_, err := New(Config{Enabled: true, Teams: []settings.Team{{Name: strings.Repeat("x", storage.MaxKeyLength), CPUsMax: 1}}})
 	if err == nil || !strings.Contains(err.Error(), "too long") {
-		t.Errorf("error %v", err)
+		t.Errorf("got %v, want an error that the name is too long", err)
 	}
 }
--- a/internal/admission/demands.go
+++ b/internal/admission/demands.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	demandInterval     = 400 * time.Millisecond // between frames that tell others what is lacking
+	demandInterval     = 400 * time.Millisecond // between messages with demands
 	droppedLogInterval = 10 * time.Second
 )
 
-// Entitlement is what this process may do at a time.
+// TickConditions are the conditions at the time of a tick that decide what this process may do.
 type TickConditions struct {
 	AllMembersDivideLimits bool // every member that has ever started divides limits among the shards
-	MayAct                 bool // the keys of the shards are surely still this process's
-	LeaseValid             bool // its lease surely lasts
+	MayAct                 bool // this process is guaranteed to still hold the keys of its shards
+	LeaseValid             bool // the lease of this process is guaranteed not to have ended
 }
 
-// Tick does what time asks for. It is called about ten times a second.
-func (c *Control) Tick(now time.Duration, entitlement TickConditions) {
+// Tick reads the records if that is due, updates what is pending, sends demands and starts
+// transfers. It is called about 10 times per second.
+func (c *Control) Tick(now time.Duration, conditions TickConditions) {
 	if c.manager == nil {
 		return
 	}
-	c.setEnforced(entitlement.AllMembersDivideLimits)
+	c.setEnforced(conditions.AllMembersDivideLimits)
 	c.readRecords(now)
 	c.updatePending(now)
 	c.manager.UpdateCeilings(now)
-	if entitlement.MayAct {
+	if conditions.MayAct {
 		c.broadcastDemands(now)
 	}
-	if entitlement.LeaseValid {
+	if conditions.LeaseValid {
 		c.startTransfer(now)
 	}
 }
 
-// setEnforced has admission go by allocations while every member divides limits.
-func (c *Control) setEnforced(all bool) {
-	if all != c.manager.Enforced() {
-		c.config.Log.Info().Bool("enforced", all).Msg("enforcement of team limits changed")
+// setEnforced bounds admission by allocations while every member divides limits.
+func (c *Control) setEnforced(enforced bool) {
+	if enforced != c.manager.Enforced() {
+		c.config.Log.Info().Bool("enforced", enforced).Msg("enforcement of team limits changed")
 	}
-	c.manager.SetEnforced(all)
+	c.manager.SetEnforced(enforced)
 }
 
-// pendingAmounts are what a team's tasks that could start would use.
+// pendingAmounts are the amounts of a team's tasks that could start.
 type pendingAmounts struct{ total, smallest quota.Amount }
 
-// updatePending tells the manager what waits, and the leader what has changed of that.
+// updatePending passes the pending amounts of all teams at held shards to the manager, and has
+// the shard owner check for changes that the leader has to know.
 func (c *Control) updatePending(now time.Duration) {
 	pending := make(map[accountKey]*pendingAmounts)
 	c.shardOwner.StartableTasks(func(claim *Claim, tasks int) {
@@ -76,7 +78,7 @@
 	c.shardOwner.AllocationsChanged()
 }
 
-// broadcastDemands tells the other members what this one's shards lack.
+// broadcastDemands sends what this member's shards lack to the other members.
 func (c *Control) broadcastDemands(now time.Duration) {
 	if now < c.nextDemandsAt {
 		return
@@ -87,42 +89,42 @@
 		return
 	}
 	c.demandSequence++
-	f := &meshpb.QuotaDemands{Seq: c.demandSequence}
+	message := &meshpb.QuotaDemands{Seq: c.demandSequence}
 	for _, d := range demands {
-		f.Demands = append(f.Demands, &meshpb.QuotaDemand{Shard: d.Shard, Team: d.Team, Target: amountToProto(d.Target),
+		message.Demands = append(message.Demands, &meshpb.QuotaDemand{Shard: d.Shard, Team: d.Team, Target: amountToProto(d.Target),
 			SmallestPending: amountToProto(d.SmallestPending), PendingUs: d.PendingFor.Microseconds()})
 	}
-	c.config.BroadcastDemands(f)
+	c.config.BroadcastDemands(message)
 }
 
 func amountToProto(a quota.Amount) *meshpb.QuotaAmount {
 	return &meshpb.QuotaAmount{Cpus: a.CPUs, Gpus: a.GPUs}
 }
 
-func amountFromProto(f *meshpb.QuotaAmount) quota.Amount {
-	return quota.Amount{CPUs: f.GetCpus(), GPUs: f.GetGpus()}
+func amountFromProto(amount *meshpb.QuotaAmount) quota.Amount {
+	return quota.Amount{CPUs: amount.GetCpus(), GPUs: amount.GetGpus()}
 }
 
-// Sender is the member that a demand came from.
+// Sender is the member that sent a message with demands.
 type Sender struct {
 	Member string
-	// LastSequence is the number of its last demands on this stream.
+	// LastSequence is the sequence number of the last such message on this stream.
 	LastSequence uint64
-	// Holds tells whether it holds a shard, as far as this member knows.
+	// HoldsShard reports whether the member holds a shard, as observed by this process.
 	HoldsShard func(shard string) bool
 }
 
-// HandleDemands takes what another member lacks, and returns the number of its last demands.
-// They count only for shards that the member holds.
-func (c *Control) HandleDemands(from Sender, f *meshpb.QuotaDemands) (lastSequence uint64) {
+// HandleDemands records the demands of another member, and returns the sequence number of the
+// latest message. Only demands for shards that the member holds are recorded.
+func (c *Control) HandleDemands(from Sender, message *meshpb.QuotaDemands) (lastSequence uint64) {
 	if c.manager == nil {
 		return from.LastSequence
 	}
-	if f.Seq <= from.LastSequence {
+	if message.Seq <= from.LastSequence {
 		c.drop(dropOutdated, from.Member)
 		return from.LastSequence
 	}
-	for _, d := range f.Demands {
+	for _, d := range message.Demands {
 		if !from.HoldsShard(d.Shard) {
 			c.drop(dropNotHolder, from.Member)
 			continue
@@ -133,7 +135,7 @@
 			c.dropWithError(dropMalformed, err, from.Member)
 		}
 	}
-	return f.Seq
+	return message.Seq
 }
 
 // dropReason is why a message or record was dropped.
@@ -156,13 +158,14 @@
 	return "dropReason(" + strconv.Itoa(int(r)) + ")"
 }
 
-// Dropped returns how many messages and records made no sense and were dropped.
+// Dropped returns the number of messages and records that were dropped as invalid or outdated.
 func (c *Control) Dropped() uint64 { return c.dropped }
 
-// drop counts what made no sense and was dropped, with a line now and then.
+// drop counts a dropped message or record, and logs it unless another was logged within
+// droppedLogInterval.
 func (c *Control) drop(reason dropReason, from string) { c.dropWithError(reason, nil, from) }
 
-// dropWithError is drop with the error that tells more.
+// dropWithError is like drop, and includes an error in the log entry.
 func (c *Control) dropWithError(reason dropReason, err error, from string) {
 	c.dropped++
 	now := c.config.Clock.Now()
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -8,57 +8,58 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// recordsReadRetryInterval is after how long a read of the records is tried again.
+// recordsReadRetryInterval is the time between a failed read of the records and the next one.
 const recordsReadRetryInterval = 300 * time.Millisecond
 
-// ObserveRecord takes a team's record, or its absence, as the watch shows it.
+// ObserveRecord records a team's record, or its deletion, as reported by a watch or a read.
 func (c *Control) ObserveRecord(team string, value []byte, version uint64, present bool) {
 	switch {
 	case c.manager == nil || !c.manager.HasLimit(team):
 		return
 	case !present:
-		// Nobody drops records; whoever did it by hand has to write it anew.
+		// No controller deletes records. If an operator deleted one, it has to be written again.
 		c.manager.ObserveUnreadableRecord(team, version)
 		c.drop(dropRecordDeleted, storage.QuotaKey(team))
 		return
 	}
-	var r quota.Record
-	if err := c.config.Codec.Decode(value, &r); err != nil {
+	var record quota.Record
+	if err := c.config.Codec.Decode(value, &record); err != nil {
 		c.manager.ObserveUnreadableRecord(team, version)
 		c.dropWithError(dropRecordUnreadable, err, storage.QuotaKey(team))
 		return
 	}
-	c.manager.ObserveRecord(team, r, version)
+	c.manager.ObserveRecord(team, record, version)
 }
 
-// ObserveAbsentRecords takes a listing that has every record that there is.
+// ObserveAbsentRecords records which teams have no record; items must be a listing that includes
+// all records that exist.
 func (c *Control) ObserveAbsentRecords(items []protocol.KeyValue) {
 	if c.manager == nil {
 		return
 	}
-	seen := make(map[string]bool)
-	for _, it := range items {
-		if team, ok := storage.TeamOfQuotaKey(it.Key); ok {
-			seen[team] = true
+	present := make(map[string]bool)
+	for _, item := range items {
+		if team, ok := storage.TeamOfQuotaKey(item.Key); ok {
+			present[team] = true
 		}
 	}
 	for team := range c.guarantees {
-		if !seen[team] {
+		if !present[team] {
 			c.manager.ObserveAbsentRecord(team)
 		}
 	}
 }
 
-// readRecords reads all records after a shard was acquired, or when it is not known what
-// became of a transaction.
+// readRecords reads all records after a shard was acquired, or after a transaction whose outcome
+// is unknown.
 func (c *Control) readRecords(now time.Duration) {
 	if !c.recordsStale || c.readingRecords || now < c.nextReadAt {
 		return
 	}
 	c.readingRecords, c.recordsStale = true, false
-	before := make(map[string]*heldShard, len(c.heldShards)) // that were acquired before this read
+	heldBeforeRead := make(map[string]*heldShard, len(c.heldShards))
 	for name, shard := range c.heldShards {
-		before[name] = shard
+		heldBeforeRead[name] = shard
 	}
 	c.config.RecordStore.QuotaRecords(func(items []protocol.KeyValue, err error) {
 		c.readingRecords = false
@@ -66,13 +67,13 @@
 			c.recordsStale, c.nextReadAt = true, c.config.Clock.Now()+recordsReadRetryInterval
 			return
 		}
-		for _, it := range items {
-			if team, known := storage.TeamOfQuotaKey(it.Key); known {
-				c.ObserveRecord(team, it.Value, it.Version, true)
+		for _, item := range items {
+			if team, ok := storage.TeamOfQuotaKey(item.Key); ok {
+				c.ObserveRecord(team, item.Value, item.Version, true)
 			}
 		}
 		c.ObserveAbsentRecords(items)
-		for name, shard := range before {
+		for name, shard := range heldBeforeRead {
 			if c.heldShards[name] == shard {
 				c.manager.MarkRecordsFresh(name)
 			}
@@ -81,7 +82,7 @@
 	})
 }
 
-// transfer has the manager's next change of allocations written.
+// startTransfer has the manager's next change of allocations written, if there is one.
 func (c *Control) startTransfer(now time.Duration) {
 	if c.readingRecords || c.recordsStale {
 		return
@@ -93,10 +94,10 @@
 	if transfer == nil {
 		return
 	}
-	c.config.RecordStore.TransferQuota(transfer, func(r storage.TxnResult) {
-		switch r.Outcome {
+	c.config.RecordStore.TransferQuota(transfer, func(result storage.TxnResult) {
+		switch result.Outcome {
 		case storage.Applied:
-			c.manager.TransferApplied(r.Revision)
+			c.manager.TransferApplied(result.Revision)
 			c.shardOwner.AllocationsChanged()
 		case storage.Rejected:
 			c.manager.TransferNotApplied()
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// memory is a sink in memory. While it is held nothing is written.
+// memorySink is a sink in memory. If unblock is set, writes block until it is closed.
 type memorySink struct {
 	bytes.Buffer
 	unblock    chan struct{}
@@ -30,10 +30,10 @@
 
 func (*memorySink) Close() error { return nil }
 
-func admittedRecord(job string, task uint32, after int64) Record {
+func admittedRecord(job string, task uint32, cpusAfter int64) Record {
 	size := quota.AmountOf(2, 0)
 	return Record{Kind: Admitted, Shard: "a", FencingToken: 3, Team: "red", Revision: 5, Job: job, Task: task, Replica: 1, Amount: size, TimeMs: 1000 + int64(task),
-		SpentBefore: quota.AmountOf(float64(after)-2, 0), SpentAfter: quota.AmountOf(float64(after), 0), Allocation: quota.AmountOf(8, 0), Limit: quota.LimitOf(8, 0), Guarantee: quota.AmountOf(4, 0)}
+		SpentBefore: quota.AmountOf(float64(cpusAfter)-2, 0), SpentAfter: quota.AmountOf(float64(cpusAfter), 0), Allocation: quota.AmountOf(8, 0), Limit: quota.LimitOf(8, 0), Guarantee: quota.AmountOf(4, 0)}
 }
 
 func writeStream(t *testing.T, records ...Record) []byte {
@@ -78,45 +78,45 @@
 	}
 }
 
-// Whatever is changed, cut off, left out or added shows, with file and offset.
+// Any change, truncation, omission or addition is detected, with file and offset.
 func TestDamagedStreamsAreRejected(t *testing.T) {
 	good := writeStream(t, admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4))
 	for i := range good {
 		bad := bytes.Clone(good)
 		bad[i] ^= 0x10
 		if _, err := Read("x.audit", bad); err == nil {
-			t.Fatalf("byte %d was changed and nothing shows it", i)
+			t.Fatalf("a stream with a change of byte %d was read without an error", i)
 		}
 	}
-	for _, c := range []struct {
-		what string
-		b    []byte
-		says string
+	for _, test := range []struct {
+		name string
+		data []byte
+		text string
 	}{
 		{"empty", nil, "not an audit stream"},
-		{"foreign", []byte("hello, world, this is something else"), "not an audit stream"},
-		{"only the beginning", good[:len(fileMagic)], "truncated"},
-		{"cut off in a segment", good[:len(good)-1], "truncated"},
-		{"more after the end", append(bytes.Clone(good), good[len(fileMagic):]...), "more follows"},
-		{"a segment left out", append([]byte(fileMagic), good[len(fileMagic)+segmentLength(good, len(fileMagic)):]...), "missing"},
+		{"another format", []byte("hello, world, this is something else"), "not an audit stream"},
+		{"no segment", good[:len(fileMagic)], "truncated"},
+		{"truncated in a segment", good[:len(good)-1], "truncated"},
+		{"data after the last segment", append(bytes.Clone(good), good[len(fileMagic):]...), "more follows"},
+		{"a missing segment", append([]byte(fileMagic), good[len(fileMagic)+segmentLength(good, len(fileMagic)):]...), "missing"},
 	} {
-		t.Run(c.what, func(t *testing.T) {
-			_, err := Read("x.audit", c.b)
-			var e *ReadError
-			if !errors.As(err, &e) || e.Name != "x.audit" || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line with %q", err, c.says)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Read("x.audit", test.data)
+			var readError *ReadError
+			if !errors.As(err, &readError) || readError.Name != "x.audit" || !strings.Contains(err.Error(), test.text) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want one line with %q", err, test.text)
 			}
 		})
 	}
 }
 
-// segmentLength is the length of the segment that begins at a byte.
-func segmentLength(b []byte, at int) int {
-	return lengthBytes + hashBytes + (int(b[at])<<24 | int(b[at+1])<<16 | int(b[at+2])<<8 | int(b[at+3]))
+// segmentLength returns the length of the segment that starts at an offset.
+func segmentLength(b []byte, offset int) int {
+	return lengthBytes + hashBytes + (int(b[offset])<<24 | int(b[offset+1])<<16 | int(b[offset+2])<<8 | int(b[offset+3]))
 }
 
-// A sink that is slower than the records come makes nobody wait, and what was
-// dropped shows.
+// If the sink is slower than records arrive, Append does not wait, and the stream has the number
+// of dropped records.
 func TestSlowSinkDropsAreCounted(t *testing.T) {
 	sink := &memorySink{}
 	w, err := NewWriter(sink, Header{Member: "a"}, func(err error) { t.Error(err) })
@@ -158,7 +158,8 @@
 	}
 }
 
-// requireFinding looks for a text in a report's findings, or for none of a kind.
+// requireFinding checks that a report has a finding with a text (and of a kind, unless it is
+// empty), or no finding if the text is empty.
 func requireFinding(t *testing.T, r *Report, text string, kind FindingKind) {
 	t.Helper()
 	for _, f := range r.Findings {
@@ -167,56 +168,56 @@
 		}
 	}
 	if text != "" || len(r.Findings) > 0 {
-		t.Errorf("findings %+v, want %s %q", r.Findings, kind, text)
+		t.Errorf("got findings %+v, want one of kind %q with %q", r.Findings, kind, text)
 	}
 }
 
 func TestVerifyFindsViolations(t *testing.T) {
-	release := func(r Record) Record {
+	released := func(r Record) Record {
 		r.Kind, r.SpentBefore, r.SpentAfter = Released, r.SpentAfter, r.SpentBefore
 		return r
 	}
-	at := func(r Record, revision uint64, ms int64) Record {
+	atTime := func(r Record, revision uint64, ms int64) Record {
 		r.Revision, r.TimeMs = revision, ms
 		return r
 	}
-	of := func(r Record, shard string, fencingToken uint64) Record {
+	ofHolder := func(r Record, shard string, fencingToken uint64) Record {
 		r.Shard, r.FencingToken = shard, fencingToken
 		return r
 	}
-	a0, a1 := admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4)
-	full := []Record{a0, a1, admittedRecord("wk-1", 2, 6), admittedRecord("wk-1", 3, 8)}
+	first, second := admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4)
+	full := []Record{first, second, admittedRecord("wk-1", 2, 6), admittedRecord("wk-1", 3, 8)}
 	blocked := Record{Kind: Blocked, Shard: "b", FencingToken: 4, Team: "red", Revision: 5, TimeMs: 1100, Amount: quota.AmountOf(2, 0), Limit: quota.LimitOf(8, 0), Guarantee: quota.AmountOf(4, 0)}
-	later := func(ms int64) Record { return at(release(a0), 5, ms) }
-	counted := Record{Kind: JobRecovered, Shard: "a", FencingToken: 9, Team: "red", Revision: 9, TimeMs: 2000, Job: "wk-1", Limit: quota.LimitOf(8, 0)}
-	found := at(of(a0, "a", 9), 9, 2100)
+	firstReleased := func(ms int64) Record { return atTime(released(first), 5, ms) }
+	recovered := Record{Kind: JobRecovered, Shard: "a", FencingToken: 9, Team: "red", Revision: 9, TimeMs: 2000, Job: "wk-1", Limit: quota.LimitOf(8, 0)}
+	found := atTime(ofHolder(first, "a", 9), 9, 2100)
 	found.Kind, found.SpentBefore, found.SpentAfter = ReplicaFound, quota.Amount{}, quota.Amount{}
-	completed := Record{Kind: ShardReconciled, Shard: "a", FencingToken: 9, Team: "red", Revision: 9, TimeMs: 2200, Limit: quota.LimitOf(8, 0)}
-	for _, c := range []struct {
-		what    string
+	reconciled := Record{Kind: ShardReconciled, Shard: "a", FencingToken: 9, Team: "red", Revision: 9, TimeMs: 2200, Limit: quota.LimitOf(8, 0)}
+	for _, test := range []struct {
+		name    string
 		streams [][]Record
 		text    string
 		kind    FindingKind
 	}{
-		{"all is well", [][]Record{full}, "", ""},
-		{"over the limit", [][]Record{full, {of(admittedRecord("wk-2", 0, 2), "b", 4)}}, "is used in all", Overshoot},
-		{"beyond the allocation", [][]Record{{a0, admittedRecord("wk-1", 1, 9)}}, "of an allocation", Overshoot},
-		{"admitted twice", [][]Record{{a0}, {of(a0, "b", 4)}}, "is admitted at b while", Overshoot},
-		{"passed on by a new revision, though clocks differ", [][]Record{append(full[:4:4], at(release(full[3]), 5, 9000)), {at(of(admittedRecord("wk-2", 0, 2), "b", 4), 6, 500)}}, "", ""},
-		{"released, which nobody admitted", [][]Record{{release(a0)}}, "which nobody admitted", Gap},
-		{"found, which nobody admitted", [][]Record{{counted, found}}, "which nobody admitted", Gap},
-		{"taken over", [][]Record{full[:1], {counted, found, completed}}, "", ""},
-		{"spent does not go on where it ended", [][]Record{{a0, admittedRecord("wk-1", 1, 6)}}, "begins with", Gap},
-		{"kept from the guarantee", [][]Record{{a0, later(4000)}, {blocked}}, "of its guarantee", GuaranteeUnmet},
-		{"blocked for a moment", [][]Record{{a0, later(1500)}, {blocked}}, "", ""},
-		{"blocked beyond the guarantee", [][]Record{append(full[:3:3], at(release(full[2]), 5, 9000)), {blocked}}, "", ""},
+		{"within the limit", [][]Record{full}, "", ""},
+		{"over the limit", [][]Record{full, {ofHolder(admittedRecord("wk-2", 0, 2), "b", 4)}}, "is used in all", Overshoot},
+		{"beyond the allocation", [][]Record{{first, admittedRecord("wk-1", 1, 9)}}, "of an allocation", Overshoot},
+		{"admitted twice", [][]Record{{first}, {ofHolder(first, "b", 4)}}, "is admitted at b while", Overshoot},
+		{"transferred by a new revision, although clocks differ", [][]Record{append(full[:4:4], atTime(released(full[3]), 5, 9000)), {atTime(ofHolder(admittedRecord("wk-2", 0, 2), "b", 4), 6, 500)}}, "", ""},
+		{"released without an admission", [][]Record{{released(first)}}, "which nobody admitted", Gap},
+		{"found without an admission", [][]Record{{recovered, found}}, "which nobody admitted", Gap},
+		{"taken over", [][]Record{full[:1], {recovered, found, reconciled}}, "", ""},
+		{"amount spent differs from the one before", [][]Record{{first, admittedRecord("wk-1", 1, 6)}}, "begins with", Gap},
+		{"blocked within the guarantee for too long", [][]Record{{first, firstReleased(4000)}, {blocked}}, "of its guarantee", GuaranteeUnmet},
+		{"blocked within the guarantee for a short time", [][]Record{{first, firstReleased(1500)}, {blocked}}, "", ""},
+		{"blocked beyond the guarantee", [][]Record{append(full[:3:3], atTime(released(full[2]), 5, 9000)), {blocked}}, "", ""},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var streams []*Stream
-			for _, records := range c.streams {
+			for _, records := range test.streams {
 				streams = append(streams, newStream(t, records...))
 			}
-			requireFinding(t, Verify(streams, 2*time.Second), c.text, c.kind)
+			requireFinding(t, Verify(streams, 2*time.Second), test.text, test.kind)
 		})
 	}
 	s := newStream(t, full...)
--- a/internal/audit/errors_test.go
+++ b/internal/audit/errors_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A caller can tell why a stream can't be read, and where.
+// The error says why a stream can't be read, and where.
 func TestReadErrorsNameTheCause(t *testing.T) {
 	good := writeStream(t, admittedRecord("wk-1", 0, 2), admittedRecord("wk-1", 1, 4))
 	first := len(fileMagic)
@@ -17,36 +17,36 @@
 	changed[len(changed)-1]++
 	tooLong := bytes.Clone(good)
 	tooLong[second] = 0xff
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		data   []byte
 		offset int
 		want   error
 	}{
-		"something else":        {[]byte("hello, world"), 0, ErrNotStream},
-		"no segment":            {good[:first], first, ErrTruncated},
-		"half a head":           {good[:second+3], second, ErrTruncated},
-		"half a segment":        {good[:len(good)-1], second, ErrTruncated},
-		"a changed segment":     {changed, second, ErrChainBroken},
-		"a segment left out":    {append([]byte(fileMagic), good[second:]...), first, ErrChainBroken},
-		"a length out of range": {tooLong, second, ErrSegmentTooLong},
-		"more after the end":    {append(bytes.Clone(good), good[first:]...), len(good), ErrTrailingData},
+		"another format":              {[]byte("hello, world"), 0, ErrNotStream},
+		"no segment":                  {good[:first], first, ErrTruncated},
+		"truncated in the head":       {good[:second+3], second, ErrTruncated},
+		"truncated in a segment":      {good[:len(good)-1], second, ErrTruncated},
+		"a changed segment":           {changed, second, ErrChainBroken},
+		"a missing segment":           {append([]byte(fileMagic), good[second:]...), first, ErrChainBroken},
+		"a length out of range":       {tooLong, second, ErrSegmentTooLong},
+		"data after the last segment": {append(bytes.Clone(good), good[first:]...), len(good), ErrTrailingData},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Read("x.audit", c.data)
-			var read *ReadError
-			if !errors.As(err, &read) || !errors.Is(err, c.want) || read.Name != "x.audit" || read.Offset != c.offset {
-				t.Errorf("got %v, want %v at byte %d", err, c.want, c.offset)
+			_, err := Read("x.audit", test.data)
+			var readError *ReadError
+			if !errors.As(err, &readError) || !errors.Is(err, test.want) || readError.Name != "x.audit" || readError.Offset != test.offset {
+				t.Errorf("got %v, want %v at byte %d", err, test.want, test.offset)
 			}
 		})
 	}
 	missing := filepath.Join(t.TempDir(), "none.audit")
 	if _, err := ReadFile(missing); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: got %v", err)
+		t.Errorf("no file: got %v, want an error that it does not exist", err)
 	}
 }
 
-// A segment whose hash is right but that has no header in the first place, or one in a
-// later place, is not where it was written.
+// A segment with a valid hash is rejected if it is the first and has no header, or is a later
+// one and has a header.
 func TestMisplacedSegmentsAreRejected(t *testing.T) {
 	sink := &memorySink{}
 	w, err := newWriter(sink, Header{Member: "a"}, nil)
@@ -65,13 +65,13 @@
 	seen := make(map[string]bool)
 	for kind := Admitted; kind <= Unblocked; kind++ {
 		if name := kind.String(); name == "" || seen[name] {
-			t.Errorf("kind %d is called %q", uint8(kind), name)
+			t.Errorf("kind %d has the name %q, want a unique one", uint8(kind), name)
 		}
 		seen[kind.String()] = true
 	}
 	for _, kind := range []Kind{0, Unblocked + 1} {
 		if name := kind.String(); seen[name] {
-			t.Errorf("kind %d of another version is called %q", uint8(kind), name)
+			t.Errorf("unknown kind %d has the name %q of a known kind", uint8(kind), name)
 		}
 	}
 }
--- a/internal/audit/example_test.go
+++ b/internal/audit/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// Two controllers admit 6 of 8 CPUs each: together that is beyond the team's limit.
+// Two controllers admit 6 of 8 CPUs each, which together exceeds the team's limit.
 func ExampleVerify() {
 	limit := quota.LimitOf(8, 0)
 	admitted := func(shard, job string) *audit.Stream {
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -9,8 +9,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// goldenRecords is what testdata/golden/history.audit holds: one record of each kind
-// and one of a kind that is not known, with all fields set.
+// goldenRecords returns the records of testdata/golden/history.audit: one of each kind and one
+// of an unknown kind, with all fields set.
 func goldenRecords() []Record {
 	var records []Record
 	for i := range 9 {
@@ -25,8 +25,8 @@
 	return records
 }
 
-// The file has the form that it had when testdata/golden/history.audit was written, by
-// the version of 78abcea: it is read in full, and the same records give the same bytes.
+// testdata/golden/history.audit was written by commit 78abcea. It must be read completely, and
+// the same records must give the same bytes.
 func TestFileFormatStaysAsItIs(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "golden", "history.audit"))
 	if err != nil {
@@ -49,13 +49,13 @@
 	for i := range records {
 		records[i].Seq = uint64(i + 1)
 		if s.Records[i] != records[i] {
-			t.Errorf("record %d is read as %+v, want %+v", i, s.Records[i], records[i])
+			t.Errorf("record %d is %+v, want %+v", i, s.Records[i], records[i])
 		}
 	}
 	if err := w.writeSegment(&segment{Records: records, Last: true}); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(sink.Bytes(), golden) {
-		t.Errorf("the same records give %d other bytes than the %d of the file", sink.Len(), len(golden))
+		t.Errorf("the same records give %d bytes that differ from the %d of the file", sink.Len(), len(golden))
 	}
 }
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -11,49 +11,52 @@
 	"github.com/zeebo/blake3"
 )
 
-// Why a stream can't be read; ReadError has the place.
+// Causes of a ReadError, which adds the place.
 var (
-	// ErrNotStream says that the file is something else.
+	// ErrNotStream means that the file is not an audit stream.
 	ErrNotStream = errors.New("not an audit stream")
-	// ErrTruncated says that the stream breaks off, as after a crash.
+	// ErrTruncated means that the stream ends within a segment or before the first one, as after
+	// a crash.
 	ErrTruncated = errors.New("truncated")
-	// ErrChainBroken says that a segment was changed or left out.
+	// ErrChainBroken means that a segment was changed or left out.
 	ErrChainBroken = errors.New("a segment was changed, or one before it is missing")
-	// ErrMisplaced says that a segment is not where it was written.
+	// ErrMisplaced means that a segment is not where it was written: the header is not in the
+	// first segment, or in a later one.
 	ErrMisplaced = errors.New("a segment is not in its place")
-	// ErrTrailingData says that the stream goes on after its end.
+	// ErrTrailingData means that data follows the last segment.
 	ErrTrailingData = errors.New("more follows after the last segment")
-	// ErrSegmentTooLong says that a segment is longer than any that is written.
+	// ErrSegmentTooLong means that a segment is longer than a Writer makes them.
 	ErrSegmentTooLong = errors.New("a segment is too long")
 )
 
-// Stream is one controller's history as read.
+// Stream is the history that one controller has written.
 type Stream struct {
 	Name    string // of the file
 	Header  Header
 	Records []Record
-	Dropped uint64 // records that the writer had no room for
-	// HasLastSegment tells that the writer ended the stream, rather than being killed.
+	Dropped uint64 // records for which the writer had no room
+	// HasLastSegment is true if the writer was closed; it is false after a crash or kill of the
+	// process.
 	HasLastSegment bool
 }
 
-// ReadError says what is wrong with a stream, and where.
+// ReadError is the error of reading a stream, with the place.
 type ReadError struct {
 	Name   string // of the file
 	Offset int    // of the segment in the file, in bytes
 	Err    error
 }
 
-// Error implements error. It is one line.
+// Error implements error. The text is one line.
 func (e *ReadError) Error() string {
 	return fmt.Sprintf("%s: at byte %d: %v", e.Name, e.Offset, e.Err)
 }
 
-// Unwrap returns the cause: one of this package's errors, or that of the file system, of
-// the decompressor or of the decoder.
+// Unwrap returns the cause: an error of this package, the file system, the decompressor or the
+// decoder.
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// ReadFile reads a stream from a file. Its error is a ReadError.
+// ReadFile reads a stream from a file. If it can't be read, the error is a ReadError.
 func ReadFile(name string) (*Stream, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -62,8 +65,8 @@
 	return Read(name, data)
 }
 
-// Read reads a stream; name is what errors call it. If the stream can't be read, the
-// error is a ReadError.
+// Read reads a stream; name is its name in errors. If the stream can't be read, the error is a
+// ReadError.
 func Read(name string, data []byte) (*Stream, error) {
 	if len(data) < len(fileMagic) || string(data[:len(fileMagic)]) != fileMagic {
 		return nil, &ReadError{Name: name, Err: ErrNotStream}
@@ -85,14 +88,14 @@
 	return r.stream, nil
 }
 
-// reader reads one segment after the other.
+// reader reads the segments of a stream one after the other.
 type reader struct {
 	stream   *Stream
 	data     []byte
 	offset   int // of the next segment
-	segments int // read so far
+	segments int // number of segments read so far
 	decoder  *zstd.Decoder
-	lastHash [hashBytes]byte
+	lastHash [hashBytes]byte // of the last segment read
 }
 
 // readSegment adds the next segment to the stream.
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// nextPayload returns the next segment's compressed content once its hash is checked.
+// nextPayload checks the hash of the next segment and returns its compressed content.
 func (r *reader) nextPayload() ([]byte, error) {
 	rest := r.data[r.offset:]
 	if len(rest) < lengthBytes+hashBytes {
--- a/internal/audit/replay.go
+++ b/internal/audit/replay.go
@@ -7,8 +7,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// replay follows one team through the merged history of all controllers, and finds what
-// should not be.
+// replay applies one team's events in the merged history of all controllers, and finds
+// violations.
 type replay struct {
 	team          string
 	guaranteeWait time.Duration
@@ -16,16 +16,16 @@
 	findings      []Finding
 	findingCounts map[FindingKind]int
 	running       map[taskKey]runningReplica
-	inUse         quota.Amount
-	// admissions holds the number of each task's latest replica that was admitted.
+	inUse         quota.Amount // sum of running
+	// lastAdmittedReplicas has the number of each task's latest replica that was admitted.
 	lastAdmittedReplicas map[taskKey]uint64
-	recoveredJobs        map[holderKey]map[string]bool // jobs that a holder has read
-	spent                map[holderKey]quota.Amount    // as the holder's last record says
+	recoveredJobs        map[holderKey]map[string]bool // jobs that a holder has read, by name
+	spent                map[holderKey]quota.Amount    // according to the holder's last record
 	blocked              map[holderKey]*blockedState
-	lastTimeMs           int64
+	lastTimeMs           int64 // highest time of an event
 }
 
-// taskKey names a task: it has one replica at a time.
+// taskKey identifies a task, which has at most one replica at a time.
 type taskKey struct {
 	job  string
 	task uint32
@@ -38,20 +38,20 @@
 	amount       quota.Amount
 }
 
-// holderKey names one holder of a shard.
+// holderKey identifies one holder of a shard.
 type holderKey struct {
 	shard        string
 	fencingToken uint64
 }
 
-// blockedState is since when a blocked team has been within its guarantee.
+// blockedState is the state of a team that is blocked at a shard.
 type blockedState struct {
 	smallestPending, guarantee quota.Amount
-	withinGuaranteeSinceMs     int64 // 0: it is not
-	reported                   bool
+	withinGuaranteeSinceMs     int64 // since when its smallest pending task has fit its guarantee; 0: it does not
+	reported                   bool  // there is a finding already
 }
 
-// newReplay begins at an empty cluster.
+// newReplay returns a replay that starts with no running replicas.
 func newReplay(team string, guaranteeWait time.Duration) *replay {
 	return &replay{
 		team: team, guaranteeWait: guaranteeWait, usage: TeamUsage{Team: team},
@@ -64,7 +64,7 @@
 	}
 }
 
-// addFinding keeps a finding, unless there are enough of its kind.
+// addFinding adds a finding, unless there are maxFindingsPerKind of its kind; it counts all.
 func (r *replay) addFinding(kind FindingKind, event historyEvent, format string, args ...any) {
 	r.findingCounts[kind]++
 	if r.findingCounts[kind] <= maxFindingsPerKind {
@@ -72,7 +72,7 @@
 	}
 }
 
-// apply takes the next event.
+// apply applies the next event.
 func (r *replay) apply(event historyEvent) {
 	holder := holderKey{event.Shard, event.FencingToken}
 	if r.usage.Limit.IsZero() {
@@ -108,8 +108,8 @@
 	r.checkGuarantees(event)
 }
 
-// applyAdmitted adds a replica: its task must have no other, and it must be within the
-// allocation.
+// applyAdmitted adds a replica. Its task must have no other replica, and the holder must stay
+// within the allocation.
 func (r *replay) applyAdmitted(event historyEvent, holder holderKey) {
 	r.usage.Admissions++
 	key := taskKey{event.Job, event.Task}
@@ -126,7 +126,7 @@
 	r.recordPeak(event)
 }
 
-// recordPeak notes the usage after something was added, which must be within the limit.
+// recordPeak records the use after an addition, which must be within the limit.
 func (r *replay) recordPeak(event historyEvent) {
 	if r.inUse.CPUs > r.usage.Peak.CPUs {
 		r.usage.PeakAtMs = event.TimeMs
@@ -137,13 +137,13 @@
 	}
 }
 
-// applyReleased takes a replica out.
+// applyReleased removes a replica.
 func (r *replay) applyReleased(event historyEvent, holder holderKey) {
 	r.usage.Releases++
 	key := taskKey{event.Job, event.Task}
 	earlier, ok := r.running[key]
 	if !ok {
-		// Of a recovered task there may have been no replica.
+		// A task of a recovered job was counted, but may have had no replica.
 		if !r.recoveredJobs[holder][event.Job] {
 			r.addFinding(Gap, event, "%s/%d is released at %s, which nobody admitted", event.Job, event.Task, event.Shard)
 		}
@@ -153,7 +153,7 @@
 	delete(r.running, key)
 }
 
-// applyReplicaFound gives an earlier holder's replica to the present one.
+// applyReplicaFound moves an earlier holder's replica to the present holder.
 func (r *replay) applyReplicaFound(event historyEvent, holder holderKey) {
 	key := taskKey{event.Job, event.Task}
 	if earlier, ok := r.running[key]; ok {
@@ -161,8 +161,8 @@
 		r.running[key] = runningReplica{holder.shard, holder.fencingToken, earlier.amount}
 		return
 	}
-	// A holder that does not know yet that it was replaced may have recorded the end
-	// of a replica that the next one still finds.
+	// An earlier holder that had not observed yet that it was replaced may have recorded the
+	// release of a replica that the next holder still finds.
 	if admittedReplica, ok := r.lastAdmittedReplicas[key]; !ok || admittedReplica != event.Replica {
 		r.addFinding(Gap, event, "%s/%d runs, which nobody admitted", event.Job, event.Task)
 	}
@@ -171,8 +171,8 @@
 	r.recordPeak(event)
 }
 
-// applyShardReconciled takes out what earlier holders of a shard admitted and the present
-// one does not know of.
+// applyShardReconciled removes replicas that earlier holders of a shard admitted and that are
+// unknown to the present one.
 func (r *replay) applyShardReconciled(holder holderKey) {
 	for key, replica := range r.running {
 		if replica.shard == holder.shard && replica.fencingToken < holder.fencingToken && !r.recoveredJobs[holder][key.job] {
@@ -187,8 +187,8 @@
 	}
 }
 
-// checkGuarantees finds teams that are blocked for too long though they use less
-// than their guarantee.
+// checkGuarantees reports teams that are blocked for longer than guaranteeWait although their
+// smallest pending task fits their guarantee.
 func (r *replay) checkGuarantees(event historyEvent) {
 	for holder, blocked := range r.blocked {
 		if !r.inUse.Add(blocked.smallestPending).Within(blocked.guarantee.Min(event.Limit)) {
@@ -206,7 +206,7 @@
 	}
 }
 
-// finish concludes the replay.
+// finish checks the guarantees a last time and adds the numbers of findings that were left out.
 func (r *replay) finish() {
 	r.checkGuarantees(historyEvent{Record: &Record{TimeMs: r.lastTimeMs, Limit: r.usage.Limit}})
 	for kind, n := range r.findingCounts {
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -10,48 +10,48 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// FindingKind is what a finding is about. Its text is part of the report.
+// FindingKind is the kind of a finding. Its text is part of the report.
 type FindingKind string
 
 // The kinds of findings.
 const (
-	// Overshoot is more than a limit or an allocation admits.
+	// Overshoot means that more is used than a limit or an allocation admits.
 	Overshoot FindingKind = "overshoot"
-	// GuaranteeUnmet is a team that was kept from its guarantee by the division of limits.
+	// GuaranteeUnmet means that the division of limits kept a team from using its guarantee.
 	GuaranteeUnmet FindingKind = "guarantee unmet"
-	// Gap is a part of the history that is missing or contradicts another.
+	// Gap means that a part of the history is missing or contradicts another.
 	Gap FindingKind = "gap"
 )
 
-// Finding is something that should not be.
+// Finding is a violation of a limit or guarantee, or a fault of the history.
 type Finding struct {
 	Kind   FindingKind
-	Team   string // empty: of a whole stream
+	Team   string // empty if the finding is about a whole stream
 	TimeMs int64
 	Text   string
 }
 
-// TeamUsage is what the replay shows of one team.
+// TeamUsage is a team's use according to the replay.
 type TeamUsage struct {
 	Team       string
 	Limit      quota.Amount // the lowest that was in force
-	Peak       quota.Amount // each part's highest use
-	PeakAtMs   int64        // of CPUs
+	Peak       quota.Amount // the highest use of each part
+	PeakAtMs   int64        // time of the peak of CPUs
 	Admissions int
 	Releases   int
 }
 
-// Report is what the replay of all streams shows.
+// Report is the result of the replay of all streams.
 type Report struct {
 	Teams    []TeamUsage
 	Findings []Finding
 }
 
-// maxFindingsPerKind bounds the findings of each team and kind that are told in full.
+// maxFindingsPerKind bounds the findings per team and kind that are reported one by one.
 const maxFindingsPerKind = 20
 
-// Verify replays the streams of all controllers together. A team is found to be kept from
-// its guarantee if it is blocked within it for longer than guaranteeWait.
+// Verify replays the streams of all controllers together. A team's guarantee counts as unmet if
+// the team is blocked within it for longer than guaranteeWait.
 func Verify(streams []*Stream, guaranteeWait time.Duration) *Report {
 	report := &Report{}
 	teams := make(map[string]bool)
@@ -73,40 +73,40 @@
 	return report
 }
 
-// gaps finds what is missing within one stream.
+// gaps returns findings about missing parts of the stream.
 func (s *Stream) gaps() []Finding {
 	var out []Finding
-	gap := func(at int64, format string, args ...any) {
-		out = append(out, Finding{Kind: Gap, TimeMs: at, Text: s.Name + ": " + fmt.Sprintf(format, args...)})
+	addGap := func(timeMs int64, format string, args ...any) {
+		out = append(out, Finding{Kind: Gap, TimeMs: timeMs, Text: s.Name + ": " + fmt.Sprintf(format, args...)})
 	}
 	next := uint64(1)
 	for i := range s.Records {
 		r := &s.Records[i]
 		if r.Seq != next {
-			gap(r.TimeMs, "record %d follows where %d is due", r.Seq, next)
+			addGap(r.TimeMs, "record %d follows where %d is due", r.Seq, next)
 		}
 		next = r.Seq + 1
 	}
 	if s.Dropped > 0 {
-		gap(s.Header.StartedMs, "%d records were dropped", s.Dropped)
+		addGap(s.Header.StartedMs, "%d records were dropped", s.Dropped)
 	}
 	if !s.HasLastSegment {
-		gap(s.Header.StartedMs, "it has no last segment; %s did not end by itself", s.Header.Member)
+		addGap(s.Header.StartedMs, "it has no last segment; %s did not end by itself", s.Header.Member)
 	}
 	return out
 }
 
-// historyEvent is a record with the stream that it is of.
+// historyEvent is a record and the index of its stream.
 type historyEvent struct {
 	*Record
 	stream int
 }
 
-// merge puts the records of a team in an order in which each may have been caused
-// by those before it. Clocks differ, so what controllers saw of the state service
-// goes first: a holder passes an allocation on only by a new revision of the team's
-// record, and whoever uses it has seen that one. Records of one revision can't
-// depend on those of other controllers. Each stream's own order is kept.
+// merge returns the records of a team in an order in which each record's causes precede it. As
+// the controllers' clocks differ, it orders by what they had observed of the state service
+// first: a holder transfers an allocation only by a new revision of the team's record, and every
+// controller that uses it has observed that revision. Records of the same revision can't depend
+// on those of other controllers. The order within each stream stays.
 func merge(team string, streams []*Stream) []historyEvent {
 	var queues [][]historyEvent
 	total := 0
@@ -134,7 +134,7 @@
 	return out
 }
 
-// before orders events by revision, then by time of day.
+// before reports whether e comes first by revision, then by wall clock time.
 func (e historyEvent) before(other historyEvent) bool {
 	return cmp.Or(cmp.Compare(e.Revision, other.Revision), cmp.Compare(e.TimeMs, other.TimeMs)) < 0
 }
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -18,37 +18,36 @@
 	flushInterval     = time.Second
 )
 
-// Writer writes a stream. Append never waits: while the sink is slower than the records
-// come, records are dropped, and the stream shows how many. Any number of goroutines may
-// use it.
+// Writer writes a stream. Append never waits: while the sink is slower than records arrive,
+// records are dropped, and the stream has their number. It is safe for concurrent use.
 type Writer struct {
 	sink     io.WriteCloser
 	encoder  *zstd.Encoder
-	lastHash [hashBytes]byte // of the last segment; the write loop's
+	lastHash [hashBytes]byte // of the last segment; used only by the write loop
 	onError  func(error)
 
-	mu      sync.Mutex // of seq and dropped
-	seq     uint64
+	mu      sync.Mutex // guards seq and dropped
+	seq     uint64     // of the last record
 	dropped uint64
 	records chan Record
 	closing chan struct{} // closed by Close
-	done    chan struct{} // closed by the write loop at its end
+	done    chan struct{} // closed by the write loop when it ends
 }
 
-// NewWriter begins a stream on a sink, which belongs to the writer until Close unless an
-// error is returned. onError is called once, from the writer's goroutine, if the sink
-// fails; from then on all records are dropped.
+// NewWriter starts a stream on a sink. The writer owns the sink until Close, unless an error is
+// returned. onError is called once, from the writer's goroutine, if the sink fails; all records
+// after that are dropped.
 func NewWriter(sink io.WriteCloser, header Header, onError func(error)) (*Writer, error) {
 	w, err := newWriter(sink, header, onError)
 	if err != nil {
 		return nil, err
 	}
-	// The write loop is the writer's; it ends with Close, which waits for it.
+	// The writer owns this goroutine. Close ends it and waits for it.
 	go w.writeLoop()
 	return w, nil
 }
 
-// newWriter writes what a stream begins with.
+// newWriter writes fileMagic and the first segment, and starts no goroutine.
 func newWriter(sink io.WriteCloser, header Header, onError func(error)) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -67,8 +66,8 @@
 	return w, nil
 }
 
-// Append queues a record and gives it its number. If the queue is full the record is
-// dropped: its number is missing in the stream.
+// Append numbers a record and queues it. If the queue is full the record is dropped and its
+// number is missing in the stream.
 func (w *Writer) Append(record Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,15 +80,15 @@
 	}
 }
 
-// Dropped is how many records there was no room for.
+// Dropped returns the number of records dropped because the queue was full.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Close writes what is queued, ends the stream and closes the sink. Append must not be
-// called after it, nor Close twice.
+// Close writes the queued records and the last segment and closes the sink. It must be called at
+// most once, and Append must not be called after it.
 func (w *Writer) Close() error {
 	close(w.closing)
 	<-w.done
@@ -99,8 +98,8 @@
 	return nil
 }
 
-// writeLoop writes segments until Close: one when enough records are queued, or when some
-// have waited for the flush interval.
+// writeLoop writes segments until Close: whenever recordsPerSegment records are queued, and
+// every flushInterval if any are.
 func (w *Writer) writeLoop() {
 	defer close(w.done)
 	ticker := time.NewTicker(flushInterval)
@@ -136,8 +135,8 @@
 	}
 }
 
-// writeSegment appends a segment: its length, the hash of it and of all before it, and its
-// compressed content. It is one write, so that a stream mostly ends between segments.
+// writeSegment appends a segment. It uses one write, so that a stream cut off by a crash mostly
+// ends between segments.
 func (w *Writer) writeSegment(s *segment) error {
 	content, err := cbor.Marshal(s)
 	if err != nil {
@@ -155,10 +154,10 @@
 	return nil
 }
 
-// chainHash is the hash of a segment and of all before it.
+// chainHash returns the hash of a segment and all segments before it.
 func chainHash(before [hashBytes]byte, payload []byte) [hashBytes]byte {
 	hash := blake3.New()
-	// A hash takes whatever it is given.
+	// Writing to a hash never fails.
 	_, _ = hash.Write(before[:])
 	_, _ = hash.Write(payload)
 	var sum [hashBytes]byte
--- a/internal/quota/example_test.go
+++ b/internal/quota/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// A controller admits a team's tasks out of the allocation that the team's record gives
-// the shard that it holds, and no more.
+// A controller admits a team's tasks only out of the allocation that the team's record gives to
+// the shard that it holds.
 func ExampleManager() {
 	limit := quota.LimitOf(8, 0)
 	manager := quota.New(quota.Config{Shards: []string{"ctl-0"}, Teams: []quota.Team{{Name: "north", Limit: limit}}, TeamsPerTransfer: 1})
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -7,10 +7,11 @@
 )
 
 const (
-	// idlePrecedenceTimeout is how long a holder keeps its turn without using the room that it has
-	// been given for a task.
+	// idlePrecedenceTimeout is how long a shard keeps its precedence among the shards with unmet
+	// demands while it admits nothing although its allocation has room for its smallest pending
+	// task.
 	idlePrecedenceTimeout = 20 * time.Second
-	// unlimitedCount stands for no bound of a number of tasks.
+	// unlimitedCount is the count of admissible tasks where no limit applies.
 	unlimitedCount = 1 << 30
 )
 
@@ -22,16 +23,16 @@
 
 // Config describes a deployment.
 type Config struct {
-	Shards []string // every shard that there is or may be
+	Shards []string // all shards that exist or may be created
 	Teams  []Team   // those with a limit
-	// TransferInterval is the least time between two transactions of this process.
+	// TransferInterval is the minimum time between two transactions of this process.
 	TransferInterval time.Duration
-	// TeamsPerTransfer is how many teams' records go into one transaction.
+	// TeamsPerTransfer is the maximum number of teams' records in one transaction.
 	TeamsPerTransfer int
 }
 
-// Manager holds this process's view of all teams' allocations. It is not safe for
-// concurrent use. Times are those of the caller's monotonic clock.
+// Manager holds this process's view of all teams' allocations. It is not safe for concurrent
+// use. All times are on the caller's monotonic clock.
 type Manager struct {
 	config         Config
 	teams          map[string]*teamState
@@ -39,52 +40,53 @@
 	heldShards     map[string]*heldShard
 	demands        map[accountKey]receivedDemand // of other holders
 	enforced       bool
-	inFlight       *Transfer // whose outcome has not been told yet
+	inFlight       *Transfer // the transfer whose outcome is not known yet; nil: none
 	nextTransferAt time.Duration
-	nextTeamIndex  int // where the next plan begins among the teams
+	nextTeamIndex  int // in teamNames, where the next plan begins
 }
 
-// accountKey names a team at a shard.
+// accountKey identifies the account of a team at a shard.
 type accountKey struct{ shard, team string }
 
-// team is one team's durable record as last seen.
+// teamState is a team with its durable record as last observed.
 type teamState struct {
 	Team
 	record           Record
-	version          uint64 // of the record; 0 while there is none
-	recordKnown      bool   // it was read, or is known to be missing
-	recordUnreadable bool   // it can't be read
-	outcomeUnknown   bool   // a transfer on condition of the version may have been applied, or may be later
-	// lowerBounds are what held shards have at least while transfers that take from them
-	// may have been applied, or may still be.
+	version          uint64 // of the record; 0 while none was observed
+	recordKnown      bool   // the record was read, or is known not to exist
+	recordUnreadable bool   // the record can't be decoded or is invalid
+	outcomeUnknown   bool   // a transfer conditional on this version may have been applied, or may still be
+	// lowerBounds has what held shards are guaranteed to have while transfers that reduce their
+	// allocations may have been applied, or may still be. Without an entry the record's
+	// allocation is guaranteed.
 	lowerBounds map[string]Amount
 }
 
 // heldShard is a shard that this process holds.
 type heldShard struct {
 	keyVersion   uint64 // version of the shard's key
-	recordsFresh bool   // the records were read after it was acquired
-	reconciled   bool   // all that earlier holders may have spent is counted or proven lost
+	recordsFresh bool   // the records were read after the shard was acquired
+	reconciled   bool   // everything that earlier holders may have spent is counted here or proven lost
 	accounts     map[string]*account
 }
 
-// account is a team's use at a held shard.
+// account is a team's use and demand at a held shard.
 type account struct {
-	spent           Amount
-	pending         Amount // what pending tasks would use
-	smallestPending Amount // the smallest of them
-	// pendingSince is when tasks began to wait, or the last was admitted, or the account
-	// lost its turn.
+	spent           Amount // by replicas admitted or charged and not released
+	pending         Amount // the sum of the pending tasks
+	smallestPending Amount // the smallest pending task
+	// pendingSince is when tasks became pending, the last task was admitted, or the account lost
+	// its precedence, whichever was last.
 	pendingSince time.Duration
-	// idleSince is since when the allocation has had room for the smallest of them, or
-	// has had none.
+	// idleSince is when smallestFits last changed, the last task was admitted, or the account
+	// lost its precedence, whichever was last.
 	idleSince                time.Duration
-	hasPending, smallestFits bool
+	hasPending, smallestFits bool    // smallestFits: the allocation has room for the smallest pending task
 	admittedSinceUpdate      bool    // since the last SetPending
-	ceiling                  *Amount // while other shards lack their share; nil: none
+	ceiling                  *Amount // bounds spent while another shard lacks its fair share; nil: no bound
 }
 
-// New makes a manager that has read no record yet.
+// New returns a manager that has observed no record yet.
 func New(config Config) *Manager {
 	m := &Manager{
 		config:     config,
@@ -99,7 +101,7 @@
 	return m
 }
 
-// HasLimit tells whether a team has a limit.
+// HasLimit reports whether a team has a limit.
 func (m *Manager) HasLimit(name string) bool { return m.teams[name] != nil }
 
 // LimitedPart returns the part of an amount that a team's limit bounds.
@@ -122,28 +124,29 @@
 	return a
 }
 
-// SetEnforced says whether admission goes by allocations, which holds while every member
-// divides limits as this one does. Until then tasks are counted, and admitted whatever
-// the allocations say.
+// SetEnforced sets whether admission is bounded by allocations. It may be true only while every
+// member divides limits as this one does. While it is false, tasks are counted and all are
+// admitted, regardless of allocations.
 func (m *Manager) SetEnforced(enforced bool) { m.enforced = enforced }
 
-// Enforced tells whether admission goes by allocations.
+// Enforced reports whether admission is bounded by allocations.
 func (m *Manager) Enforced() bool { return m.enforced }
 
-// AddHeldShard notes that this process has acquired a shard, whose key has the version
-// fence. Nothing is admitted for it until MarkRecordsFresh and MarkReconciled.
-func (m *Manager) AddHeldShard(shard string, fence uint64) {
-	m.heldShards[shard] = &heldShard{keyVersion: fence, accounts: make(map[string]*account)}
+// AddHeldShard records that this process has acquired a shard; keyVersion is the version of the
+// shard's key. Nothing is admitted for the shard until both MarkRecordsFresh and MarkReconciled
+// were called for it.
+func (m *Manager) AddHeldShard(shard string, keyVersion uint64) {
+	m.heldShards[shard] = &heldShard{keyVersion: keyVersion, accounts: make(map[string]*account)}
 }
 
-// UpdateKeyVersion notes that a held shard's key has a new version.
-func (m *Manager) UpdateKeyVersion(shard string, fence uint64) {
+// UpdateKeyVersion records a new version of a held shard's key.
+func (m *Manager) UpdateKeyVersion(shard string, keyVersion uint64) {
 	if h := m.heldShards[shard]; h != nil {
-		h.keyVersion = fence
+		h.keyVersion = keyVersion
 	}
 }
 
-// RemoveHeldShard notes that a shard is held no more.
+// RemoveHeldShard records that this process no longer holds a shard.
 func (m *Manager) RemoveHeldShard(shard string) {
 	delete(m.heldShards, shard)
 	for _, t := range m.teams {
@@ -151,27 +154,28 @@
 	}
 }
 
-// MarkRecordsFresh notes that all records were observed by a read that began after a
-// shard was acquired. The holder before may have given allocations away up to then, and
-// this process need not know of it.
+// MarkRecordsFresh records that all teams' records were observed by a read that began after the
+// shard was acquired. Until the acquisition the previous holder may have transferred allocations
+// of the shard to others, which this process may not have observed.
 func (m *Manager) MarkRecordsFresh(shard string) {
 	if h := m.heldShards[shard]; h != nil {
 		h.recordsFresh = true
 	}
 }
 
-// MarkReconciled notes that whatever an earlier holder of a shard may have spent is
-// either counted here or proven lost.
+// MarkReconciled records that everything earlier holders of a shard may have spent is either
+// counted here or proven lost.
 func (m *Manager) MarkReconciled(shard string) {
 	if h := m.heldShards[shard]; h != nil {
 		h.reconciled = true
 	}
 }
 
-// ready tells whether a shard's allocations may be spent and moved.
+// ready reports whether the shard's allocations may be spent and transferred.
 func (h *heldShard) ready() bool { return h != nil && h.recordsFresh && h.reconciled }
 
-// account returns a team's account at a held shard, or nil.
+// account returns a team and its account at a shard. The team is nil if it has no limit, the
+// account if it has no limit or the shard is not held.
 func (m *Manager) account(shard, name string) (*teamState, *account) {
 	t, h := m.teams[name], m.heldShards[shard]
 	if t == nil || h == nil {
@@ -185,21 +189,21 @@
 	return t, a
 }
 
-// Charge spends what runs already, or may, whatever the allocation.
+// Charge counts replicas that run already, or may run, even beyond the allocation.
 func (m *Manager) Charge(shard, name string, amount Amount) {
 	if t, a := m.account(shard, name); a != nil {
 		a.spent = a.spent.Add(t.limitedPart(amount))
 	}
 }
 
-// Release gives back what a replica used that is proven lost.
+// Release subtracts what a replica used that is proven lost.
 func (m *Manager) Release(shard, name string, amount Amount) {
 	if t, a := m.account(shard, name); a != nil {
 		a.spent = a.spent.Sub(t.limitedPart(amount)).NonNegative()
 	}
 }
 
-// Admit spends an amount if the allocation has room for it, and tells whether it has.
+// Admit counts an amount as spent if the allocation has room for it, and reports whether it has.
 func (m *Manager) Admit(shard, name string, amount Amount) bool {
 	t, a := m.account(shard, name)
 	if t == nil {
@@ -229,7 +233,7 @@
 	return m.available(shard, t, a).quotient(t.limitedPart(amount))
 }
 
-// Spent is what a team uses at a held shard.
+// Spent returns what a team uses at a held shard.
 func (m *Manager) Spent(shard, name string) Amount {
 	if _, a := m.account(shard, name); a != nil {
 		return a.spent
@@ -237,8 +241,8 @@
 	return Amount{}
 }
 
-// Allocation is what a held shard certainly has of a team's limit, with the limit
-// in force and the version of the record that says so.
+// Allocation returns what a held shard is guaranteed to have of a team's limit, the limit in
+// force, and the version of the record that both are based on.
 func (m *Manager) Allocation(shard, name string) (allocation, limit Amount, version uint64) {
 	t := m.teams[name]
 	if t == nil {
@@ -247,8 +251,8 @@
 	return t.allocation(shard), t.record.LimitInForce(t.Limit), t.version
 }
 
-// allocation is what a shard certainly has: what the record says, less what
-// transfers under way may have taken.
+// allocation returns what a shard is guaranteed to have: its allocation in the record, less what
+// transfers of unknown outcome may have taken.
 func (t *teamState) allocation(shard string) Amount {
 	a := t.record.Shares[shard].Allocation
 	if lowerBound, ok := t.lowerBounds[shard]; ok {
@@ -257,7 +261,7 @@
 	return a
 }
 
-// available is what may be spent now.
+// available returns how much more may be spent now.
 func (m *Manager) available(shard string, t *teamState, a *account) Amount {
 	if !m.heldShards[shard].ready() || !t.recordKnown || t.recordUnreadable || !m.allSharesRegistered(t.record) {
 		return Amount{}
@@ -265,15 +269,15 @@
 	if !t.record.Allocated().Within(t.record.LimitInForce(t.Limit)) {
 		return Amount{}
 	}
-	most := t.allocation(shard)
+	spendable := t.allocation(shard)
 	if a.ceiling != nil {
-		most = most.Min(*a.ceiling)
+		spendable = spendable.Min(*a.ceiling)
 	}
-	return most.Sub(a.spent).NonNegative()
+	return spendable.Sub(a.spent).NonNegative()
 }
 
-// divided tells whether every shard has its share in a team's record. A shard
-// without one may have spent what nobody has counted.
+// allSharesRegistered reports whether every shard has a share in a team's record. The holder of
+// a shard without one may have spent amounts that no record counts.
 func (m *Manager) allSharesRegistered(r Record) bool {
 	for _, shard := range m.config.Shards {
 		if _, ok := r.Shares[shard]; !ok {
@@ -283,35 +287,36 @@
 	return true
 }
 
-// Observe takes a team's record as the state service has it. One that is older than the
-// last changes nothing.
+// ObserveRecord records a team's record as stored in the state service. A version that is not
+// newer than the last one observed is ignored.
 func (m *Manager) ObserveRecord(name string, r Record, version uint64) {
 	t := m.teams[name]
 	if t == nil || version <= t.version {
 		return
 	}
-	// Whatever was sent on condition of an earlier version has been applied, and
-	// then shows here, or never will be.
+	// A transfer conditional on an earlier version either was applied and is included in this
+	// record, or can't be applied any more.
 	t.record, t.version, t.recordKnown, t.recordUnreadable, t.outcomeUnknown = r, version, true, !r.valid(), false
 	clear(t.lowerBounds)
 }
 
-// ObserveUnreadableRecord notes that a team's record can't be read: nothing of the team is
-// admitted until an operator repairs it.
+// ObserveUnreadableRecord records that a team's record can't be read. Nothing of the team is
+// admitted until an operator repairs the record.
 func (m *Manager) ObserveUnreadableRecord(name string, version uint64) {
 	if t := m.teams[name]; t != nil && version > t.version {
 		t.version, t.recordUnreadable = version, true
 	}
 }
 
-// ObserveAbsentRecord notes that a team was read to have no record.
+// ObserveAbsentRecord records that a read has found no record of a team.
 func (m *Manager) ObserveAbsentRecord(name string) {
 	if t := m.teams[name]; t != nil && t.version == 0 {
 		t.recordKnown = true
 	}
 }
 
-// SetPending notes what the pending tasks at a held shard would use, and the smallest.
+// SetPending records the sum of the pending tasks of a team at a held shard, and the smallest of
+// them.
 func (m *Manager) SetPending(shard, name string, pending, smallest Amount, now time.Duration) {
 	t, a := m.account(shard, name)
 	if a == nil {
@@ -332,15 +337,16 @@
 	a.hasPending, a.smallestFits, a.admittedSinceUpdate = hasPending, fits, false
 }
 
-// Blocked tells whether tasks of a team wait at a held shard and none fits its
+// Blocked reports whether a team has pending tasks at a held shard and none of them fits its
 // allocation.
 func (m *Manager) Blocked(shard, name string) bool {
 	_, a := m.account(shard, name)
 	return a != nil && a.hasPending && !a.smallestFits
 }
 
-// desiredAllocation is what a held shard would like to have of a team's limit. A burst
-// may take all that is free: what it has not spent yet goes to others as they ask for it.
+// desiredAllocation returns the allocation that a held shard asks for. A burst of tasks may take
+// all that is unallocated: what is not spent yet is transferred to other shards when they ask
+// for it.
 func (t *teamState) desiredAllocation(a *account) Amount {
 	return a.spent.Add(a.pending).Min(t.Limit.Max(a.spent))
 }
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -10,21 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// model is three controllers around a state service that loses answers, applies
-// transactions late or twice, and tells its watchers late.
+// model simulates three controllers and a state service that loses answers, applies transactions
+// late or twice, and notifies watchers late.
 type model struct {
 	t                   *rapid.T
 	now                 time.Duration
 	revision            uint64
 	records             map[string]storedRecord
-	keyVersions         map[string]uint64 // by shard
-	holders             map[string]*controller
+	keyVersions         map[string]uint64      // of the shard keys, by shard
+	holders             map[string]*controller // by shard
 	controllers         []*controller
-	running             map[accountKey][]Amount // what machines hold, whoever admitted it
-	delayedTransactions []func()                // transactions that the network holds
+	running             map[accountKey][]Amount // what runs on machines, whichever controller admitted it
+	delayedTransactions []func()                // transactions that the network delays
 	outage              bool
 	admitted, takeovers int
-	highestLimits       map[string]Amount // the highest that any holder's settings have named
+	highestLimits       map[string]Amount // by team, the highest in any controller's settings so far
 }
 
 type storedRecord struct {
@@ -37,9 +37,9 @@
 	manager             *Manager
 	limit               Amount
 	up                  bool
-	frozen              bool
-	undeliveredRecords  []func()     // news of records that have not arrived
-	undeliveredReleases []accountKey // ends that it has not been told of, with amounts
+	paused              bool
+	undeliveredRecords  []func()     // notifications of record changes that have not arrived
+	undeliveredReleases []accountKey // ends of tasks that it has not been told of, with releaseAmounts
 	releaseAmounts      []Amount
 	pending             map[accountKey]Amount
 }
@@ -76,14 +76,14 @@
 	}
 	c.manager = New(Config{Shards: modelShards, Teams: teams, TransferInterval: modelStep, TeamsPerTransfer: 2})
 	c.manager.SetEnforced(true)
-	c.up, c.frozen, c.undeliveredRecords, c.undeliveredReleases, c.releaseAmounts = true, false, nil, nil, nil
+	c.up, c.paused, c.undeliveredRecords, c.undeliveredReleases, c.releaseAmounts = true, false, nil, nil, nil
 	c.pending = make(map[accountKey]Amount)
 	for _, name := range modelTeams {
 		m.readRecord(c, name)
 	}
 }
 
-// read tells a controller what the state service has now.
+// readRecord passes the present record of a team to a controller.
 func (m *model) readRecord(c *controller, team string) {
 	if s, ok := m.records[team]; ok {
 		c.manager.ObserveRecord(team, s.record, s.version)
@@ -92,8 +92,8 @@
 	}
 }
 
-// acquireShard gives a shard to a controller, which counts what runs and has the
-// machines' proof of it.
+// acquireShard gives a shard to a controller that has the machines' proof of what runs: it
+// charges all running tasks and reads the records.
 func (m *model) acquireShard(c *controller, shard string) {
 	m.revision++
 	m.keyVersions[shard], m.holders[shard] = m.revision, c
@@ -111,72 +111,72 @@
 	m.takeovers++
 }
 
-// commit carries a transaction out if its conditions hold.
-func (m *model) commit(x *Transfer) bool {
-	for shard, fence := range x.KeyVersions {
-		if m.keyVersions[shard] != fence {
+// commit applies a transaction if its conditions hold, and reports whether it did.
+func (m *model) commit(transfer *Transfer) bool {
+	for shard, version := range transfer.KeyVersions {
+		if m.keyVersions[shard] != version {
 			return false
 		}
 	}
-	for _, tt := range x.Teams {
-		if m.records[tt.Team].version != tt.Version {
+	for _, change := range transfer.Teams {
+		if m.records[change.Team].version != change.Version {
 			return false
 		}
 	}
 	m.revision++
-	for _, tt := range x.Teams {
-		m.records[tt.Team] = storedRecord{tt.Record.clone(), m.revision}
+	for _, change := range transfer.Teams {
+		m.records[change.Team] = storedRecord{change.Record.clone(), m.revision}
 		for _, c := range m.controllers {
 			if c.up {
-				at := m.records[tt.Team]
-				c.undeliveredRecords = append(c.undeliveredRecords, func() { c.manager.ObserveRecord(tt.Team, at.record, at.version) })
+				stored := m.records[change.Team]
+				c.undeliveredRecords = append(c.undeliveredRecords, func() { c.manager.ObserveRecord(change.Team, stored.record, stored.version) })
 			}
 		}
 	}
 	return true
 }
 
-// tick has a controller plan, and decides what becomes of its transaction.
+// tick has a controller plan a transfer, and draws the outcome of the transaction.
 func (m *model) tick(c *controller) {
-	mgr := c.manager
+	manager := c.manager
 	for _, shard := range modelShards {
 		for _, team := range modelTeams {
-			w := c.pending[accountKey{shard, team}]
-			mgr.SetPending(shard, team, w, modelTaskSizes[0].Min(w), m.now)
+			pending := c.pending[accountKey{shard, team}]
+			manager.SetPending(shard, team, pending, modelTaskSizes[0].Min(pending), m.now)
 		}
 	}
-	mgr.UpdateCeilings(m.now)
-	x := mgr.PlanTransfer(m.now)
-	if x == nil {
+	manager.UpdateCeilings(m.now)
+	transfer := manager.PlanTransfer(m.now)
+	if transfer == nil {
 		return
 	}
 	if m.outage {
-		mgr.TransferNotApplied()
+		manager.TransferNotApplied()
 		return
 	}
-	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "lost", "late", "twice", "refused", "never"}).Draw(m.t, "outcome") {
+	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "answer lost", "applied late", "applied twice", "rejected", "never applied"}).Draw(m.t, "outcome") {
 	case "answered":
-		if m.commit(x) {
-			mgr.TransferApplied(m.revision)
+		if m.commit(transfer) {
+			manager.TransferApplied(m.revision)
 			return
 		}
 		m.outcomeUnknown(c)
-	case "lost":
-		m.commit(x)
+	case "answer lost":
+		m.commit(transfer)
 		m.outcomeUnknown(c)
-	case "late":
-		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(x) })
+	case "applied late":
+		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(transfer) })
 		m.outcomeUnknown(c)
-	case "twice":
-		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(x) })
-		if m.commit(x) {
-			mgr.TransferApplied(m.revision)
+	case "applied twice":
+		m.delayedTransactions = append(m.delayedTransactions, func() { m.commit(transfer) })
+		if m.commit(transfer) {
+			manager.TransferApplied(m.revision)
 			return
 		}
 		m.outcomeUnknown(c)
-	case "refused":
-		mgr.TransferNotApplied()
-	case "never":
+	case "rejected":
+		manager.TransferNotApplied()
+	case "never applied":
 		m.outcomeUnknown(c)
 	}
 }
@@ -191,18 +191,19 @@
 	return rapid.SampledFrom(m.controllers).Draw(m.t, "controller")
 }
 
-func (c *controller) active() bool { return c.up && !c.frozen }
+func (c *controller) active() bool { return c.up && !c.paused }
 
+// drawLikely draws true in parts-1 of parts cases.
 func (m *model) drawLikely(what string, parts int) bool {
 	return rapid.IntRange(1, parts).Draw(m.t, what) > 1
 }
 
 func (m *model) actions() map[string]func(*rapid.T) {
 	actions := map[string]func(*rapid.T){
-		"trouble": func(*rapid.T) { m.injectFault() },
-		"end":     func(*rapid.T) { m.endTasks() },
-		"late": func(*rapid.T) {
-			if len(m.delayedTransactions) > 0 { // it stays, and may be carried out again
+		"simulate fault": func(*rapid.T) { m.injectFault() },
+		"end tasks":      func(*rapid.T) { m.endTasks() },
+		"late transaction": func(*rapid.T) {
+			if len(m.delayedTransactions) > 0 { // it stays in the list and may be applied again
 				m.delayedTransactions[rapid.IntRange(0, len(m.delayedTransactions)-1).Draw(m.t, "which")]()
 			}
 		},
@@ -218,20 +219,21 @@
 	return actions
 }
 
-// work has each controller that acts do what it does all the time.
+// work lets one step of time pass, in which each active controller receives messages, plans and
+// admits.
 func (m *model) work() {
 	m.now += modelStep
 	for _, c := range m.controllers {
 		if !c.active() {
 			continue
 		}
-		if m.drawLikely("news arrive", 3) {
-			for _, tell := range c.undeliveredRecords {
-				tell()
+		if m.drawLikely("records arrive", 3) {
+			for _, deliver := range c.undeliveredRecords {
+				deliver()
 			}
 			c.undeliveredRecords = nil
 		}
-		if m.drawLikely("proofs arrive", 3) {
+		if m.drawLikely("releases arrive", 3) {
 			for i, key := range c.undeliveredReleases {
 				c.manager.Release(key.shard, key.team, c.releaseAmounts[i])
 			}
@@ -247,7 +249,8 @@
 	for _, d := range from.manager.Demands(m.now) {
 		for _, to := range m.controllers {
 			if to != from && to.active() && m.drawLikely("demand arrives", 4) {
-				// One that the receiver may not take, as of a shard that it holds itself, changes nothing.
+				// A demand that the receiver rejects, such as one of a shard that it holds
+				// itself, has no effect.
 				if err := to.manager.ObserveDemand(d, m.now); err != nil && !errors.Is(err, ErrInvalidDemand) {
 					m.t.Fatal(err)
 				}
@@ -256,10 +259,10 @@
 	}
 }
 
-// admit has a controller try to admit tasks at the shards that it holds.
+// admit has a controller try to admit tasks for the shards that it holds.
 func (m *model) admit(c *controller) {
 	for _, shard := range modelShards {
-		if m.holders[shard] != c || !m.drawLikely("work comes", 3) {
+		if m.holders[shard] != c || !m.drawLikely("task is submitted", 3) {
 			continue
 		}
 		key := accountKey{shard, rapid.SampledFrom(modelTeams).Draw(m.t, "team")}
@@ -273,13 +276,13 @@
 	}
 }
 
-// end ends a task; its holder is told later.
+// endTasks ends some tasks; their holders are told later.
 func (m *model) endTasks() {
 	for _, shard := range modelShards {
 		for _, team := range modelTeams {
 			key := accountKey{shard, team}
 			tasks := m.running[key]
-			if len(tasks) == 0 || !m.drawLikely("ends", 2) {
+			if len(tasks) == 0 || !m.drawLikely("task ends", 2) {
 				continue
 			}
 			if c := m.holders[shard]; c.up {
@@ -291,14 +294,14 @@
 }
 
 func (m *model) injectFault() {
-	switch rapid.SampledFrom([]string{"crash", "all crash", "freeze", "freeze", "wake", "takeover", "takeover", "outage", "limit"}).Draw(m.t, "trouble") {
+	switch rapid.SampledFrom([]string{"crash", "all crash", "pause", "pause", "resume", "takeover", "takeover", "outage", "limit"}).Draw(m.t, "fault") {
 	case "crash":
 		m.crash(m.drawController())
 	case "all crash":
 		m.crashAll()
-	case "freeze":
-		m.drawController().frozen = true
-	case "wake":
+	case "pause":
+		m.drawController().paused = true
+	case "resume":
 		m.resume(m.drawController())
 	case "takeover":
 		for range m.controllers {
@@ -319,13 +322,13 @@
 	}
 }
 
-// wake has a controller go on. It has lost the shards that were taken from it, and
-// what it reads first is the present state.
+// resume continues a paused controller. It has lost the shards that others have acquired
+// meanwhile; when it acquires a shard, it first reads the present records.
 func (m *model) resume(c *controller) {
-	if !c.frozen || !c.up {
+	if !c.paused || !c.up {
 		return
 	}
-	c.frozen = false
+	c.paused = false
 	for _, shard := range modelShards {
 		if m.holders[shard] != c {
 			c.manager.RemoveHeldShard(shard)
@@ -333,21 +336,21 @@
 	}
 }
 
-// takeOverShards has a controller that acts take what one has that does not; a crashed one
-// comes back.
-func (m *model) takeOverShards(lost *controller) {
-	if lost.active() {
+// takeOverShards gives the shards of an inactive controller to an active one. If the inactive
+// one crashed, it is restarted first.
+func (m *model) takeOverShards(inactive *controller) {
+	if inactive.active() {
 		return
 	}
-	if !lost.up {
-		m.start(lost)
+	if !inactive.up {
+		m.start(inactive)
 	}
 	for _, c := range m.controllers {
 		if !c.active() {
 			continue
 		}
 		for _, shard := range modelShards {
-			if m.holders[shard] == lost {
+			if m.holders[shard] == inactive {
 				m.acquireShard(c, shard)
 			}
 		}
@@ -355,7 +358,7 @@
 	}
 }
 
-// changeLimit restarts a controller with another limit.
+// changeLimit restarts a controller with another limit in its settings.
 func (m *model) changeLimit() {
 	c := m.drawController()
 	c.limit = rapid.SampledFrom([]Amount{modelLimit, LimitOf(9, 4), LimitOf(12, 2)}).Draw(m.t, "limit")
@@ -368,12 +371,12 @@
 	}
 }
 
-// check tells what is not as it has to be at every moment.
+// check returns an error if an invariant of the allocations is violated.
 func (m *model) check() error {
 	for _, team := range modelTeams {
 		r := m.records[team].record
 		if !r.Allocated().Within(m.highestLimits[team]) {
-			return fmt.Errorf("%s: allocations of %v in all, the limit is %v", team, r.Allocated(), m.highestLimits[team])
+			return fmt.Errorf("%s: the sum of the allocations is %v, the limit is %v", team, r.Allocated(), m.highestLimits[team])
 		}
 		for _, shard := range modelShards {
 			if err := m.checkShare(shard, team, r.Shares[shard].Allocation); err != nil {
@@ -390,22 +393,22 @@
 		use = use.Add(a)
 	}
 	if !use.Within(allocation) {
-		return fmt.Errorf("%s at %s: %v runs out of an allocation of %v", team, shard, use, allocation)
+		return fmt.Errorf("%s at %s: running tasks use %v, the allocation is %v", team, shard, use, allocation)
 	}
 	c := m.holders[shard]
 	if !c.up || c.manager.heldShards[shard] == nil {
 		return nil
 	}
 	if view, _, _ := c.manager.Allocation(shard, team); !view.Within(allocation) {
-		return fmt.Errorf("%s at %s: the holder counts on %v of %v", team, shard, view, allocation)
+		return fmt.Errorf("%s at %s: the holder assumes an allocation of %v, the record has %v", team, shard, view, allocation)
 	}
 	return nil
 }
 
-// Whatever is lost, late or repeated, no holder spends or counts on more than the
-// record gives it, and the record never divides more than the limit.
+// Even if messages and transactions are lost, delayed or repeated, no holder spends or relies on
+// more than the record allocates to it, and the record never allocates more than the limit.
 func TestAllocationsAreNeverExceeded(t *testing.T) {
-	// The same days each time, unless others are asked for on the command line.
+	// The same runs each time, unless the command line sets other values.
 	for name, value := range map[string]string{"rapid.checks": "400", "rapid.steps": "200", "rapid.seed": "1"} {
 		if f := flag.Lookup(name); f.Value.String() != f.DefValue {
 			continue
@@ -424,11 +427,11 @@
 	})
 	t.Logf("%d admissions, %d changes of the state service, %d takeovers", admitted, transfers, takeovers)
 	if admitted < 1000 || transfers < 1000 || takeovers < 1000 {
-		t.Error("the model hardly did anything")
+		t.Error("the model did too little: fewer than 1000 admissions, changes or takeovers")
 	}
 }
 
-// The check finds managers that don't go by their allocations.
+// The check of the model detects managers that admit tasks beyond their allocations.
 func TestModelDetectsExceededAllocation(t *testing.T) {
 	m := newModel(nil)
 	if err := m.check(); err != nil {
@@ -442,6 +445,6 @@
 		}
 	}
 	if m.check() == nil {
-		t.Fatal("the limit is exceeded and nothing shows it")
+		t.Fatal("the allocations are exceeded and check found nothing")
 	}
 }
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// plan works out a team's next record.
+// plan computes a team's next record.
 type plan struct {
 	manager       *Manager
 	team          *teamState
 	now           time.Duration
 	record        Record
-	changedShards map[string]bool // held shards whose fence the change needs
+	changedShards map[string]bool // held shards on whose key versions the transaction has to be conditional
 }
 
-// build changes the record, and tells whether anything changed.
+// build changes the record and reports whether it has to be written.
 func (p *plan) build() bool {
 	for _, shard := range p.manager.config.Shards {
 		if h := p.manager.heldShards[shard]; h.ready() {
@@ -35,8 +35,9 @@
 	return len(p.changedShards) > 0
 }
 
-// rewriteUnchanged has the record written whatever its content: once it has a new version,
-// an earlier transfer without an answer has either been applied or never will be.
+// rewriteUnchanged has the record written even if its content stays the same: once the record
+// has a new version, an earlier transfer without an answer either was applied or can't be
+// applied any more.
 func (p *plan) rewriteUnchanged() {
 	for _, shard := range p.manager.config.Shards {
 		if _, registered := p.record.Shares[shard]; registered && p.manager.heldShards[shard].ready() {
@@ -46,12 +47,12 @@
 	}
 }
 
-// unallocated is what no shard has.
+// unallocated returns the part of the limit that is allocated to no shard.
 func (p *plan) unallocated() Amount {
 	return p.record.LimitInForce(p.team.Limit).Sub(p.record.Allocated()).NonNegative()
 }
 
-// setAllocation changes a held shard's allocation.
+// setAllocation sets a held shard's allocation.
 func (p *plan) setAllocation(shard string, allocation Amount) {
 	if p.record.Shares[shard].Allocation != allocation {
 		p.record.allocate(shard, allocation)
@@ -59,9 +60,10 @@
 	}
 }
 
-// register gives a held shard its share, which begins with what it has spent as
-// far as that is free. While not all members divide limits there are no shares, so
-// that each starts from what it has spent by then.
+// registerShare adds a held shard's share to the record, or updates its limit. The initial
+// allocation is what the shard has spent, as far as that is unallocated. While not all members
+// divide limits the share is removed, so that each holder starts from what it has spent by the
+// time when all of them do.
 func (p *plan) registerShare(shard string, h *heldShard) {
 	share, registered := p.record.Shares[shard]
 	if !p.manager.enforced {
@@ -85,7 +87,7 @@
 	p.changedShards[shard] = true
 }
 
-// unspent is what a held shard certainly has and does not use.
+// unspent returns what a held shard is guaranteed to have and does not use.
 func (p *plan) unspent(shard string) Amount {
 	allocation := p.record.Shares[shard].Allocation
 	if lowerBound, ok := p.team.lowerBounds[shard]; ok {
@@ -97,40 +99,41 @@
 	return allocation.NonNegative()
 }
 
-// returnExcess returns unspent allocations while all together are above a limit that
+// returnExcess reduces unspent allocations while the sum of all allocations exceeds a limit that
 // was lowered.
 func (p *plan) returnExcess(excess Amount) {
 	for _, shard := range p.manager.config.Shards {
 		if h := p.manager.heldShards[shard]; !h.ready() {
 			continue
 		}
-		back := p.unspent(shard).Min(excess)
-		if !back.IsZero() {
-			p.setAllocation(shard, p.record.Shares[shard].Allocation.Sub(back))
-			excess = excess.Sub(back)
+		returned := p.unspent(shard).Min(excess)
+		if !returned.IsZero() {
+			p.setAllocation(shard, p.record.Shares[shard].Allocation.Sub(returned))
+			excess = excess.Sub(returned)
 		}
 	}
 }
 
-// allocateFree has held shards take what they lack from what no shard has. Each of
-// those that lack something gets its part, or what its smallest task needs.
+// allocateFree allocates what no shard has to the held shards with unmet demands. Each gets at
+// most an equal part of what is left, or as much as its smallest pending task needs if that is
+// more.
 func (p *plan) allocateFree(unmet []Demand) {
 	for i, d := range unmet {
 		if !p.manager.heldShards[d.Shard].ready() {
 			continue
 		}
 		free := p.unallocated()
-		has := p.record.Shares[d.Shard].Allocation
-		missing := d.Target.Sub(has).NonNegative()
-		forOne := p.spent(d.Shard).Add(d.SmallestPending).Sub(has).NonNegative()
-		part := free.dividedBy(len(unmet) - i).Max(forOne).Min(free)
-		if got := missing.Min(part); !got.IsZero() {
-			p.setAllocation(d.Shard, has.Add(got))
+		current := p.record.Shares[d.Shard].Allocation
+		missing := d.Target.Sub(current).NonNegative()
+		neededForSmallest := p.spent(d.Shard).Add(d.SmallestPending).Sub(current).NonNegative()
+		part := free.dividedBy(len(unmet) - i).Max(neededForSmallest).Min(free)
+		if added := missing.Min(part); !added.IsZero() {
+			p.setAllocation(d.Shard, current.Add(added))
 		}
 	}
 }
 
-// spent is what a held shard uses.
+// spent returns what a held shard uses.
 func (p *plan) spent(shard string) Amount {
 	if a := p.manager.heldShards[shard].accounts[p.team.Name]; a != nil {
 		return a.spent
@@ -138,7 +141,7 @@
 	return Amount{}
 }
 
-// transferUnspent moves unspent allocations of held shards to those that lack something.
+// transferUnspent transfers unspent allocations of held shards to shards with unmet demands.
 func (p *plan) transferUnspent(unmet []Demand) {
 	for _, d := range unmet {
 		missing := d.Target.Sub(p.record.Shares[d.Shard].Allocation).Sub(p.unallocated()).NonNegative()
@@ -146,20 +149,22 @@
 			if h := p.manager.heldShards[shard]; shard == d.Shard || !h.ready() {
 				continue
 			}
-			got := p.transferable(shard, d, unmet).Min(missing)
-			if got.IsZero() {
+			transferred := p.transferable(shard, d, unmet).Min(missing)
+			if transferred.IsZero() {
 				continue
 			}
-			p.setAllocation(shard, p.record.Shares[shard].Allocation.Sub(got))
-			p.record.allocate(d.Shard, p.record.Shares[d.Shard].Allocation.Add(got))
-			missing = missing.Sub(got)
+			p.setAllocation(shard, p.record.Shares[shard].Allocation.Sub(transferred))
+			p.record.allocate(d.Shard, p.record.Shares[d.Shard].Allocation.Add(transferred))
+			missing = missing.Sub(transferred)
 		}
 	}
 }
 
-// transferable is what a held shard can give to one that lacks something: all that it has
-// unspent if no task waits for it; what no pending task of its own fits into, to one that
-// has waited for longer; else what it has beyond its fair share, to one that has less.
+// transferable returns what a held shard can transfer to the shard of a demand. A shard without
+// pending tasks gives all that it has not spent. A shard whose unspent part has no room for its
+// smallest pending task gives that part, but only to a demand that has been pending for longer.
+// Any other shard gives what exceeds its entitlement, but only to a shard that has less than its
+// fair share.
 func (p *plan) transferable(shard string, d Demand, unmet []Demand) Amount {
 	unspent := p.unspent(shard)
 	a := p.manager.heldShards[shard].accounts[p.team.Name]
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -7,16 +7,16 @@
 	Shares map[string]Share `cbor:"s"`
 }
 
-// Share is what one shard has of a team's limit.
+// Share is one shard's part of a team's limit.
 type Share struct {
-	// Allocation is what the shard's holder may spend.
+	// Allocation is the amount that the shard's holder may spend.
 	Allocation Amount `cbor:"a"`
-	// Limit is the team's limit in the holder's settings. While holders are given
-	// new settings one after the other the lowest of them is in force.
+	// Limit is the team's limit in the holder's settings. While new settings are rolled out to
+	// the holders one after the other, the lowest of their limits is in force.
 	Limit Amount `cbor:"l"`
 }
 
-// clone returns a copy to change.
+// clone returns a copy that may be changed; its Shares are not nil.
 func (r Record) clone() Record {
 	shares := maps.Clone(r.Shares)
 	if shares == nil {
@@ -25,7 +25,7 @@
 	return Record{Shares: shares}
 }
 
-// Allocated is the sum of all allocations.
+// Allocated returns the sum of all allocations.
 func (r Record) Allocated() Amount {
 	var sum Amount
 	for _, s := range r.Shares {
@@ -34,7 +34,8 @@
 	return sum
 }
 
-// LimitInForce is the lowest limit that the settings of any holder name.
+// LimitInForce returns the lowest of the limits in the settings of this process (own) and of all
+// holders that have a share.
 func (r Record) LimitInForce(own Amount) Amount {
 	limit := own
 	for _, s := range r.Shares {
@@ -43,7 +44,8 @@
 	return limit
 }
 
-// valid tells whether a record can be one of ours.
+// valid reports whether a record can have been written by a Manager: all amounts are in range
+// and no shard name is empty.
 func (r Record) valid() bool {
 	for shard, s := range r.Shares {
 		for _, v := range []int64{s.Allocation.CPUs, s.Allocation.GPUs, s.Limit.CPUs, s.Limit.GPUs} {
@@ -58,7 +60,7 @@
 	return true
 }
 
-// allocate changes a shard's allocation.
+// allocate sets a shard's allocation.
 func (r Record) allocate(shard string, a Amount) {
 	s := r.Shares[shard]
 	s.Allocation = a
--- a/internal/quota/sharing_test.go
+++ b/internal/quota/sharing_test.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// sharing plays three controllers whose state service is well, and tasks that end
-// after a while, to see where allocations go.
+// sharingSimulation simulates three controllers with a state service without faults, and tasks
+// that end after taskDuration, to observe how allocations move.
 type sharingSimulation struct {
 	t            *testing.T
 	now          time.Duration
 	revision     uint64
 	records      map[string]storedRecord
-	managers     map[string]*Manager
-	pendingTasks map[string]int // pending tasks by shard
+	managers     map[string]*Manager // by shard
+	pendingTasks map[string]int      // pending tasks by shard
 	taskSize     Amount
 	taskDuration time.Duration
-	taskEnds     map[string][]time.Duration
-	startedTasks map[string]int
+	taskEnds     map[string][]time.Duration // when running tasks end, by shard
+	startedTasks map[string]int             // in all, by shard
 	transfers    int
 }
 
 const sharedTeam = "red"
 
-func newSharingSimulation(t *testing.T, limit, size Amount, takes time.Duration) *sharingSimulation {
+func newSharingSimulation(t *testing.T, limit, size Amount, taskDuration time.Duration) *sharingSimulation {
 	s := &sharingSimulation{t: t, records: make(map[string]storedRecord), managers: make(map[string]*Manager), pendingTasks: make(map[string]int),
-		taskSize: size, taskDuration: takes, taskEnds: make(map[string][]time.Duration), startedTasks: make(map[string]int)}
+		taskSize: size, taskDuration: taskDuration, taskEnds: make(map[string][]time.Duration), startedTasks: make(map[string]int)}
 	for i, name := range modelShards {
 		s.managers[name] = s.newManager(limit)
 		s.acquireShard(name, uint64(i+1))
@@ -42,13 +42,13 @@
 	return m
 }
 
-func (s *sharingSimulation) acquireShard(name string, fence uint64) {
-	s.managers[name].AddHeldShard(name, fence)
+func (s *sharingSimulation) acquireShard(name string, keyVersion uint64) {
+	s.managers[name].AddHeldShard(name, keyVersion)
 	s.managers[name].MarkRecordsFresh(name)
 	s.managers[name].MarkReconciled(name)
 }
 
-// play lets time pass; each controller starts what it can of its queue.
+// advance lets time pass; each controller starts what it can of its pending tasks.
 func (s *sharingSimulation) advance(span time.Duration) {
 	for end := s.now + span; s.now < end; {
 		s.now += modelStep
@@ -76,27 +76,27 @@
 				continue
 			}
 			if err := other.ObserveDemand(d, s.now); err != nil {
-				s.t.Fatalf("demand %+v is refused: %v", d, err)
+				s.t.Fatalf("demand %+v is rejected: %v", d, err)
 			}
 		}
 	}
-	x := m.PlanTransfer(s.now)
-	if x == nil {
+	transfer := m.PlanTransfer(s.now)
+	if transfer == nil {
 		return
 	}
 	s.transfers++
-	tt := x.Teams[0]
-	if s.records[tt.Team].version != tt.Version {
+	change := transfer.Teams[0]
+	if s.records[change.Team].version != change.Version {
 		for _, team := range m.TransferOutcomeUnknown() {
 			m.ObserveRecord(team, s.records[team].record, s.records[team].version)
 		}
 		return
 	}
 	s.revision++
-	s.records[tt.Team] = storedRecord{tt.Record, s.revision}
+	s.records[change.Team] = storedRecord{change.Record, s.revision}
 	m.TransferApplied(s.revision)
 	for _, other := range s.managers {
-		other.ObserveRecord(tt.Team, tt.Record, s.revision)
+		other.ObserveRecord(change.Team, change.Record, s.revision)
 	}
 }
 
@@ -106,7 +106,7 @@
 	return s.runningTasks("a") + s.runningTasks("b") + s.runningTasks("c")
 }
 
-// A team's room follows its work to another controller within seconds.
+// A team's allocation follows its pending tasks to another controller within seconds.
 func TestAllocationFollowsDemand(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(32, 0), AmountOf(2, 0), 20*time.Second)
 	s.pendingTasks["a"] = 16
@@ -118,12 +118,12 @@
 	s.pendingTasks["b"] = 16
 	s.advance(3 * time.Second)
 	if got := s.runningTasks("b"); got != 16 {
-		t.Fatalf("%d tasks run at b 3 s after the work moved there, want the whole limit", got)
+		t.Fatalf("%d tasks run at b 3 s after tasks became pending there, want the whole limit", got)
 	}
 }
 
-// A controller whose users always have more work doesn't keep the others from their
-// part; once all have it, allocations stay where they are.
+// A controller that always has pending tasks doesn't keep the others from their fair share. Once
+// all have it, allocations stay as they are, with at most one transfer per second.
 func TestBusyHolderDoesNotStarveOthers(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(48, 0), AmountOf(2, 0), 3*time.Second)
 	s.pendingTasks["a"] = 10000
@@ -141,14 +141,14 @@
 	before := s.transfers
 	s.advance(30 * time.Second)
 	if got := s.transfers - before; got > 30 {
-		t.Errorf("%d transfers in 30 s though nothing has changed", got)
+		t.Errorf("%d transfers in 30 s, want at most 30: all controllers have their fair share", got)
 	}
 	if got := s.totalRunningTasks(); got < 23 {
 		t.Errorf("%d tasks run, the limit allows 24", got)
 	}
 }
 
-// Tasks as large as the limit get their turn at each controller.
+// Tasks as large as the limit are started at each controller in turn.
 func TestTasksAsLargeAsTheLimitTakeTurns(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(8, 0), AmountOf(8, 0), 2*time.Second)
 	for _, name := range modelShards {
@@ -165,7 +165,7 @@
 	}
 }
 
-// What doesn't divide evenly among the controllers is used all the same.
+// The remainder of a limit that doesn't divide evenly among the controllers is used as well.
 func TestRemaindersAreUsed(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(32, 0), AmountOf(8, 0), 5*time.Second)
 	for _, name := range modelShards {
@@ -175,13 +175,13 @@
 	started := s.startedTasks["a"] + s.startedTasks["b"] + s.startedTasks["c"]
 	s.advance(50 * time.Second)
 	started = s.startedTasks["a"] + s.startedTasks["b"] + s.startedTasks["c"] - started
-	if started < 32 { // four at a time for 50 s, less the time that transfers take
+	if started < 32 { // 4 at a time of 5 s each are 40 in 50 s, less the time that transfers take
 		t.Errorf("%d tasks were started in 50 s, room for 40: %v", started, s.startedTasks)
 	}
 }
 
-// A limit that is lowered below what runs stops nothing and lets nothing start
-// until use is below it, whichever controller has the new settings first.
+// A limit lowered below the present use stops no task, and no task starts until use is below it,
+// whichever controller has the new settings first.
 func TestLoweredLimitReturnsAllocations(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(32, 0), AmountOf(2, 0), 30*time.Second)
 	s.pendingTasks["a"], s.pendingTasks["b"] = 8, 8
@@ -201,22 +201,22 @@
 	s.taskDuration = 10 * time.Second
 	for range 60 {
 		s.advance(time.Second)
-		if use := s.taskSize.Mul(s.totalRunningTasks()); s.now > 36*time.Second && !use.Within(LimitOf(12, 0)) {
-			t.Fatalf("%v runs, the limit is 12", use)
+		if used := s.taskSize.Mul(s.totalRunningTasks()); s.now > 36*time.Second && !used.Within(LimitOf(12, 0)) {
+			t.Fatalf("%v is used, the limit is 12", used)
 		}
 	}
 	if got := s.totalRunningTasks(); got != 6 {
 		t.Errorf("%d tasks run, the limit allows 6", got)
 	}
-	for _, name := range []string{"a", "b"} { // it is raised again once all say so
+	for _, name := range []string{"a", "b"} { // the limit is raised only after all settings have the higher one
 		if got := s.records[sharedTeam].record.LimitInForce(LimitOf(32, 0)); got.CPUs != 12000 {
 			t.Errorf("limit in force %v with the settings of %s as before", got, name)
 		}
 	}
 }
 
-// While a member does not divide limits allocations bind nobody, and when all do
-// again each holder starts from what it uses by then.
+// While a member does not divide limits, no allocation bounds admission. When all members divide
+// them again, each holder starts from what it uses at that time.
 func TestNothingIsEnforcedWhileAMemberDoesNotDivideLimits(t *testing.T) {
 	s := newSharingSimulation(t, LimitOf(32, 0), AmountOf(2, 0), time.Hour)
 	s.pendingTasks["a"] = 4
@@ -242,11 +242,11 @@
 	}
 }
 
-// Nothing is admitted before a shard's records are read and its earlier holder's
-// use is counted, nor while a shard has no share or a record can't be read.
+// Nothing is admitted before a shard's records are read and its earlier holder's use is counted,
+// nor while a shard has no share or the record can't be read.
 func TestNothingIsAdmittedWhileStateIsUnknown(t *testing.T) {
 	size := AmountOf(1, 0)
-	refused := func(what string, m *Manager) {
+	requireRejected := func(what string, m *Manager) {
 		t.Helper()
 		if m.Admit("a", sharedTeam, size) || m.AdmissibleCount("a", sharedTeam, size) != 0 {
 			t.Errorf("%s: admitted", what)
@@ -254,7 +254,7 @@
 	}
 	s := &sharingSimulation{t: t}
 	m := s.newManager(LimitOf(8, 0))
-	refused("a shard that is not held", m)
+	requireRejected("a shard that is not held", m)
 	m.AddHeldShard("a", 1)
 	m.MarkReconciled("a")
 	all := Record{Shares: map[string]Share{}}
@@ -262,25 +262,25 @@
 		all.Shares[shard] = Share{Allocation: AmountOf(2, 0), Limit: LimitOf(8, 0)}
 	}
 	m.ObserveRecord(sharedTeam, all, 5)
-	refused("records that may be old", m)
+	requireRejected("records that may be outdated", m)
 	m.MarkRecordsFresh("a")
 	if !m.Admit("a", sharedTeam, size) {
-		t.Fatal("not admitted though all is known")
+		t.Fatal("not admitted although the shard is ready")
 	}
-	part := all.clone()
-	delete(part.Shares, "c")
-	m.ObserveRecord(sharedTeam, part, 6)
-	refused("a shard without a share", m)
+	incomplete := all.clone()
+	delete(incomplete.Shares, "c")
+	m.ObserveRecord(sharedTeam, incomplete, 6)
+	requireRejected("a shard without a share", m)
 	m.ObserveRecord(sharedTeam, all, 5)
-	refused("older news", m)
+	requireRejected("a record of an older version", m)
 	m.ObserveRecord(sharedTeam, Record{Shares: map[string]Share{"a": {Allocation: Amount{CPUs: -1}}}}, 7)
-	refused("a record that makes no sense", m)
+	requireRejected("an invalid record", m)
 	m.ObserveRecord(sharedTeam, all, 8)
 	if !m.Admit("a", sharedTeam, size) {
-		t.Fatal("not admitted once the record is in order")
+		t.Fatal("not admitted once the record is valid again")
 	}
 	m.ObserveUnreadableRecord(sharedTeam, 9)
-	refused("a record that can't be read", m)
+	requireRejected("a record that can't be read", m)
 	for what, d := range map[string]Demand{
 		"shard": {Shard: "x", Team: sharedTeam}, "own shard": {Shard: "a", Team: sharedTeam}, "team": {Shard: "b", Team: "x"},
 		"negative": {Shard: "b", Team: sharedTeam, Target: Amount{CPUs: -1}}, "huge": {Shard: "b", Team: sharedTeam, Target: Amount{CPUs: 1 << 60}},
@@ -289,8 +289,8 @@
 			t.Errorf("%s: demand %+v: got %v, want %v", what, d, err, ErrInvalidDemand)
 		}
 	}
-	if !m.Admit("a", "nobody's", size) || m.AdmissibleCount("a", "nobody's", size) == 0 {
-		t.Error("a team without a limit is refused")
+	if !m.Admit("a", "unlimited", size) || m.AdmissibleCount("a", "unlimited", size) == 0 {
+		t.Error("tasks of a team without a limit are rejected")
 	}
 }
 
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// Transfer is one transaction that this process wants carried out: each team's
-// record is replaced if it still has the version that it was read with, and each
-// fence's shard key still has its version.
+// Transfer is one transaction for the caller to carry out. It replaces each team's record, on
+// condition that every record and every listed shard key still has the given version.
 type Transfer struct {
 	Teams       []TeamTransfer
-	KeyVersions map[string]uint64 // by shard
+	KeyVersions map[string]uint64 // versions of the shard keys, by shard
 }
 
 // TeamTransfer replaces one team's record.
 type TeamTransfer struct {
 	Team    string
-	Version uint64 // that the record has to have; 0: it must not exist
+	Version uint64 // that the record must have; 0: it must not exist
 	Record  Record
 }
 
-// Balance brings up to date how much each held shard may use while others lack
-// their part. It is called every now and then, before Plan.
+// UpdateCeilings removes expired demands and recomputes how much each held shard may spend while
+// other shards lack their fair share. It is called periodically, before PlanTransfer.
 func (m *Manager) UpdateCeilings(now time.Duration) {
 	for key, d := range m.demands {
 		if now-d.receivedAt > demandTTL {
@@ -36,9 +35,10 @@
 	}
 }
 
-// ceiling is how much a shard with pending tasks may use while another has less
-// than its fair share and lacks more: what it uses beyond that goes to the other as
-// its tasks end. Without it a busy holder would use again at once all that it frees.
+// ceilingFor returns how much a shard may spend, or nil for no bound. A bound applies while
+// another shard has less than its fair share and an unmet demand: as tasks end, the allocation
+// above the bound is transferred to the other shard. Without the bound a busy holder would
+// immediately reuse everything that its ended tasks release.
 func (m *Manager) ceilingFor(t *teamState, shard string, a *account, unmet []Demand, now time.Duration) *Amount {
 	fair := t.fairShare(shard, unmet)
 	for _, d := range unmet {
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// entitlement is what a shard may use while others lack something: its fair share, or
-// room for one task more if it has waited for longer than any of the others. Else tasks
-// larger than a fair share would never start, and what does not divide evenly would stay
-// unused.
+// entitlement returns what a shard may spend while others have unmet demands: its fair share, or
+// room for one more task if it has been pending for longer than all the others. Without this
+// exception tasks larger than a fair share would never start, and the remainder of an uneven
+// division would stay unused.
 func (m *Manager) entitlement(t *teamState, shard string, a *account, unmet []Demand, now time.Duration) Amount {
 	entitled := t.fairShare(shard, unmet)
 	own, _ := m.ownDemand(t, shard, now)
@@ -66,8 +66,8 @@
 	return entitled.Max(a.spent.Add(a.smallestPending))
 }
 
-// fairShare is a shard's part of the limit while it and all that lack something
-// have work.
+// fairShare returns the limit in force divided equally among the shard and all other shards with
+// unmet demands.
 func (t *teamState) fairShare(shard string, unmet []Demand) Amount {
 	contenders := 1
 	for _, d := range unmet {
@@ -78,14 +78,15 @@
 	return t.record.LimitInForce(t.Limit).dividedBy(contenders)
 }
 
-// isBelowFairShare tells whether a share has less than a fair one of what the demand lacks.
+// isBelowFairShare reports whether a share is smaller than a fair one in a part that the demand
+// lacks.
 func (s Share) isBelowFairShare(fair Amount, d Demand) bool {
 	missing := d.Target.Sub(s.Allocation)
 	return (missing.CPUs > 0 && s.Allocation.CPUs < fair.CPUs) || (missing.GPUs > 0 && s.Allocation.GPUs < fair.GPUs)
 }
 
-// Plan returns the next transaction, or nil while there is none to make or one is
-// under way.
+// PlanTransfer returns the next transaction, or nil if nothing has to be changed,
+// TransferInterval has not passed since the last one, or the outcome of one is still awaited.
 func (m *Manager) PlanTransfer(now time.Duration) *Transfer {
 	if m.inFlight != nil || now < m.nextTransferAt || len(m.teamNames) == 0 {
 		return nil
@@ -115,7 +116,7 @@
 	return transfer
 }
 
-// reduceLowerBound keeps a shard from spending more than a transfer under way leaves it.
+// reduceLowerBound keeps a shard from spending more than a transfer in flight leaves it.
 func (t *teamState) reduceLowerBound(shard string, allocation Amount) {
 	if lowerBound, ok := t.lowerBounds[shard]; ok {
 		allocation = allocation.Min(lowerBound)
@@ -123,8 +124,9 @@
 	t.lowerBounds[shard] = allocation
 }
 
-// Applied notes that the transaction under way was carried out, and made that revision of
-// the state service. There must be one; so for TransferNotApplied and TransferOutcomeUnknown.
+// TransferApplied records that the transfer in flight was applied; revision is the state
+// service's revision that it created. This method, TransferNotApplied and TransferOutcomeUnknown
+// may be called only while a transfer is in flight.
 func (m *Manager) TransferApplied(revision uint64) {
 	transfer := m.inFlight
 	m.inFlight = nil
@@ -133,8 +135,7 @@
 	}
 }
 
-// TransferNotApplied notes that the transaction under way was not carried out and never will
-// be.
+// TransferNotApplied records that the transfer in flight was not applied and never will be.
 func (m *Manager) TransferNotApplied() {
 	for _, transferred := range m.inFlight.Teams {
 		if t := m.teams[transferred.Team]; !t.outcomeUnknown {
@@ -144,9 +145,9 @@
 	m.inFlight = nil
 }
 
-// TransferOutcomeUnknown notes that the transaction under way failed its conditions or got no
-// answer, and returns the teams whose records have to be read again. What it may
-// have taken stays out of use until a newer record shows what became of it.
+// TransferOutcomeUnknown records that the transfer in flight failed its conditions or got no
+// answer, and returns the teams whose records have to be read again. What the transfer may have
+// taken is not spent until a newer version of the record shows its outcome.
 func (m *Manager) TransferOutcomeUnknown() []string {
 	var names []string
 	for _, transferred := range m.inFlight.Teams {
