--- a/cmd/cobaltvale/limits.go
+++ b/cmd/cobaltvale/limits.go
@@ -48,7 +48,7 @@
 // service that is quick, one that got slow was asked so seldom that users were refused;
 // they are opened only when needed.
 func stateConnections(file *settings.File, tuning settings.Tuning) int {
-	needed := int(math.Ceil(file.Settings.State.RPS * tuning.WriteShare * tuning.RequestTimeout.Seconds()))
+	needed := int(math.Ceil(file.Settings.State.RPS * tuning.StateRateShare * tuning.RequestTimeout.Seconds()))
 	return max(minStateConns, min(needed, file.Settings.Limits.Sockets/stateConnsDivisor))
 }
 
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -23,8 +23,8 @@
 const StatusTimeout = 1500 * time.Millisecond
 
 const (
-	submitTimeout = 3500 * time.Millisecond // for submissions and cancellations; users give up after 5 s
-	notReadyDelay = 3 * time.Second         // a process that may not act counts as ready for so long
+	submitTimeout       = 3500 * time.Millisecond // for submissions and cancellations; users give up after 5 s
+	notReadyGracePeriod = 3 * time.Second         // a process that may not act counts as ready for so long
 )
 
 // Owner has the unfinished jobs of the shards that this process holds; it is a
@@ -75,12 +75,12 @@
 
 // Reachability is how this process sees the others.
 type Reachability struct {
-	Alone       bool // there are other members, and none is in reach
-	OtherServed bool // some member in reach has the state service
+	Isolated                 bool // there are other members, and none is in reach
+	OtherReachesStateService bool // some member in reach has the state service
 }
 
 // Catalogue is what a submission is checked against.
-type Catalogue interface {
+type Catalog interface {
 	// Team returns a team's settings, or nil.
 	Team(name string) *settings.Team
 	// MachineTypes are the cloud's types by name; there are none before they are read.
@@ -97,7 +97,7 @@
 	Authority Authority
 	Records   Records
 	Members   Members
-	Catalogue Catalogue
+	Catalog   Catalog
 	Statuses  *StatusCache
 }
 
@@ -105,7 +105,7 @@
 // those that other members pass on.
 type API struct {
 	config        Config
-	responses     responder
+	responder     responder
 	queries       jobQueries
 	timers        []requestTimer
 	notReadySince time.Duration // 0: this process may act
@@ -113,13 +113,13 @@
 
 // requestTimer answers a request that nothing else has answered in time.
 type requestTimer struct {
-	at     time.Duration
-	expire func()
+	expiresAt time.Duration
+	onExpire  func()
 }
 
 // New makes the users' API of a process.
 func New(config Config) *API {
-	api := &API{config: config, responses: responder{config.Codec}}
+	api := &API{config: config, responder: responder{config.Codec}}
 	api.queries = jobQueries{clock: config.Clock, members: config.Members, pending: make(map[uint64]*jobQuery)}
 	return api
 }
@@ -127,23 +127,23 @@
 func (api *API) now() time.Duration { return api.config.Clock.Now() }
 
 // accepting tells whether this process may act for its own shard.
-func (api *API) accepting(now time.Duration) bool {
+func (api *API) mayActForOwnShard(now time.Duration) bool {
 	return api.config.Owner.OwnShard() != nil && api.config.Authority.MayAct(now)
 }
 
 // Tick ends what has waited for too long. It is called about ten times a second.
 func (api *API) Tick(now time.Duration) {
-	if api.accepting(now) {
+	if api.mayActForOwnShard(now) {
 		api.notReadySince = 0
 	} else if api.notReadySince == 0 {
 		api.notReadySince = now
 	}
-	api.queries.expire(now)
+	api.queries.failExpired(now)
 	kept := api.timers[:0]
 	var due []func()
 	for _, timer := range api.timers {
-		if timer.at <= now {
-			due = append(due, timer.expire)
+		if timer.expiresAt <= now {
+			due = append(due, timer.onExpire)
 		} else {
 			kept = append(kept, timer)
 		}
@@ -154,8 +154,8 @@
 	}
 }
 
-// MemberDown ends the queries to a member whose stream has ended.
-func (api *API) MemberDown(member string) { api.queries.memberDown(member) }
+// HandleMemberDisconnected ends the queries to a member whose stream has ended.
+func (api *API) HandleMemberDisconnected(member string) { api.queries.failQueriesTo(member) }
 
 // withTimeout makes reply answer by itself when nothing else has in time.
 func (api *API) withTimeout(limit time.Duration, reply func(Response)) func(Response) {
@@ -168,7 +168,7 @@
 	}
 	api.timers = append(api.timers, requestTimer{api.now() + limit, func() {
 		if !answered {
-			once(api.responses.refuse(refusedTimeout))
+			once(api.responder.reject(rejectedTimeout))
 		}
 	}})
 	return once
@@ -179,15 +179,15 @@
 // most likely alone with its workers and users.
 func (api *API) Ready(reply func(Response)) {
 	now := api.now()
-	if api.accepting(now) {
+	if api.mayActForOwnShard(now) {
 		reply(Response{Status: http.StatusOK})
 		return
 	}
 	others := api.config.Members.Reachability()
-	bestOff := !others.OtherServed && !others.Alone
-	if api.config.Owner.OwnShard() != nil && (bestOff || now-api.notReadySince < notReadyDelay) {
+	bestOff := !others.OtherReachesStateService && !others.Isolated
+	if api.config.Owner.OwnShard() != nil && (bestOff || now-api.notReadySince < notReadyGracePeriod) {
 		reply(Response{Status: http.StatusOK})
 		return
 	}
-	reply(api.responses.refuse(refusedNotReady))
+	reply(api.responder.reject(rejectedNotReady))
 }
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -12,70 +12,70 @@
 )
 
 // surroundings are all that an API is given, as a test sets it. It owns no jobs.
-type surroundings struct {
-	clock       time.Duration
-	ownShard    *shard.Shard
-	mayAct      bool
-	full        bool
-	failing     bool
-	created     storage.CreateResult
-	creations   int
-	record      storage.VersionedJobRecord
-	found, sure bool
-	lookups     int
-	holder      string
-	connected   bool
-	queries     []*meshpb.JobQuery
-	reach       Reachability
+type stubs struct {
+	clock           time.Duration
+	ownShard        *shard.Shard
+	mayAct          bool
+	memoryFull      bool
+	failing         bool
+	createResult    storage.CreateResult
+	creations       int
+	record          storage.VersionedJobRecord
+	found, lookupOK bool
+	lookups         int
+	holder          string
+	connected       bool
+	queries         []*meshpb.JobQuery
+	reachability    Reachability
 }
 
-func (s *surroundings) Now() time.Duration                        { return s.clock }
-func (s *surroundings) Job(string) *shard.Job                     { return nil }
-func (s *surroundings) OwnShard() *shard.Shard                    { return s.ownShard }
-func (s *surroundings) MemoryFull(*protocol.Job) bool             { return s.full }
-func (s *surroundings) Cancel(*shard.Job, func(string, error))    {}
-func (s *surroundings) MayAct(time.Duration) bool                 { return s.mayAct }
-func (s *surroundings) MayActUntil() time.Duration                { return s.clock + time.Second }
-func (s *surroundings) AllMembersReadServices(time.Duration) bool { return true }
-func (s *surroundings) Fits(*protocol.Job) bool                   { return true }
-func (s *surroundings) Failing() bool                             { return s.failing }
-func (s *surroundings) Connected(string) bool                     { return s.connected }
-func (s *surroundings) Reachability() Reachability                { return s.reach }
-func (s *surroundings) ShardHolder(string) (string, bool)         { return s.holder, s.holder != "" }
-
-func (s *surroundings) CreateJob(_ *protocol.Job, _ int64, _ time.Duration, done func(storage.CreateResult)) {
+func (s *stubs) Now() time.Duration                        { return s.clock }
+func (s *stubs) Job(string) *shard.Job                     { return nil }
+func (s *stubs) OwnShard() *shard.Shard                    { return s.ownShard }
+func (s *stubs) MemoryFull(*protocol.Job) bool             { return s.memoryFull }
+func (s *stubs) Cancel(*shard.Job, func(string, error))    {}
+func (s *stubs) MayAct(time.Duration) bool                 { return s.mayAct }
+func (s *stubs) MayActUntil() time.Duration                { return s.clock + time.Second }
+func (s *stubs) AllMembersReadServices(time.Duration) bool { return true }
+func (s *stubs) Fits(*protocol.Job) bool                   { return true }
+func (s *stubs) Failing() bool                             { return s.failing }
+func (s *stubs) Connected(string) bool                     { return s.connected }
+func (s *stubs) Reachability() Reachability                { return s.reachability }
+func (s *stubs) ShardHolder(string) (string, bool)         { return s.holder, s.holder != "" }
+
+func (s *stubs) CreateJob(_ *protocol.Job, _ int64, _ time.Duration, done func(storage.CreateResult)) {
 	s.creations++
-	done(s.created)
+	done(s.createResult)
 }
 
-func (s *surroundings) LookupJob(_ string, _ storage.VersionedJobRecord, _ time.Duration, done func(storage.VersionedJobRecord, bool, bool)) {
+func (s *stubs) LookupJob(_ string, _ storage.VersionedJobRecord, _ time.Duration, done func(storage.VersionedJobRecord, bool, bool)) {
 	s.lookups++
-	done(s.record, s.found, s.sure)
+	done(s.record, s.found, s.lookupOK)
 }
 
-func (s *surroundings) SendJobQuery(_ string, query *meshpb.JobQuery) {
+func (s *stubs) SendJobQuery(_ string, query *meshpb.JobQuery) {
 	s.queries = append(s.queries, query)
 }
 
-func (s *surroundings) Team(name string) *settings.Team {
+func (s *stubs) Team(name string) *settings.Team {
 	if name != "red" {
 		return nil
 	}
 	return &settings.Team{Name: name, CPUsMax: 8}
 }
 
-func (s *surroundings) MachineTypes() map[string]*protocol.MachineType {
+func (s *stubs) MachineTypes() map[string]*protocol.MachineType {
 	return map[string]*protocol.MachineType{"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1"}}}
 }
 
-func newTestAPI(t *testing.T, s *surroundings) *API {
+func newTestAPI(t *testing.T, s *stubs) *API {
 	t.Helper()
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return New(Config{Clock: s, Wall: func() time.Time { return time.Unix(1e9, 0) }, Codec: codec,
-		Owner: s, Authority: s, Records: s, Members: s, Catalogue: s, Statuses: NewStatusCache()})
+		Owner: s, Authority: s, Records: s, Members: s, Catalog: s, Statuses: NewStatusCache()})
 }
 
 // submission is one of the team red with a number of CPUs for its task.
@@ -87,44 +87,44 @@
 }
 
 // responses counts the answers and keeps the last.
-type responses struct {
-	n    int
-	last Response
+type responseRecorder struct {
+	count int
+	last  Response
 }
 
-func (r *responses) reply(response Response) {
-	r.n++
+func (r *responseRecorder) reply(response Response) {
+	r.count++
 	r.last = response
 }
 
-func TestSubmissionIsAnsweredByWhatIsKnownOfTheJob(t *testing.T) {
-	ready := surroundings{ownShard: &shard.Shard{}, mayAct: true, sure: true}
+func TestSubmissionResponses(t *testing.T) {
+	ready := stubs{ownShard: &shard.Shard{}, mayAct: true, lookupOK: true}
 	ended := storage.VersionedJobRecord{JobRecord: storage.JobRecord{Status: protocol.StatusDone, Tasks: 1, Shard: "a"}}
 	for _, test := range []struct {
 		name      string
-		change    func(s *surroundings)
+		change    func(s *stubs)
 		cpus      float64
 		status    int
 		creations int
 	}{
-		{"new", func(*surroundings) {}, 2, 201, 1},
-		{"ended already", func(s *surroundings) { s.created, s.found, s.record = storage.AlreadyExists, true, ended }, 2, 200, 1},
-		{"too large", func(*surroundings) {}, 16, 422, 0},
-		{"too large now, accepted before", func(s *surroundings) { s.found, s.record = true, ended }, 16, 200, 0},
-		{"state service fails", func(s *surroundings) { s.failing = true }, 2, 503, 0},
-		{"no authority", func(s *surroundings) { s.mayAct = false }, 2, 503, 0},
-		{"no authority, accepted before", func(s *surroundings) { s.mayAct, s.found, s.record = false, true, ended }, 2, 200, 0},
-		{"no memory left", func(s *surroundings) { s.full = true }, 2, 503, 0},
+		{"new", func(*stubs) {}, 2, 201, 1},
+		{"ended already", func(s *stubs) { s.createResult, s.found, s.record = storage.AlreadyExists, true, ended }, 2, 200, 1},
+		{"too large", func(*stubs) {}, 16, 422, 0},
+		{"too large now, accepted before", func(s *stubs) { s.found, s.record = true, ended }, 16, 200, 0},
+		{"state service fails", func(s *stubs) { s.failing = true }, 2, 503, 0},
+		{"no authority", func(s *stubs) { s.mayAct = false }, 2, 503, 0},
+		{"no authority, accepted before", func(s *stubs) { s.mayAct, s.found, s.record = false, true, ended }, 2, 200, 0},
+		{"no memory left", func(s *stubs) { s.memoryFull = true }, 2, 503, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := ready
-			s.created = storage.Created
+			s.createResult = storage.Created
 			test.change(&s)
 			api := newTestAPI(t, &s)
-			var got responses
+			var got responseRecorder
 			api.Submit(submission(t, api, test.cpus), got.reply)
-			if got.n != 1 || got.last.Status != test.status || s.creations != test.creations {
-				t.Fatalf("%d answers, the last %d, %d creations; want one of %d and %d creations", got.n, got.last.Status, s.creations, test.status, test.creations)
+			if got.count != 1 || got.last.Status != test.status || s.creations != test.creations {
+				t.Fatalf("%d answers, the last %d, %d creations; want one of %d and %d creations", got.count, got.last.Status, s.creations, test.status, test.creations)
 			}
 			if test.status != 200 {
 				return
@@ -142,29 +142,29 @@
 	unfinished := storage.VersionedJobRecord{JobRecord: storage.JobRecord{Shard: "b"}}
 	for _, test := range []struct {
 		name   string
-		change func(s *surroundings)
-		answer func(s *surroundings, api *API)
+		change func(s *stubs)
+		answer func(s *stubs, api *API)
 		status string
 		reads  int
 	}{
-		{"owner answers", func(*surroundings) {}, func(s *surroundings, api *API) {
+		{"owner answers", func(*stubs) {}, func(s *stubs, api *API) {
 			api.HandleJobQueryResult("b", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning, Running: 1})
 		}, protocol.StatusRunning, 1},
-		{"another member answers, the owner is gone", func(*surroundings) {}, func(s *surroundings, api *API) {
+		{"another member answers, the owner is gone", func(*stubs) {}, func(s *stubs, api *API) {
 			api.HandleJobQueryResult("c", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning})
-			api.MemberDown("b")
+			api.HandleMemberDisconnected("b")
 		}, protocol.StatusPending, 2},
-		{"owner is silent", func(*surroundings) {}, func(s *surroundings, api *API) {
+		{"owner is silent", func(*stubs) {}, func(s *stubs, api *API) {
 			s.clock += jobQueryTimeout + 1
 			api.Tick(s.clock)
 		}, protocol.StatusPending, 2},
-		{"owner is out of reach", func(s *surroundings) { s.connected = false }, func(*surroundings, *API) {}, protocol.StatusPending, 2},
+		{"owner is out of reach", func(s *stubs) { s.connected = false }, func(*stubs, *API) {}, protocol.StatusPending, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := surroundings{sure: true, found: true, record: unfinished, holder: "b", connected: true}
+			s := stubs{lookupOK: true, found: true, record: unfinished, holder: "b", connected: true}
 			test.change(&s)
 			api := newTestAPI(t, &s)
-			var got responses
+			var got responseRecorder
 			api.Status("wk-1", got.reply)
 			test.answer(&s, api)
 			s.clock += StatusTimeout + 1
@@ -173,8 +173,8 @@
 			if err := api.config.Codec.Decode(got.last.Body, &status); err != nil {
 				t.Fatal(err)
 			}
-			if got.n != 1 || got.last.Status != 200 || status.Status != test.status || s.lookups != test.reads {
-				t.Fatalf("%d answers, the last %d %q after %d reads; want one of %q after %d", got.n, got.last.Status, status.Status, s.lookups, test.status, test.reads)
+			if got.count != 1 || got.last.Status != 200 || status.Status != test.status || s.lookups != test.reads {
+				t.Fatalf("%d answers, the last %d %q after %d reads; want one of %q after %d", got.count, got.last.Status, status.Status, s.lookups, test.status, test.reads)
 			}
 		})
 	}
@@ -184,16 +184,16 @@
 	own := &shard.Shard{}
 	for _, test := range []struct {
 		name  string
-		s     surroundings
+		s     stubs
 		after time.Duration // since it may not act
 		ready bool
 	}{
-		{"acts", surroundings{ownShard: own, mayAct: true}, 0, true},
-		{"no shard", surroundings{mayAct: true}, 0, false},
-		{"refused as all others are", surroundings{ownShard: own}, time.Minute, true},
-		{"refused while another is served", surroundings{ownShard: own, reach: Reachability{OtherServed: true}}, time.Minute, false},
-		{"refused a moment ago", surroundings{ownShard: own, reach: Reachability{OtherServed: true}}, notReadyDelay - 1, true},
-		{"refused and alone", surroundings{ownShard: own, reach: Reachability{Alone: true}}, time.Minute, false},
+		{"acts", stubs{ownShard: own, mayAct: true}, 0, true},
+		{"no shard", stubs{mayAct: true}, 0, false},
+		{"refused as all others are", stubs{ownShard: own}, time.Minute, true},
+		{"refused while another is served", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, time.Minute, false},
+		{"refused a moment ago", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, notReadyGracePeriod - 1, true},
+		{"refused and alone", stubs{ownShard: own, reachability: Reachability{Isolated: true}}, time.Minute, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := test.s
@@ -201,26 +201,26 @@
 			api := newTestAPI(t, &s)
 			api.Tick(s.clock)
 			s.clock += test.after
-			var got responses
+			var got responseRecorder
 			api.Ready(got.reply)
-			if got.n != 1 || (got.last.Status == 200) != test.ready {
-				t.Fatalf("%d answers, the last %d, ready: %v", got.n, got.last.Status, test.ready)
+			if got.count != 1 || (got.last.Status == 200) != test.ready {
+				t.Fatalf("%d answers, the last %d, ready: %v", got.count, got.last.Status, test.ready)
 			}
 		})
 	}
 }
 
-func TestStatusCacheForgetsTheOldestEnd(t *testing.T) {
+func TestStatusCacheEvictsOldestFinalStatus(t *testing.T) {
 	cache := NewStatusCache()
-	cache.rememberRecord("wk-0", storage.VersionedJobRecord{JobRecord: storage.JobRecord{Shard: "a"}})
+	cache.addRecord("wk-0", storage.VersionedJobRecord{JobRecord: storage.JobRecord{Shard: "a"}})
 	for i := range maxFinalStatuses + 1 {
-		cache.Remember(string(rune('a'+i%26))+time.Duration(i).String(), protocol.StatusDone, 1)
+		cache.AddFinal(string(rune('a'+i%26))+time.Duration(i).String(), protocol.StatusDone, 1)
 	}
 	if len(cache.final) != maxFinalStatuses || cache.Ended("a0s") || !cache.Ended("b1ns") {
 		t.Fatalf("%d ends are kept, the oldest: %v", len(cache.final), cache.Ended("a0s"))
 	}
-	cache.Remember("wk-0", protocol.StatusCancelled, 2)
-	cache.Remember("wk-0", protocol.StatusDone, 2)
+	cache.AddFinal("wk-0", protocol.StatusCancelled, 2)
+	cache.AddFinal("wk-0", protocol.StatusDone, 2)
 	if _, known := cache.records["wk-0"]; known || cache.final["wk-0"].status != protocol.StatusCancelled {
 		t.Fatal("a record is kept of a job that has ended, or its end has changed")
 	}
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -12,12 +12,12 @@
 // Cancel cancels a job, here or at its owner.
 func (api *API) Cancel(id string, reply func(Response)) {
 	if !protocol.ValidJobID(id) {
-		reply(api.responses.refuse(refusedUnknownJob))
+		reply(api.responder.reject(rejectedUnknownJob))
 		return
 	}
 	reply = api.withTimeout(submitTimeout, reply)
 	if final, ok := api.config.Statuses.final[id]; ok {
-		reply(api.responses.final(id, final))
+		reply(api.responder.finalJobStatus(id, final))
 		return
 	}
 	if job := api.config.Owner.Job(id); job != nil {
@@ -28,12 +28,12 @@
 	api.config.Records.LookupJob(id, api.config.Statuses.records[id], deadline, func(record storage.VersionedJobRecord, found, ok bool) {
 		switch {
 		case !ok:
-			reply(api.responses.refuse(refusedStateUnavailable))
+			reply(api.responder.reject(rejectedStateUnavailable))
 		case !found:
-			reply(api.responses.refuse(refusedUnknownJob))
+			reply(api.responder.reject(rejectedUnknownJob))
 		case record.Status != "":
-			api.config.Statuses.Remember(id, record.Status, record.Tasks)
-			reply(api.responses.final(id, finalStatus{record.Status, record.Tasks}))
+			api.config.Statuses.AddFinal(id, record.Status, record.Tasks)
+			reply(api.responder.finalJobStatus(id, finalStatus{record.Status, record.Tasks}))
 		default:
 			api.cancelUnfinished(id, record, reply)
 		}
@@ -47,12 +47,12 @@
 		return
 	}
 	api.queryOwner(id, record.Shard, true, func(result *meshpb.JobQueryResult) {
-		if result == nil || result.HttpStatus != http.StatusOK || !ended(result) {
-			reply(api.responses.refuse(refusedOwnerSilent))
+		if result == nil || result.HttpStatus != http.StatusOK || !hasFinalStatus(result) {
+			reply(api.responder.reject(rejectedOwnerNoAnswer))
 			return
 		}
-		api.config.Statuses.Remember(id, result.JobStatus, record.Tasks)
-		reply(api.responses.status(http.StatusOK, id, result.JobStatus, int(result.Done), 0))
+		api.config.Statuses.AddFinal(id, result.JobStatus, record.Tasks)
+		reply(api.responder.jobStatus(http.StatusOK, id, result.JobStatus, int(result.Done), 0))
 	})
 }
 
@@ -60,9 +60,9 @@
 func (api *API) cancelOwned(job *shard.Job, reply func(Response)) {
 	api.config.Owner.Cancel(job, func(status string, err error) {
 		if err != nil {
-			reply(api.responses.refuse(refusedOwnerChanges))
+			reply(api.responder.reject(rejectedOwnerChanges))
 			return
 		}
-		reply(api.responses.final(job.ID(), finalStatus{status, job.Spec().Tasks}))
+		reply(api.responder.finalJobStatus(job.ID(), finalStatus{status, job.Spec().Tasks}))
 	})
 }
--- a/internal/api/job_queries.go
+++ b/internal/api/job_queries.go
@@ -25,7 +25,7 @@
 
 // jobQuery is a question to the member that owns a job.
 type jobQuery struct {
-	to       string
+	member   string
 	sentAt   time.Duration
 	onResult func(*meshpb.JobQueryResult) // nil: there is none
 }
@@ -38,28 +38,28 @@
 		return
 	}
 	q.lastID++
-	q.pending[q.lastID] = &jobQuery{to: member, sentAt: q.clock.Now(), onResult: onResult}
+	q.pending[q.lastID] = &jobQuery{member: member, sentAt: q.clock.Now(), onResult: onResult}
 	q.members.SendJobQuery(member, &meshpb.JobQuery{Id: q.lastID, Job: job, Cancel: cancel})
 }
 
 // answered takes the result of a query from the member that it was put to.
-func (q *jobQueries) answered(from string, result *meshpb.JobQueryResult) {
-	if query := q.pending[result.Id]; query != nil && query.to == from {
+func (q *jobQueries) handleResult(from string, result *meshpb.JobQueryResult) {
+	if query := q.pending[result.Id]; query != nil && query.member == from {
 		delete(q.pending, result.Id)
 		query.onResult(result)
 	}
 }
 
-func (q *jobQueries) memberDown(member string) {
-	q.end(func(query *jobQuery) bool { return query.to == member })
+func (q *jobQueries) failQueriesTo(member string) {
+	q.failMatching(func(query *jobQuery) bool { return query.member == member })
 }
 
-func (q *jobQueries) expire(now time.Duration) {
-	q.end(func(query *jobQuery) bool { return now-query.sentAt > jobQueryTimeout })
+func (q *jobQueries) failExpired(now time.Duration) {
+	q.failMatching(func(query *jobQuery) bool { return now-query.sentAt > jobQueryTimeout })
 }
 
 // end ends the queries that get no result any more.
-func (q *jobQueries) end(over func(*jobQuery) bool) {
+func (q *jobQueries) failMatching(over func(*jobQuery) bool) {
 	for id, query := range q.pending {
 		if over(query) {
 			delete(q.pending, id)
@@ -81,23 +81,23 @@
 
 // HandleJobQueryResult takes another member's answer to a query.
 func (api *API) HandleJobQueryResult(from string, result *meshpb.JobQueryResult) {
-	api.queries.answered(from, result)
+	api.queries.handleResult(from, result)
 }
 
 // HandleJobQuery answers another member from what this one owns, now or later.
 func (api *API) HandleJobQuery(query *meshpb.JobQuery, answer func(*meshpb.JobQueryResult)) {
 	if final, ok := api.config.Statuses.final[query.Job]; ok {
-		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: final.status, Done: uint32(final.done())})
+		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: final.status, Done: uint32(final.doneTasks())})
 		return
 	}
 	job := api.config.Owner.Job(query.Job)
 	switch {
 	case job == nil || !api.config.Authority.MayAct(api.now()):
-		answer(unavailable())
+		answer(unavailableResult())
 	case query.Cancel:
 		api.cancelForMember(job, answer)
 	case job.Ending():
-		answer(unavailable())
+		answer(unavailableResult())
 	default:
 		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: job.WireStatus(), Done: uint32(job.Finished()), Running: uint32(job.Running())})
 	}
@@ -106,7 +106,7 @@
 func (api *API) cancelForMember(job *shard.Job, answer func(*meshpb.JobQueryResult)) {
 	api.config.Owner.Cancel(job, func(status string, err error) {
 		if err != nil {
-			answer(unavailable())
+			answer(unavailableResult())
 			return
 		}
 		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: status, Done: uint32(job.Finished())})
@@ -114,11 +114,11 @@
 }
 
 // unavailable is the result of a query that can't be answered here now.
-func unavailable() *meshpb.JobQueryResult {
+func unavailableResult() *meshpb.JobQueryResult {
 	return &meshpb.JobQueryResult{HttpStatus: http.StatusServiceUnavailable}
 }
 
 // ended tells whether an owner says that a job has ended.
-func ended(result *meshpb.JobQueryResult) bool {
+func hasFinalStatus(result *meshpb.JobQueryResult) bool {
 	return result.JobStatus == protocol.StatusDone || result.JobStatus == protocol.StatusCancelled
 }
--- a/internal/api/status_cache.go
+++ b/internal/api/status_cache.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxFinalStatuses = 20000
-	maxKnownRecords  = 20000
+	maxFinalStatuses     = 20000
+	maxUnfinishedRecords = 20000
 )
 
 // finalStatus is how a job has ended, which never changes.
@@ -17,7 +17,7 @@
 }
 
 // done is how many tasks of the job ended well, as users are told.
-func (f finalStatus) done() int {
+func (f finalStatus) doneTasks() int {
 	if f.status == protocol.StatusDone {
 		return f.tasks
 	}
@@ -27,8 +27,8 @@
 // StatusCache remembers what is known of jobs for certain: how they have ended, and
 // what the records of unfinished ones have said.
 type StatusCache struct {
-	final map[string]finalStatus
-	order []string // of final, the oldest first
+	final      map[string]finalStatus
+	finalOrder []string // of final, the oldest first
 	// records remembers what was read of unfinished jobs: to which shard each belongs,
 	// which never changes, and the version by which a change would show.
 	records map[string]storage.VersionedJobRecord
@@ -46,22 +46,22 @@
 }
 
 // Remember keeps how a job has ended, as long as there is room for it.
-func (s *StatusCache) Remember(job, status string, tasks int) {
+func (s *StatusCache) AddFinal(job, status string, tasks int) {
 	delete(s.records, job)
 	if s.Ended(job) {
 		return
 	}
-	if len(s.order) >= maxFinalStatuses {
-		delete(s.final, s.order[0])
-		s.order = s.order[1:]
+	if len(s.finalOrder) >= maxFinalStatuses {
+		delete(s.final, s.finalOrder[0])
+		s.finalOrder = s.finalOrder[1:]
 	}
 	s.final[job] = finalStatus{status, tasks}
-	s.order = append(s.order, job)
+	s.finalOrder = append(s.finalOrder, job)
 }
 
-// rememberRecord keeps what the record of an unfinished job has said.
-func (s *StatusCache) rememberRecord(job string, record storage.VersionedJobRecord) {
-	if len(s.records) >= maxKnownRecords {
+// addRecord keeps what the record of an unfinished job has said.
+func (s *StatusCache) addRecord(job string, record storage.VersionedJobRecord) {
+	if len(s.records) >= maxUnfinishedRecords {
 		clear(s.records)
 	}
 	s.records[job] = record
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -13,12 +13,12 @@
 func (api *API) Submit(body []byte, reply func(Response)) {
 	var submission protocol.Submission
 	if err := api.config.Codec.Decode(body, &submission); err != nil {
-		reply(api.responses.refuse(malformed(err)))
+		reply(api.responder.reject(malformedRequest(err)))
 		return
 	}
 	job, err := submission.Validate()
 	if err != nil {
-		reply(api.responses.refuse(malformed(err)))
+		reply(api.responder.reject(malformedRequest(err)))
 		return
 	}
 	reply = api.withTimeout(submitTimeout, reply)
@@ -28,42 +28,42 @@
 	// A job that can't be accepted may be the retry of one that was when it could be.
 	switch refused := api.checkRunnable(job); {
 	case refused != nil:
-		api.lookUp(job.ID, *refused, reply)
+		api.answerFromFreshLookup(job.ID, *refused, reply)
 	case api.config.Records.Failing():
-		reply(api.responses.refuse(refusedStateUnavailable))
-	case !api.accepting(api.now()):
-		api.lookUp(job.ID, refusedNotAccepting, reply)
+		reply(api.responder.reject(rejectedStateUnavailable))
+	case !api.mayActForOwnShard(api.now()):
+		api.answerFromFreshLookup(job.ID, rejectedNotAccepting, reply)
 	case api.config.Owner.MemoryFull(job):
-		api.lookUp(job.ID, refusedMemoryFull, reply)
+		api.answerFromFreshLookup(job.ID, rejectedMemoryFull, reply)
 	default:
-		api.create(job, reply)
+		api.createJob(job, reply)
 	}
 }
 
 // create writes a new job, unless another member has done so.
-func (api *API) create(job *protocol.Job, reply func(Response)) {
+func (api *API) createJob(job *protocol.Job, reply func(Response)) {
 	api.config.Owner.CreateJob(job, api.config.Wall().UnixMilli(), api.now()+submitTimeout, func(r storage.CreateResult) {
 		switch r {
 		case storage.Created:
-			reply(api.responses.status(http.StatusCreated, job.ID, protocol.StatusPending, 0, 0))
+			reply(api.responder.jobStatus(http.StatusCreated, job.ID, protocol.StatusPending, 0, 0))
 		case storage.AlreadyExists:
-			api.lookUp(job.ID, refusedStateUnread, reply)
+			api.answerFromFreshLookup(job.ID, rejectedStateUnread, reply)
 		default:
-			reply(api.responses.refuse(refusedStateUnavailable))
+			reply(api.responder.reject(rejectedStateUnavailable))
 		}
 	})
 }
 
 // checkRunnable returns why a job can never run, or not yet, or nil. It leaves of the
 // types that the job names those that there are.
-func (api *API) checkRunnable(job *protocol.Job) *refusal {
-	team := api.config.Catalogue.Team(job.Team)
+func (api *API) checkRunnable(job *protocol.Job) *rejection {
+	team := api.config.Catalog.Team(job.Team)
 	if team == nil {
-		return &refusedUnknownTeam
+		return &rejectedUnknownTeam
 	}
-	types := api.config.Catalogue.MachineTypes()
+	types := api.config.Catalog.MachineTypes()
 	if len(types) == 0 {
-		return &refusedCatalogueUnknown
+		return &rejectedCatalogUnknown
 	}
 	fits := false
 	var known []string
@@ -74,26 +74,26 @@
 		}
 	}
 	if !fits {
-		return &refusedNoFittingType
+		return &rejectedNoFittingType
 	}
-	if beyondLimit(team, job, 1) {
-		return &refusedTaskBeyondLimit
+	if exceedsTeamLimit(team, job, 1) {
+		return &rejectedTaskBeyondLimit
 	}
-	if job.Service && beyondLimit(team, job, job.Tasks) {
-		return &refusedServiceBeyondLimit
+	if job.Service && exceedsTeamLimit(team, job, job.Tasks) {
+		return &rejectedServiceBeyondLimit
 	}
 	job.Types = known
 	if !api.config.Records.Fits(job) {
-		return &refusedDescriptionTooLarge
+		return &rejectedSpecTooLarge
 	}
 	if job.Service && !api.config.Authority.AllMembersReadServices(api.now()) {
-		return &refusedServicesUnsupported
+		return &rejectedServicesUnsupported
 	}
 	return nil
 }
 
-// beyondLimit tells whether some tasks of a job together need more than a team may use.
-func beyondLimit(team *settings.Team, job *protocol.Job, tasks int) bool {
+// exceedsTeamLimit tells whether some tasks of a job together need more than a team may use.
+func exceedsTeamLimit(team *settings.Team, job *protocol.Job, tasks int) bool {
 	n := float64(tasks)
 	return (team.CPUsMax > 0 && n*job.CPUs > team.CPUsMax) || (team.GPUsMax > 0 && n*job.GPUs > team.GPUsMax)
 }
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -25,21 +25,21 @@
 
 // pollCatalog asks for the catalogue when it is due.
 func (i *Inventory) pollCatalog(now time.Duration) {
-	if i.catalogInFlight || now < i.nextCatalog || !i.AllowCall(now) {
+	if i.catalogInFlight || now < i.nextCatalogAt || !i.AllowCall(now) {
 		return
 	}
 	i.catalogInFlight = true
-	i.config.API.Call("GET", "/catalog", nil, CallTimeout, i.onCatalog)
+	i.config.API.Call("GET", "/catalog", nil, CallTimeout, i.handleCatalog)
 }
 
-func (i *Inventory) onCatalog(r storage.Response) {
+func (i *Inventory) handleCatalog(r storage.Response) {
 	i.catalogInFlight = false
 	var catalog protocol.Catalog
 	if r.Status != statusOK || i.config.Codec.Decode(r.Body, &catalog) != nil || len(catalog.Types) == 0 {
-		i.nextCatalog = i.config.Clock.Now() + RetryDelay
+		i.nextCatalogAt = i.config.Clock.Now() + RetryDelay
 		return
 	}
-	i.nextCatalog = i.config.Clock.Now() + i.catalogInterval()
+	i.nextCatalogAt = i.config.Clock.Now() + i.catalogInterval()
 	i.catalog = make(Catalog, len(catalog.Types))
 	for k := range catalog.Types {
 		i.catalog[catalog.Types[k].Name] = &catalog.Types[k]
--- a/internal/cloud/inventory.go
+++ b/internal/cloud/inventory.go
@@ -60,12 +60,12 @@
 
 	catalog         Catalog
 	catalogInFlight bool
-	nextCatalog     time.Duration
+	nextCatalogAt   time.Duration
 
-	listing  *listing // nil: none is under way
-	nextList time.Duration
-	listed   map[string]ListedMachine
-	listedAt time.Duration
+	listing    *listing // nil: none is under way
+	nextListAt time.Duration
+	listed     map[string]ListedMachine
+	listedAt   time.Duration
 }
 
 // NewInventory returns an inventory that knows neither machine types nor machines.
@@ -80,14 +80,14 @@
 
 // Lead begins to read the machine list for an observer, and reads list and
 // catalogue at once: the leader decides by machines and prices as they are now.
-func (i *Inventory) Lead(observer ListObserver, now time.Duration) {
+func (i *Inventory) StartLeading(observer ListObserver, now time.Duration) {
 	i.observer = observer
-	i.nextCatalog, i.nextList = min(i.nextCatalog, now), now
+	i.nextCatalogAt, i.nextListAt = min(i.nextCatalogAt, now), now
 }
 
 // Follow ends what Lead began. A page that is still on its way completes the
 // list for the observer that it was asked for.
-func (i *Inventory) Follow() { i.observer = nil }
+func (i *Inventory) StopLeading() { i.observer = nil }
 
 // Tick makes the calls that are due.
 func (i *Inventory) Tick(now time.Duration) {
--- a/internal/cloud/inventory_test.go
+++ b/internal/cloud/inventory_test.go
@@ -27,9 +27,9 @@
 }
 
 // observed collects the lists that an observer was given.
-type observed struct{ lists []string }
+type listRecorder struct{ lists []string }
 
-func (o *observed) MachinesListed(machines []protocol.ListedMachine, _ time.Duration) {
+func (o *listRecorder) MachinesListed(machines []protocol.ListedMachine, _ time.Duration) {
 	var names []string
 	for _, m := range machines {
 		names = append(names, m.ID)
@@ -82,15 +82,15 @@
 	}
 }
 
-func page(more bool, machines ...protocol.ListedMachine) protocol.MachineList {
+func machinePage(more bool, machines ...protocol.ListedMachine) protocol.MachineList {
 	return protocol.MachineList{Machines: machines, More: more}
 }
 
-func running(name string) protocol.ListedMachine {
+func runningMachine(name string) protocol.ListedMachine {
 	return protocol.ListedMachine{ID: name, Status: StatusRunning}
 }
 
-func TestCatalogIsReplacedWholeAndAskedForAgain(t *testing.T) {
+func TestCatalogIsReplacedWholeAndPolledAgain(t *testing.T) {
 	f := newFixture(t, 1000)
 	f.wantCalls(f.tick(0), "GET /catalog")
 	f.wantCalls(f.tick(catalogInterval)) // one call at a time
@@ -114,17 +114,17 @@
 	f.wantCalls(f.tick(0), "GET /catalog")
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
 	f.wantCalls(f.tick(time.Second))
-	leader := &observed{}
-	f.inventory.Lead(leader, f.api.now)
+	leader := &listRecorder{}
+	f.inventory.StartLeading(leader, f.api.now)
 	f.wantCalls(f.tick(0), "GET /catalog", "GET /hosts?limit=500")
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
-	f.answer(200, page(true, running("vm-1")))
+	f.answer(200, machinePage(true, runningMachine("vm-1")))
 	if _, ok := f.inventory.Listed("vm-1"); ok || f.inventory.ListedAt() != 0 {
 		t.Fatal("a list that was not read whole is held")
 	}
 	asked := f.api.now
 	f.wantCalls(f.tick(time.Second), "GET /hosts?limit=500&from=vm-1")
-	f.answer(200, page(false, protocol.ListedMachine{ID: "vm-2", Status: StatusFailed}))
+	f.answer(200, machinePage(false, protocol.ListedMachine{ID: "vm-2", Status: StatusFailed}))
 	if got := fmt.Sprint(leader.lists); got != "[vm-1 vm-2]" {
 		t.Fatalf("the observer was given %s", got)
 	}
@@ -134,20 +134,20 @@
 	if entry, ok := f.inventory.Listed("vm-2"); !ok || entry.Status != StatusFailed {
 		t.Fatalf("vm-2 is listed as %+v", entry)
 	}
-	f.inventory.Follow()
+	f.inventory.StopLeading()
 	f.wantCalls(f.tick(leaderCatalogInterval), "GET /catalog") // and no list
 }
 
-func TestRunningForCountsFromTheFirstListThatSaysSo(t *testing.T) {
+func TestRunningForCountsFromTheFirstListShowingIt(t *testing.T) {
 	f := newFixture(t, 1000)
-	leader := &observed{}
-	f.inventory.Lead(leader, f.api.now)
+	leader := &listRecorder{}
+	f.inventory.StartLeading(leader, f.api.now)
 	f.tick(0)
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
-	f.answer(200, page(false, running("vm-1"), protocol.ListedMachine{ID: "vm-2", Status: "starting"}))
+	f.answer(200, machinePage(false, runningMachine("vm-1"), protocol.ListedMachine{ID: "vm-2", Status: "starting"}))
 	since := f.api.now
 	f.wantCalls(f.tick(4*time.Second), "GET /hosts?limit=500")
-	f.answer(200, page(false, running("vm-1"), running("vm-2")))
+	f.answer(200, machinePage(false, runningMachine("vm-1"), runningMachine("vm-2")))
 	for name, want := range map[string]time.Duration{"vm-1": f.api.now - since, "vm-2": 0, "vm-3": 0} {
 		if got := f.inventory.RunningFor(name, f.api.now); got != want {
 			t.Errorf("%s runs for %v, want %v", name, got, want)
@@ -155,12 +155,12 @@
 	}
 }
 
-func TestRefusedPagesAreAskedForAgainAndThenTheListBeginsAnew(t *testing.T) {
+func TestRejectedPagesAreRetriedBeforeTheListRestarts(t *testing.T) {
 	f := newFixture(t, 1000)
-	f.inventory.Lead(&observed{}, f.api.now)
+	f.inventory.StartLeading(&listRecorder{}, f.api.now)
 	f.tick(0)
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
-	f.answer(200, page(true, running("vm-1")))
+	f.answer(200, machinePage(true, runningMachine("vm-1")))
 	for range maxPageFailures {
 		f.wantCalls(f.tick(RetryDelay), "GET /hosts?limit=500&from=vm-1")
 		f.answer(429, protocol.ErrorBody{Error: "too many requests"})
@@ -170,19 +170,19 @@
 
 func TestPageForAnEarlierLeaderIsNotGivenToTheNext(t *testing.T) {
 	f := newFixture(t, 1000)
-	first, second := &observed{}, &observed{}
-	f.inventory.Lead(first, f.api.now)
+	first, second := &listRecorder{}, &listRecorder{}
+	f.inventory.StartLeading(first, f.api.now)
 	f.tick(0)
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
-	f.inventory.Follow()
-	f.inventory.Lead(second, f.api.now)
+	f.inventory.StopLeading()
+	f.inventory.StartLeading(second, f.api.now)
 	f.wantCalls(f.tick(time.Second), "GET /catalog", "GET /hosts?limit=500")
-	f.answer(200, page(false, running("vm-1"))) // of the first leader's call
+	f.answer(200, machinePage(false, runningMachine("vm-1"))) // of the first leader's call
 	if len(first.lists)+len(second.lists) != 0 {
 		t.Fatalf("lists %v and %v", first.lists, second.lists)
 	}
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
-	f.answer(200, page(false, running("vm-2")))
+	f.answer(200, machinePage(false, runningMachine("vm-2")))
 	if got := fmt.Sprint(second.lists); len(first.lists) != 0 || got != "[vm-2]" {
 		t.Fatalf("lists %v and %s", first.lists, got)
 	}
--- a/internal/cloud/machine_list.go
+++ b/internal/cloud/machine_list.go
@@ -27,20 +27,20 @@
 // ListedMachine is a row of the machine list.
 type ListedMachine struct {
 	protocol.ListedMachine
-	since time.Duration // first listed as running
+	runningSince time.Duration // first listed as running
 }
 
 // listing is one pass through the cloud's machine list, page by page. Thousands
 // of machines take more pages than the cloud answers in a burst, so pages are
 // spaced, and one that is refused is asked for again.
 type listing struct {
-	observer ListObserver // that it is read for
-	began    time.Duration
-	nextPage time.Duration
-	after    string // the last machine that was read
-	machines []protocol.ListedMachine
-	inFlight bool
-	failures int // in a row
+	observer    ListObserver // that it is read for
+	startedAt   time.Duration
+	nextPageAt  time.Duration
+	lastMachine string // the last machine that was read
+	machines    []protocol.ListedMachine
+	inFlight    bool
+	failures    int // in a row
 }
 
 // Listed returns what the list says of a machine.
@@ -61,7 +61,7 @@
 	if !ok || entry.Status != StatusRunning {
 		return 0
 	}
-	return now - entry.since
+	return now - entry.runningSince
 }
 
 // pollList asks for the next page of the machine list when it is due.
@@ -70,20 +70,20 @@
 		i.listing = nil // a page that still comes is not used
 	}
 	if i.listing == nil {
-		if now < i.nextList {
+		if now < i.nextListAt {
 			return
 		}
-		i.listing = &listing{observer: i.observer, began: now}
+		i.listing = &listing{observer: i.observer, startedAt: now}
 	}
 	l := i.listing
-	if l.inFlight || now < l.nextPage || !i.AllowCall(now) {
+	if l.inFlight || now < l.nextPageAt || !i.AllowCall(now) {
 		return
 	}
 	l.inFlight = true
-	l.nextPage = now + i.pageInterval()
+	l.nextPageAt = now + i.pageInterval()
 	i.config.API.Call("GET", l.path(), nil, CallTimeout, func(r storage.Response) {
 		if i.listing == l {
-			i.onPage(l, r)
+			i.handlePage(l, r)
 		}
 	})
 }
@@ -96,37 +96,37 @@
 
 func (l *listing) path() string {
 	path := "/hosts?limit=" + strconv.Itoa(machinesPerPage)
-	if l.after != "" {
-		path += "&from=" + l.after
+	if l.lastMachine != "" {
+		path += "&from=" + l.lastMachine
 	}
 	return path
 }
 
-func (i *Inventory) onPage(l *listing, r storage.Response) {
+func (i *Inventory) handlePage(l *listing, r storage.Response) {
 	now := i.config.Clock.Now()
 	l.inFlight = false
 	var page protocol.MachineList
 	if r.Status != statusOK || i.config.Codec.Decode(r.Body, &page) != nil {
-		i.onPageFailure(l, now)
+		i.handlePageFailure(l, now)
 		return
 	}
 	l.failures = 0
 	l.machines = append(l.machines, page.Machines...)
 	if page.More && len(page.Machines) > 0 && len(l.machines) < i.config.MaxMachines {
-		l.after = page.Machines[len(page.Machines)-1].ID
+		l.lastMachine = page.Machines[len(page.Machines)-1].ID
 		return
 	}
 	i.listing = nil
-	i.nextList = now + max(minListInterval, seconds(i.config.Settings.ListLagS/listsPerLag))
+	i.nextListAt = now + max(minListInterval, seconds(i.config.Settings.ListLagS/listsPerLag))
 	i.replaceList(l, now)
 	l.observer.MachinesListed(l.machines, now)
 }
 
-func (i *Inventory) onPageFailure(l *listing, now time.Duration) {
+func (i *Inventory) handlePageFailure(l *listing, now time.Duration) {
 	l.failures++
-	l.nextPage = max(l.nextPage, now+RetryDelay)
+	l.nextPageAt = max(l.nextPageAt, now+RetryDelay)
 	if l.failures >= maxPageFailures {
-		i.listing, i.nextList = nil, now+RetryDelay
+		i.listing, i.nextListAt = nil, now+RetryDelay
 	}
 }
 
@@ -134,11 +134,11 @@
 func (i *Inventory) replaceList(l *listing, now time.Duration) {
 	fresh := make(map[string]ListedMachine, len(l.machines))
 	for _, machine := range l.machines {
-		entry := ListedMachine{ListedMachine: machine, since: now}
+		entry := ListedMachine{ListedMachine: machine, runningSince: now}
 		if last, ok := i.listed[machine.ID]; ok && last.Status == StatusRunning {
-			entry.since = last.since
+			entry.runningSince = last.runningSince
 		}
 		fresh[machine.ID] = entry
 	}
-	i.listed, i.listedAt = fresh, l.began
+	i.listed, i.listedAt = fresh, l.startedAt
 }
--- a/internal/cloud/scaler.go
+++ b/internal/cloud/scaler.go
@@ -39,15 +39,15 @@
 }
 
 // Refusal is why the cloud creates no machines of a kind.
-type Refusal uint8
+type RejectReason uint8
 
 // The reasons.
 const (
-	NoCapacity Refusal = iota + 1
+	NoCapacity RejectReason = iota + 1
 	MalformedRequest
 )
 
-func (r Refusal) String() string {
+func (r RejectReason) String() string {
 	switch r {
 	case NoCapacity:
 		return "no capacity"
@@ -61,8 +61,8 @@
 type ScaleObserver interface {
 	// MachinesCreated names new machines of a kind.
 	MachinesCreated(kind Kind, names []string, now time.Duration)
-	// KindRefused tells that no machines of a kind should be requested up to a time.
-	KindRefused(kind Kind, why Refusal, until time.Duration)
+	// KindRejected tells that no machines of a kind should be requested up to a time.
+	KindRejected(kind Kind, why RejectReason, until time.Duration)
 	// ReleaseSent tells that the release of machines has been requested.
 	ReleaseSent(names []string)
 	// ReleaseConfirmed is proof that machines have ended.
@@ -82,19 +82,19 @@
 	fencingToken uint64
 	stopped      bool
 
-	lastScaleOut     int // its number
-	scaleOuts        []*scaleOut
-	scaleInsInFlight int
-	blockedUntil     time.Duration // no calls before
+	lastScaleOutNumber int // its number
+	scaleOuts          []*scaleOut
+	scaleInsInFlight   int
+	blockedUntil       time.Duration // no calls before
 }
 
 // scaleOut is a request for machines of one kind. It is repeated under its ID until
 // it is answered; the cloud creates no more machines for a repetition.
 type scaleOut struct {
 	protocol.ScaleOutRequest
-	attempts    int
-	inFlight    bool
-	nextAttempt time.Duration
+	attempts      int
+	inFlight      bool
+	nextAttemptAt time.Duration
 }
 
 func (s *scaleOut) kind() Kind { return Kind{s.Type, s.Zone, s.Spot} }
@@ -111,12 +111,12 @@
 // Blocked tells whether the cloud takes no calls at present.
 func (s *Scaler) Blocked(now time.Duration) bool { return now < s.blockedUntil }
 
-// AnyScaleOut tells whether machines were ever requested in this term.
-func (s *Scaler) AnyScaleOut() bool { return s.lastScaleOut > 0 }
+// HasScaledOut tells whether machines were ever requested in this term.
+func (s *Scaler) HasScaledOut() bool { return s.lastScaleOutNumber > 0 }
 
 // Requested yields how many machines of each kind are requested and not answered,
 // request by request.
-func (s *Scaler) Requested() iter.Seq2[Kind, int] {
+func (s *Scaler) PendingScaleOuts() iter.Seq2[Kind, int] {
 	return func(yield func(Kind, int) bool) {
 		for _, request := range s.scaleOuts {
 			if !yield(request.kind(), request.Count) {
@@ -126,13 +126,13 @@
 	}
 }
 
-// ScaleOut requests machines of a kind. They are sent by SendScaleOuts.
-func (s *Scaler) ScaleOut(kind Kind, n int) {
+// QueueScaleOut requests machines of a kind. They are sent by SendScaleOuts.
+func (s *Scaler) QueueScaleOut(kind Kind, n int) {
 	for n > 0 {
 		count := min(n, MaxMachinesPerScaleOut)
-		s.lastScaleOut++
+		s.lastScaleOutNumber++
 		s.scaleOuts = append(s.scaleOuts, &scaleOut{ScaleOutRequest: protocol.ScaleOutRequest{
-			RequestID: fmt.Sprintf("r-%d-%d", s.fencingToken, s.lastScaleOut),
+			RequestID: fmt.Sprintf("r-%d-%d", s.fencingToken, s.lastScaleOutNumber),
 			Type:      kind.Type,
 			Zone:      kind.Zone,
 			Spot:      kind.Spot,
@@ -145,12 +145,12 @@
 // SendScaleOuts sends the requests that are due.
 func (s *Scaler) SendScaleOuts(now time.Duration) {
 	for _, request := range s.scaleOuts {
-		if request.inFlight || now < request.nextAttempt || s.Blocked(now) || !s.inventory.AllowCall(now) {
+		if request.inFlight || now < request.nextAttemptAt || s.Blocked(now) || !s.inventory.AllowCall(now) {
 			continue
 		}
 		request.inFlight = true
 		request.attempts++
-		s.call("/hosts", request.ScaleOutRequest, func(answer storage.Response) { s.onScaleOut(request, answer) })
+		s.call("/hosts", request.ScaleOutRequest, func(answer storage.Response) { s.handleScaleOutResponse(request, answer) })
 	}
 }
 
@@ -164,54 +164,54 @@
 	})
 }
 
-func (s *Scaler) onScaleOut(request *scaleOut, answer storage.Response) {
+func (s *Scaler) handleScaleOutResponse(request *scaleOut, answer storage.Response) {
 	now := s.inventory.config.Clock.Now()
 	request.inFlight = false
 	switch answer.Status {
 	case statusOK:
-		s.onCreated(request, answer.Body, now)
+		s.handleCreated(request, answer.Body, now)
 	case statusMalformed:
-		s.observer.KindRefused(request.kind(), MalformedRequest, now+malformedBackoff)
+		s.observer.KindRejected(request.kind(), MalformedRequest, now+malformedBackoff)
 	case statusUnavailable:
-		s.onUnavailable(request, answer.Body, now)
+		s.handleUnavailable(request, answer.Body, now)
 	case statusRateLimited:
-		request.nextAttempt = now + RetryDelay
+		request.nextAttemptAt = now + RetryDelay
 		return
 	default:
 		// It may have been carried out: a repetition under its ID tells.
-		request.nextAttempt = now + RetryDelay
+		request.nextAttemptAt = now + RetryDelay
 		if request.attempts < maxScaleOutAttempts {
 			return
 		}
 	}
-	s.remove(request)
+	s.removeScaleOut(request)
 }
 
-// onCreated takes the names of new machines. Fewer than were requested mean that
+// handleCreated takes the names of new machines. Fewer than were requested mean that
 // there are no more.
-func (s *Scaler) onCreated(request *scaleOut, body []byte, now time.Duration) {
+func (s *Scaler) handleCreated(request *scaleOut, body []byte, now time.Duration) {
 	var created protocol.MachineNames
 	if s.inventory.config.Codec.Decode(body, &created) != nil {
 		return
 	}
 	s.observer.MachinesCreated(request.kind(), created.Machines, now)
 	if len(created.Machines) < request.Count {
-		s.observer.KindRefused(request.kind(), NoCapacity, now+CapacityBackoff)
+		s.observer.KindRejected(request.kind(), NoCapacity, now+CapacityBackoff)
 	}
 }
 
-// onUnavailable tells apart that the cloud has no machines of a kind and that it
+// handleUnavailable tells apart that the cloud has no machines of a kind and that it
 // takes no calls.
-func (s *Scaler) onUnavailable(request *scaleOut, body []byte, now time.Duration) {
+func (s *Scaler) handleUnavailable(request *scaleOut, body []byte, now time.Duration) {
 	var answer protocol.ErrorBody
 	if s.inventory.config.Codec.Decode(body, &answer) == nil && answer.Error == noCapacity {
-		s.observer.KindRefused(request.kind(), NoCapacity, now+CapacityBackoff)
+		s.observer.KindRejected(request.kind(), NoCapacity, now+CapacityBackoff)
 		return
 	}
 	s.blockedUntil = now + RetryDelay
 }
 
-func (s *Scaler) remove(request *scaleOut) {
+func (s *Scaler) removeScaleOut(request *scaleOut) {
 	for i, other := range s.scaleOuts {
 		if other == request {
 			s.scaleOuts = append(s.scaleOuts[:i], s.scaleOuts[i+1:]...)
@@ -233,10 +233,10 @@
 func (s *Scaler) sendScaleIn(names []string) {
 	s.scaleInsInFlight++
 	s.observer.ReleaseSent(names)
-	s.call("/hosts/release", protocol.MachineNames{Machines: names}, func(answer storage.Response) { s.onScaleIn(names, answer) })
+	s.call("/hosts/release", protocol.MachineNames{Machines: names}, func(answer storage.Response) { s.handleScaleInResponse(names, answer) })
 }
 
-func (s *Scaler) onScaleIn(names []string, answer storage.Response) {
+func (s *Scaler) handleScaleInResponse(names []string, answer storage.Response) {
 	s.scaleInsInFlight--
 	if answer.Status == statusOK {
 		s.observer.ReleaseConfirmed(names)
--- a/internal/cloud/scaler_test.go
+++ b/internal/cloud/scaler_test.go
@@ -11,40 +11,40 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// scaleLog is an observer that writes down what it is told.
-type scaleLog struct{ events []string }
+// scaleRecorder is an observer that writes down what it is told.
+type scaleRecorder struct{ events []string }
 
-func (l *scaleLog) note(format string, args ...any) {
+func (l *scaleRecorder) record(format string, args ...any) {
 	l.events = append(l.events, fmt.Sprintf(format, args...))
 }
 
-func (l *scaleLog) MachinesCreated(kind Kind, names []string, _ time.Duration) {
-	l.note("created %s %s", kind.Type, strings.Join(names, " "))
+func (l *scaleRecorder) MachinesCreated(kind Kind, names []string, _ time.Duration) {
+	l.record("created %s %s", kind.Type, strings.Join(names, " "))
 }
 
-func (l *scaleLog) KindRefused(kind Kind, why Refusal, _ time.Duration) {
-	l.note("refused %s: %s", kind.Type, why)
+func (l *scaleRecorder) KindRejected(kind Kind, why RejectReason, _ time.Duration) {
+	l.record("refused %s: %s", kind.Type, why)
 }
-func (l *scaleLog) ReleaseSent(names []string)      { l.note("sent %d", len(names)) }
-func (l *scaleLog) ReleaseConfirmed(names []string) { l.note("confirmed %d", len(names)) }
-func (l *scaleLog) ReleaseFailed(names []string)    { l.note("failed %d", len(names)) }
+func (l *scaleRecorder) ReleaseSent(names []string)      { l.record("sent %d", len(names)) }
+func (l *scaleRecorder) ReleaseConfirmed(names []string) { l.record("confirmed %d", len(names)) }
+func (l *scaleRecorder) ReleaseFailed(names []string)    { l.record("failed %d", len(names)) }
 
 // newScalerFixture returns a scaler, and what its observer was told.
-func newScalerFixture(t *testing.T) (*fixture, *Scaler, *scaleLog) {
-	f, events := newFixture(t, 1000), &scaleLog{}
+func newScalerFixture(t *testing.T) (*fixture, *Scaler, *scaleRecorder) {
+	f, events := newFixture(t, 1000), &scaleRecorder{}
 	return f, f.inventory.NewScaler(7, events), events
 }
 
-func wantEvents(t *testing.T, events *scaleLog, want ...string) {
+func wantEvents(t *testing.T, events *scaleRecorder, want ...string) {
 	t.Helper()
 	if !slices.Equal(events.events, want) {
 		t.Fatalf("the observer was told %q, want %q", events.events, want)
 	}
 }
 
-func (s *Scaler) requested() int {
+func (s *Scaler) pendingMachines() int {
 	sum := 0
-	for _, n := range s.Requested() {
+	for _, n := range s.PendingScaleOuts() {
 		sum += n
 	}
 	return sum
@@ -72,7 +72,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f, scaler, events := newScalerFixture(t)
-			scaler.ScaleOut(Kind{"m8", "z1", true}, 2)
+			scaler.QueueScaleOut(Kind{"m8", "z1", true}, 2)
 			scaler.SendScaleOuts(f.api.now)
 			scaler.SendScaleOuts(f.api.now) // one call at a time
 			f.wantCalls(f.api.calls, "POST /hosts")
@@ -87,29 +87,29 @@
 			if got := len(f.api.calls) == 1; got != test.again {
 				t.Errorf("sent again %v, want %v", got, test.again)
 			}
-			if got := scaler.requested() == 2; got != test.again {
-				t.Errorf("%d machines are requested", scaler.requested())
+			if got := scaler.pendingMachines() == 2; got != test.again {
+				t.Errorf("%d machines are requested", scaler.pendingMachines())
 			}
 		})
 	}
 }
 
-func TestUnknownOutcomeIsGivenUpAfterManyAttempts(t *testing.T) {
+func TestUnknownOutcomeIsDroppedAfterMaxAttempts(t *testing.T) {
 	f, scaler, _ := newScalerFixture(t)
-	scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+	scaler.QueueScaleOut(Kind{"m8", "z1", false}, 1)
 	for range maxScaleOutAttempts {
 		scaler.SendScaleOuts(f.api.now)
 		f.answer(0, nil)
 		f.api.now += RetryDelay
 	}
-	if scaler.requested() != 0 {
+	if scaler.pendingMachines() != 0 {
 		t.Fatalf("after %d attempts it is still requested", maxScaleOutAttempts)
 	}
 }
 
 func TestManyMachinesTakeSeveralRequests(t *testing.T) {
 	f, scaler, events := newScalerFixture(t)
-	scaler.ScaleOut(Kind{"m8", "z1", false}, MaxMachinesPerScaleOut+1)
+	scaler.QueueScaleOut(Kind{"m8", "z1", false}, MaxMachinesPerScaleOut+1)
 	f.api.now += time.Second
 	scaler.SendScaleOuts(f.api.now)
 	f.wantCalls(f.api.calls, "POST /hosts", "POST /hosts")
@@ -131,9 +131,9 @@
 	wantEvents(t, events, "sent 1", "failed 1", "sent 1", "confirmed 1")
 }
 
-func TestAnswersAfterTheTermAreDropped(t *testing.T) {
+func TestResponsesAfterTheTermAreDropped(t *testing.T) {
 	f, scaler, events := newScalerFixture(t)
-	scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+	scaler.QueueScaleOut(Kind{"m8", "z1", false}, 1)
 	scaler.SendScaleOuts(f.api.now)
 	scaler.Stop()
 	f.answer(200, protocol.MachineNames{Machines: []string{"a"}})
@@ -141,7 +141,7 @@
 }
 
 // The IDs of two terms differ, so that neither takes the other's machines for its own.
-func TestIDsOfTwoTermsDiffer(t *testing.T) {
+func TestRequestIDsOfTwoTermsDiffer(t *testing.T) {
 	f := newFixture(t, 1000)
 	var ids []string
 	f.inventory.config.API = callerFunc(func(body []byte) {
@@ -152,8 +152,8 @@
 		ids = append(ids, request.RequestID)
 	})
 	for term := uint64(1); term <= 2; term++ {
-		scaler := f.inventory.NewScaler(term, &scaleLog{})
-		scaler.ScaleOut(Kind{"m8", "z1", false}, 1)
+		scaler := f.inventory.NewScaler(term, &scaleRecorder{})
+		scaler.QueueScaleOut(Kind{"m8", "z1", false}, 1)
 		f.api.now += time.Second
 		scaler.SendScaleOuts(f.api.now)
 	}
--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -21,7 +21,7 @@
 		Authority: apiAuthority{c},
 		Records:   c.store,
 		Members:   apiMembers{c},
-		Catalogue: apiCatalogue{c},
+		Catalog:   apiCatalogue{c},
 		Statuses:  c.statuses,
 	})
 }
@@ -55,15 +55,15 @@
 }
 
 func (m apiMembers) Reachability() api.Reachability {
-	reachability := api.Reachability{Alone: len(m.controller.peers) > 0}
+	reachability := api.Reachability{Isolated: len(m.controller.peers) > 0}
 	for _, p := range m.controller.peers {
-		reachability.OtherServed = reachability.OtherServed || (p.link != nil && p.stateServiceReachable)
-		reachability.Alone = reachability.Alone && p.link == nil
+		reachability.OtherReachesStateService = reachability.OtherReachesStateService || (p.link != nil && p.stateServiceReachable)
+		reachability.Isolated = reachability.Isolated && p.link == nil
 	}
 	return reachability
 }
 
-// apiCatalogue implements api.Catalogue: the teams and machine types that submissions are
+// apiCatalogue implements api.Catalog: the teams and machine types that submissions are
 // checked against.
 type apiCatalogue struct{ controller *Controller }
 
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -61,7 +61,7 @@
 	}
 	l.initScheduling()
 	c.leader = l
-	c.cloud.Lead(l, now)
+	c.cloud.StartLeading(l, now)
 	c.subscription.registerShards()
 	for _, shard := range l.shards.byName {
 		l.readUnfinishedJobs(shard)
@@ -104,7 +104,7 @@
 func (c *Controller) endLeadership() {
 	l := c.leader
 	c.leader, l.ended = nil, true
-	c.cloud.Follow()
+	c.cloud.StopLeading()
 	l.records.stop()
 	l.scaler.Stop()
 	for _, pending := range l.pendingResponses {
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -110,7 +110,7 @@
 		wallMs:        l.wallMs(),
 		actingSince:   l.actingSince,
 		pending:       l.scheduler.queue.jobs,
-		requested:     l.scaler.Requested(),
+		requested:     l.scaler.PendingScaleOuts(),
 		forecast:      l.forecast.MachinesWanted(now, arrivalObservationTime(l.electedAt, now)),
 		machinesKnown: l.records.machinesKnown(),
 	}
@@ -120,11 +120,11 @@
 	shortfalls := l.autoscaler.matchPending(in, available)
 	l.scaler.ScaleIn(l.autoscaler.machinesToRelease(in), now)
 	l.scaler.SendScaleOuts(now)
-	if l.scaler.Blocked(now) || !(l.scaler.AnyScaleOut() || l.autoscaler.knowsFleet(in)) {
+	if l.scaler.Blocked(now) || !(l.scaler.HasScaledOut() || l.autoscaler.knowsFleet(in)) {
 		return
 	}
 	for kind, n := range l.autoscaler.planScaleOut(in, shortfalls, available, &l.warmPool) {
-		l.scaler.ScaleOut(kind.cloudKind(), n)
+		l.scaler.QueueScaleOut(kind.cloudKind(), n)
 	}
 	l.scaler.SendScaleOuts(now)
 }
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -275,7 +275,7 @@
 			sim.Cloud.RefusesScaleOut = true
 			for _, name := range sim.Names {
 				tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
-				tune.SilenceHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
+				tune.MaxMissedHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
 			}
 			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 			pause := func(d time.Duration) { // the leader hears of others meanwhile
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -141,7 +141,7 @@
 	if c.subscription.leader == p {
 		c.subscription.reset()
 	}
-	c.userAPI.MemberDown(p.member)
+	c.userAPI.HandleMemberDisconnected(p.member)
 	c.balancer.handlePeerDown(p)
 	c.forwarder.handlePeerDown(p)
 }
@@ -198,7 +198,7 @@
 // stateServiceShare returns this member's share of the state service's rates if the
 // given number of members use it.
 func (c *Controller) stateServiceShare(members int) (rps, writeRPS float64) {
-	share := c.tuning.WriteShare / float64(members)
+	share := c.tuning.StateRateShare / float64(members)
 	limits := c.cfg.Settings.State.Effective()
 	return limits.RPS * share, limits.WriteRPS * share
 }
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -447,7 +447,7 @@
 	l := controllerOf(sim.Nodes["a"]).leader
 	l.env.settings.Objectives = []settings.Objective{
 		{Kind: "wait", Class: "d", WithinS: 50, Share: 0.99}, {Kind: "wait", Class: "d", WithinS: 12, Share: 0.98},
-		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", Times: 1.5, Share: 0.9},
+		{Kind: "finished", Class: "d", WithinS: 200, Share: 0.9}, {Kind: "deadline", Class: "d", DeadlineFactor: 1.5, Share: 0.9},
 		{Kind: "finished", Class: "other", WithinS: 1000, Share: 0.9},
 	}
 	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, "d")
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -181,5 +181,5 @@
 // silenceLimit returns how long a machine may send no heartbeat before it gets no more
 // offers.
 func (c *Controller) silenceLimit() time.Duration {
-	return seconds(c.cfg.Settings.Workers.HeartbeatIntervalS * c.tuning.SilenceHeartbeats)
+	return seconds(c.cfg.Settings.Workers.HeartbeatIntervalS * c.tuning.MaxMissedHeartbeats)
 }
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -98,7 +98,7 @@
 		end := 0.0
 		switch objective.Kind {
 		case objectiveDeadline:
-			end = submitted + objective.Times*float64(job.DeadlineMs-job.SubmittedMs)/1000
+			end = submitted + objective.DeadlineFactor*float64(job.DeadlineMs-job.SubmittedMs)/1000
 		case objectiveFinished:
 			end = submitted + objective.WithinS
 		}
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -81,7 +81,7 @@
 // next objective of its class.
 func ExampleKeyOf() {
 	job := priority.Job{Class: "render", Started: true, SubmittedMs: submitted, DeadlineMs: submitted + 100_000, RunTime: 30 * time.Second}
-	objectives := []settings.Objective{{Kind: "deadline", Class: "render", Times: 1.5}}
+	objectives := []settings.Objective{{Kind: "deadline", Class: "render", DeadlineFactor: 1.5}}
 	k := priority.KeyOf(job, submitted+90_000, objectives)
 	fmt.Println(k.LatestStart-float64(submitted)/1000, k.MissesDeadline)
 	// Output: 120 false
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -99,14 +99,14 @@
 			return &FieldError{Path: field.path, Text: "together, apart or loaners is missing"}
 		}
 	}
-	if s.Zone != nil && !isNameLength(*s.Zone) {
+	if s.Zone != nil && !validNameLength(*s.Zone) {
 		return fieldError("hall", "has a bad length")
 	}
 	if len(s.Types) > maxTypes {
 		return fieldError("breeds", "is too long")
 	}
 	for _, name := range s.Types {
-		if !isNameLength(name) {
+		if !validNameLength(name) {
 			return fieldError("breeds", "holds a bad name")
 		}
 	}
--- a/internal/protocol/validation.go
+++ b/internal/protocol/validation.go
@@ -49,11 +49,11 @@
 	switch {
 	case value == nil:
 		return fieldError(path, "is missing")
-	case !isNameLength(*value):
+	case !validNameLength(*value):
 		return fieldError(path, "has a bad length")
 	}
 	return nil
 }
 
-// isNameLength tells whether a name is of a length that names have.
-func isNameLength(name string) bool { return name != "" && len(name) <= maxNameLength }
+// validNameLength tells whether a name is of a length that names have.
+func validNameLength(name string) bool { return name != "" && len(name) <= maxNameLength }
--- a/internal/protocol/validation_test.go
+++ b/internal/protocol/validation_test.go
@@ -116,7 +116,7 @@
 }
 
 // Each state, exit reason and priority is told by the word that it is parsed from.
-func TestEnumsParseTheirOwnWords(t *testing.T) {
+func TestEnumsParseTheirWireWords(t *testing.T) {
 	for state := TaskFetching; state <= TaskExited; state++ {
 		if got, ok := parseTaskState(state.String()); !ok || got != state {
 			t.Errorf("state %d: %q is parsed as %d, %v", uint8(state), state, uint8(got), ok)
@@ -140,7 +140,7 @@
 }
 
 // Only maps are messages; what else is wrong is the decoder's error.
-func TestDecodeTellsWhatIsNoMap(t *testing.T) {
+func TestDecodeRejectsNonMaps(t *testing.T) {
 	codec, err := NewCodec()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/properties.go
+++ b/internal/settings/properties.go
@@ -15,18 +15,18 @@
 type Tuning struct {
 	// StateLease (state.lease) is how long this process's lease in the state service lasts.
 	StateLease time.Duration
-	// SilenceHeartbeats (loss.silence_reports) is after how many heartbeat intervals
+	// MaxMissedHeartbeats (loss.silence_reports) is after how many heartbeat intervals
 	// without a heartbeat a machine gets no more tasks.
-	SilenceHeartbeats float64
+	MaxMissedHeartbeats float64
 	// OfferWait (placement.offer_wait) is how long the response to a heartbeat waits for
 	// bindings.
 	OfferWait time.Duration
 	// StartsPerResponse (placement.starts_per_reply) is how many tasks one response
 	// starts at the most.
 	StartsPerResponse int
-	// WriteShare (bookkeeping.write_share) is the share of the state service's rates that
+	// StateRateShare (bookkeeping.write_share) is the share of the state service's rates that
 	// all controllers together use.
-	WriteShare float64
+	StateRateShare float64
 	// IdleBeforeScaleIn (renting.idle_return) is how long an idle machine is kept.
 	IdleBeforeScaleIn time.Duration
 	// RequestTimeout (state.request_timeout) is how long a request to the state service
@@ -46,13 +46,13 @@
 // DefaultTuning is what holds without a properties file.
 func DefaultTuning() Tuning {
 	return Tuning{
-		StateLease:        3 * time.Second,
-		SilenceHeartbeats: 3,
-		OfferWait:         300 * time.Millisecond,
-		StartsPerResponse: 64,
-		WriteShare:        0.8,
-		IdleBeforeScaleIn: 30 * time.Second,
-		RequestTimeout:    1500 * time.Millisecond,
+		StateLease:          3 * time.Second,
+		MaxMissedHeartbeats: 3,
+		OfferWait:           300 * time.Millisecond,
+		StartsPerResponse:   64,
+		StateRateShare:      0.8,
+		IdleBeforeScaleIn:   30 * time.Second,
+		RequestTimeout:      1500 * time.Millisecond,
 
 		QuotaTransferInterval: 250 * time.Millisecond,
 	}
@@ -82,7 +82,7 @@
 		return Tuning{}, fmt.Errorf("reading properties: %w", err)
 	}
 	t := DefaultTuning()
-	parsers := t.parsers()
+	parsers := t.propertyParsers()
 	for _, key := range p.Keys() {
 		value, _ := p.Get(key)
 		parse, known := parsers[key]
@@ -102,16 +102,16 @@
 }
 
 // parser takes a property's value; its error says what the value must be.
-type parser func(value string) error
+type propertyParser func(value string) error
 
 // parsers has every property.
-func (t *Tuning) parsers() map[string]parser {
-	return map[string]parser{
+func (t *Tuning) propertyParsers() map[string]propertyParser {
+	return map[string]propertyParser{
 		"state.lease":             durationParser(&t.StateLease, time.Second, 10*time.Minute),
 		"state.request_timeout":   durationParser(&t.RequestTimeout, 100*time.Millisecond, time.Minute),
-		"loss.silence_reports":    numberParser(&t.SilenceHeartbeats, 1, 100),
+		"loss.silence_reports":    numberParser(&t.MaxMissedHeartbeats, 1, 100),
 		"placement.offer_wait":    durationParser(&t.OfferWait, 10*time.Millisecond, 2*time.Second),
-		"bookkeeping.write_share": numberParser(&t.WriteShare, 0.05, 1),
+		"bookkeeping.write_share": numberParser(&t.StateRateShare, 0.05, 1),
 		"renting.idle_return":     durationParser(&t.IdleBeforeScaleIn, 0, 24*time.Hour),
 
 		"placement.starts_per_reply": countParser(&t.StartsPerResponse, 1, 500),
@@ -123,7 +123,7 @@
 }
 
 // durationParser takes a duration such as 1.5s, within bounds.
-func durationParser(to *time.Duration, least, most time.Duration) parser {
+func durationParser(to *time.Duration, least, most time.Duration) propertyParser {
 	return func(value string) error {
 		v, err := time.ParseDuration(value)
 		if err != nil || v < least || v > most {
@@ -135,7 +135,7 @@
 }
 
 // numberParser takes a decimal number, within bounds.
-func numberParser(to *float64, least, most float64) parser {
+func numberParser(to *float64, least, most float64) propertyParser {
 	return func(value string) error {
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || math.IsNaN(v) || v < least || v > most {
@@ -147,7 +147,7 @@
 }
 
 // countParser takes a whole number, within bounds.
-func countParser(to *int, least, most int) parser {
+func countParser(to *int, least, most int) propertyParser {
 	return func(value string) error {
 		v, err := strconv.Atoi(value)
 		if err != nil || v < least || v > most {
@@ -159,7 +159,7 @@
 }
 
 // booleanParser takes true or false.
-func booleanParser(to *bool) parser {
+func booleanParser(to *bool) propertyParser {
 	return func(value string) error {
 		v, err := strconv.ParseBool(value)
 		if err != nil {
@@ -171,7 +171,7 @@
 }
 
 // textParser takes any text.
-func textParser(to *string) parser {
+func textParser(to *string) propertyParser {
 	return func(value string) error {
 		*to = value
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,11 +48,11 @@
 
 // Objective repeats an aim that the users have for a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"`
+	Kind           string  `toml:"kind"`
+	Class          string  `toml:"class"`
+	Share          float64 `toml:"share"`
+	DeadlineFactor float64 `toml:"times"`
+	WithinS        float64 `toml:"within_s"`
 }
 
 // Workers holds the workers' constants.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -48,7 +48,7 @@
 sockets = 1800
 `
 
-func TestParseNamesTheField(t *testing.T) {
+func TestParseErrorNamesField(t *testing.T) {
 	f, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	want := DefaultTuning()
-	want.StateLease, want.StartsPerResponse, want.SilenceHeartbeats = 8*time.Second, 5, 2.5
+	want.StateLease, want.StartsPerResponse, want.MaxMissedHeartbeats = 8*time.Second, 5, 2.5
 	if got != want {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAuditNeedsADirectory(t *testing.T) {
+func TestQuotaAuditMustBeADirectory(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "p.properties")
 	if err := os.WriteFile(name, []byte("quota.escrow = true\nquota.audit = "+name+"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/shard/job_lifecycle.go
+++ b/internal/shard/job_lifecycle.go
@@ -93,7 +93,7 @@
 		job.ended = true
 		o.MarkChanged(job)
 		o.removeJob(job)
-		o.config.FinalStatuses.Remember(job.id, status, job.spec.Tasks)
+		o.config.FinalStatuses.AddFinal(job.id, status, job.spec.Tasks)
 		job.notifyEnd(status, nil)
 	})
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -47,7 +47,7 @@
 type FinalStatuses interface {
 	// Ended reports whether a job is known to have ended.
 	Ended(job string) bool
-	Remember(job, status string, tasks int)
+	AddFinal(job, status string, tasks int)
 }
 
 // Config has the settings and dependencies of an Owner.
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -53,7 +53,7 @@
 func (f *fixture) Ended(job string) bool { return f.ended[job] != "" }
 
 // Remember implements FinalStatuses.
-func (f *fixture) Remember(job, status string, _ int) { f.ended[job] = status }
+func (f *fixture) AddFinal(job, status string, _ int) { f.ended[job] = status }
 
 // memoryRecords are records in memory that become durable when flushed.
 type memoryRecords struct {
