--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,10 +1,12 @@
-// Package api answers the users: submissions, status queries and cancellations, and the
-// same questions of other members about jobs that this process owns. It owns what is
-// known for certain of jobs that have ended, the queries to other members that are under
-// way, and when a request has waited for too long. A submission is idempotent by its
-// job's ID; no answer is older than what was told before it was asked for. It does no
-// I/O, has no clock of its own, and changes no job but through Owner. All calls come on
-// one goroutine, and reply is called once.
+// Package api implements the users' API: submissions, status queries and cancellations. It also
+// answers the queries that other members forward for jobs that this process owns. It owns the
+// cache of final job statuses, the pending queries to other members, and the timeouts of
+// requests.
+//
+// A submission is idempotent by its job's ID. Answers never go back in time: none is older than
+// one that was given before its request arrived. The package performs no I/O, has no clock of
+// its own, and changes jobs only through Owner. All calls are made on one goroutine, and each
+// reply function is called exactly once.
 package api
 
 import (
@@ -18,79 +20,85 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// StatusTimeout is when a status query is answered at the latest. Users give up after
-// 2 s.
+// StatusTimeout is the time after which a status query is answered with an error. Users give up
+// after 2 s.
 const StatusTimeout = 1500 * time.Millisecond
 
 const (
-	submitTimeout       = 3500 * time.Millisecond // for submissions and cancellations; users give up after 5 s
-	notReadyGracePeriod = 3 * time.Second         // a process that may not act counts as ready for so long
+	submitTimeout       = 3500 * time.Millisecond // of submissions and cancellations; users give up after 5 s
+	notReadyGracePeriod = 3 * time.Second         // for which a process that may not act still reports ready
 )
 
-// Owner has the unfinished jobs of the shards that this process holds; it is a
+// Owner manages the unfinished jobs of the shards that this process holds. It is implemented by
 // shard.Owner.
 type Owner interface {
 	// Job returns an unfinished job of a held shard, or nil.
 	Job(id string) *shard.Job
-	// OwnShard returns this member's own shard if it is held and recovered, or nil.
+	// OwnShard returns this member's own shard, or nil unless it is held and recovered.
 	OwnShard() *shard.Shard
-	// MemoryFull tells whether one more job would take more memory than new jobs may.
+	// MemoryFull reports whether one more job would exceed the memory limit of new jobs.
 	MemoryFull(spec *protocol.Job) bool
 	// CreateJob writes a new job to this member's own shard.
 	CreateJob(spec *protocol.Job, submittedMs int64, deadline time.Duration, done func(storage.CreateResult))
-	// Cancel ends a job; done gets its final status, or why that cannot be said here.
+	// Cancel ends a job. done receives the final status, or an error if this process cannot
+	// determine it.
 	Cancel(job *shard.Job, done func(status string, err error))
 }
 
-// Authority is what the election says; it is an election.Election.
+// Authority reports who may act for which shards. It is implemented by election.Election.
 type Authority interface {
-	// MayAct tells whether this process may act for its shards now.
+	// MayAct reports whether this process may act for its shards now.
 	MayAct(now time.Duration) bool
-	// MayActUntil is up to when it surely may.
+	// MayActUntil returns the time before which this process is guaranteed to be entitled to
+	// act, on Config.Clock.
 	MayActUntil() time.Duration
-	// ShardHolder returns the member that is thought to hold a shard, if any is.
+	// ShardHolder returns the member last observed to hold a shard, if there is one.
 	ShardHolder(shard string) (member string, ok bool)
-	// AllReadServices tells whether all controllers can read services.
+	// AllMembersReadServices reports whether all controllers can read the records of services.
 	AllMembersReadServices(now time.Duration) bool
 }
 
-// Records are the jobs' records in the state service; it is a storage.Store.
+// Records provides the job records in the state service. It is implemented by storage.Store.
 type Records interface {
-	// LookupJob reads a record afresh, unless the read has not begun by the deadline.
+	// LookupJob reads a job's current record: the read begins after this call, and is not sent
+	// if it has not begun by the deadline. known is the record that an earlier read returned,
+	// or the zero value. ok is false if the result is not certain.
 	LookupJob(id string, known storage.VersionedJobRecord, deadline time.Duration, done func(record storage.VersionedJobRecord, found, ok bool))
-	// Fits tells whether a job's description stays within the limit of a value.
+	// Fits reports whether a job's specification is within the size limit of a value.
 	Fits(job *protocol.Job) bool
-	// Failing tells whether the state service has just refused or not answered.
+	// Failing reports whether the last request to the state service was rejected as unavailable
+	// or got no answer.
 	Failing() bool
 }
 
-// Members are the streams to the other members.
+// Members provides the connections to the other members.
 type Members interface {
-	// Connected tells whether there is a stream to a member.
+	// Connected reports whether this process is connected to a member.
 	Connected(member string) bool
 	// SendJobQuery sends a query to a connected member.
 	SendJobQuery(member string, query *meshpb.JobQuery)
 	Reachability() Reachability
 }
 
-// Reachability is how this process sees the others.
+// Reachability summarizes which other members this process is connected to.
 type Reachability struct {
-	Isolated                 bool // there are other members, and none is in reach
-	OtherReachesStateService bool // some member in reach has the state service
+	Isolated                 bool // other members are configured, and none is connected
+	OtherReachesStateService bool // a connected member has a valid lease at the state service
 }
 
-// Catalogue is what a submission is checked against.
+// Catalog provides the teams and machine types against which submissions are checked.
 type Catalog interface {
 	// Team returns a team's settings, or nil.
 	Team(name string) *settings.Team
-	// MachineTypes are the cloud's types by name; there are none before they are read.
+	// MachineTypes returns the cloud's machine types by name; it is empty until they have been
+	// read.
 	MachineTypes() map[string]*protocol.MachineType
 }
 
-// Config is what the users' API needs.
+// Config contains the dependencies of an API.
 type Config struct {
 	Clock storage.Clock
-	Wall  func() time.Time // the time of day, for when a job was submitted
+	Wall  func() time.Time // wall clock, for the submission time of jobs
 	Codec *protocol.Codec
 
 	Owner     Owner
@@ -101,23 +109,23 @@
 	Statuses  *StatusCache
 }
 
-// API answers submissions, status queries and cancellations, those of users and
-// those that other members pass on.
+// API answers submissions, status queries and cancellations, both from users and as forwarded by
+// other members.
 type API struct {
 	config        Config
 	responder     responder
 	queries       jobQueries
 	timers        []requestTimer
-	notReadySince time.Duration // 0: this process may act
+	notReadySince time.Duration // on Config.Clock; 0: this process may act
 }
 
-// requestTimer answers a request that nothing else has answered in time.
+// requestTimer rejects a request that has not been answered in time.
 type requestTimer struct {
 	expiresAt time.Duration
 	onExpire  func()
 }
 
-// New makes the users' API of a process.
+// New returns the users' API of a process.
 func New(config Config) *API {
 	api := &API{config: config, responder: responder{config.Codec}}
 	api.queries = jobQueries{clock: config.Clock, members: config.Members, pending: make(map[uint64]*jobQuery)}
@@ -126,12 +134,12 @@
 
 func (api *API) now() time.Duration { return api.config.Clock.Now() }
 
-// accepting tells whether this process may act for its own shard.
+// mayActForOwnShard reports whether this process holds its own shard and may act for it.
 func (api *API) mayActForOwnShard(now time.Duration) bool {
 	return api.config.Owner.OwnShard() != nil && api.config.Authority.MayAct(now)
 }
 
-// Tick ends what has waited for too long. It is called about ten times a second.
+// Tick ends requests and queries that have timed out. It is called about ten times a second.
 func (api *API) Tick(now time.Duration) {
 	if api.mayActForOwnShard(now) {
 		api.notReadySince = 0
@@ -149,16 +157,17 @@
 		}
 	}
 	api.timers = kept
-	for _, expire := range due {
-		expire()
+	for _, onExpire := range due {
+		onExpire()
 	}
 }
 
-// HandleMemberDisconnected ends the queries to a member whose stream has ended.
+// HandleMemberDisconnected fails the pending queries to a member whose connection has ended.
 func (api *API) HandleMemberDisconnected(member string) { api.queries.failQueriesTo(member) }
 
-// withTimeout makes reply answer by itself when nothing else has in time.
-func (api *API) withTimeout(limit time.Duration, reply func(Response)) func(Response) {
+// withTimeout returns a function that calls reply once; further calls are ignored. If it is not
+// called within the timeout, the request is rejected.
+func (api *API) withTimeout(timeout time.Duration, reply func(Response)) func(Response) {
 	answered := false
 	once := func(r Response) {
 		if !answered {
@@ -166,7 +175,7 @@
 			reply(r)
 		}
 	}
-	api.timers = append(api.timers, requestTimer{api.now() + limit, func() {
+	api.timers = append(api.timers, requestTimer{api.now() + timeout, func() {
 		if !answered {
 			once(api.responder.reject(rejectedTimeout))
 		}
@@ -174,9 +183,10 @@
 	return once
 }
 
-// Ready answers the load balancer. A process that the state service refuses still counts
-// as ready while no other member is better off, but not if it cannot ask any: then it is
-// most likely alone with its workers and users.
+// Ready answers the health check of the load balancer. A process that may not act because it
+// cannot use the state service still reports ready for notReadyGracePeriod, and after that while
+// no connected member can use the service either. If it is connected to no member, it does not,
+// since it is then most likely partitioned from the others, together with its machines and users.
 func (api *API) Ready(reply func(Response)) {
 	now := api.now()
 	if api.mayActForOwnShard(now) {
@@ -184,8 +194,8 @@
 		return
 	}
 	others := api.config.Members.Reachability()
-	bestOff := !others.OtherReachesStateService && !others.Isolated
-	if api.config.Owner.OwnShard() != nil && (bestOff || now-api.notReadySince < notReadyGracePeriod) {
+	outageIsShared := !others.OtherReachesStateService && !others.Isolated
+	if api.config.Owner.OwnShard() != nil && (outageIsShared || now-api.notReadySince < notReadyGracePeriod) {
 		reply(Response{Status: http.StatusOK})
 		return
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// surroundings are all that an API is given, as a test sets it. It owns no jobs.
+// stubs implements all dependencies of an API with results set by the test. It owns no jobs.
 type stubs struct {
 	clock           time.Duration
 	ownShard        *shard.Shard
@@ -78,7 +78,7 @@
 		Owner: s, Authority: s, Records: s, Members: s, Catalog: s, Statuses: NewStatusCache()})
 }
 
-// submission is one of the team red with a number of CPUs for its task.
+// submission returns an encoded submission of team red: one task with this number of CPUs.
 func submission(t *testing.T, api *API, cpus float64) []byte {
 	t.Helper()
 	return api.config.Codec.Encode(map[string]any{"nameId": "wk-1", "desk": "d", "crew": "red", "form": "batch", "urgency": "standard", "pages": 1,
@@ -86,7 +86,7 @@
 		"together": false, "apart": false, "loaners": true, "expectedS": 30.0, "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
 }
 
-// responses counts the answers and keeps the last.
+// responseRecorder counts the responses and stores the last one.
 type responseRecorder struct {
 	count int
 	last  Response
@@ -108,12 +108,12 @@
 		creations int
 	}{
 		{"new", func(*stubs) {}, 2, 201, 1},
-		{"ended already", func(s *stubs) { s.createResult, s.found, s.record = storage.AlreadyExists, true, ended }, 2, 200, 1},
+		{"already ended", func(s *stubs) { s.createResult, s.found, s.record = storage.AlreadyExists, true, ended }, 2, 200, 1},
 		{"too large", func(*stubs) {}, 16, 422, 0},
-		{"too large now, accepted before", func(s *stubs) { s.found, s.record = true, ended }, 16, 200, 0},
-		{"state service fails", func(s *stubs) { s.failing = true }, 2, 503, 0},
+		{"too large, but accepted earlier", func(s *stubs) { s.found, s.record = true, ended }, 16, 200, 0},
+		{"state service failing", func(s *stubs) { s.failing = true }, 2, 503, 0},
 		{"no authority", func(s *stubs) { s.mayAct = false }, 2, 503, 0},
-		{"no authority, accepted before", func(s *stubs) { s.mayAct, s.found, s.record = false, true, ended }, 2, 200, 0},
+		{"no authority, but accepted earlier", func(s *stubs) { s.mayAct, s.found, s.record = false, true, ended }, 2, 200, 0},
 		{"no memory left", func(s *stubs) { s.memoryFull = true }, 2, 503, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 			var got responseRecorder
 			api.Submit(submission(t, api, test.cpus), got.reply)
 			if got.count != 1 || got.last.Status != test.status || s.creations != test.creations {
-				t.Fatalf("%d answers, the last %d, %d creations; want one of %d and %d creations", got.count, got.last.Status, s.creations, test.status, test.creations)
+				t.Fatalf("%d responses, the last with status %d, %d creations; want one response with %d and %d creations", got.count, got.last.Status, s.creations, test.status, test.creations)
 			}
 			if test.status != 200 {
 				return
@@ -132,7 +132,7 @@
 			before := s.lookups
 			api.Status("wk-1", got.reply)
 			if got.last.Status != 200 || s.lookups != before {
-				t.Fatalf("the known end is answered %d after %d more reads", got.last.Status, s.lookups-before)
+				t.Fatalf("status query for a job whose end is cached: status %d after %d more reads, want 200 without a read", got.last.Status, s.lookups-before)
 			}
 		})
 	}
@@ -150,15 +150,15 @@
 		{"owner answers", func(*stubs) {}, func(s *stubs, api *API) {
 			api.HandleJobQueryResult("b", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning, Running: 1})
 		}, protocol.StatusRunning, 1},
-		{"another member answers, the owner is gone", func(*stubs) {}, func(s *stubs, api *API) {
+		{"another member answers, owner disconnects", func(*stubs) {}, func(s *stubs, api *API) {
 			api.HandleJobQueryResult("c", &meshpb.JobQueryResult{Id: s.queries[0].Id, HttpStatus: 200, JobStatus: protocol.StatusRunning})
 			api.HandleMemberDisconnected("b")
 		}, protocol.StatusPending, 2},
-		{"owner is silent", func(*stubs) {}, func(s *stubs, api *API) {
+		{"owner does not answer", func(*stubs) {}, func(s *stubs, api *API) {
 			s.clock += jobQueryTimeout + 1
 			api.Tick(s.clock)
 		}, protocol.StatusPending, 2},
-		{"owner is out of reach", func(s *stubs) { s.connected = false }, func(*stubs, *API) {}, protocol.StatusPending, 2},
+		{"owner is not connected", func(s *stubs) { s.connected = false }, func(*stubs, *API) {}, protocol.StatusPending, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := stubs{lookupOK: true, found: true, record: unfinished, holder: "b", connected: true}
@@ -168,13 +168,13 @@
 			api.Status("wk-1", got.reply)
 			test.answer(&s, api)
 			s.clock += StatusTimeout + 1
-			api.Tick(s.clock) // its timeout answers nothing more
+			api.Tick(s.clock) // the timeout must not reply again
 			var status protocol.JobStatus
 			if err := api.config.Codec.Decode(got.last.Body, &status); err != nil {
 				t.Fatal(err)
 			}
 			if got.count != 1 || got.last.Status != 200 || status.Status != test.status || s.lookups != test.reads {
-				t.Fatalf("%d answers, the last %d %q after %d reads; want one of %q after %d", got.count, got.last.Status, status.Status, s.lookups, test.status, test.reads)
+				t.Fatalf("%d responses, the last %d %q after %d reads; want one with %q after %d reads", got.count, got.last.Status, status.Status, s.lookups, test.status, test.reads)
 			}
 		})
 	}
@@ -185,15 +185,15 @@
 	for _, test := range []struct {
 		name  string
 		s     stubs
-		after time.Duration // since it may not act
+		after time.Duration // time for which it may not act
 		ready bool
 	}{
-		{"acts", stubs{ownShard: own, mayAct: true}, 0, true},
+		{"may act", stubs{ownShard: own, mayAct: true}, 0, true},
 		{"no shard", stubs{mayAct: true}, 0, false},
-		{"refused as all others are", stubs{ownShard: own}, time.Minute, true},
-		{"refused while another is served", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, time.Minute, false},
-		{"refused a moment ago", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, notReadyGracePeriod - 1, true},
-		{"refused and alone", stubs{ownShard: own, reachability: Reachability{Isolated: true}}, time.Minute, false},
+		{"state service unreachable for all", stubs{ownShard: own}, time.Minute, true},
+		{"state service reachable for another member", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, time.Minute, false},
+		{"within the grace period", stubs{ownShard: own, reachability: Reachability{OtherReachesStateService: true}}, notReadyGracePeriod - 1, true},
+		{"connected to no member", stubs{ownShard: own, reachability: Reachability{Isolated: true}}, time.Minute, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := test.s
@@ -204,7 +204,7 @@
 			var got responseRecorder
 			api.Ready(got.reply)
 			if got.count != 1 || (got.last.Status == 200) != test.ready {
-				t.Fatalf("%d answers, the last %d, ready: %v", got.count, got.last.Status, test.ready)
+				t.Fatalf("%d responses, the last with status %d; want one, ready: %v", got.count, got.last.Status, test.ready)
 			}
 		})
 	}
@@ -217,11 +217,11 @@
 		cache.AddFinal(string(rune('a'+i%26))+time.Duration(i).String(), protocol.StatusDone, 1)
 	}
 	if len(cache.final) != maxFinalStatuses || cache.Ended("a0s") || !cache.Ended("b1ns") {
-		t.Fatalf("%d ends are kept, the oldest: %v", len(cache.final), cache.Ended("a0s"))
+		t.Fatalf("%d final statuses are cached; the oldest is cached: %v", len(cache.final), cache.Ended("a0s"))
 	}
 	cache.AddFinal("wk-0", protocol.StatusCancelled, 2)
 	cache.AddFinal("wk-0", protocol.StatusDone, 2)
 	if _, known := cache.records["wk-0"]; known || cache.final["wk-0"].status != protocol.StatusCancelled {
-		t.Fatal("a record is kept of a job that has ended, or its end has changed")
+		t.Fatal("the record of an ended job is still cached, or its final status has changed")
 	}
 }
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Cancel cancels a job, here or at its owner.
+// Cancel handles a user's request to cancel a job. Another member may own the job.
 func (api *API) Cancel(id string, reply func(Response)) {
 	if !protocol.ValidJobID(id) {
 		reply(api.responder.reject(rejectedUnknownJob))
@@ -40,7 +40,7 @@
 	})
 }
 
-// cancelUnfinished cancels a job whose record says that it goes on.
+// cancelUnfinished cancels a job whose record says that it is unfinished.
 func (api *API) cancelUnfinished(id string, record storage.VersionedJobRecord, reply func(Response)) {
 	if job := api.config.Owner.Job(id); job != nil {
 		api.cancelOwned(job, reply)
@@ -56,7 +56,7 @@
 	})
 }
 
-// cancelOwned cancels a job of this process.
+// cancelOwned cancels a job that this process owns.
 func (api *API) cancelOwned(job *shard.Job, reply func(Response)) {
 	api.config.Owner.Cancel(job, func(status string, err error) {
 		if err != nil {
--- a/internal/api/job_queries.go
+++ b/internal/api/job_queries.go
@@ -15,23 +15,24 @@
 	maxJobQueries   = 2000
 )
 
-// jobQueries are the questions to other members about the jobs that they own.
+// jobQueries sends queries about jobs to the members that own them and tracks those that are
+// pending.
 type jobQueries struct {
 	clock   storage.Clock
 	members Members
-	pending map[uint64]*jobQuery
+	pending map[uint64]*jobQuery // by the query's ID
 	lastID  uint64
 }
 
-// jobQuery is a question to the member that owns a job.
+// jobQuery is a pending query to the member that owns a job.
 type jobQuery struct {
 	member   string
 	sentAt   time.Duration
-	onResult func(*meshpb.JobQueryResult) // nil: there is none
+	onResult func(*meshpb.JobQueryResult) // receives nil if the member does not answer
 }
 
-// send asks a member about a job, or to cancel it; onResult gets nil if it does not
-// answer.
+// send queries a member for the status of a job, or asks it to cancel the job. onResult receives
+// nil if the member does not answer.
 func (q *jobQueries) send(member, job string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
 	if !q.members.Connected(member) || len(q.pending) >= maxJobQueries {
 		onResult(nil)
@@ -42,7 +43,7 @@
 	q.members.SendJobQuery(member, &meshpb.JobQuery{Id: q.lastID, Job: job, Cancel: cancel})
 }
 
-// answered takes the result of a query from the member that it was put to.
+// handleResult handles a query's result; one that is not from the queried member is ignored.
 func (q *jobQueries) handleResult(from string, result *meshpb.JobQueryResult) {
 	if query := q.pending[result.Id]; query != nil && query.member == from {
 		delete(q.pending, result.Id)
@@ -58,18 +59,18 @@
 	q.failMatching(func(query *jobQuery) bool { return now-query.sentAt > jobQueryTimeout })
 }
 
-// end ends the queries that get no result any more.
-func (q *jobQueries) failMatching(over func(*jobQuery) bool) {
+// failMatching ends the matching queries without a result.
+func (q *jobQueries) failMatching(matches func(*jobQuery) bool) {
 	for id, query := range q.pending {
-		if over(query) {
+		if matches(query) {
 			delete(q.pending, id)
 			query.onResult(nil)
 		}
 	}
 }
 
-// queryOwner asks the member that holds a shard about a job, or to cancel it; onResult
-// gets nil if it does not answer.
+// queryOwner queries the holder of a shard for the status of a job, or asks it to cancel the job.
+// onResult receives nil if the holder is unknown or does not answer.
 func (api *API) queryOwner(job, shard string, cancel bool, onResult func(*meshpb.JobQueryResult)) {
 	member, held := api.config.Authority.ShardHolder(shard)
 	if !held {
@@ -79,12 +80,13 @@
 	api.queries.send(member, job, cancel, onResult)
 }
 
-// HandleJobQueryResult takes another member's answer to a query.
+// HandleJobQueryResult handles another member's answer to a query.
 func (api *API) HandleJobQueryResult(from string, result *meshpb.JobQueryResult) {
 	api.queries.handleResult(from, result)
 }
 
-// HandleJobQuery answers another member from what this one owns, now or later.
+// HandleJobQuery answers another member's query about a job that this process may own. It may
+// call answer after it has returned.
 func (api *API) HandleJobQuery(query *meshpb.JobQuery, answer func(*meshpb.JobQueryResult)) {
 	if final, ok := api.config.Statuses.final[query.Job]; ok {
 		answer(&meshpb.JobQueryResult{HttpStatus: http.StatusOK, JobStatus: final.status, Done: uint32(final.doneTasks())})
@@ -113,12 +115,12 @@
 	})
 }
 
-// unavailable is the result of a query that can't be answered here now.
+// unavailableResult returns the result of a query that this process cannot answer at present.
 func unavailableResult() *meshpb.JobQueryResult {
 	return &meshpb.JobQueryResult{HttpStatus: http.StatusServiceUnavailable}
 }
 
-// ended tells whether an owner says that a job has ended.
+// hasFinalStatus reports whether the result of a query says that the job has ended.
 func hasFinalStatus(result *meshpb.JobQueryResult) bool {
 	return result.JobStatus == protocol.StatusDone || result.JobStatus == protocol.StatusCancelled
 }
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -7,47 +7,47 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Response answers a request.
+// Response is the response to a request.
 type Response struct {
-	Status      int // of HTTP
+	Status      int // HTTP status code
 	Body        []byte
-	RetryAfterS int // in seconds; 0: none is told
-	// ValidUntil is up to when the response may be sent, on Config.Clock: what
-	// entitles this controller to it ends then. 0: at any time.
+	RetryAfterS int // seconds; 0: the response has no such header
+	// ValidUntil is the time on Config.Clock until which the response may be sent: this
+	// controller is not entitled to it after that. 0: no limit.
 	ValidUntil time.Duration
 }
 
-// responder makes the responses to users and agents.
+// responder builds the responses to users and machines.
 type responder struct{ codec *protocol.Codec }
 
-// refuse is the response that says why a request is refused.
-func (r responder) reject(why rejection) Response {
-	return Response{Status: why.httpStatus, Body: r.codec.Encode(protocol.ErrorBody{Error: why.reason}), RetryAfterS: why.retryAfterS}
+// reject returns the response that rejects a request.
+func (r responder) reject(cause rejection) Response {
+	return Response{Status: cause.httpStatus, Body: r.codec.Encode(protocol.ErrorBody{Error: cause.reason}), RetryAfterS: cause.retryAfterS}
 }
 
-// status tells the status of a job.
+// jobStatus returns a response with a job's status.
 func (r responder) jobStatus(code int, id, status string, done, running int) Response {
 	return Response{Status: code, Body: r.codec.Encode(protocol.JobStatus{ID: id, Status: status, Done: &done, Running: &running})}
 }
 
-// final tells the final status of a job.
+// finalJobStatus returns a response with a job's final status.
 func (r responder) finalJobStatus(id string, final finalStatus) Response {
 	return r.jobStatus(http.StatusOK, id, final.status, final.doneTasks(), 0)
 }
 
-// pending tells that a job goes on, while nobody can say more.
+// pendingJobStatus returns a response for an unfinished job whose owner does not answer.
 func (r responder) pendingJobStatus(id string) Response {
 	return r.jobStatus(http.StatusOK, id, protocol.StatusPending, 0, 0)
 }
 
-// refusal is why a request is not carried out.
+// rejection describes why a request is rejected.
 type rejection struct {
-	httpStatus  int // of HTTP
+	httpStatus  int // HTTP status code
 	reason      string
-	retryAfterS int // 0: none is told
+	retryAfterS int // 0: the response has no such header
 }
 
-// The refusals, in the words that users know.
+// The rejections. Users rely on the texts, so they must not change.
 var (
 	rejectedNotReady            = rejection{http.StatusServiceUnavailable, "not ready", 1}
 	rejectedTimeout             = rejection{http.StatusServiceUnavailable, "no answer in time", 1}
@@ -67,5 +67,5 @@
 	rejectedSpecTooLarge        = rejection{http.StatusUnprocessableEntity, "its description does not fit the state service's limit of a value", 0}
 )
 
-// malformed refuses a request that can't be read.
+// malformedRequest returns the rejection of a request that cannot be decoded or is invalid.
 func malformedRequest(err error) rejection { return rejection{http.StatusBadRequest, err.Error(), 0} }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Status answers a user's question about a job.
+// Status answers a user's status query.
 func (api *API) Status(id string, reply func(Response)) {
 	if !protocol.ValidJobID(id) {
 		reply(api.responder.reject(rejectedUnknownJob))
@@ -20,7 +20,8 @@
 	}
 	if record, ok := api.config.Statuses.records[id]; ok {
 		api.answerFromOwner(id, record.Shard, reply, func() {
-			// The owner does not answer. Only the record says whether it goes on.
+			// The owner does not answer, so only the record shows whether the job is
+			// unfinished.
 			api.answerFromRecord(id, rejectedUnknownJob, reply, func(storage.VersionedJobRecord) {
 				reply(api.responder.pendingJobStatus(id))
 			})
@@ -30,7 +31,8 @@
 	api.answerFromFreshLookup(id, rejectedUnknownJob, reply)
 }
 
-// answerFromMemory answers from what this process holds for certain.
+// answerFromMemory answers from the cache of final statuses or from a job that this process owns,
+// and reports whether it did.
 func (api *API) answerFromMemory(id string, reply func(Response)) bool {
 	if final, ok := api.config.Statuses.final[id]; ok {
 		reply(api.responder.finalJobStatus(id, final))
@@ -38,8 +40,8 @@
 	}
 	job := api.config.Owner.Job(id)
 	if job == nil || job.Ending() || !api.config.Authority.MayAct(api.now()) {
-		// While the end is being written, other members may read it already and
-		// tell it; only a fresh read is sure not to be older than that.
+		// While the job's end is being written, other members may already have read and
+		// reported it. Only a read that starts now is guaranteed not to be older than that.
 		return false
 	}
 	r := api.responder.jobStatus(http.StatusOK, id, job.WireStatus(), job.Finished(), job.Running())
@@ -48,14 +50,14 @@
 	return true
 }
 
-// answerFromFreshLookup reads a job's record afresh, and asks its owner if it goes on. Nothing less than
-// a fresh read may say that a job is unknown, and nothing less than that or its owner
-// that it goes on.
+// answerFromFreshLookup reads a job's current record, and queries the job's owner if it is
+// unfinished. Only a read that starts after the request may show that a job is unknown; only such
+// a read or the owner may show that it is unfinished. absent is the answer for an unknown job.
 func (api *API) answerFromFreshLookup(id string, absent rejection, reply func(Response)) {
 	api.answerFromRecord(id, absent, reply, func(record storage.VersionedJobRecord) {
 		api.answerFromOwner(id, record.Shard, reply, func() {
-			// The owner does not answer. The job may have come to its end
-			// since the record was read.
+			// The owner does not answer. The job may have ended since the record was
+			// read.
 			api.answerFromRecord(id, absent, reply, func(storage.VersionedJobRecord) {
 				reply(api.responder.pendingJobStatus(id))
 			})
@@ -63,8 +65,9 @@
 	})
 }
 
-// answerFromRecord answers from a job's record unless the job goes on.
-func (api *API) answerFromRecord(id string, absent rejection, reply func(Response), goesOn func(storage.VersionedJobRecord)) {
+// answerFromRecord reads a job's current record and answers from it, or calls onUnfinished if the
+// job is unfinished.
+func (api *API) answerFromRecord(id string, absent rejection, reply func(Response), onUnfinished func(storage.VersionedJobRecord)) {
 	deadline := api.now() + StatusTimeout
 	api.config.Records.LookupJob(id, api.config.Statuses.records[id], deadline, func(record storage.VersionedJobRecord, found, ok bool) {
 		switch {
@@ -78,25 +81,26 @@
 		default:
 			api.config.Statuses.addRecord(id, record)
 			if !api.answerFromMemory(id, reply) {
-				goesOn(record)
+				onUnfinished(record)
 			}
 		}
 	})
 }
 
-// answerFromOwner answers with what a job's owner says, or calls silent.
-func (api *API) answerFromOwner(id, shard string, reply func(Response), silent func()) {
-	asked := api.now()
+// answerFromOwner answers with the status that the job's owner returns, or calls onNoAnswer if it
+// returns none.
+func (api *API) answerFromOwner(id, shard string, reply func(Response), onNoAnswer func()) {
+	sentAt := api.now()
 	api.queryOwner(id, shard, false, func(result *meshpb.JobQueryResult) {
 		if result == nil || result.HttpStatus != http.StatusOK {
-			silent()
+			onNoAnswer()
 			return
 		}
 		if hasFinalStatus(result) {
 			api.config.Statuses.AddFinal(id, result.JobStatus, int(result.Done))
 		}
 		r := api.responder.jobStatus(http.StatusOK, id, result.JobStatus, int(result.Done), int(result.Running))
-		r.ValidUntil = asked + StatusTimeout // what another member has said is older by then
+		r.ValidUntil = sentAt + StatusTimeout // bounds the age of the other member's answer
 		reply(r)
 	})
 }
--- a/internal/api/status_cache.go
+++ b/internal/api/status_cache.go
@@ -10,13 +10,13 @@
 	maxUnfinishedRecords = 20000
 )
 
-// finalStatus is how a job has ended, which never changes.
+// finalStatus is the final status of a job; it never changes.
 type finalStatus struct {
 	status string
-	tasks  int
+	tasks  int // of the job
 }
 
-// done is how many tasks of the job ended well, as users are told.
+// doneTasks returns the number of completed tasks that users are shown.
 func (f finalStatus) doneTasks() int {
 	if f.status == protocol.StatusDone {
 		return f.tasks
@@ -24,28 +24,28 @@
 	return 0
 }
 
-// StatusCache remembers what is known of jobs for certain: how they have ended, and
-// what the records of unfinished ones have said.
+// StatusCache caches the final statuses of ended jobs and the last read records of unfinished
+// ones.
 type StatusCache struct {
 	final      map[string]finalStatus
-	finalOrder []string // of final, the oldest first
-	// records remembers what was read of unfinished jobs: to which shard each belongs,
-	// which never changes, and the version by which a change would show.
+	finalOrder []string // keys of final, oldest first
+	// records has the last read record of unfinished jobs. It provides the job's shard, which
+	// never changes, and the version with which a later read detects a change.
 	records map[string]storage.VersionedJobRecord
 }
 
-// NewStatusCache makes an empty cache.
+// NewStatusCache returns an empty cache.
 func NewStatusCache() *StatusCache {
 	return &StatusCache{final: make(map[string]finalStatus), records: make(map[string]storage.VersionedJobRecord)}
 }
 
-// Ended tells whether a job is known to have ended.
+// Ended reports whether a job is known to have ended.
 func (s *StatusCache) Ended(job string) bool {
 	_, ended := s.final[job]
 	return ended
 }
 
-// Remember keeps how a job has ended, as long as there is room for it.
+// AddFinal adds the final status of an ended job; the oldest one is evicted if the cache is full.
 func (s *StatusCache) AddFinal(job, status string, tasks int) {
 	delete(s.records, job)
 	if s.Ended(job) {
@@ -59,7 +59,7 @@
 	s.finalOrder = append(s.finalOrder, job)
 }
 
-// addRecord keeps what the record of an unfinished job has said.
+// addRecord adds the record of an unfinished job. A full table is cleared.
 func (s *StatusCache) addRecord(job string, record storage.VersionedJobRecord) {
 	if len(s.records) >= maxUnfinishedRecords {
 		clear(s.records)
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -8,8 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Submit accepts a job. A known job's retry is answered before anything is held against
-// it: submissions are idempotent.
+// Submit handles the submission of a job. Submissions are idempotent: one for a known job is
+// answered with its status, before any check that could reject it.
 func (api *API) Submit(body []byte, reply func(Response)) {
 	var submission protocol.Submission
 	if err := api.config.Codec.Decode(body, &submission); err != nil {
@@ -25,10 +25,10 @@
 	if api.answerFromMemory(job.ID, reply) {
 		return
 	}
-	// A job that can't be accepted may be the retry of one that was when it could be.
-	switch refused := api.checkRunnable(job); {
-	case refused != nil:
-		api.answerFromFreshLookup(job.ID, *refused, reply)
+	// A submission that cannot be accepted now may be a retry of one that was accepted earlier.
+	switch cause := api.checkRunnable(job); {
+	case cause != nil:
+		api.answerFromFreshLookup(job.ID, *cause, reply)
 	case api.config.Records.Failing():
 		reply(api.responder.reject(rejectedStateUnavailable))
 	case !api.mayActForOwnShard(api.now()):
@@ -40,7 +40,7 @@
 	}
 }
 
-// create writes a new job, unless another member has done so.
+// createJob writes a new job. If its record exists already, the answer is the job's status.
 func (api *API) createJob(job *protocol.Job, reply func(Response)) {
 	api.config.Owner.CreateJob(job, api.config.Wall().UnixMilli(), api.now()+submitTimeout, func(r storage.CreateResult) {
 		switch r {
@@ -54,8 +54,8 @@
 	})
 }
 
-// checkRunnable returns why a job can never run, or not yet, or nil. It leaves of the
-// types that the job names those that there are.
+// checkRunnable returns why a job can never run, or cannot be accepted yet, or nil. It removes
+// from job.Types the machine types that the cloud does not offer.
 func (api *API) checkRunnable(job *protocol.Job) *rejection {
 	team := api.config.Catalog.Team(job.Team)
 	if team == nil {
@@ -66,11 +66,11 @@
 		return &rejectedCatalogUnknown
 	}
 	fits := false
-	var known []string
+	var offered []string
 	for _, machineType := range types {
 		fits = fits || job.Fits(machineType)
 		if !job.AnyType && job.AllowsType(machineType.Name) {
-			known = append(known, machineType.Name)
+			offered = append(offered, machineType.Name)
 		}
 	}
 	if !fits {
@@ -82,7 +82,7 @@
 	if job.Service && exceedsTeamLimit(team, job, job.Tasks) {
 		return &rejectedServiceBeyondLimit
 	}
-	job.Types = known
+	job.Types = offered
 	if !api.config.Records.Fits(job) {
 		return &rejectedSpecTooLarge
 	}
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// exceedsTeamLimit tells whether some tasks of a job together need more than a team may use.
+// exceedsTeamLimit reports whether this number of a job's tasks together needs more than a team's
+// limit.
 func exceedsTeamLimit(team *settings.Team, job *protocol.Job, tasks int) bool {
 	n := float64(tasks)
 	return (team.CPUsMax > 0 && n*job.CPUs > team.CPUsMax) || (team.GPUsMax > 0 && n*job.GPUs > team.GPUsMax)
--- a/internal/cloud/call_limiter.go
+++ b/internal/cloud/call_limiter.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// leaderCallShare is the leader's part of the cloud's rate; the other controllers
-// share the rest, which is enough for the catalogue.
+// leaderCallShare is the leader's share of the cloud's call rate. The other controllers divide
+// the rest, which is enough to read the catalog.
 const leaderCallShare = 0.75
 
-// LeaderCallsPerSecond is the leader's share of the cloud's rate of calls.
+// LeaderCallsPerSecond returns the leader's share of the cloud's call rate, in calls per second.
 func LeaderCallsPerSecond(rate float64) float64 { return rate * leaderCallShare }
 
-// callLimiter is a token bucket whose rate depends on whether this process leads.
+// callLimiter is a token bucket whose rate depends on whether this process is the leader.
 type callLimiter struct {
-	leaderRate   float64 // calls a second
-	followerRate float64
+	leaderRate   float64 // calls per second
+	followerRate float64 // calls per second
 	tokens       float64
 	refilledAt   time.Duration
 }
 
-// newCallLimiter divides a rate of calls among this process and its peers.
+// newCallLimiter returns the limiter of this process's share of a call rate, in calls per second,
+// that it divides with its peers.
 func newCallLimiter(rate float64, peers int) callLimiter {
 	return callLimiter{
 		leaderRate:   LeaderCallsPerSecond(rate),
@@ -26,7 +27,7 @@
 	}
 }
 
-// allow takes one token if there is one.
+// allow takes one token and reports whether one was available.
 func (l *callLimiter) allow(now time.Duration, leading bool) bool {
 	rate := l.followerRate
 	if leading {
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -12,18 +12,18 @@
 	leaderCatalogInterval = 10 * time.Second
 )
 
-// Catalog is the machine types that the cloud offers, by name. One that was read
-// replaces the last one whole; none is changed after that.
+// Catalog contains the machine types that the cloud offers, by name. It is immutable: each read
+// replaces it as a whole.
 type Catalog map[string]*protocol.MachineType
 
-// Catalog returns the machine types as they were last read; it is empty before
-// that. Callers must not change it.
+// Catalog returns the machine types as last read; it is empty before the first read. Callers
+// must not modify it.
 func (i *Inventory) Catalog() Catalog { return i.catalog }
 
 // Type returns a machine type, or nil if the cloud does not offer it.
 func (i *Inventory) Type(name string) *protocol.MachineType { return i.catalog[name] }
 
-// pollCatalog asks for the catalogue when it is due.
+// pollCatalog requests the catalog if a read is due.
 func (i *Inventory) pollCatalog(now time.Duration) {
 	if i.catalogInFlight || now < i.nextCatalogAt || !i.AllowCall(now) {
 		return
@@ -46,7 +46,8 @@
 	}
 }
 
-// catalogInterval is shorter for the leader, which buys by the prices.
+// catalogInterval returns the time between reads of the catalog. It is shorter for the leader, which chooses
+// machines by their prices.
 func (i *Inventory) catalogInterval() time.Duration {
 	if i.observer != nil {
 		return leaderCatalogInterval
--- a/internal/cloud/inventory.go
+++ b/internal/cloud/inventory.go
@@ -1,16 +1,14 @@
-// Package cloud holds what the cloud says: its catalogue of machine types with
-// their prices, and its list of machines; and it carries out a leader's decisions
-// to request and release machines.
+// Package cloud is the client of the cloud. It reads the catalog of machine types with their
+// prices and the list of machines, and carries out a leader's decisions to request and release
+// machines.
 //
-// The package owns the catalogue, the list, the requests in flight and this
-// process's share of the cloud's rate of calls. It promises that a list is
-// replaced only by one that was read whole, and that no call is made beyond the
-// share. It never decides which machines there should be, and draws no conclusions
-// about them: lists lag and may go back in time, so what they mean is for the
-// observer to decide.
+// The package owns the catalog, the machine list, the requests in flight and this process's share
+// of the cloud's call rate. A list is replaced only by one that was read completely, and no call
+// exceeds the share. The package does not decide which machines to create or release. It draws no
+// conclusions from the list, which lags and may go back in time; that is up to the observer.
 //
-// Like all state of a controller, inventory and scaler belong to one goroutine, on
-// which the answers to their calls arrive too.
+// Inventory and Scaler are not safe for concurrent use: the goroutine that owns the controller's
+// state calls them and receives the responses to their calls.
 package cloud
 
 import (
@@ -22,53 +20,52 @@
 )
 
 const (
-	// CallTimeout is how long a call of the cloud waits for its answer.
+	// CallTimeout is the timeout of a call to the cloud.
 	CallTimeout = 4 * time.Second
-	// RetryDelay is the pause after a call that was refused or got no answer.
+	// RetryDelay is the delay after a call that was rejected or got no response.
 	RetryDelay = 1500 * time.Millisecond
 
-	statusOK = 200 // of an answer
+	statusOK = 200 // HTTP status code
 )
 
-// Config is what an Inventory needs of its surroundings.
+// Config contains the dependencies and settings of an Inventory.
 type Config struct {
 	API      storage.Caller
 	Clock    storage.Clock
 	Codec    *protocol.Codec
 	Settings settings.Cloud
-	Peers    int // other controllers, with which this process shares the rate of calls
-	// MaxMachines is how many machines a list is read for; one that is longer is
-	// taken as it is by then.
+	Peers    int // other controllers, with which this process divides the call rate
+	// MaxMachines is the number of machines after which no more pages of a list are read; a
+	// longer list is treated as complete at that point.
 	MaxMachines int
 }
 
-// ListObserver takes the machine lists that are read while it leads.
+// ListObserver receives the machine lists that are read while it leads.
 type ListObserver interface {
-	// MachinesListed takes a list that was read whole, in the cloud's order. The
-	// inventory holds it already.
+	// MachinesListed receives a completely read list, in the cloud's order. The inventory has
+	// already been updated with it.
 	MachinesListed(machines []protocol.ListedMachine, now time.Duration)
 }
 
-// Inventory is the cloud's catalogue and machine list as this process last read
-// them. Every controller reads the catalogue, to judge submissions; only the
-// leader reads the list.
+// Inventory contains the cloud's catalog and machine list as last read. Every controller reads the
+// catalog, to check submissions; only the leader reads the list.
 type Inventory struct {
 	config  Config
 	limiter callLimiter
-	// observer is the leader on this process; nil while it does not lead.
+	// observer is the leader of this process, or nil while it is not the leader.
 	observer ListObserver
 
 	catalog         Catalog
 	catalogInFlight bool
-	nextCatalogAt   time.Duration
+	nextCatalogAt   time.Duration // all times are on Config.Clock
 
-	listing    *listing // nil: none is under way
+	listing    *listing // the read in progress, or nil
 	nextListAt time.Duration
-	listed     map[string]ListedMachine
-	listedAt   time.Duration
+	listed     map[string]ListedMachine // by machine name
+	listedAt   time.Duration            // see ListedAt
 }
 
-// NewInventory returns an inventory that knows neither machine types nor machines.
+// NewInventory returns an inventory without machine types and machines.
 func NewInventory(config Config) *Inventory {
 	return &Inventory{
 		config:  config,
@@ -78,15 +75,15 @@
 	}
 }
 
-// Lead begins to read the machine list for an observer, and reads list and
-// catalogue at once: the leader decides by machines and prices as they are now.
+// StartLeading starts reading the machine list for an observer. List and catalog are read
+// immediately, since the leader needs current machines and prices.
 func (i *Inventory) StartLeading(observer ListObserver, now time.Duration) {
 	i.observer = observer
 	i.nextCatalogAt, i.nextListAt = min(i.nextCatalogAt, now), now
 }
 
-// Follow ends what Lead began. A page that is still on its way completes the
-// list for the observer that it was asked for.
+// StopLeading stops reading the machine list. A page that is still in flight may complete the list
+// for the observer that it was requested for.
 func (i *Inventory) StopLeading() { i.observer = nil }
 
 // Tick makes the calls that are due.
@@ -97,11 +94,11 @@
 	}
 }
 
-// AllowCall takes one call from this process's share of the cloud's rate, and
-// tells whether there was one.
+// AllowCall takes one call from this process's share of the cloud's call rate and reports whether
+// one was available.
 func (i *Inventory) AllowCall(now time.Duration) bool {
 	return i.limiter.allow(now, i.observer != nil)
 }
 
-// seconds converts a number of seconds of the settings or the wire.
+// seconds converts a number of seconds, as in settings and messages, to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/cloud/inventory_test.go
+++ b/internal/cloud/inventory_test.go
@@ -12,7 +12,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// fakeAPI is a cloud whose answers wait until they are delivered.
+// fakeAPI is a cloud whose responses are delivered by the test. It is also the clock.
 type fakeAPI struct {
 	now     time.Duration
 	calls   []string
@@ -26,7 +26,7 @@
 	f.waiting = append(f.waiting, done)
 }
 
-// observed collects the lists that an observer was given.
+// listRecorder is an observer that records the lists that it receives.
 type listRecorder struct{ lists []string }
 
 func (o *listRecorder) MachinesListed(machines []protocol.ListedMachine, _ time.Duration) {
@@ -56,7 +56,7 @@
 	return &fixture{t, api, codec, inventory}
 }
 
-// tick lets time pass and returns the calls that were made.
+// tick advances the clock, calls Tick and returns the calls that were made.
 func (f *fixture) tick(after time.Duration) []string {
 	f.api.calls = nil
 	f.api.now += after
@@ -64,11 +64,11 @@
 	return f.api.calls
 }
 
-// answer delivers the answer to the oldest call that waits for one.
+// answer delivers the response to the oldest unanswered call.
 func (f *fixture) answer(status int, body any) {
 	f.t.Helper()
 	if len(f.api.waiting) == 0 {
-		f.t.Fatal("no call waits for an answer")
+		f.t.Fatal("every call has been answered")
 	}
 	done := f.api.waiting[0]
 	f.api.waiting = f.api.waiting[1:]
@@ -97,7 +97,7 @@
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}, {Name: "b"}}})
 	first := f.inventory.Catalog()
 	if f.inventory.Type("a") == nil || f.inventory.Type("c") != nil || len(first) != 2 {
-		t.Fatalf("catalogue %v", first)
+		t.Fatalf("catalog %v", first)
 	}
 	f.wantCalls(f.tick(catalogInterval - time.Second))
 	f.wantCalls(f.tick(time.Second), "GET /catalog")
@@ -105,7 +105,7 @@
 	f.wantCalls(f.tick(RetryDelay), "GET /catalog")
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "c"}}})
 	if len(first) != 2 || f.inventory.Type("a") != nil || f.inventory.Type("c") == nil {
-		t.Fatalf("catalogue %v, the first is %v", f.inventory.Catalog(), first)
+		t.Fatalf("catalog %v, the first one read is %v", f.inventory.Catalog(), first)
 	}
 }
 
@@ -120,22 +120,22 @@
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
 	f.answer(200, machinePage(true, runningMachine("vm-1")))
 	if _, ok := f.inventory.Listed("vm-1"); ok || f.inventory.ListedAt() != 0 {
-		t.Fatal("a list that was not read whole is held")
+		t.Fatal("an incompletely read list is in use")
 	}
-	asked := f.api.now
+	startedAt := f.api.now
 	f.wantCalls(f.tick(time.Second), "GET /hosts?limit=500&from=vm-1")
 	f.answer(200, machinePage(false, protocol.ListedMachine{ID: "vm-2", Status: StatusFailed}))
 	if got := fmt.Sprint(leader.lists); got != "[vm-1 vm-2]" {
-		t.Fatalf("the observer was given %s", got)
+		t.Fatalf("the observer received %s", got)
 	}
-	if f.inventory.ListedAt() != asked {
-		t.Fatalf("list of %v, asked for at %v", f.inventory.ListedAt(), asked)
+	if f.inventory.ListedAt() != startedAt {
+		t.Fatalf("the list is of %v, want the start of its read, %v", f.inventory.ListedAt(), startedAt)
 	}
 	if entry, ok := f.inventory.Listed("vm-2"); !ok || entry.Status != StatusFailed {
 		t.Fatalf("vm-2 is listed as %+v", entry)
 	}
 	f.inventory.StopLeading()
-	f.wantCalls(f.tick(leaderCatalogInterval), "GET /catalog") // and no list
+	f.wantCalls(f.tick(leaderCatalogInterval), "GET /catalog") // not the machine list
 }
 
 func TestRunningForCountsFromTheFirstListShowingIt(t *testing.T) {
@@ -150,7 +150,7 @@
 	f.answer(200, machinePage(false, runningMachine("vm-1"), runningMachine("vm-2")))
 	for name, want := range map[string]time.Duration{"vm-1": f.api.now - since, "vm-2": 0, "vm-3": 0} {
 		if got := f.inventory.RunningFor(name, f.api.now); got != want {
-			t.Errorf("%s runs for %v, want %v", name, got, want)
+			t.Errorf("%s is running for %v, want %v", name, got, want)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	f.inventory.StopLeading()
 	f.inventory.StartLeading(second, f.api.now)
 	f.wantCalls(f.tick(time.Second), "GET /catalog", "GET /hosts?limit=500")
-	f.answer(200, machinePage(false, runningMachine("vm-1"))) // of the first leader's call
+	f.answer(200, machinePage(false, runningMachine("vm-1"))) // response to the first leader's call
 	if len(first.lists)+len(second.lists) != 0 {
 		t.Fatalf("lists %v and %v", first.lists, second.lists)
 	}
@@ -195,7 +195,7 @@
 		want    int // calls in 100 s
 	}{
 		{"leader", true, 300},
-		{"follower", false, 50}, // two of them share what the leader leaves
+		{"follower", false, 50}, // two followers divide the rest
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limiter := newCallLimiter(4, 2)
--- a/internal/cloud/machine_list.go
+++ b/internal/cloud/machine_list.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	machinesPerPage = 500 // the most that the cloud gives in one answer
-	maxPageFailures = 5   // in a row, after which a listing begins anew
-	listCallShare   = 0.5 // of the leader's rate, that the pages of a long list may use
+	machinesPerPage = 500 // the maximum of the cloud
+	maxPageFailures = 5   // consecutive failures after which a listing is started again
+	listCallShare   = 0.5 // of the leader's call rate, for the pages of a list
 	minListInterval = 2 * time.Second
-	listsPerLag     = 3 // lists that are read in the time by which lists lag
+	listsPerLag     = 3 // lists read within Settings.ListLagS
 )
 
-// Status is what the cloud's list says of a machine.
+// The statuses of a machine in the cloud's list that have a meaning here.
 const (
 	StatusRunning = "running"
 	StatusFailed  = "failed"
 )
 
-// ListedMachine is a row of the machine list.
+// ListedMachine is a machine in the cloud's machine list.
 type ListedMachine struct {
 	protocol.ListedMachine
-	runningSince time.Duration // first listed as running
+	runningSince time.Duration // when it was first listed as running
 }
 
-// listing is one pass through the cloud's machine list, page by page. Thousands
-// of machines take more pages than the cloud answers in a burst, so pages are
-// spaced, and one that is refused is asked for again.
+// listing is a read of the cloud's machine list in progress, page by page. A list of thousands of
+// machines has more pages than the cloud accepts requests for in a burst, so the requests are
+// spaced, and one that is rejected is retried.
 type listing struct {
-	observer    ListObserver // that it is read for
+	observer    ListObserver // receives the list
 	startedAt   time.Duration
 	nextPageAt  time.Duration
-	lastMachine string // the last machine that was read
+	lastMachine string // name of the last machine read, after which the next page starts
 	machines    []protocol.ListedMachine
 	inFlight    bool
-	failures    int // in a row
+	failures    int // consecutive
 }
 
-// Listed returns what the list says of a machine.
+// Listed returns a machine's entry in the list, if it has one.
 func (i *Inventory) Listed(name string) (ListedMachine, bool) {
 	entry, ok := i.listed[name]
 	return entry, ok
 }
 
-// AllListed yields the list by the machines' names, in no order.
+// AllListed yields the machines of the list by name, in no particular order.
 func (i *Inventory) AllListed() iter.Seq2[string, ListedMachine] { return maps.All(i.listed) }
 
-// ListedAt is when the list that is held was asked for; 0: none was read yet.
+// ListedAt returns the time on Config.Clock at which the read of the current list started; 0: no
+// list was read yet.
 func (i *Inventory) ListedAt() time.Duration { return i.listedAt }
 
-// RunningFor is how long a machine has been listed as running; 0 if it is not.
+// RunningFor returns how long a machine has been listed as running; 0 if it is not listed so.
 func (i *Inventory) RunningFor(name string, now time.Duration) time.Duration {
 	entry, ok := i.listed[name]
 	if !ok || entry.Status != StatusRunning {
@@ -64,10 +65,10 @@
 	return now - entry.runningSince
 }
 
-// pollList asks for the next page of the machine list when it is due.
+// pollList requests the next page of the machine list if it is due.
 func (i *Inventory) pollList(now time.Duration) {
 	if i.listing != nil && i.listing.observer != i.observer {
-		i.listing = nil // a page that still comes is not used
+		i.listing = nil // a page that is still in flight is dropped
 	}
 	if i.listing == nil {
 		if now < i.nextListAt {
@@ -88,8 +89,8 @@
 	})
 }
 
-// pageInterval keeps the pages of a long list from taking the calls that request
-// and terminate machines.
+// pageInterval returns the time between requests of pages, which leaves calls for requesting and
+// releasing machines during the read of a long list.
 func (i *Inventory) pageInterval() time.Duration {
 	return seconds(1 / (i.config.Settings.RPS * leaderCallShare * listCallShare))
 }
@@ -130,15 +131,15 @@
 	}
 }
 
-// replaceList holds a list that was read whole in place of the last one.
+// replaceList replaces the list by one that was read completely.
 func (i *Inventory) replaceList(l *listing, now time.Duration) {
-	fresh := make(map[string]ListedMachine, len(l.machines))
+	newList := make(map[string]ListedMachine, len(l.machines))
 	for _, machine := range l.machines {
 		entry := ListedMachine{ListedMachine: machine, runningSince: now}
 		if last, ok := i.listed[machine.ID]; ok && last.Status == StatusRunning {
 			entry.runningSince = last.runningSince
 		}
-		fresh[machine.ID] = entry
+		newList[machine.ID] = entry
 	}
-	i.listed, i.listedAt = fresh, l.startedAt
+	i.listed, i.listedAt = newList, l.startedAt
 }
--- a/internal/cloud/scaler.go
+++ b/internal/cloud/scaler.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// MaxMachinesPerScaleOut is how many machines one request creates at the most.
+	// MaxMachinesPerScaleOut is the maximum number of machines that one request creates.
 	MaxMachinesPerScaleOut = 50
-	// CapacityBackoff is for how long a kind is refused after the cloud had no more
-	// machines of it.
+	// CapacityBackoff is how long a kind is not requested after the cloud had no more machines
+	// of it.
 	CapacityBackoff = 12 * time.Second
 
-	// malformedBackoff is the same after the cloud called a request malformed.
+	// malformedBackoff is how long a kind is not requested after the cloud rejected a request
+	// for it as malformed.
 	malformedBackoff = 10 * CapacityBackoff
-	// MaxMachinesPerScaleIn is how many machines one request releases at the most.
+	// MaxMachinesPerScaleIn is the maximum number of machines that one request releases.
 	MaxMachinesPerScaleIn = 100
 	maxScaleInsInFlight   = 2
-	// maxScaleOutAttempts is how often a request is sent whose outcome is unknown.
+	// maxScaleOutAttempts is how many times a request is sent while its outcome is unknown.
 	maxScaleOutAttempts = 20
 
-	statusMalformed   = 400 // of an answer
+	statusMalformed   = 400 // HTTP status codes
 	statusRateLimited = 429
 	statusUnavailable = 503
 )
 
-// noCapacity is the error by which the cloud says that it has no machines of a kind.
+// noCapacity is the error text with which the cloud reports that it has no machines of a kind.
 const noCapacity = "no capacity"
 
-// Kind is a kind of machine that can be created.
+// Kind is a kind of machine that can be requested: a machine type in a zone, as a spot machine or
+// not.
 type Kind struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Refusal is why the cloud creates no machines of a kind.
+// RejectReason is the reason why the cloud creates no machines of a kind.
 type RejectReason uint8
 
-// The reasons.
+// The reasons for rejecting a request.
 const (
 	NoCapacity RejectReason = iota + 1
 	MalformedRequest
@@ -57,39 +59,38 @@
 	return "unknown"
 }
 
-// ScaleObserver takes what becomes of a Scaler's requests.
+// ScaleObserver receives the outcomes of a Scaler's requests.
 type ScaleObserver interface {
-	// MachinesCreated names new machines of a kind.
+	// MachinesCreated is called with the names of new machines of a kind.
 	MachinesCreated(kind Kind, names []string, now time.Duration)
-	// KindRejected tells that no machines of a kind should be requested up to a time.
-	KindRejected(kind Kind, why RejectReason, until time.Duration)
-	// ReleaseSent tells that the release of machines has been requested.
+	// KindRejected is called when no machines of a kind should be requested until a time.
+	KindRejected(kind Kind, reason RejectReason, until time.Duration)
+	// ReleaseSent is called when the release of machines is requested.
 	ReleaseSent(names []string)
-	// ReleaseConfirmed is proof that machines have ended.
+	// ReleaseConfirmed is called when the cloud has confirmed a release: this is proof that the
+	// machines are terminated.
 	ReleaseConfirmed(names []string)
-	// ReleaseFailed tells that nothing is known of machines whose release was
-	// requested.
+	// ReleaseFailed is called when the outcome of a requested release is unknown.
 	ReleaseFailed(names []string)
 }
 
-// Scaler requests and releases machines for a leader, for as long as its term
-// lasts. It owns the requests in flight and the pauses that the cloud's answers
-// ask for, makes no call beyond the inventory's share of the rate, and decides on
-// no machine itself.
+// Scaler requests and releases machines for a leader during its term. It owns the requests in
+// flight and the backoff after rejected calls, and makes no call beyond the inventory's share of
+// the call rate. Which machines to request and release is decided by its caller.
 type Scaler struct {
 	inventory    *Inventory
 	observer     ScaleObserver
 	fencingToken uint64
 	stopped      bool
 
-	lastScaleOutNumber int // its number
+	lastScaleOutNumber int // of the last request in this term; 0: none
 	scaleOuts          []*scaleOut
 	scaleInsInFlight   int
-	blockedUntil       time.Duration // no calls before
+	blockedUntil       time.Duration // no calls are made before, on the inventory's clock
 }
 
-// scaleOut is a request for machines of one kind. It is repeated under its ID until
-// it is answered; the cloud creates no more machines for a repetition.
+// scaleOut is a request for machines of one kind. It is retried with the same ID until it is
+// answered; the cloud creates no further machines for a retry.
 type scaleOut struct {
 	protocol.ScaleOutRequest
 	attempts      int
@@ -99,23 +100,23 @@
 
 func (s *scaleOut) kind() Kind { return Kind{s.Type, s.Zone, s.Spot} }
 
-// NewScaler returns a scaler for a leader's term. The fencing token tells its
-// requests from those of other terms.
+// NewScaler returns a scaler for a leader's term. The fencing token distinguishes its requests
+// from those of other terms.
 func (i *Inventory) NewScaler(fencingToken uint64, observer ScaleObserver) *Scaler {
 	return &Scaler{inventory: i, observer: observer, fencingToken: fencingToken}
 }
 
-// Stop ends the leader's term: answers that arrive later are dropped.
+// Stop ends the leader's term: responses that arrive later are dropped.
 func (s *Scaler) Stop() { s.stopped = true }
 
-// Blocked tells whether the cloud takes no calls at present.
+// Blocked reports whether calls are suspended after the cloud was unavailable or a release failed.
 func (s *Scaler) Blocked(now time.Duration) bool { return now < s.blockedUntil }
 
-// HasScaledOut tells whether machines were ever requested in this term.
+// HasScaledOut reports whether any machines were requested in this term.
 func (s *Scaler) HasScaledOut() bool { return s.lastScaleOutNumber > 0 }
 
-// Requested yields how many machines of each kind are requested and not answered,
-// request by request.
+// PendingScaleOuts yields the kind and the number of machines of each request that is queued or has
+// no final response.
 func (s *Scaler) PendingScaleOuts() iter.Seq2[Kind, int] {
 	return func(yield func(Kind, int) bool) {
 		for _, request := range s.scaleOuts {
@@ -126,7 +127,7 @@
 	}
 }
 
-// QueueScaleOut requests machines of a kind. They are sent by SendScaleOuts.
+// QueueScaleOut queues requests for n machines of a kind, to be sent by SendScaleOuts.
 func (s *Scaler) QueueScaleOut(kind Kind, n int) {
 	for n > 0 {
 		count := min(n, MaxMachinesPerScaleOut)
@@ -142,7 +143,7 @@
 	}
 }
 
-// SendScaleOuts sends the requests that are due.
+// SendScaleOuts sends the queued requests and retries that are due.
 func (s *Scaler) SendScaleOuts(now time.Duration) {
 	for _, request := range s.scaleOuts {
 		if request.inFlight || now < request.nextAttemptAt || s.Blocked(now) || !s.inventory.AllowCall(now) {
@@ -150,35 +151,35 @@
 		}
 		request.inFlight = true
 		request.attempts++
-		s.call("/hosts", request.ScaleOutRequest, func(answer storage.Response) { s.handleScaleOutResponse(request, answer) })
+		s.call("/hosts", request.ScaleOutRequest, func(response storage.Response) { s.handleScaleOutResponse(request, response) })
 	}
 }
 
-// call makes a call whose answer counts only within the leader's term.
+// call makes a call whose response is dropped after the leader's term.
 func (s *Scaler) call(path string, body any, done func(storage.Response)) {
 	config := &s.inventory.config
-	config.API.Call("POST", path, config.Codec.Encode(body), CallTimeout, func(answer storage.Response) {
+	config.API.Call("POST", path, config.Codec.Encode(body), CallTimeout, func(response storage.Response) {
 		if !s.stopped {
-			done(answer)
+			done(response)
 		}
 	})
 }
 
-func (s *Scaler) handleScaleOutResponse(request *scaleOut, answer storage.Response) {
+func (s *Scaler) handleScaleOutResponse(request *scaleOut, response storage.Response) {
 	now := s.inventory.config.Clock.Now()
 	request.inFlight = false
-	switch answer.Status {
+	switch response.Status {
 	case statusOK:
-		s.handleCreated(request, answer.Body, now)
+		s.handleCreated(request, response.Body, now)
 	case statusMalformed:
 		s.observer.KindRejected(request.kind(), MalformedRequest, now+malformedBackoff)
 	case statusUnavailable:
-		s.handleUnavailable(request, answer.Body, now)
+		s.handleUnavailable(request, response.Body, now)
 	case statusRateLimited:
 		request.nextAttemptAt = now + RetryDelay
 		return
 	default:
-		// It may have been carried out: a repetition under its ID tells.
+		// The request may have been carried out; a retry with the same ID shows the outcome.
 		request.nextAttemptAt = now + RetryDelay
 		if request.attempts < maxScaleOutAttempts {
 			return
@@ -187,8 +188,8 @@
 	s.removeScaleOut(request)
 }
 
-// handleCreated takes the names of new machines. Fewer than were requested mean that
-// there are no more.
+// handleCreated handles the names of new machines. Fewer than requested mean that the cloud has no
+// more machines of the kind.
 func (s *Scaler) handleCreated(request *scaleOut, body []byte, now time.Duration) {
 	var created protocol.MachineNames
 	if s.inventory.config.Codec.Decode(body, &created) != nil {
@@ -200,11 +201,11 @@
 	}
 }
 
-// handleUnavailable tells apart that the cloud has no machines of a kind and that it
-// takes no calls.
+// handleUnavailable distinguishes between a cloud that has no machines of a kind and one that
+// accepts no calls at present.
 func (s *Scaler) handleUnavailable(request *scaleOut, body []byte, now time.Duration) {
-	var answer protocol.ErrorBody
-	if s.inventory.config.Codec.Decode(body, &answer) == nil && answer.Error == noCapacity {
+	var response protocol.ErrorBody
+	if s.inventory.config.Codec.Decode(body, &response) == nil && response.Error == noCapacity {
 		s.observer.KindRejected(request.kind(), NoCapacity, now+CapacityBackoff)
 		return
 	}
@@ -220,8 +221,8 @@
 	}
 }
 
-// ScaleIn releases machines by their names, as many as calls are allowed for: the
-// others have to be named again later.
+// ScaleIn releases the named machines as far as the limits on calls allow. The caller must pass
+// the others again later.
 func (s *Scaler) ScaleIn(names []string, now time.Duration) {
 	for len(names) > 0 && s.scaleInsInFlight < maxScaleInsInFlight && !s.Blocked(now) && s.inventory.AllowCall(now) {
 		n := min(len(names), MaxMachinesPerScaleIn)
@@ -233,12 +234,12 @@
 func (s *Scaler) sendScaleIn(names []string) {
 	s.scaleInsInFlight++
 	s.observer.ReleaseSent(names)
-	s.call("/hosts/release", protocol.MachineNames{Machines: names}, func(answer storage.Response) { s.handleScaleInResponse(names, answer) })
+	s.call("/hosts/release", protocol.MachineNames{Machines: names}, func(response storage.Response) { s.handleScaleInResponse(names, response) })
 }
 
-func (s *Scaler) handleScaleInResponse(names []string, answer storage.Response) {
+func (s *Scaler) handleScaleInResponse(names []string, response storage.Response) {
 	s.scaleInsInFlight--
-	if answer.Status == statusOK {
+	if response.Status == statusOK {
 		s.observer.ReleaseConfirmed(names)
 		return
 	}
--- a/internal/cloud/scaler_test.go
+++ b/internal/cloud/scaler_test.go
@@ -11,7 +11,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// scaleRecorder is an observer that writes down what it is told.
+// scaleRecorder is an observer that records the outcomes as texts.
 type scaleRecorder struct{ events []string }
 
 func (l *scaleRecorder) record(format string, args ...any) {
@@ -22,14 +22,14 @@
 	l.record("created %s %s", kind.Type, strings.Join(names, " "))
 }
 
-func (l *scaleRecorder) KindRejected(kind Kind, why RejectReason, _ time.Duration) {
-	l.record("refused %s: %s", kind.Type, why)
+func (l *scaleRecorder) KindRejected(kind Kind, reason RejectReason, _ time.Duration) {
+	l.record("rejected %s: %s", kind.Type, reason)
 }
 func (l *scaleRecorder) ReleaseSent(names []string)      { l.record("sent %d", len(names)) }
 func (l *scaleRecorder) ReleaseConfirmed(names []string) { l.record("confirmed %d", len(names)) }
 func (l *scaleRecorder) ReleaseFailed(names []string)    { l.record("failed %d", len(names)) }
 
-// newScalerFixture returns a scaler, and what its observer was told.
+// newScalerFixture returns a scaler and its observer.
 func newScalerFixture(t *testing.T) (*fixture, *Scaler, *scaleRecorder) {
 	f, events := newFixture(t, 1000), &scaleRecorder{}
 	return f, f.inventory.NewScaler(7, events), events
@@ -38,7 +38,7 @@
 func wantEvents(t *testing.T, events *scaleRecorder, want ...string) {
 	t.Helper()
 	if !slices.Equal(events.events, want) {
-		t.Fatalf("the observer was told %q, want %q", events.events, want)
+		t.Fatalf("the observer received %q, want %q", events.events, want)
 	}
 }
 
@@ -50,22 +50,22 @@
 	return sum
 }
 
-// Whatever the cloud answers, a request is either done with, and its outcome told,
-// or it is sent again under its ID.
+// For each response of the cloud, a request is either settled, with its outcome reported to the
+// observer or further calls suspended, or sent again with the same ID.
 func TestOutcomesOfAScaleOut(t *testing.T) {
 	created := protocol.MachineNames{Machines: []string{"a", "b"}}
 	for _, test := range []struct {
 		name    string
 		status  int
 		body    any
-		again   bool // it is sent again after the pause
+		retried bool // after RetryDelay
 		blocked bool
 		events  []string
 	}{
 		{"all created", 200, created, false, false, []string{"created m8 a b"}},
-		{"some created", 200, protocol.MachineNames{Machines: []string{"a"}}, false, false, []string{"created m8 a", "refused m8: no capacity"}},
-		{"malformed", 400, nil, false, false, []string{"refused m8: malformed request"}},
-		{"no capacity", 503, protocol.ErrorBody{Error: "no capacity"}, false, false, []string{"refused m8: no capacity"}},
+		{"some created", 200, protocol.MachineNames{Machines: []string{"a"}}, false, false, []string{"created m8 a", "rejected m8: no capacity"}},
+		{"malformed", 400, nil, false, false, []string{"rejected m8: malformed request"}},
+		{"no capacity", 503, protocol.ErrorBody{Error: "no capacity"}, false, false, []string{"rejected m8: no capacity"}},
 		{"unavailable", 503, protocol.ErrorBody{Error: "later"}, false, true, nil},
 		{"rate limited", 429, nil, true, false, nil},
 		{"outcome unknown", 0, nil, true, false, nil},
@@ -84,11 +84,11 @@
 			f.api.now += RetryDelay
 			f.api.calls = nil
 			scaler.SendScaleOuts(f.api.now)
-			if got := len(f.api.calls) == 1; got != test.again {
-				t.Errorf("sent again %v, want %v", got, test.again)
+			if got := len(f.api.calls) == 1; got != test.retried {
+				t.Errorf("sent again %v, want %v", got, test.retried)
 			}
-			if got := scaler.pendingMachines() == 2; got != test.again {
-				t.Errorf("%d machines are requested", scaler.pendingMachines())
+			if got := scaler.pendingMachines() == 2; got != test.retried {
+				t.Errorf("%d machines are pending", scaler.pendingMachines())
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 		f.api.now += RetryDelay
 	}
 	if scaler.pendingMachines() != 0 {
-		t.Fatalf("after %d attempts it is still requested", maxScaleOutAttempts)
+		t.Fatalf("the request is still pending after %d attempts", maxScaleOutAttempts)
 	}
 }
 
@@ -124,7 +124,7 @@
 	f, scaler, events := newScalerFixture(t)
 	scaler.ScaleIn([]string{"a"}, f.api.now)
 	f.answer(503, nil)
-	scaler.ScaleIn([]string{"a"}, f.api.now) // the cloud takes no calls
+	scaler.ScaleIn([]string{"a"}, f.api.now) // blocked: makes no call
 	f.api.now += RetryDelay
 	scaler.ScaleIn([]string{"a"}, f.api.now)
 	f.answer(200, nil)
@@ -140,7 +140,8 @@
 	wantEvents(t, events)
 }
 
-// The IDs of two terms differ, so that neither takes the other's machines for its own.
+// The request IDs of two terms differ; otherwise the cloud would treat a request as a retry of one
+// from another term.
 func TestRequestIDsOfTwoTermsDiffer(t *testing.T) {
 	f := newFixture(t, 1000)
 	var ids []string
@@ -162,7 +163,7 @@
 	}
 }
 
-// callerFunc takes the bodies of calls, which are never answered.
+// callerFunc is called with the body of each call. The calls get no response.
 type callerFunc func(body []byte)
 
 func (f callerFunc) Call(_, _ string, body []byte, _ time.Duration, _ func(storage.Response)) {
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -7,35 +7,37 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrNotMap says that a message is not a CBOR map, as all messages are.
+// ErrNotMap is returned for a message that is not a CBOR map; every message must be one.
 var ErrNotMap = errors.New("body is not a CBOR map")
 
-// Limits of a message from outside.
+// Limits on messages from users, machines, the cloud and the state service.
 const (
 	maxNestedLevels  = 12
 	maxArrayElements = 20_000
 	maxMapPairs      = 4096
 )
 
-// cborMajorTypeMap is in the upper three bits of a map's first byte (RFC 8949, 3.1).
+// The upper three bits of a CBOR item's first byte hold its major type (RFC 8949, 3.1), which is
+// cborMajorTypeMap for a map.
 const (
 	cborMajorTypeMap   = 5
 	cborMajorTypeShift = 5
 )
 
-// ErrorBody is the body of a refusal. Its text is for the user or worker refused.
+// ErrorBody is the body of a response that rejects a request. Its text is addressed to the user
+// or machine that sent the request.
 type ErrorBody struct {
 	Error string `cbor:"error"`
 }
 
-// Codec encodes and decodes CBOR within fixed bounds, so that no message from outside
-// can make the process grow. Any number of goroutines may use it.
+// Codec encodes and decodes CBOR within fixed limits, so that a message from outside cannot
+// exhaust the memory of the process. It is safe for concurrent use.
 type Codec struct {
 	encoder cbor.EncMode
 	decoder cbor.DecMode
 }
 
-// NewCodec builds the codec.
+// NewCodec returns a codec with the limits of this package.
 func NewCodec() (*Codec, error) {
 	encoder, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
@@ -52,8 +54,8 @@
 	return &Codec{encoder: encoder, decoder: decoder}, nil
 }
 
-// Encode returns v in CBOR. The types of this package always encode; it panics if v
-// holds what has no form in CBOR, such as a channel.
+// Encode returns v in CBOR. The types of this package always encode; Encode panics if v contains
+// a value that CBOR cannot represent, such as a channel.
 func (c *Codec) Encode(v any) []byte {
 	b, err := c.encoder.Marshal(v)
 	if err != nil {
@@ -62,9 +64,9 @@
 	return b
 }
 
-// Decode reads one CBOR map into v, which points to a struct. It returns ErrNotMap for
-// anything but a map, and an error of the decoder for a field of another type or for a
-// message beyond the limits. Unknown fields are passed over.
+// Decode decodes one CBOR map into v, a pointer to a struct. It returns ErrNotMap if b is not a
+// map, and a wrapped decoder error if a field has the wrong type or the message exceeds the
+// limits. Unknown fields are ignored.
 func (c *Codec) Decode(b []byte, v any) error {
 	if len(b) == 0 || b[0]>>cborMajorTypeShift != cborMajorTypeMap {
 		return ErrNotMap
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// DecodeText reads a CBOR text; anything else reads as empty.
+// DecodeText decodes a CBOR text string; it returns "" for anything else.
 func (c *Codec) DecodeText(b []byte) string {
 	var s string
 	if err := c.decoder.Unmarshal(b, &s); err != nil {
@@ -84,7 +86,7 @@
 	return s
 }
 
-// DecodeTexts reads a CBOR list of texts.
+// DecodeTexts decodes a CBOR array of text strings.
 func (c *Codec) DecodeTexts(b []byte) ([]string, error) {
 	var s []string
 	if err := c.decoder.Unmarshal(b, &s); err != nil {
@@ -93,7 +95,7 @@
 	return s, nil
 }
 
-// DecodeTextMap reads a CBOR map of texts.
+// DecodeTextMap decodes a CBOR map from text strings to text strings.
 func (c *Codec) DecodeTextMap(b []byte) (map[string]string, error) {
 	var m map[string]string
 	if err := c.decoder.Unmarshal(b, &m); err != nil {
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,10 +1,10 @@
-// Package protocol owns the messages that a controller exchanges with users, workers,
-// the cloud and the state service, and the checks on those that come in. Outside
-// interfaces speak CBOR, with the field names of the protocol's documentation in the
-// struct tags; the Go names are the field's terms. Controllers among themselves speak
-// protobuf (package meshpb).
+// Package protocol defines the messages that a controller exchanges with users, machines, the
+// cloud and the state service, and validates those it receives. These messages are CBOR: the
+// struct tags hold the field names of the documented protocol, while the Go names use the usual
+// terms of cluster scheduling. Controllers exchange protobuf messages among themselves (package
+// meshpb).
 //
-// It promises that a message which passed Validate is complete and within its bounds,
-// and that a body from outside can't make the process grow beyond the codec's limits.
-// It never does I/O, keeps no state, and decides nothing beyond the form of a message.
+// A message that passed Validate is guaranteed to be complete and within its bounds, and a body
+// from outside cannot use more memory than the codec's limits allow. The package performs no
+// I/O, keeps no state, and checks nothing but the form of a message.
 package protocol
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -6,26 +6,26 @@
 	"math"
 )
 
-// Wire words of the commands that a response to a heartbeat has for a machine.
+// The commands to a machine in a heartbeat response, as encoded in Command.Op.
 const (
 	CommandStart = "launch"
 	CommandStop  = "kill"
-	CommandReap  = "reap" // forget a task that has exited
+	CommandReap  = "reap" // remove an exited replica from the machine's list
 )
 
-// TaskState is the state of a task on a machine. Controllers exchange its numbers, so
-// they don't change.
+// TaskState is the state of a task on a machine. Controllers of different versions exchange the
+// numeric values, so they must not change.
 type TaskState uint8
 
-// The task states that a machine's heartbeat names.
+// The task states that a machine reports in a heartbeat.
 const (
-	TaskFetching TaskState = iota + 1 // its image is being fetched
+	TaskFetching TaskState = iota + 1 // the machine is fetching the task's image
 	TaskRunning
-	TaskCheckpointing // it saves a checkpoint before it stops
+	TaskCheckpointing // the task is saving a checkpoint before it stops
 	TaskExited
 )
 
-// String returns the state's wire word.
+// String returns the state as encoded in a heartbeat.
 func (s TaskState) String() string {
 	switch s {
 	case TaskFetching:
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("TaskState(%d)", uint8(s))
 }
 
-// parseTaskState returns the state of a wire word, and whether there is one.
+// parseTaskState parses a state as encoded in a heartbeat and reports whether it is known.
 func parseTaskState(s string) (TaskState, bool) {
 	switch s {
 	case "fetching":
@@ -55,22 +55,22 @@
 	return 0, false
 }
 
-// ExitReason tells how an exited task ended. Controllers exchange its numbers, so they
-// don't change.
+// ExitReason is why a task exited or was not started. Controllers of different versions exchange
+// the numeric values, so they must not change.
 type ExitReason uint8
 
-// The exit reasons that a machine's heartbeat names.
+// The exit reasons that a machine reports in a heartbeat.
 const (
-	ExitReasonNone        ExitReason = iota // it has not exited, or its machine gave no known reason
-	ExitReasonDone                          // it completed
-	ExitReasonStopped                       // it was stopped by a command
-	ExitReasonError                         // it failed
-	ExitReasonNoResources                   // not started: the machine has too few free resources
-	ExitReasonInUse                         // not started: the machine has another replica of the task
-	ExitReasonNoSuchTask                    // not started: there is no such job or task
+	ExitReasonNone        ExitReason = iota // the task has not exited, or the machine reported no known reason
+	ExitReasonDone                          // completed
+	ExitReasonStopped                       // stopped by a command
+	ExitReasonError                         // failed
+	ExitReasonNoResources                   // not started: the machine lacks free resources
+	ExitReasonInUse                         // not started: another replica of the task is on the machine
+	ExitReasonNoSuchTask                    // not started: the job or task does not exist
 )
 
-// String returns the reason's wire word.
+// String returns the reason as encoded in a heartbeat.
 func (r ExitReason) String() string {
 	switch r {
 	case ExitReasonNone:
@@ -91,7 +91,7 @@
 	return fmt.Sprintf("ExitReason(%d)", uint8(r))
 }
 
-// parseExitReason returns the reason of a wire word, and whether there is one.
+// parseExitReason parses a reason as encoded in a heartbeat and reports whether it is known.
 func parseExitReason(s string) (ExitReason, bool) {
 	switch s {
 	case "done":
@@ -110,12 +110,12 @@
 	return ExitReasonNone, false
 }
 
-// Redirect names the controller that takes a worker's heartbeats.
+// Redirect names the controller to which a machine has to send its heartbeats.
 type Redirect struct {
 	HeartbeatTo string `cbor:"editor,omitempty"`
 }
 
-// WireTaskStatus is one task in a worker's heartbeat as it arrives.
+// WireTaskStatus is one task in a received heartbeat that has not been validated.
 type WireTaskStatus struct {
 	Task       string `cbor:"page"`
 	Replica    uint64 `cbor:"try"`
@@ -123,8 +123,8 @@
 	ExitReason string `cbor:"cause"`
 }
 
-// WireHeartbeat is a worker's heartbeat as it arrives, before Validate. Pointers tell a
-// missing field from a zero one.
+// WireHeartbeat is a received heartbeat that has not been validated. Pointer fields distinguish
+// a missing field from a zero value.
 type WireHeartbeat struct {
 	Machine        *string          `cbor:"roost"`
 	Addr           string           `cbor:"address"`
@@ -138,42 +138,42 @@
 	Tasks          []WireTaskStatus `cbor:"pages"`
 }
 
-// Command asks a machine to start, stop or forget a replica of a task.
+// Command asks a machine to start, stop or reap a replica of a task.
 type Command struct {
 	Op      string   `cbor:"verb"` // CommandStart, CommandStop or CommandReap
-	Task    string   `cbor:"page"` // see TaskName
+	Task    string   `cbor:"page"` // task name, see TaskName
 	Replica uint64   `cbor:"try"`
-	GraceS  *float64 `cbor:"windDownS,omitempty"` // of a stop, in seconds
+	GraceS  *float64 `cbor:"windDownS,omitempty"` // CommandStop only: time to stop, in seconds
 }
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
-	FencingToken uint64    `cbor:"baton"` // of the leader that answers
+	FencingToken uint64    `cbor:"baton"` // of the leader that sends the response
 	Commands     []Command `cbor:"orders"`
 }
 
-// TaskStatus is one task in a valid heartbeat.
+// TaskStatus is one task in a heartbeat that passed Validate.
 type TaskStatus struct {
 	Job        string
 	Task       int
 	Replica    uint64
 	State      TaskState
-	ExitReason ExitReason // if State is TaskExited
+	ExitReason ExitReason // meaningful if State is TaskExited
 }
 
-// Heartbeat is a worker's heartbeat that passed Validate.
+// Heartbeat is a machine's heartbeat that passed Validate.
 type Heartbeat struct {
 	Machine, Type, Zone string
 	Spot                bool
-	Epoch               uint64 // grows each time the machine's lease expires
-	Seq                 uint64 // of all that the machine has said within the epoch
-	FencingToken        uint64 // the highest that the machine has seen
-	TerminationNotice   bool   // the cloud takes the machine back
-	TerminationInS      float64
+	Epoch               uint64  // increases each time the machine's lease expires
+	Seq                 uint64  // sequence number of the heartbeat within the epoch
+	FencingToken        uint64  // highest that the machine has received
+	TerminationNotice   bool    // the cloud has announced that it will terminate the machine
+	TerminationInS      float64 // seconds until the termination, if TerminationNotice
 	Tasks               []TaskStatus
 }
 
-// Validate returns the heartbeat that a message holds. Its errors are FieldErrors, or
+// Validate checks the message and returns it as a Heartbeat. Its error is a *FieldError, or
 // several of them joined.
 func (w *WireHeartbeat) Validate() (*Heartbeat, error) {
 	if err := w.checkRequired(); err != nil {
@@ -200,7 +200,7 @@
 	return heartbeat, nil
 }
 
-// checkRequired checks the fields that every heartbeat has.
+// checkRequired checks the fields that every heartbeat must have.
 func (w *WireHeartbeat) checkRequired() error {
 	if err := errors.Join(checkName("roost", w.Machine), checkName("breed", w.Type), checkName("hall", w.Zone)); err != nil {
 		return err
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// validate returns the status of the task that is at index in a heartbeat.
+// validate checks the task status at index in a heartbeat and returns it as a TaskStatus.
 func (w *WireTaskStatus) validate(index int) (TaskStatus, error) {
 	job, task, ok := ParseTaskName(w.Task)
 	if !ok {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// MaxTasks is how many tasks a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Wire words of job states, in JobStatus.
+// The states of a job, as encoded in JobStatus.Status.
 const (
 	StatusPending   = "pending"
 	StatusRunning   = "running"
@@ -23,11 +23,11 @@
 	maxJobIDDigits = 24
 )
 
-// Priority orders jobs; a higher one may preempt a lower one. Records and controllers
-// hold its numbers, so they don't change.
+// Priority is the priority of a job; a job may preempt jobs of lower priority. Job records and
+// messages between controllers contain the numeric values, so they must not change.
 type Priority uint8
 
-// The priorities, lowest first.
+// The priorities, in ascending order.
 const (
 	PriorityBestEffort Priority = iota
 	PriorityStandard
@@ -35,7 +35,7 @@
 	PriorityProduction
 )
 
-// String returns the priority's wire word.
+// String returns the priority as encoded in a submission.
 func (p Priority) String() string {
 	switch p {
 	case PriorityBestEffort:
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("Priority(%d)", uint8(p))
 }
 
-// parsePriority returns the priority of a wire word, and whether there is one.
+// parsePriority parses a priority as encoded in a submission and reports whether it is known.
 func parsePriority(s string) (Priority, bool) {
 	switch s {
 	case "best_effort":
@@ -65,9 +65,9 @@
 	return 0, false
 }
 
-// Job is a submission that passed Validate, in the field's terms. It is also the form
-// in which the state service keeps it, so its tags don't change. Amounts are those of
-// one task; fields whose names end in S are seconds.
+// Job is the specification of a job: a submission that passed Validate. It is stored in this
+// form in the state service, so its tags must not change. Resource amounts are per task; fields
+// whose names end in S are in seconds.
 type Job struct {
 	ID                  string   `cbor:"id"`
 	Class               string   `cbor:"class"`
@@ -90,10 +90,10 @@
 	CheckpointDurationS float64  `cbor:"save"`
 	DeadlineS           float64  `cbor:"due"`
 	HasDeadline         bool     `cbor:"hasDue"`
-	Service             bool     `cbor:"svc,omitempty"` // its tasks run until it is cancelled
+	Service             bool     `cbor:"svc,omitempty"` // the tasks run until the job is cancelled
 }
 
-// ValidJobID tells whether id has the form that users always give it, such as wk-000412.
+// ValidJobID reports whether id has the form of a job ID: "wk-" and digits, such as wk-000412.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxJobIDDigits {
@@ -107,10 +107,10 @@
 	return true
 }
 
-// TaskName is the wire name of a task, such as wk-000412/3.
+// TaskName returns the name of a task in messages, such as wk-000412/3.
 func TaskName(job string, task int) string { return job + "/" + strconv.Itoa(task) }
 
-// ParseTaskName splits the wire name of a task.
+// ParseTaskName splits the name of a task in messages into its job and its task number.
 func ParseTaskName(name string) (job string, task int, ok bool) {
 	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 || !ValidJobID(name[:slash]) {
@@ -123,7 +123,7 @@
 	return name[:slash], int(number), true
 }
 
-// Fits tells whether one task of the job can run on an empty machine of a type.
+// Fits reports whether one task of the job can run on an empty machine of the type.
 func (j *Job) Fits(machine *MachineType) bool {
 	if j.CPUs > machine.CPUs || j.GPUs > machine.GPUs || j.MemoryGB > machine.MemoryGB {
 		return false
@@ -134,13 +134,13 @@
 	return j.AllowsType(machine.Name)
 }
 
-// AllowsType tells whether the job may run on the machine type of that name.
+// AllowsType reports whether the job may run on the named machine type.
 func (j *Job) AllowsType(name string) bool {
 	return j.AnyType || slices.Contains(j.Types, name)
 }
 
-// JobStatus answers a user's question about a job. The numbers of tasks are those that
-// have completed and that run; without them they are not told.
+// JobStatus is the response to a user's status query. Done and Running are the numbers of tasks
+// that have completed and that are running; nil omits the field.
 type JobStatus struct {
 	ID      string `cbor:"nameId"`
 	Status  string `cbor:"status"`
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -2,14 +2,15 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Condition is one of a transaction: the key has that version. 0: it does not exist.
+// Condition is a condition of a transaction: the key has this version; version 0 means that the
+// key does not exist.
 type Condition struct {
 	Key     string `cbor:"k"`
 	Version uint64 `cbor:"stamp"`
 }
 
-// Change is one write (Put, Value, Lease) or deletion (Delete) of a transaction. A key
-// that is written with a lease is deleted when the lease ends; 0: none.
+// Change is one write (Put, Value, Lease) or deletion (Delete) of a transaction. A key written
+// with a lease is deleted when the lease ends; lease 0 means no lease.
 type Change struct {
 	Put    string          `cbor:"write,omitempty"`
 	Value  cbor.RawMessage `cbor:"v,omitempty"`
@@ -17,23 +18,22 @@
 	Delete string          `cbor:"drop,omitempty"`
 }
 
-// Transaction asks the state service for a compare-and-swap: all changes are made if
-// all conditions hold, else none.
+// Transaction requests an atomic compare-and-swap from the state service: all changes are applied
+// if all conditions hold, otherwise none is.
 type Transaction struct {
 	If   []Condition `cbor:"if"`
 	Then []Change    `cbor:"then"`
 }
 
-// TransactionResponse answers a transaction with the revision that it made, or with
-// the keys whose conditions failed.
+// TransactionResponse is the response to a transaction: the revision that it created, or the keys
+// whose conditions failed.
 type TransactionResponse struct {
 	Revision uint64   `cbor:"edition"`
 	Failed   []string `cbor:"failed"`
 	Error    string   `cbor:"error"`
 }
 
-// KeyValue is one key with its value, its version (the revision of its last write) and
-// its lease.
+// KeyValue is a key with its value, its version (the revision of its last write) and its lease.
 type KeyValue struct {
 	Key     string          `cbor:"k"`
 	Value   cbor.RawMessage `cbor:"v"`
@@ -41,14 +41,14 @@
 	Lease   uint64          `cbor:"tenure"`
 }
 
-// KeyValuePage is one page of a range of keys, as of a revision.
+// KeyValuePage is one page of a range read, as of Revision.
 type KeyValuePage struct {
 	Items    []KeyValue `cbor:"pairs"`
 	More     bool       `cbor:"hasNext"`
 	Revision uint64     `cbor:"edition"`
 }
 
-// Event is one change that a watch returns: a write (Put) or a deletion (Delete).
+// Event is one change reported by a watch: a write (Put) or a deletion (Delete).
 type Event struct {
 	Put     string          `cbor:"write"`
 	Value   cbor.RawMessage `cbor:"v"`
@@ -56,18 +56,18 @@
 	Version uint64          `cbor:"stamp"`
 }
 
-// WatchResponse answers a watch with the changes up to a revision.
+// WatchResponse is the response to a watch request: the changes up to Revision.
 type WatchResponse struct {
 	Revision uint64  `cbor:"edition"`
 	Events   []Event `cbor:"events"`
 }
 
-// LeaseRequest asks the state service for a lease.
+// LeaseRequest requests a lease from the state service.
 type LeaseRequest struct {
 	TTLMs int64 `cbor:"ttlMs"`
 }
 
-// LeaseResponse names the lease.
+// LeaseResponse is the response to a lease request, with the ID of the lease.
 type LeaseResponse struct {
 	Lease uint64 `cbor:"tenure"`
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// Wire words of the kinds of a job.
+// The kinds of a job, as encoded in Submission.Kind.
 const (
 	kindBatch   = "batch"
 	kindService = "service"
 )
 
-// maxTypes is how many machine types a submission may name.
+// maxTypes is the maximum number of machine types in a submission.
 const maxTypes = 100
 
-// Submission is a job as its user describes it, before Validate. Pointers tell a
-// missing field from a zero one. Fields whose names end in S are seconds.
+// Submission is a user's request to run a job that has not been validated. Pointer fields
+// distinguish a missing field from a zero value. Fields whose names end in S are in seconds.
 type Submission struct {
 	ID                  *string  `cbor:"nameId"`
 	Class               *string  `cbor:"desk"`
@@ -36,8 +36,8 @@
 	DeadlineS           *float64 `cbor:"pressByS"`
 }
 
-// Validate returns the job that a submission describes. Its errors are FieldErrors, or
-// several of them joined.
+// Validate checks the submission and returns the job that it describes. Its error is a
+// *FieldError, or several of them joined.
 func (s *Submission) Validate() (*Job, error) {
 	priority, err := s.checkIdentity()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return job, nil
 }
 
-// checkIdentity checks what the job is.
+// checkIdentity checks the job's ID, kind, priority and number of tasks. It returns the priority.
 func (s *Submission) checkIdentity() (Priority, error) {
 	if s.ID == nil || !ValidJobID(*s.ID) {
 		return 0, fieldError("nameId", "is missing or not of the form wk-000412")
@@ -89,7 +89,7 @@
 	return priority, nil
 }
 
-// checkPlacement checks where its tasks may run.
+// checkPlacement checks the constraints on where the tasks may run.
 func (s *Submission) checkPlacement() error {
 	for _, field := range []struct {
 		path  string
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// checkAmounts checks names and numbers. A user is told of all that are wrong.
+// checkAmounts checks the remaining names, resource amounts and durations. An invalid deadline is
+// the only error reported; otherwise all invalid fields are reported.
 func (s *Submission) checkAmounts() error {
 	if s.DeadlineS != nil {
 		if err := checkAmount("pressByS", s.DeadlineS); err != nil {
--- a/internal/protocol/validation.go
+++ b/internal/protocol/validation.go
@@ -10,30 +10,29 @@
 	maxAmount     = 1e12
 )
 
-// FieldError says which field of a message is malformed. Its text goes to the user or
-// worker that sent the message, in the words of the outside protocol.
+// FieldError reports a malformed field of a message. Its text is sent to the user or machine that
+// sent the message, so it uses the field names of the protocol.
 type FieldError struct {
-	// Path names the field in the message as it was sent, such as "pages[2].cause".
+	// Path is the path of the field in the message, such as "pages[2].cause".
 	Path string
-	// Text says what is wrong with it.
+	// Text describes the error.
 	Text string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FieldError) Error() string { return e.Text }
 
-// fieldError is the error of a field whose text begins with the field's name.
+// fieldError returns a FieldError whose text is the path followed by the problem.
 func fieldError(path, problem string) *FieldError {
 	return &FieldError{Path: path, Text: path + " " + problem}
 }
 
-// taskFieldError is the error of a field of the task with that index.
+// taskFieldError returns a FieldError for a field of the task at index.
 func taskFieldError(index int, field, text string) *FieldError {
 	return &FieldError{Path: fmt.Sprintf("pages[%d].%s", index, field), Text: text}
 }
 
-// checkAmount tells whether a required number is present and neither negative nor
-// beyond all reason.
+// checkAmount returns an error unless a required number is present and from 0 to maxAmount.
 func checkAmount(path string, value *float64) error {
 	switch {
 	case value == nil:
@@ -44,7 +43,7 @@
 	return nil
 }
 
-// checkName tells whether a required name is present and of a length that names have.
+// checkName returns an error unless a required name is present and of valid length.
 func checkName(path string, value *string) error {
 	switch {
 	case value == nil:
@@ -55,5 +54,6 @@
 	return nil
 }
 
-// validNameLength tells whether a name is of a length that names have.
+// validNameLength reports whether a name is neither empty nor longer than
+// maxNameLength bytes.
 func validNameLength(name string) bool { return name != "" && len(name) <= maxNameLength }
--- a/internal/protocol/validation_test.go
+++ b/internal/protocol/validation_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ptr returns a pointer to a value, as messages with optional fields have them.
+// ptr returns a pointer to a value, for optional fields of messages.
 func ptr[T any](value T) *T { return &value }
 
 func validSubmission() *Submission {
@@ -19,8 +19,8 @@
 	}
 }
 
-// A malformed submission is refused with the path of the field, in the words that
-// users have always been told.
+// A malformed submission is rejected with the path of the field, and with the error text that
+// users rely on, which must not change.
 func TestSubmissionErrorsNameTheField(t *testing.T) {
 	if _, err := validSubmission().Validate(); err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 			job, err := s.Validate()
 			wantFieldError(t, err, c.path, c.text)
 			if job != nil {
-				t.Errorf("got a job beside the error: %+v", job)
+				t.Errorf("got a job in addition to the error: %+v", job)
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// A malformed heartbeat is refused with the path of the field.
+// A malformed heartbeat is rejected with the path of the field.
 func TestHeartbeatErrorsNameTheField(t *testing.T) {
 	if _, err := validHeartbeat().Validate(); err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 			heartbeat, err := w.Validate()
 			wantFieldError(t, err, c.path, c.text)
 			if heartbeat != nil {
-				t.Errorf("got a heartbeat beside the error: %+v", heartbeat)
+				t.Errorf("got a heartbeat in addition to the error: %+v", heartbeat)
 			}
 		})
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// Each state, exit reason and priority is told by the word that it is parsed from.
+// Each state, exit reason and priority is encoded as the word from which it is parsed.
 func TestEnumsParseTheirWireWords(t *testing.T) {
 	for state := TaskFetching; state <= TaskExited; state++ {
 		if got, ok := parseTaskState(state.String()); !ok || got != state {
@@ -134,12 +134,13 @@
 	}
 	for _, text := range []string{TaskState(9).String(), ExitReason(9).String(), Priority(9).String()} {
 		if !strings.HasSuffix(text, "(9)") {
-			t.Errorf("a value of another version reads as %q", text)
+			t.Errorf("a value unknown to this version is formatted as %q", text)
 		}
 	}
 }
 
-// Only maps are messages; what else is wrong is the decoder's error.
+// A message that is not a map yields ErrNotMap; any other malformed message yields the decoder's
+// error.
 func TestDecodeRejectsNonMaps(t *testing.T) {
 	codec, err := NewCodec()
 	if err != nil {
@@ -152,6 +153,6 @@
 		}
 	}
 	if err := codec.Decode([]byte{0xa1, 0x65}, &body); err == nil || errors.Is(err, ErrNotMap) {
-		t.Errorf("half a map: got %v", err)
+		t.Errorf("truncated map: got %v", err)
 	}
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -1,24 +1,23 @@
 package settings
 
-// FieldError says which field of a settings file, or which property, is missing or
-// wrong.
+// FieldError reports a missing or invalid field of the settings file, or an invalid property.
 type FieldError struct {
-	// Path is the field's place in the file, such as "settings.teams[0].name", or the
-	// property's key.
+	// Path is the path of the field in the file, such as "settings.teams[0].name", or the key
+	// of the property.
 	Path string
-	// Text says in one line what is wrong, with the value.
+	// Text describes the error in one line, including the value.
 	Text string
-	// Err is the cause if the file could not be decoded, else nil.
+	// Err is the decoder's error if the file could not be decoded, otherwise nil.
 	Err error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *FieldError) Error() string { return e.Text }
 
-// Unwrap returns the cause.
+// Unwrap returns the decoder's error, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// fieldError is the error of a field whose text begins with its path.
+// fieldError returns a FieldError whose text is the path followed by the problem.
 func fieldError(path, problem string) error {
 	return &FieldError{Path: path, Text: path + " " + problem}
 }
--- a/internal/settings/errors_test.go
+++ b/internal/settings/errors_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// What is wrong in the platform's file is told with the field's path and its value, in
-// one line.
+// An error in the settings file is reported with the path and the value of the field, in one
+// line.
 func TestParseErrorsNameFieldAndValue(t *testing.T) {
 	for _, c := range []struct{ old, new, path, text string }{
 		{`member = "n-0"`, ``, "member", "settings: member is missing"},
@@ -23,11 +23,11 @@
 	_, err := Parse([]byte(strings.Replace(validFile, `report_s = 2.5`, `report_s = "soon"`, 1)))
 	var field *FieldError
 	if !errors.As(err, &field) || !strings.HasSuffix(field.Path, "report_s") || field.Err == nil {
-		t.Errorf("a value of another type: got %v, field %+v", err, field)
+		t.Errorf("value of the wrong type: got %v, field %+v", err, field)
 	}
 }
 
-// What is wrong in the properties is told with the key and its value, in one line.
+// An error in the properties is reported with the key and the value, in one line.
 func TestPropertyErrorsNameKeyAndValue(t *testing.T) {
 	for property, want := range map[string]string{
 		"state.lease = 8":                 `properties: state.lease must be a duration from 1s to 10m0s: "8"`,
--- a/internal/settings/properties.go
+++ b/internal/settings/properties.go
@@ -11,39 +11,39 @@
 	"github.com/magiconair/properties"
 )
 
-// Tuning is the operators' own settings, each with its property's key.
+// Tuning contains the operators' settings. The key of each property is given in parentheses.
 type Tuning struct {
-	// StateLease (state.lease) is how long this process's lease in the state service lasts.
+	// StateLease (state.lease) is the TTL of this process's lease at the state service.
 	StateLease time.Duration
-	// MaxMissedHeartbeats (loss.silence_reports) is after how many heartbeat intervals
-	// without a heartbeat a machine gets no more tasks.
+	// MaxMissedHeartbeats (loss.silence_reports) is the number of heartbeat intervals without
+	// a heartbeat after which no more tasks are bound to a machine.
 	MaxMissedHeartbeats float64
-	// OfferWait (placement.offer_wait) is how long the response to a heartbeat waits for
-	// bindings.
+	// OfferWait (placement.offer_wait) is how long the response to a heartbeat is delayed to
+	// wait for bindings.
 	OfferWait time.Duration
-	// StartsPerResponse (placement.starts_per_reply) is how many tasks one response
-	// starts at the most.
+	// StartsPerResponse (placement.starts_per_reply) is the maximum number of tasks that one
+	// heartbeat response starts.
 	StartsPerResponse int
-	// StateRateShare (bookkeeping.write_share) is the share of the state service's rates that
-	// all controllers together use.
+	// StateRateShare (bookkeeping.write_share) is the fraction of the state service's request
+	// and write rates that all controllers together use.
 	StateRateShare float64
-	// IdleBeforeScaleIn (renting.idle_return) is how long an idle machine is kept.
+	// IdleBeforeScaleIn (renting.idle_return) is how long a machine stays idle before it is
+	// released.
 	IdleBeforeScaleIn time.Duration
-	// RequestTimeout (state.request_timeout) is how long a request to the state service
-	// may take.
+	// RequestTimeout (state.request_timeout) is the timeout of a request to the state service.
 	RequestTimeout time.Duration
 
-	// QuotaEscrow (quota.escrow) divides the teams' limits among the shards.
+	// QuotaEscrow (quota.escrow) enables the division of the teams' limits among the shards.
 	QuotaEscrow bool
-	// QuotaTransferInterval (quota.transfer_interval) is the least time between two
-	// changes of allocations by this process.
+	// QuotaTransferInterval (quota.transfer_interval) is the minimum time between two changes
+	// of allocations by this process.
 	QuotaTransferInterval time.Duration
-	// QuotaAudit (quota.audit) is the directory of the history of admissions; empty: none
-	// is kept.
+	// QuotaAudit (quota.audit) is the directory of the audit log of admissions; empty: no log is
+	// written.
 	QuotaAudit string
 }
 
-// DefaultTuning is what holds without a properties file.
+// DefaultTuning returns the values that apply without a properties file.
 func DefaultTuning() Tuning {
 	return Tuning{
 		StateLease:          3 * time.Second,
@@ -58,7 +58,8 @@
 	}
 }
 
-// LoadTuning reads a properties file over the defaults. See ParseTuning for its errors.
+// LoadTuning reads a properties file. Properties that it lacks have their defaults. See
+// ParseTuning for its errors; in addition, quota.audit must be an existing directory.
 func LoadTuning(path string) (Tuning, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -74,8 +75,9 @@
 	return t, nil
 }
 
-// ParseTuning reads properties over the defaults. An error that concerns a property wraps
-// a FieldError. A key that is not known is an error, since it is most likely misspelt.
+// ParseTuning parses properties. Those that text lacks have their defaults. An error that
+// concerns a property wraps a FieldError. An unknown key is an error, since it is most likely
+// misspelled.
 func ParseTuning(text string) (Tuning, error) {
 	p, err := properties.LoadString(text)
 	if err != nil {
@@ -96,15 +98,16 @@
 	return t, t.check()
 }
 
-// propertyError is the error of a property whose text begins with its key.
+// propertyError returns an error that wraps a FieldError of a property.
 func propertyError(key, problem string) error {
 	return fmt.Errorf("properties: %w", fieldError(key, problem))
 }
 
-// parser takes a property's value; its error says what the value must be.
+// propertyParser parses the value of a property and stores it. Its error states which values are
+// valid.
 type propertyParser func(value string) error
 
-// parsers has every property.
+// propertyParsers returns the parsers of all properties, by key. They store the values in t.
 func (t *Tuning) propertyParsers() map[string]propertyParser {
 	return map[string]propertyParser{
 		"state.lease":             durationParser(&t.StateLease, time.Second, 10*time.Minute),
@@ -122,63 +125,63 @@
 	}
 }
 
-// durationParser takes a duration such as 1.5s, within bounds.
-func durationParser(to *time.Duration, least, most time.Duration) propertyParser {
+// durationParser parses a duration such as 1.5s, from lower to upper.
+func durationParser(target *time.Duration, lower, upper time.Duration) propertyParser {
 	return func(value string) error {
 		v, err := time.ParseDuration(value)
-		if err != nil || v < least || v > most {
-			return fmt.Errorf("must be a duration from %v to %v", least, most)
+		if err != nil || v < lower || v > upper {
+			return fmt.Errorf("must be a duration from %v to %v", lower, upper)
 		}
-		*to = v
+		*target = v
 		return nil
 	}
 }
 
-// numberParser takes a decimal number, within bounds.
-func numberParser(to *float64, least, most float64) propertyParser {
+// numberParser parses a decimal number from lower to upper.
+func numberParser(target *float64, lower, upper float64) propertyParser {
 	return func(value string) error {
 		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsNaN(v) || v < least || v > most {
-			return fmt.Errorf("must be a number from %v to %v", least, most)
+		if err != nil || math.IsNaN(v) || v < lower || v > upper {
+			return fmt.Errorf("must be a number from %v to %v", lower, upper)
 		}
-		*to = v
+		*target = v
 		return nil
 	}
 }
 
-// countParser takes a whole number, within bounds.
-func countParser(to *int, least, most int) propertyParser {
+// countParser parses an integer from lower to upper.
+func countParser(target *int, lower, upper int) propertyParser {
 	return func(value string) error {
 		v, err := strconv.Atoi(value)
-		if err != nil || v < least || v > most {
-			return fmt.Errorf("must be a count from %d to %d", least, most)
+		if err != nil || v < lower || v > upper {
+			return fmt.Errorf("must be a count from %d to %d", lower, upper)
 		}
-		*to = v
+		*target = v
 		return nil
 	}
 }
 
-// booleanParser takes true or false.
-func booleanParser(to *bool) propertyParser {
+// booleanParser parses true or false.
+func booleanParser(target *bool) propertyParser {
 	return func(value string) error {
 		v, err := strconv.ParseBool(value)
 		if err != nil {
 			return errors.New("must be true or false")
 		}
-		*to = v
+		*target = v
 		return nil
 	}
 }
 
-// textParser takes any text.
-func textParser(to *string) propertyParser {
+// textParser accepts any text.
+func textParser(target *string) propertyParser {
 	return func(value string) error {
-		*to = value
+		*target = value
 		return nil
 	}
 }
 
-// check tells which properties contradict each other.
+// check returns an error if properties contradict each other.
 func (t *Tuning) check() error {
 	if t.QuotaAudit != "" && !t.QuotaEscrow {
 		return propertyError("quota.audit", "has nothing to record without quota.escrow")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings owns the form of the two files that configure a controller: the
-// platform's settings (TOML) and the operators' properties (Java-style). It reads them,
-// fills in the defaults and checks that values are present and within sensible bounds.
+// Package settings defines the two files that configure a controller: the platform's settings
+// (TOML) and the operators' properties (Java-style). It reads them, applies the defaults, and
+// checks that values are present and within sensible bounds.
 //
-// It promises that what Load and LoadTuning return has passed these checks, and that an
-// error names the field that is wrong, and its value, in one line. It never changes a
-// file, and it decides nothing that depends on a cluster's state.
+// What Load and LoadTuning return is guaranteed to have passed these checks. An error names the
+// invalid field and its value in one line. The package never writes a file, and nothing in it
+// depends on the state of a cluster.
 package settings
 
 import (
@@ -16,15 +16,16 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Peer is another controller.
+// Peer is another controller, with the IP address and port of its mesh listener.
 type Peer struct {
 	Member  string `toml:"member"`
 	Site    string `toml:"site"`
 	Address string `toml:"address"`
 }
 
-// Settings are what the platform sets for a deployment. Fields keep the file's units: a
-// name that ends in S is seconds, in Ms milliseconds, in KB, MB 1024 or 1024² bytes.
+// Settings contains the platform's settings for a deployment. Fields have the units of the file:
+// names that end in S are in seconds, in Ms in milliseconds, in KB in 1024 bytes, in MB in 1024²
+// bytes.
 type Settings struct {
 	Zones            []string    `toml:"zones"`
 	MaxClockOffsetMs float64     `toml:"clock_off_ms"`
@@ -36,8 +37,8 @@
 	Limits           Limits      `toml:"limits"`
 }
 
-// Team has a guarantee (CPUs, GPUs) and a limit (CPUsMax, GPUsMax). A limit of 0 is read
-// as none.
+// Team is a team of users with its guarantee (CPUs, GPUs) and its limit (CPUsMax, GPUsMax). A
+// limit of 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -46,24 +47,25 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective repeats an aim that the users have for a class of jobs.
+// Objective is a service level objective of the users for a class of jobs. Kind determines which
+// of the other fields apply.
 type Objective struct {
 	Kind           string  `toml:"kind"`
 	Class          string  `toml:"class"`
 	Share          float64 `toml:"share"`
-	DeadlineFactor float64 `toml:"times"`
+	DeadlineFactor float64 `toml:"times"` // multiple of the time from submission to deadline
 	WithinS        float64 `toml:"within_s"`
 }
 
-// Workers holds the workers' constants.
+// Workers contains the constants of the machines' protocol.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
-	LeaseS             float64 `toml:"lease_s"`  // without a response a worker ends its tasks
-	CancelS            float64 `toml:"cancel_s"` // within which a cancelled task has to end
+	LeaseS             float64 `toml:"lease_s"`  // a machine without a response for this long ends its tasks
+	CancelS            float64 `toml:"cancel_s"` // time within which a cancelled task must end
 }
 
-// State holds the state service's limits: requests and writes a second, the size of a
-// value, and the conditions and changes of a transaction together.
+// State contains the limits of the state service: requests and writes per second, the size of a
+// value, and the number of conditions and changes of a transaction together.
 type State struct {
 	RPS      float64   `toml:"rps"`
 	WriteRPS float64   `toml:"write_rps"`
@@ -72,8 +74,8 @@
 	Next     NextState `toml:"next"`
 }
 
-// NextState holds the limits that the state service will have from some moment
-// on, without notice. What is absent does not change.
+// NextState contains limits to which the state service will change at an unknown time, without
+// notice. A limit that is nil does not change.
 type NextState struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -81,40 +83,41 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Effective is the limits that hold before and after that moment: the smaller of both.
+// Effective returns limits that are safe before and after the change to Next: the smaller of
+// each pair.
 func (s State) Effective() State {
-	n := s.Next
+	next := s.Next
 	s.Next = NextState{}
-	if n.RPS != nil {
-		s.RPS = min(s.RPS, *n.RPS)
+	if next.RPS != nil {
+		s.RPS = min(s.RPS, *next.RPS)
 	}
-	if n.WriteRPS != nil {
-		s.WriteRPS = min(s.WriteRPS, *n.WriteRPS)
+	if next.WriteRPS != nil {
+		s.WriteRPS = min(s.WriteRPS, *next.WriteRPS)
 	}
-	if n.ValueKB != nil {
-		s.ValueKB = min(s.ValueKB, *n.ValueKB)
+	if next.ValueKB != nil {
+		s.ValueKB = min(s.ValueKB, *next.ValueKB)
 	}
-	if n.TxnOps != nil {
-		s.TxnOps = min(s.TxnOps, *n.TxnOps)
+	if next.TxnOps != nil {
+		s.TxnOps = min(s.TxnOps, *next.TxnOps)
 	}
 	return s
 }
 
-// Cloud holds the cloud's limits.
+// Cloud contains the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"` // how old its machine list may be
+	RPS      float64 `toml:"rps"`        // calls per second, of all controllers together
+	ListLagS float64 `toml:"list_lag_s"` // maximum age of its machine list
 }
 
-// Limits bounds this process: its share of processor cores, its memory and its open
-// sockets.
+// Limits contains the limits of this process: its share of the processor cores, its memory and
+// its open sockets.
 type Limits struct {
 	Cores   float64 `toml:"cores"`
 	MemMB   float64 `toml:"mem_mb"`
 	Sockets int     `toml:"sockets"`
 }
 
-// File is the platform's file. Fields that it does not know are ignored.
+// File is the platform's settings file. Unknown fields are ignored.
 type File struct {
 	Member   string `toml:"member"`
 	Site     string `toml:"site"`
@@ -128,7 +131,7 @@
 	Settings Settings `toml:"settings"`
 }
 
-// Load reads and checks the platform's file. See Parse for its errors.
+// Load reads, parses and checks the platform's settings file. See Parse for its errors.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -137,8 +140,8 @@
 	return Parse(text)
 }
 
-// Parse reads and checks the platform's file from memory. An error that concerns a field
-// wraps a FieldError.
+// Parse parses and checks the contents of the platform's settings file. An error that concerns a
+// field wraps a FieldError.
 func Parse(text []byte) (*File, error) {
 	var f File
 	if err := toml.Unmarshal(text, &f); err != nil {
@@ -150,7 +153,7 @@
 	return &f, nil
 }
 
-// decodeError names the field that the TOML decoder could not take, if it says so.
+// decodeError converts an error of the TOML decoder into a FieldError if it names a field.
 func decodeError(err error) error {
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) || len(decode.Key()) == 0 {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if f.Settings.Workers.LeaseS != 16 || f.Peers[0].Member != "n-1" || f.Settings.State.TxnOps != 32 {
-		t.Fatalf("misread: %+v", f)
+		t.Fatalf("parsed incorrectly: %+v", f)
 	}
 	for _, c := range []struct{ old, new, field string }{
 		{`member = "n-0"`, ``, "member"},
@@ -100,7 +100,7 @@
 		t.Errorf("got %+v, %v", got, err)
 	}
 	if DefaultTuning().QuotaEscrow {
-		t.Error("limits are divided without being asked for")
+		t.Error("QuotaEscrow is enabled by default")
 	}
 	for _, bad := range []string{"quota.escrow = perhaps", "quota.transfer_interval = -1s", "quota.transfer_interval = 1ms", "quota.audit = /var/audit", "quota.escro = true",
 		"state.leese = 8s", "state.lease = 8", "state.lease = 1ms", "loss.silence_reports = many", "placement.starts_per_reply = 0"} {
@@ -123,8 +123,8 @@
 	}
 }
 
-// From the first write the smaller of both limits holds; what next lacks, or
-// raises, changes nothing.
+// The effective limit is the smaller of the current and the next one, even before the change. A
+// limit that next lacks or raises stays as it is.
 func TestEffectiveLimitsAreTheSmaller(t *testing.T) {
 	for next, want := range map[string]State{
 		"":                                    {RPS: 200, WriteRPS: 40, ValueKB: 8, TxnOps: 32},
--- a/internal/settings/validation.go
+++ b/internal/settings/validation.go
@@ -9,7 +9,7 @@
 
 const maxPort = 65535
 
-// check tells what is missing or nonsensical in the platform's file.
+// check returns an error for the first field that is missing or invalid.
 func (f *File) check() error {
 	for _, check := range []func() error{f.checkNames, f.checkAddresses, f.checkPeers, f.Settings.checkNumbers, f.Settings.checkTeams} {
 		if err := check(); err != nil {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// checkNames checks whose file it is.
+// checkNames checks that the names of the member and its site are present.
 func (f *File) checkNames() error {
 	for _, name := range []struct{ path, value string }{
 		{"member", f.Member}, {"site", f.Site},
@@ -31,7 +31,8 @@
 	return nil
 }
 
-// checkAddresses checks where this controller listens and which services it calls.
+// checkAddresses checks the addresses on which this controller listens and those of the services
+// that it calls.
 func (f *File) checkAddresses() error {
 	for _, address := range []struct{ path, value string }{
 		{"api_addr", f.APIAddr}, {"mesh_addr", f.MeshAddr},
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// checkPeers checks the other controllers: each has another name.
+// checkPeers checks that the other controllers have distinct names and valid addresses.
 func (f *File) checkPeers() error {
 	seen := map[string]bool{f.Member: true}
 	for i, peer := range f.Peers {
@@ -60,15 +61,15 @@
 	return nil
 }
 
-// valueOr is a value that may be missing, or what holds then.
-func valueOr(value *float64, otherwise float64) float64 {
+// valueOr returns *value, or fallback if value is nil.
+func valueOr(value *float64, fallback float64) float64 {
 	if value == nil {
-		return otherwise
+		return fallback
 	}
 	return *value
 }
 
-// checkNumbers checks that all numbers are present and within what makes sense.
+// checkNumbers checks that all numbers are present and within sensible bounds.
 func (s *Settings) checkNumbers() error {
 	next := &s.State.Next
 	nextOps := float64(s.State.TxnOps)
@@ -105,7 +106,8 @@
 	return nil
 }
 
-// checkTeams checks that there are teams, each with another name and no negative amount.
+// checkTeams checks that there is at least one team, that names are distinct and that no amount
+// is negative.
 func (s *Settings) checkTeams() error {
 	if len(s.Teams) == 0 {
 		return fieldError("settings.teams", "is missing")
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// checkAddress checks that an address is an IP address with a port: names are not resolved.
+// checkAddress checks that an address is an IP address with a port; host names are not resolved.
 func checkAddress(path, address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
