--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -11,18 +11,18 @@
 // the warm pool, and of the other jobs those that should start sooner than a machine boots
 // to the forecast of machines.
 func (l *leader) observeArrival(j *trackedJob, now time.Duration) {
-	l.warmPool.classSeen(j.spec.Class)
+	l.warmPool.recordClass(j.spec.Class)
 	age := time.Duration(l.wallMs()-j.spec.SubmittedMs) * time.Millisecond
 	submitted := now - max(0, age)
 	if j.spec.Service {
-		l.warmPool.observe(j, submitted)
+		l.warmPool.observeService(j, submitted)
 		return
 	}
 	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, j.spec.Class)
 	if objective.Share == 0 || l.forecast.Full() {
 		return
 	}
-	kind, ok := l.kinds.best(kindQuery{job: j, now: now})
+	kind, ok := l.kinds.bestKind(kindQuery{job: j, now: now})
 	if !ok {
 		return
 	}
@@ -42,8 +42,8 @@
 }
 
 // arrivalObservationTime is the time for which a leader elected at a time is assumed to
-// have observed arrivals. It is longer by observationTime than the actual time, so that
+// have observed arrivals. It is longer by fleetObservationTime than the actual time, so that
 // the first few arrivals do not yield a high rate.
 func arrivalObservationTime(electedAt, now time.Duration) time.Duration {
-	return now - electedAt + observationTime
+	return now - electedAt + fleetObservationTime
 }
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -15,9 +15,9 @@
 	// this many times the usual time, and the grace.
 	bootTimeoutFactor = 3.0
 	bootTimeoutGrace  = 10 * time.Second
-	// observationTime is how long a new leader waits for heartbeats before it adds
+	// fleetObservationTime is how long a new leader waits for heartbeats before it adds
 	// machines.
-	observationTime = 6 * time.Second
+	fleetObservationTime = 6 * time.Second
 )
 
 // machineInventory is what the cloud says of machines and their types.
@@ -54,17 +54,17 @@
 
 // autoscalerInput is what one pass of the autoscaler goes by.
 type autoscalerInput struct {
-	now           time.Duration
-	wallMs        int64                      // Unix time
-	actingSince   time.Duration              // since when heartbeats have been answered without a break
-	pending       []*trackedJob              // in the order of service
-	requested     iter.Seq2[cloud.Kind, int] // machines, by request that the cloud has not answered
-	forecast      map[string]int             // how many machines of each type there should be at the least
-	machinesKnown bool                       // every machine that may hold a task is known
+	now               time.Duration
+	wallMs            int64                      // Unix time
+	actingSince       time.Duration              // since when heartbeats have been answered without a break
+	pendingJobs       []*trackedJob              // in the order of service
+	requestedMachines iter.Seq2[cloud.Kind, int] // machines, by request that the cloud has not answered
+	forecastMachines  map[string]int             // how many machines of each type there should be at the least
+	machinesKnown     bool                       // every machine that may hold a task is known
 }
 
-// onMachineList takes from the cloud's list when machines were created.
-func (a *autoscaler) onMachineList(now time.Duration) {
+// recordCreationTimes takes from the cloud's list when machines were created.
+func (a *autoscaler) recordCreationTimes(now time.Duration) {
 	for name, listed := range a.inventory.AllListed() {
 		if m := a.machines.get(name); m != nil && m.createdAt == 0 {
 			m.createdAt = now - seconds(listed.AgeS)
@@ -75,7 +75,7 @@
 // knowsFleet tells whether a new leader knows the fleet well enough to add to it:
 // it has waited for a while, or there is nobody to be heard of.
 func (a *autoscaler) knowsFleet(in *autoscalerInput) bool {
-	if in.now-a.electedAt >= observationTime {
+	if in.now-a.electedAt >= fleetObservationTime {
 		return true
 	}
 	if !in.machinesKnown || a.inventory.ListedAt() <= a.electedAt {
@@ -91,11 +91,11 @@
 
 // obtainable tells whether a machine for a job's tasks can be created or is
 // booting.
-func (a *autoscaler) obtainable(job *trackedJob, now time.Duration) bool {
-	if _, ok := a.kinds.best(kindQuery{job: job, now: now}); ok || now-a.electedAt < observationTime {
+func (a *autoscaler) machineObtainable(job *trackedJob, now time.Duration) bool {
+	if _, ok := a.kinds.bestKind(kindQuery{job: job, now: now}); ok || now-a.electedAt < fleetObservationTime {
 		return true
 	}
-	for kind, n := range a.counts.booting {
+	for kind, n := range a.counts.bootingByKind {
 		if n > 0 && permits(job.spec, kind) {
 			return true
 		}
--- a/internal/coordination/draining_test.go
+++ b/internal/coordination/draining_test.go
@@ -30,7 +30,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			pool := &warmPool{counts: &fleetCounts{}, schedulable: func(*machine, time.Duration) bool { return true }}
 			if test.spare {
-				pool.members = []*machine{{name: "vm-2", free: resources{cpus: 8, memoryGB: 64}}}
+				pool.poolMachines = []*machine{{name: "vm-2", free: resources{cpus: 8, memoryGB: 64}}}
 			}
 			d := &drainer{warmPool: pool, runTime: func(*meshpb.JobSummary) time.Duration { return run }}
 			job := testJob(&meshpb.JobSummary{Cpus: 2, Service: test.service})
--- a/internal/coordination/fleet_counts.go
+++ b/internal/coordination/fleet_counts.go
@@ -8,10 +8,10 @@
 // fleetCounts says how many machines there are, as the autoscaler counted them
 // once a second. Other components only read it.
 type fleetCounts struct {
-	kinds            []machineKind       // that can be created, spot ones first
-	perZone          map[string]int      // machines, there or to come
-	perType          map[string]int      // machines that are schedulable, starting, requested or planned
-	booting          map[machineKind]int // machines that were created and should be up soon
+	creatableKinds   []machineKind       // that can be created, spot ones first
+	machinesByZone   map[string]int      // machines, there or to come
+	machinesByType   map[string]int      // machines that are schedulable, starting, requested or planned
+	bootingByKind    map[machineKind]int // machines that were created and should be up soon
 	partitionedZones map[string]bool     // zones in which so many machines are silent that they must be cut off
 	reportedMachines int                 // machines that have sent a heartbeat to this leader
 	reportedCPUs     float64             // that these have
@@ -22,17 +22,17 @@
 const partitionDivisor = 8
 
 // count counts the machines anew.
-func (a *autoscaler) count(in *autoscalerInput) {
+func (a *autoscaler) countMachines(in *autoscalerInput) {
 	c := &a.counts
 	*c = fleetCounts{
-		kinds:   c.kinds[:0],
-		perZone: make(map[string]int),
-		perType: make(map[string]int),
-		booting: make(map[machineKind]int),
+		creatableKinds: c.creatableKinds[:0],
+		machinesByZone: make(map[string]int),
+		machinesByType: make(map[string]int),
+		bootingByKind:  make(map[machineKind]int),
 	}
 	a.listKinds()
-	for kind, n := range in.requested {
-		c.perType[kind.Type] += n
+	for kind, n := range in.requestedMachines {
+		c.machinesByType[kind.Type] += n
 	}
 	silent, heard := make(map[string]int), make(map[string]int)
 	for m := range a.machines.all {
@@ -62,25 +62,25 @@
 }
 
 func (a *autoscaler) countPresent(m *machine, now time.Duration) {
-	a.counts.perZone[m.zone]++
+	a.counts.machinesByZone[m.zone]++
 	if a.schedulable(m, now) || (m.starting() && !m.terminating) {
-		a.counts.perType[m.typeName]++
+		a.counts.machinesByType[m.typeName]++
 	}
 	if t := a.inventory.Type(m.typeName); t != nil && !m.terminating && m.starting() && now-m.createdAt < bootTimeout(t) {
-		a.counts.booting[m.machineKind]++
+		a.counts.bootingByKind[m.machineKind]++
 	}
 }
 
 // listKinds lists what can be created: spot machines first, by type and zone.
 func (a *autoscaler) listKinds() {
-	kinds := a.counts.kinds
+	kinds := a.counts.creatableKinds
 	for name, t := range a.inventory.Catalog() {
 		for _, zone := range t.Zones {
 			kinds = append(kinds, machineKind{name, zone, true}, machineKind{name, zone, false})
 		}
 	}
 	sort.Slice(kinds, func(i, k int) bool { return kinds[i].before(kinds[k]) })
-	a.counts.kinds = kinds
+	a.counts.creatableKinds = kinds
 }
 
 func (k machineKind) before(other machineKind) bool {
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	largeFleetSize     = 6000
-	largeFleetInterval = 8 * time.Second // report_s of a large fleet
-	heartbeatsPerTick  = largeFleetSize * int(tickInterval) / int(largeFleetInterval)
+	largeFleetSize              = 6000
+	largeFleetHeartbeatInterval = 8 * time.Second // report_s of a large fleet
+	heartbeatsPerTick           = largeFleetSize * int(tickInterval) / int(largeFleetHeartbeatInterval)
 )
 
 // newLargeSimulation has settings like those of a large deployment: the cloud answers three
@@ -25,7 +25,7 @@
 	sim.Cloud.RPS = 3
 	sim.AdjustSettings = func(f *settings.File) {
 		f.Settings.Cloud.RPS = sim.Cloud.RPS
-		f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS, f.Settings.Workers.CancelS = largeFleetInterval.Seconds(), 40, 100
+		f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS, f.Settings.Workers.CancelS = largeFleetHeartbeatInterval.Seconds(), 40, 100
 	}
 	sim.ExpireLeases, sim.WorkerLease = true, 40*time.Second
 	sim.StartAll()
@@ -33,16 +33,16 @@
 }
 
 // largeFleetScenario has the workers send heartbeats in turn, each once in
-// largeFleetInterval, and again a
+// largeFleetHeartbeatInterval, and again a
 // second after a heartbeat that was refused.
 type largeFleetScenario struct {
 	*simulation
-	nextAgent int
-	retries   map[time.Duration][]*simtest.Agent
-	refused   map[string]int
+	nextAgent  int
+	retries    map[time.Duration][]*simtest.Agent
+	rejections map[string]int
 }
 
-func (scenario *largeFleetScenario) play(span time.Duration) {
+func (scenario *largeFleetScenario) runFor(span time.Duration) {
 	for end := scenario.Now() + span; scenario.Now() < end; {
 		scenario.Advance(tickInterval)
 		if scenario.Now()%time.Second == 0 {
@@ -80,7 +80,7 @@
 		if err := scenario.Codec.Decode(r.Body, &e); err != nil {
 			scenario.T.Fatal(err)
 		}
-		scenario.refused[e.Error]++
+		scenario.rejections[e.Error]++
 	}
 }
 
@@ -91,7 +91,7 @@
 		if scenario.Now() >= end {
 			scenario.T.Fatalf("%s: not within %s; %d machines, %d tasks run", what, limit, len(scenario.Agents), scenario.runningTasks())
 		}
-		scenario.play(time.Second)
+		scenario.runFor(time.Second)
 	}
 }
 
@@ -101,7 +101,7 @@
 // whole, as its pages came faster than the cloud answers.
 func TestFleetOfSixThousandMachines(t *testing.T) {
 	sim := newLargeSimulation(t)
-	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*simtest.Agent), refused: make(map[string]int)}
+	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*simtest.Agent), rejections: make(map[string]int)}
 	const tasksPerJob = 200
 	jobs := largeFleetSize / tasksPerJob
 	for i := range jobs {
@@ -116,18 +116,18 @@
 
 	lead := sim.Leader()
 	sim.Crash(lead.Name)
-	scenario.play(20 * time.Second)
+	scenario.runFor(20 * time.Second)
 	requireEqual(t, "tasks that run after the leader was lost", scenario.runningTasks(), largeFleetSize)
 	sim.Start(lead.Name)
-	scenario.play(10 * time.Second)
+	scenario.runFor(10 * time.Second)
 
 	sim.CrashAll()
 	sim.Advance(5 * time.Second)
 	sim.StartMembers()
-	scenario.play(40 * time.Second)
+	scenario.runFor(40 * time.Second)
 	requireEqual(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
 	requireEqual(t, "starts in all", scenario.startCount(), started)
-	requireEqual(t, "heartbeats refused for size", scenario.refused["too many machines"]+scenario.refused["too many reports"], 0)
+	requireEqual(t, "heartbeats refused for size", scenario.rejections["too many machines"]+scenario.rejections["too many reports"], 0)
 
 	sim.FinishAllTasks()
 	scenario.waitFor("every job is done", time.Minute, func() bool {
@@ -162,7 +162,7 @@
 		if left == 0 {
 			return true
 		}
-		scenario.play(time.Second)
+		scenario.runFor(time.Second)
 	}
 	return false
 }
@@ -233,7 +233,7 @@
 
 // A machine that is up, but sends a new leader heartbeats only after its long interval,
 // is not taken for a failed boot and returned with its tasks.
-func TestLongHeartbeatIntervalIsNoFailedBoot(t *testing.T) {
+func TestLongHeartbeatIntervalIsNotAFailedBoot(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
 	sim.AdjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
 	sim.StartAll()
--- a/internal/coordination/kind_selection.go
+++ b/internal/coordination/kind_selection.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// costTolerance is by how much costs may differ that count as equal.
-	costTolerance = 1e-12
-	// servicePriceTolerance is how many times the least cost a replica of a
+	// priceTolerance is by how much costs may differ that count as equal.
+	priceTolerance = 1e-12
+	// servicePriceFactor is how many times the least cost a replica of a
 	// service may cost on a kind that fetches its image sooner.
-	servicePriceTolerance = 1.25
+	servicePriceFactor = 1.25
 	// exclusiveNeedWindow is for how long a type stays reserved for the jobs that
 	// fit on no other, after one was seen.
 	exclusiveNeedWindow = 3 * time.Minute
@@ -33,23 +33,23 @@
 // their availability: which the cloud refused of late, and which types are the
 // only ones that some job fits on. It changes neither jobs nor machines.
 type kindSelector struct {
-	catalog         catalog
-	counts          *fleetCounts // the autoscaler's last count, only read here
-	refusedUntil    map[machineKind]time.Duration
-	exclusiveNeedAt map[string]time.Duration // by type, when a job was last seen that fits on no other
+	catalog          catalog
+	counts           *fleetCounts // the autoscaler's last count, only read here
+	unavailableUntil map[machineKind]time.Duration
+	exclusiveNeedAt  map[string]time.Duration // by type, when a job was last seen that fits on no other
 }
 
 func newKindSelector(types catalog, counts *fleetCounts) kindSelector {
 	return kindSelector{
-		catalog:         types,
-		counts:          counts,
-		refusedUntil:    make(map[machineKind]time.Duration),
-		exclusiveNeedAt: make(map[string]time.Duration),
+		catalog:          types,
+		counts:           counts,
+		unavailableUntil: make(map[machineKind]time.Duration),
+		exclusiveNeedAt:  make(map[string]time.Duration),
 	}
 }
 
-// noteExclusiveNeed notes that a job is there that fits on a single type.
-func (s *kindSelector) noteExclusiveNeed(typeName string, now time.Duration) {
+// recordExclusiveNeed notes that a job is there that fits on a single type.
+func (s *kindSelector) recordExclusiveNeed(typeName string, now time.Duration) {
 	s.exclusiveNeedAt[typeName] = now
 }
 
@@ -67,17 +67,19 @@
 }
 
 // refuse notes that the cloud has no machines of a kind for a time.
-func (s *kindSelector) refuse(kind machineKind, until time.Duration) { s.refusedUntil[kind] = until }
+func (s *kindSelector) markKindUnavailable(kind machineKind, until time.Duration) {
+	s.unavailableUntil[kind] = until
+}
 
 // refused tells whether the cloud has no machines of a kind at present.
-func (s *kindSelector) refused(kind machineKind, now time.Duration) bool {
-	return s.refusedUntil[kind] > now
+func (s *kindSelector) kindUnavailable(kind machineKind, now time.Duration) bool {
+	return s.unavailableUntil[kind] > now
 }
 
 // contended tells whether the cloud has refused a kind of late while some job
 // fits on no other type.
 func (s *kindSelector) contended(kind machineKind, now time.Duration) bool {
-	until, refused := s.refusedUntil[kind]
+	until, refused := s.unavailableUntil[kind]
 	return refused && now < until+contentionWindow && s.hasExclusiveNeed(kind.typeName, now)
 }
 
@@ -114,16 +116,16 @@
 
 // kindQuery asks for the kind of machine that should be created for a task.
 type kindQuery struct {
-	job            *trackedJob
-	now            time.Duration
-	includeRefused bool                // also kinds that the cloud refuses at present
-	planned        map[machineKind]int // machines that are about to be requested
+	job                *trackedJob
+	now                time.Duration
+	includeUnavailable bool                // also kinds that the cloud refuses at present
+	planned            map[machineKind]int // machines that are about to be requested
 }
 
 // kindCandidate is a kind of machine that could be created for a task.
 type kindCandidate struct {
 	kind           machineKind
-	cost           float64       // of the part of the machine that the task takes, an hour
+	taskPrice      float64       // of the part of the machine that the task takes, an hour
 	fetchTime      time.Duration // of the task's image
 	machinesInZone int           // there or to come
 }
@@ -133,34 +135,34 @@
 // in the zone with the fewest machines. Replicas of services are wanted back at
 // once, and stay: among kinds that cost little more the one that fetches their
 // image soonest is taken.
-func (s *kindSelector) best(q kindQuery) (machineKind, bool) {
-	candidates := s.candidates(q)
+func (s *kindSelector) bestKind(q kindQuery) (machineKind, bool) {
+	candidates := s.listCandidates(q)
 	if len(candidates) == 0 {
 		return machineKind{}, false
 	}
 	service := q.job.spec.Service
-	limit := costLimitOf(candidates, service)
+	limit := priceLimit(candidates, service)
 	var best *kindCandidate
 	for i := range candidates {
 		c := &candidates[i]
-		if c.cost <= limit && (best == nil || c.preferredTo(best, service)) {
+		if c.taskPrice <= limit && (best == nil || c.preferredTo(best, service)) {
 			best = c
 		}
 	}
 	return best.kind, true
 }
 
-// costLimitOf is what a candidate may cost to count as about as cheap as the
+// priceLimit is what a candidate may cost to count as about as cheap as the
 // cheapest.
-func costLimitOf(candidates []kindCandidate, service bool) float64 {
+func priceLimit(candidates []kindCandidate, service bool) float64 {
 	least := math.Inf(1)
 	for _, c := range candidates {
-		least = math.Min(least, c.cost)
+		least = math.Min(least, c.taskPrice)
 	}
 	if service {
-		return least * servicePriceTolerance
+		return least * servicePriceFactor
 	}
-	return least + costTolerance
+	return least + priceTolerance
 }
 
 // preferredTo compares kinds that are about as cheap.
@@ -168,14 +170,14 @@
 	switch {
 	case service && c.fetchTime != other.fetchTime:
 		return c.fetchTime < other.fetchTime
-	case math.Abs(c.cost-other.cost) > costTolerance:
-		return c.cost < other.cost
+	case math.Abs(c.taskPrice-other.taskPrice) > priceTolerance:
+		return c.taskPrice < other.taskPrice
 	}
 	return c.machinesInZone < other.machinesInZone
 }
 
 // candidates lists the kinds of machines that could be created for a task.
-func (s *kindSelector) candidates(q kindQuery) []kindCandidate {
+func (s *kindSelector) listCandidates(q kindQuery) []kindCandidate {
 	plannedInZone := make(map[string]int)
 	for kind, n := range q.planned {
 		plannedInZone[kind.zone] += n
@@ -189,14 +191,14 @@
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				kind := machineKind{name, zone, spot}
-				if (!q.includeRefused && s.refused(kind, q.now)) || !permits(q.job.spec, kind) {
+				if (!q.includeUnavailable && s.kindUnavailable(kind, q.now)) || !permits(q.job.spec, kind) {
 					continue
 				}
 				candidates = append(candidates, kindCandidate{
 					kind:           kind,
-					cost:           priceOf(t, spot) * part,
+					taskPrice:      priceOf(t, spot) * part,
 					fetchTime:      fetchTime(q.job.image, t),
-					machinesInZone: s.counts.perZone[zone] + plannedInZone[zone],
+					machinesInZone: s.counts.machinesByZone[zone] + plannedInZone[zone],
 				})
 			}
 		}
--- a/internal/coordination/kind_selection_test.go
+++ b/internal/coordination/kind_selection_test.go
@@ -44,24 +44,24 @@
 		want    machineKind
 		ok      bool
 	}{
-		{"the cheapest is a spot machine", array, fleetCounts{perZone: map[string]int{"z1": 1}}, kindQuery{}, nil, machineKind{"m8", "z2", true}, true},
-		{"the zone with fewer machines", ordinary, fleetCounts{perZone: map[string]int{"z2": 3}}, kindQuery{}, nil, machineKind{"m8", "z1", false}, true},
-		{"planned machines count in their zone", ordinary, fleetCounts{perZone: map[string]int{"z2": 3}},
+		{"the cheapest is a spot machine", array, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{}, nil, machineKind{"m8", "z2", true}, true},
+		{"the zone with fewer machines", ordinary, fleetCounts{machinesByZone: map[string]int{"z2": 3}}, kindQuery{}, nil, machineKind{"m8", "z1", false}, true},
+		{"planned machines count in their zone", ordinary, fleetCounts{machinesByZone: map[string]int{"z2": 3}},
 			kindQuery{planned: map[machineKind]int{{"m8", "z1", false}: 4}}, nil, machineKind{"m8", "z2", false}, true},
 		{"a replica gets what fetches sooner, if it costs little more", service, fleetCounts{}, kindQuery{}, nil, machineKind{"fast", "z1", false}, true},
-		{"what the cloud refuses is left out", service, fleetCounts{perZone: map[string]int{"z1": 1}}, kindQuery{},
+		{"what the cloud refuses is left out", service, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{},
 			[]machineKind{{"fast", "z1", false}}, machineKind{"m8", "z2", false}, true},
-		{"unless it is asked for", service, fleetCounts{}, kindQuery{includeRefused: true},
+		{"unless it is asked for", service, fleetCounts{}, kindQuery{includeUnavailable: true},
 			[]machineKind{{"fast", "z1", false}}, machineKind{"fast", "z1", false}, true},
 		{"nothing fits", &meshpb.JobSummary{Cpus: 9}, fleetCounts{}, kindQuery{}, nil, machineKind{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			kinds := newKindSelector(testCatalog(), &test.counts)
 			for _, kind := range test.refused {
-				kinds.refuse(kind, now+1)
+				kinds.markKindUnavailable(kind, now+1)
 			}
 			test.query.job, test.query.now = testJob(test.spec), now
-			kind, ok := kinds.best(test.query)
+			kind, ok := kinds.bestKind(test.query)
 			requireEqual(t, "kind", kind, test.want)
 			requireEqual(t, "found", ok, test.ok)
 		})
@@ -79,7 +79,7 @@
 	requireEqual(t, "several types fit", kinds.onlyFittingType(array.spec), "")
 	service := testJob(&meshpb.JobSummary{Cpus: 1, Service: true})
 
-	kinds.noteExclusiveNeed(needy.onlyMachineType, 0)
+	kinds.recordExclusiveNeed(needy.onlyMachineType, 0)
 	requireEqual(t, "reserved for the job that needs it", kinds.reservedForOthers(needy, "gpu", 1), false)
 	requireEqual(t, "reserved against others", kinds.reservedForOthers(array, "gpu", 1), true)
 	requireEqual(t, "reserved against services", kinds.reservedForOthers(service, "gpu", 1), false)
@@ -87,7 +87,7 @@
 	requireEqual(t, "after a while", kinds.reservedForOthers(array, "gpu", exclusiveNeedWindow), false)
 }
 
-func TestLeadTimeIsThatOfTheSoonestType(t *testing.T) {
+func TestLeadTimeIsThatOfTheFastestType(t *testing.T) {
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
 	requireEqual(t, "boot and fetch", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1})), 20*time.Second+500*time.Millisecond)
 	requireEqual(t, "of the only type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})), 42*time.Second)
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -42,14 +42,14 @@
 const (
 	slowTickInterval = time.Second
 
-	// sweepParts is in how many parts the work that concerns all machines is
+	// slicesPerSweep is in how many parts the work that concerns all machines is
 	// done: one a tick, all of them in a second.
-	sweepParts = int(time.Second / tickInterval)
+	slicesPerSweep = int(time.Second / tickInterval)
 
 	// A leader resigns if no response has surely arrived for so many intervals
 	// of machines' heartbeats, and for so long.
-	deliveryTimeoutHeartbeats = 4
-	minDeliveryTimeout        = 10 * time.Second
+	deliveryTimeoutIntervals = 4
+	minDeliveryTimeout       = 10 * time.Second
 )
 
 // becomeLeader begins to lead under a fencing token.
@@ -83,7 +83,7 @@
 	}
 	l.machines.init()
 	l.reconciler = reconciler{leases: l.leases, machines: &l.machines, quotaEscrow: env.tuning.QuotaEscrow}
-	l.publisher.memberCount = env.members
+	l.publisher.memberCount = env.memberCount
 	l.jobs = jobTable{
 		byID:            make(map[string]*trackedJob),
 		images:          &l.images,
@@ -124,7 +124,7 @@
 		l.actingSince = now
 		l.deliveries.reset(now)
 	}
-	l.machines.nextSlice(sweepParts, func(m *machine) { l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now) })
+	l.machines.nextSlice(slicesPerSweep, func(m *machine) { l.usage.updateUnreconciled(m, l.env.cloud.Catalog(), now) })
 	if mayAct {
 		l.records.writeIfDue(now)
 	}
@@ -153,8 +153,8 @@
 // reachesMachines tells whether machines still get responses from here. Without
 // it the responses that name this member would keep every machine trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
-	timeout := max(seconds(deliveryTimeoutHeartbeats*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
-	if l.deliveries.sinceLastProof(now) < timeout || l.env.members == 1 {
+	timeout := max(seconds(deliveryTimeoutIntervals*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
+	if l.deliveries.sinceLastProof(now) < timeout || l.env.memberCount == 1 {
 		return true
 	}
 	for m := range l.machines.all {
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -32,12 +32,12 @@
 type leaderEnvironment struct {
 	settings     *settings.Settings
 	tuning       *settings.Tuning
-	members      int           // of the deployment
+	memberCount  int           // of the deployment
 	leaseTimeout time.Duration // of machines, after the arrival of a heartbeat
 	silenceLimit time.Duration // after which a machine gets no more starts
 
 	clock     storage.Clock
-	wall      func() time.Time
+	wallClock func() time.Time
 	codec     *protocol.Codec
 	log       *zerolog.Logger
 	store     leaderStore
@@ -57,11 +57,11 @@
 	return leaderEnvironment{
 		settings:      &c.cfg.Settings,
 		tuning:        &c.tuning,
-		members:       1 + len(c.peers),
+		memberCount:   1 + len(c.peers),
 		leaseTimeout:  c.workerLeaseTimeout(),
 		silenceLimit:  c.silenceLimit(),
 		clock:         c.env.Clock,
-		wall:          c.env.Wall,
+		wallClock:     c.env.Wall,
 		codec:         c.codec,
 		log:           &c.log,
 		store:         c.store,
@@ -82,7 +82,7 @@
 func (l *leader) now() time.Duration { return l.env.clock.Now() }
 
 // wallMs is the Unix time in milliseconds.
-func (l *leader) wallMs() int64 { return l.env.wall().UnixMilli() }
+func (l *leader) wallMs() int64 { return l.env.wallClock().UnixMilli() }
 
 // countResponse counts an event, to be logged with others.
 func (l *leader) countResponse(e responseEvent) { l.env.events.Add(int(e)) }
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -92,7 +92,7 @@
 		schedulable:       l.schedulable,
 		runTime:           l.runTime,
 		withinTeamLimit:   l.withinTeamLimit,
-		machineObtainable: l.autoscaler.obtainable,
+		machineObtainable: l.autoscaler.machineObtainable,
 	}
 }
 
@@ -106,15 +106,15 @@
 	l.scheduler.queue.markDirty()
 	l.scheduler.rebuildQueue(now)
 	in := &autoscalerInput{
-		now:           now,
-		wallMs:        l.wallMs(),
-		actingSince:   l.actingSince,
-		pending:       l.scheduler.queue.jobs,
-		requested:     l.scaler.PendingScaleOuts(),
-		forecast:      l.forecast.MachinesWanted(now, arrivalObservationTime(l.electedAt, now)),
-		machinesKnown: l.records.machinesKnown(),
+		now:               now,
+		wallMs:            l.wallMs(),
+		actingSince:       l.actingSince,
+		pendingJobs:       l.scheduler.queue.jobs,
+		requestedMachines: l.scaler.PendingScaleOuts(),
+		forecastMachines:  l.forecast.MachinesWanted(now, arrivalObservationTime(l.electedAt, now)),
+		machinesKnown:     l.records.machinesKnown(),
 	}
-	l.autoscaler.count(in)
+	l.autoscaler.countMachines(in)
 	l.warmPool.resize(now)
 	available := l.autoscaler.collectSupply(in)
 	shortfalls := l.autoscaler.matchPending(in, available)
@@ -137,7 +137,7 @@
 		}
 		job.onlyMachineType = l.kinds.onlyFittingType(job.spec)
 		if job.onlyMachineType != "" {
-			l.kinds.noteExclusiveNeed(job.onlyMachineType, now)
+			l.kinds.recordExclusiveNeed(job.onlyMachineType, now)
 		}
 	}
 }
--- a/internal/coordination/listed_machines.go
+++ b/internal/coordination/listed_machines.go
@@ -29,7 +29,7 @@
 			l.markTerminated(m)
 		}
 	}
-	l.autoscaler.onMachineList(now)
+	l.autoscaler.recordCreationTimes(now)
 }
 
 // missingFromCloud reports whether a machine known only from an earlier leader's record seems
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -95,7 +95,7 @@
 	if s.guaranteeCPUs <= 0 {
 		return nil
 	}
-	for _, job := range s.belowGuarantee {
+	for _, job := range s.jobsBelowGuarantee {
 		if p.placement.canOfferWhenEmpty(m, job, now) {
 			victims, cpus := p.chooseCheapest(m, s.guaranteeCPUs, s.guaranteeCostLimit, now, exceedsGuarantee)
 			s.guaranteeCPUs -= cpus
@@ -200,7 +200,7 @@
 			free.add(replica.job.spec)
 			continue
 		}
-		if p.preemptible(m, replica, now) && replica.yieldsTo(job) && preemptionCost(m, replica, now) <= p.shortage.idleCostLimit {
+		if p.preemptible(m, replica, now) && replica.yieldsTo(job) && preemptionCost(m, replica, now) <= p.shortage.standardCostLimit {
 			idle = append(idle, replica)
 		}
 	}
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -17,9 +17,9 @@
 	// endedJobLimitDivisor: a machine may run a task of an ended job for this part
 	// of the time in which a cancelled job has to be stopped.
 	endedJobLimitDivisor = 3
-	// ordinaryIdleDivisor: ordinary machines, which cost several times as much,
+	// onDemandIdleDivisor: ordinary machines, which cost several times as much,
 	// may be idle for this part of the time of spot ones.
-	ordinaryIdleDivisor = 2
+	onDemandIdleDivisor = 2
 )
 
 // machinesToRelease returns the names of the machines to release, in order: idle
@@ -70,21 +70,21 @@
 	if !a.idleTooLong(m, in) {
 		return false
 	}
-	a.counts.perType[m.typeName]--
+	a.counts.machinesByType[m.typeName]--
 	return true
 }
 
 // bootFailed tells whether a machine should have sent a heartbeat by now. It is
 // charged until it is released.
 func (a *autoscaler) bootFailed(m *machine, t *protocol.MachineType, now time.Duration) bool {
-	return t != nil && m.createdAt != 0 && now-m.createdAt > bootTimeout(t) && now-a.electedAt > a.firstHeartbeatsTime()
+	return t != nil && m.createdAt != 0 && now-m.createdAt > bootTimeout(t) && now-a.electedAt > a.firstHeartbeatTimeout()
 }
 
-// firstHeartbeatsTime is the time in which machines that are up have sent a
+// firstHeartbeatTimeout is the time in which machines that are up have sent a
 // heartbeat to a new leader. With long intervals it is more than a boot's grace:
 // machines that had sent none by then were taken for failed boots, and released
 // with their tasks.
-func (a *autoscaler) firstHeartbeatsTime() time.Duration {
+func (a *autoscaler) firstHeartbeatTimeout() time.Duration {
 	return max(bootTimeoutGrace, seconds(heartbeatJitterFactor*a.settings.Workers.HeartbeatIntervalS)+leaderSearchTime)
 }
 
@@ -159,14 +159,14 @@
 func (a *autoscaler) idleTooLong(m *machine, in *autoscalerInput) bool {
 	idleLimit := a.tuning.IdleBeforeScaleIn
 	if !m.spot {
-		idleLimit /= ordinaryIdleDivisor
+		idleLimit /= onDemandIdleDivisor
 	}
 	switch {
 	case m.neededByPendingTasks || m.inWarmPool:
 		return false
 	case in.now-m.idleSince <= idleLimit || in.now-m.createdAt <= minChargedTime:
 		return false
-	case m.spot && a.counts.perType[m.typeName] <= in.forecast[m.typeName]:
+	case m.spot && a.counts.machinesByType[m.typeName] <= in.forecastMachines[m.typeName]:
 		return false
 	}
 	return true
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -20,7 +20,7 @@
 
 func (p *scaleOutPlan) add(kind machineKind) {
 	p.machines[kind]++
-	p.counts.perType[kind.typeName]++
+	p.counts.machinesByType[kind.typeName]++
 }
 
 // planScaleOut plans machines for the tasks that no supply takes, for the warm
@@ -31,7 +31,7 @@
 	for _, short := range shortfalls {
 		limit -= a.planForJob(plan, short, s, limit, in.now)
 	}
-	pool.planScaleOut(plan, machinesToCome(a.counts.booting, in.requested), limit, in.now)
+	pool.planScaleOut(plan, incomingMachines(a.counts.bootingByKind, in.requestedMachines), limit, in.now)
 	a.planForForecast(plan, in, limit)
 	return plan.machines
 }
@@ -48,10 +48,10 @@
 			continue
 		}
 		// Machines that were planned for a job before may have room left.
-		if tasks = a.takeSupply(short.job, tasks, s, now); tasks == 0 {
+		if tasks = a.allocateSupply(short.job, tasks, s, now); tasks == 0 {
 			break
 		}
-		kind, ok := a.kinds.best(kindQuery{job: short.job, now: now, planned: plan.machines})
+		kind, ok := a.kinds.bestKind(kindQuery{job: short.job, now: now, planned: plan.machines})
 		if !ok {
 			break
 		}
@@ -66,16 +66,16 @@
 // planForForecast plans the machines that are forecast: of the cheapest kinds,
 // and no ordinary ones, which cost several times as much as spot machines.
 func (a *autoscaler) planForForecast(plan *scaleOutPlan, in *autoscalerInput, limit int) {
-	for _, kind := range a.counts.kinds {
-		for kind.spot && limit > 0 && !a.kinds.refused(kind, in.now) && a.counts.perType[kind.typeName] < in.forecast[kind.typeName] {
+	for _, kind := range a.counts.creatableKinds {
+		for kind.spot && limit > 0 && !a.kinds.kindUnavailable(kind, in.now) && a.counts.machinesByType[kind.typeName] < in.forecastMachines[kind.typeName] {
 			plan.add(kind)
 			limit--
 		}
 	}
 }
 
-// machinesToCome counts the machines that boot or are requested.
-func machinesToCome(booting map[machineKind]int, requested iter.Seq2[cloud.Kind, int]) map[machineKind]int {
+// incomingMachines counts the machines that boot or are requested.
+func incomingMachines(booting map[machineKind]int, requested iter.Seq2[cloud.Kind, int]) map[machineKind]int {
 	coming := make(map[machineKind]int)
 	for kind, n := range booting {
 		coming[kind] += n
@@ -91,10 +91,10 @@
 	return cloud.MaxMachinesPerScaleOut * max(1, int(cloud.LeaderCallsPerSecond(a.settings.Cloud.RPS)))
 }
 
-// tasksToSupply is how many of a job's pending tasks should find room soon. Urgent
+// tasksNeedingSupply is how many of a job's pending tasks should find room soon. Urgent
 // jobs want all at once; others may take turns on the same machines as long as
 // their deadline leaves time for that.
-func (a *autoscaler) tasksToSupply(job *trackedJob, wallMs int64) int {
+func (a *autoscaler) tasksNeedingSupply(job *trackedJob, wallMs int64) int {
 	n := max(0, job.pending-job.offered)
 	if job.team.cfg.CPUsMax > 0 && job.spec.Cpus > 0 {
 		n = min(n, int(math.Max(0, job.team.cfg.CPUsMax-job.team.cpus)/job.spec.Cpus))
--- a/internal/coordination/scale_outcomes.go
+++ b/internal/coordination/scale_outcomes.go
@@ -36,7 +36,7 @@
 
 // KindRefused keeps a kind from being requested for a while.
 func (o *scaleOutcomes) KindRejected(kind cloud.Kind, why cloud.RejectReason, until time.Duration) {
-	o.kinds.refuse(machineKindOf(kind), until)
+	o.kinds.markKindUnavailable(machineKindOf(kind), until)
 	if why == cloud.MalformedRequest {
 		o.log.Error().Str("machine_type", kind.Type).Str("zone", kind.Zone).Msg("scale-out request rejected")
 	}
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -93,7 +93,7 @@
 	if !s.schedulable(m, now) {
 		return
 	}
-	s.warmPool.claimMachine(m, now)
+	s.warmPool.addIfNeeded(m, now)
 	s.rebuildQueue(now)
 	queue := s.queue.byKind[m.machineKind]
 	if queue == nil || !queue.mayFit(m.free) {
--- a/internal/coordination/service_spread.go
+++ b/internal/coordination/service_spread.go
@@ -22,7 +22,7 @@
 // minSpreadPerZone is the least number of machines of a zone over which the replicas of
 // a service of a class are spread.
 func (p *warmPool) minSpreadPerZone(class string) int {
-	if within := p.startWithin(class); within > 0 && within < p.settings.Workers.HeartbeatIntervalS {
+	if within := p.startObjectiveS(class); within > 0 && within < p.settings.Workers.HeartbeatIntervalS {
 		return promptSpreadMachinesPerZone
 	}
 	return spreadMachinesPerZone
@@ -37,7 +37,7 @@
 // hasRoomElsewhere reports whether a machine of the warm pool other than the given one
 // has room for a service's replica.
 func (p *warmPool) hasRoomElsewhere(job *trackedJob, m *machine, now time.Duration) bool {
-	for _, other := range p.members {
+	for _, other := range p.poolMachines {
 		if other != m && p.hasRoomFor(job, other, now) {
 			return true
 		}
@@ -55,7 +55,7 @@
 	}
 	fetch := fetchTime(job.image, p.catalog.Type(m.typeName))
 	interval := seconds(p.settings.Workers.HeartbeatIntervalS)
-	for _, other := range p.members {
+	for _, other := range p.poolMachines {
 		if other == m || other.zone != m.zone || !other.hasImage(job.image) {
 			continue
 		}
@@ -77,7 +77,7 @@
 		return false
 	}
 	machines, minSpread := 1, p.minSpreadPerZone(job.spec.Class)
-	for _, other := range p.serviceCapable {
+	for _, other := range p.machinesWithRoom {
 		if machines == minSpread {
 			break
 		}
@@ -88,7 +88,7 @@
 	if machines == 1 {
 		return false
 	}
-	return m.replicasOf(job) >= divideUp(int(job.spec.Tasks), machines)
+	return m.replicasOf(job) >= ceilDiv(int(job.spec.Tasks), machines)
 }
 
 // replicasOf counts the replicas of a job that are live on a machine, were sent to it, or
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -21,9 +21,9 @@
 	urgentCostLimit    time.Duration
 	guaranteeCPUs      float64 // that teams lack of their guarantees
 	guaranteeCostLimit time.Duration
-	belowGuarantee     []*trackedJob // the jobs of these teams
+	jobsBelowGuarantee []*trackedJob // the jobs of these teams
 	standardCPUs       float64       // for standard tasks that find no machine; by image in image.standardCPUs
-	idleCostLimit      time.Duration
+	standardCostLimit  time.Duration
 }
 
 // shortageDue tells whether the shortage is to be computed.
@@ -156,9 +156,9 @@
 		job.image.standardCPUs += cpus
 		s.standardCPUs += cpus
 		if p.machineObtainable(job, now) {
-			s.idleCostLimit = max(s.idleCostLimit, p.kinds.leadTime(job))
+			s.standardCostLimit = max(s.standardCostLimit, p.kinds.leadTime(job))
 		} else {
-			s.idleCostLimit = noCostLimit
+			s.standardCostLimit = noCostLimit
 		}
 	}
 }
@@ -198,7 +198,7 @@
 	for _, job := range p.queue.jobs {
 		if job.unoffered() > 0 && job.team.cfg.CPUs > job.team.cpus && !p.machineObtainable(job, now) {
 			pending[job.team] += float64(job.unoffered()) * job.spec.Cpus
-			p.shortage.belowGuarantee = append(p.shortage.belowGuarantee, job)
+			p.shortage.jobsBelowGuarantee = append(p.shortage.jobsBelowGuarantee, job)
 		}
 	}
 	total := 0.0
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -31,7 +31,7 @@
 // needed of all machines.
 func (a *autoscaler) collectSupply(in *autoscalerInput) supply {
 	s := make(supply)
-	smallest := smallestTaskCPUs(in.pending)
+	smallest := smallestTaskCPUs(in.pendingJobs)
 	for m := range a.machines.all {
 		t := a.inventory.Type(m.typeName)
 		if t == nil || m.terminated || m.terminating || m.quarantined {
@@ -43,7 +43,7 @@
 			s.add(m.machineKind, &added)
 		}
 	}
-	for kind, n := range in.requested {
+	for kind, n := range in.requestedMachines {
 		t := a.inventory.Type(kind.Type)
 		if t == nil {
 			continue
@@ -62,7 +62,7 @@
 func (a *autoscaler) supplyOf(m *machine, t *protocol.MachineType, in *autoscalerInput) supplyMachine {
 	switch {
 	case a.schedulable(m, in.now):
-		return supplyMachine{machine: m, free: a.soonFree(m, t, in.now)}
+		return supplyMachine{machine: m, free: a.freeWithinBootTime(m, t, in.now)}
 	case m.starting() && in.now-m.createdAt < bootTimeout(t):
 		return supplyMachine{machine: m, free: capacityOf(t)}
 	case m.heartbeatSeen && a.counts.partitionedZones[m.zone] && a.silenceBeyondLimit(m, in) > 0 && !a.missingFromList(m):
@@ -88,24 +88,24 @@
 // others leave.
 func (a *autoscaler) matchPending(in *autoscalerInput, s supply) []shortfall {
 	var shortfalls []shortfall
-	rest := make([]shortfall, 0, len(in.pending))
-	for _, job := range in.pending {
-		n := a.tasksToSupply(job, in.wallMs)
-		if short := a.takeSupply(job, n, s, in.now); short > 0 {
+	rest := make([]shortfall, 0, len(in.pendingJobs))
+	for _, job := range in.pendingJobs {
+		n := a.tasksNeedingSupply(job, in.wallMs)
+		if short := a.allocateSupply(job, n, s, in.now); short > 0 {
 			shortfalls = append(shortfalls, shortfall{job, short})
 		} else if more := job.unoffered() - n; more > 0 {
 			rest = append(rest, shortfall{job, more})
 		}
 	}
 	for _, r := range rest {
-		a.takeSupply(r.job, r.tasks, s, in.now)
+		a.allocateSupply(r.job, r.tasks, s, in.now)
 	}
 	return shortfalls
 }
 
-// takeSupply takes room for n tasks of a job and returns how many found none.
-func (a *autoscaler) takeSupply(job *trackedJob, n int, s supply, now time.Duration) int {
-	for _, kind := range a.counts.kinds {
+// allocateSupply takes room for n tasks of a job and returns how many found none.
+func (a *autoscaler) allocateSupply(job *trackedJob, n int, s supply, now time.Duration) int {
+	for _, kind := range a.counts.creatableKinds {
 		machines := s[kind]
 		if n == 0 {
 			break
@@ -121,21 +121,21 @@
 			if m.machine != nil && m.machine.inWarmPool && !job.spec.Service {
 				continue
 			}
-			n -= m.take(job, n)
+			n -= m.allocateTasks(job, n)
 			if m.free.cpus <= 0 {
 				full++
 			}
 		}
 		// Full machines are passed over for each job: they go once they are many.
 		if full > len(machines)/2 {
-			s[kind] = withoutFull(machines)
+			s[kind] = removeFullMachines(machines)
 		}
 	}
 	return n
 }
 
 // take takes room for up to n tasks of a job and returns for how many.
-func (s *supplyMachine) take(job *trackedJob, n int) int {
+func (s *supplyMachine) allocateTasks(job *trackedJob, n int) int {
 	taken := 0
 	for taken < n && s.free.fits(job.spec) && !(s.partitioned && job.isUrgent()) {
 		s.free.subtract(job.spec)
@@ -147,8 +147,8 @@
 	return taken
 }
 
-// withoutFull drops the machines without free CPUs, in place.
-func withoutFull(machines []*supplyMachine) []*supplyMachine {
+// removeFullMachines drops the machines without free CPUs, in place.
+func removeFullMachines(machines []*supplyMachine) []*supplyMachine {
 	kept := machines[:0]
 	for _, m := range machines {
 		if m.free.cpus > 0 {
@@ -158,9 +158,9 @@
 	return kept
 }
 
-// soonFree is what a machine has free by the time that a new one would usually be
+// freeWithinBootTime is what a machine has free by the time that a new one would usually be
 // up.
-func (a *autoscaler) soonFree(m *machine, t *protocol.MachineType, now time.Duration) resources {
+func (a *autoscaler) freeWithinBootTime(m *machine, t *protocol.MachineType, now time.Duration) resources {
 	free := m.free
 	boot := seconds(t.BootS)
 	for i := range m.tasks {
--- a/internal/coordination/supply_test.go
+++ b/internal/coordination/supply_test.go
@@ -7,7 +7,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-func TestTakeSupply(t *testing.T) {
+func TestAllocateSupply(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		tasks       int // of 2 CPUs, pending
@@ -27,7 +27,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			kind := machineKind{"m8", "z1", false}
-			a := &autoscaler{counts: fleetCounts{kinds: []machineKind{kind}}}
+			a := &autoscaler{counts: fleetCounts{creatableKinds: []machineKind{kind}}}
 			kinds := newKindSelector(testCatalog(), &a.counts)
 			a.kinds = &kinds
 			m := &machine{inWarmPool: test.inWarmPool}
@@ -36,7 +36,7 @@
 			if test.urgent {
 				job.priority = protocol.PriorityUrgent
 			}
-			requireEqual(t, "without room", a.takeSupply(job, test.tasks, s, 0), test.want)
+			requireEqual(t, "without room", a.allocateSupply(job, test.tasks, s, 0), test.want)
 			requireEqual(t, "the machine is needed", m.neededByPendingTasks, test.needed)
 		})
 	}
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// resizeInterval is how old the size of the warm pool may be when a machine
+	// maxPoolSizeAge is how old the size of the warm pool may be when a machine
 	// is about to be offered.
-	resizeInterval = time.Second
+	maxPoolSizeAge = time.Second
 	// maxServiceShapes bounds the shapes that headroom is kept for.
 	maxServiceShapes = 64
 	// maxCountedReplicas bounds how many replicas are counted on one machine.
@@ -21,9 +21,9 @@
 	// promptStartDivisor: at most this part of the fleet's CPUs is kept free for
 	// prompt starts.
 	promptStartDivisor = 20
-	// expectedMachinesDivisor: this part of all machines is kept free for
+	// initialPoolDivisor: this part of all machines is kept free for
 	// services before any was seen.
-	expectedMachinesDivisor = 50
+	initialPoolDivisor = 50
 	// minSpreadMachines is over how many machines headroom is spread, so that one
 	// of them sends its heartbeat soon.
 	minSpreadMachines = 4
@@ -50,13 +50,13 @@
 	electedAt   time.Duration
 	schedulable func(*machine, time.Duration) bool
 
-	shapes          map[serviceShape]*serviceLoad
-	expectedClasses map[string]bool          // classes whose starts the users want soon, of which no job was seen
-	target          map[machineKind]headroom // that there should be
-	reserved        map[machineKind]headroom // that members provide
-	sizedAt         time.Duration            // when target was computed
-	members         []*machine
-	serviceCapable  []*machine // with room for services, members or not
+	loadByShape      map[serviceShape]*serviceLoad
+	unseenClasses    map[string]bool          // classes whose starts the users want soon, of which no job was seen
+	targetHeadroom   map[machineKind]headroom // that there should be
+	reservedHeadroom map[machineKind]headroom // that members provide
+	sizedAt          time.Duration            // when target was computed
+	poolMachines     []*machine
+	machinesWithRoom []*machine // with room for services, members or not
 }
 
 // headroom is machines with room for replicas, and how many replicas fit there.
@@ -68,11 +68,11 @@
 }
 
 // divided is the part that each of several zones has to provide.
-func (h headroom) divided(zones int) headroom {
-	return headroom{divideUp(h.machines, zones), divideUp(h.replicas, zones)}
+func (h headroom) dividedByZones(zones int) headroom {
+	return headroom{ceilDiv(h.machines, zones), ceilDiv(h.replicas, zones)}
 }
 
-func divideUp(n, by int) int { return (n + by - 1) / by }
+func ceilDiv(n, by int) int { return (n + by - 1) / by }
 
 // serviceShape is what services need that count as alike.
 type serviceShape struct {
@@ -95,28 +95,28 @@
 // init makes a pool that has seen no services. The fields above the first blank
 // line are set by then.
 func (p *warmPool) init() {
-	p.shapes = make(map[serviceShape]*serviceLoad)
-	p.expectedClasses = make(map[string]bool)
+	p.loadByShape = make(map[serviceShape]*serviceLoad)
+	p.unseenClasses = make(map[string]bool)
 	for _, o := range p.settings.Objectives {
 		if o.Kind == objectiveWait || o.Kind == objectiveUp {
-			p.expectedClasses[o.Class] = true
+			p.unseenClasses[o.Class] = true
 		}
 	}
 }
 
-// classSeen notes that a job of a class has arrived.
-func (p *warmPool) classSeen(class string) { delete(p.expectedClasses, class) }
+// recordClass notes that a job of a class has arrived.
+func (p *warmPool) recordClass(class string) { delete(p.unseenClasses, class) }
 
 // observe takes in a new service that was submitted at a time.
-func (p *warmPool) observe(job *trackedJob, submitted time.Duration) {
+func (p *warmPool) observeService(job *trackedJob, submitted time.Duration) {
 	shape := shapeOf(job.spec)
-	load := p.shapes[shape]
+	load := p.loadByShape[shape]
 	if load == nil {
-		if len(p.shapes) >= maxServiceShapes {
+		if len(p.loadByShape) >= maxServiceShapes {
 			return
 		}
 		load = &serviceLoad{}
-		p.shapes[shape] = load
+		p.loadByShape[shape] = load
 	}
 	load.spec, load.image = job.spec, job.image
 	load.arrivals.Observe(submitted, int(job.spec.Tasks))
@@ -128,69 +128,69 @@
 // services.
 func (p *warmPool) resize(now time.Duration) {
 	p.sizedAt = now
-	p.target = make(map[machineKind]headroom)
-	p.reserved = make(map[machineKind]headroom)
-	p.members = p.members[:0]
-	for shape, load := range p.shapes {
+	p.targetHeadroom = make(map[machineKind]headroom)
+	p.reservedHeadroom = make(map[machineKind]headroom)
+	p.poolMachines = p.poolMachines[:0]
+	for shape, load := range p.loadByShape {
 		if !load.arrivals.Expire(now) {
-			delete(p.shapes, shape)
+			delete(p.loadByShape, shape)
 			continue
 		}
 		p.sizeForShape(load, now)
 	}
-	if len(p.expectedClasses) > 0 {
-		p.sizeForExpected()
+	if len(p.unseenClasses) > 0 {
+		p.sizeForUnseenClasses()
 	}
-	p.chooseMembers(now)
+	p.chooseMachines(now)
 }
 
-// chooseMembers marks machines until the target is met. Members stay if they
+// chooseMachines marks machines until the target is met. Members stay if they
 // can, since they hold services already, and their images.
-func (p *warmPool) chooseMembers(now time.Duration) {
-	p.serviceCapable = p.serviceCapable[:0]
+func (p *warmPool) chooseMachines(now time.Duration) {
+	p.machinesWithRoom = p.machinesWithRoom[:0]
 	for m := range p.machines.all {
-		if len(p.shapes) > 0 && p.schedulable(m, now) && p.replicaCapacity(m) > 0 {
-			p.serviceCapable = append(p.serviceCapable, m)
+		if len(p.loadByShape) > 0 && p.schedulable(m, now) && p.replicaCapacity(m) > 0 {
+			p.machinesWithRoom = append(p.machinesWithRoom, m)
 		}
-		m.inWarmPool = m.inWarmPool && p.reserve(m, now)
+		m.inWarmPool = m.inWarmPool && p.reserveMachine(m, now)
 	}
 	for m := range p.machines.all {
-		if !m.inWarmPool && p.reserve(m, now) {
+		if !m.inWarmPool && p.reserveMachine(m, now) {
 			m.inWarmPool = true
 		}
 	}
 }
 
-// claimMachine takes a machine in that is about to be offered, if its room is
+// addIfNeeded takes a machine in that is about to be offered, if its room is
 // wanted: one that has just booted would be full before the next resize.
-func (p *warmPool) claimMachine(m *machine, now time.Duration) {
-	if now-p.sizedAt > resizeInterval {
+func (p *warmPool) addIfNeeded(m *machine, now time.Duration) {
+	if now-p.sizedAt > maxPoolSizeAge {
 		p.resize(now)
 	}
 	if !m.inWarmPool {
-		m.inWarmPool = p.reserve(m, now)
+		m.inWarmPool = p.reserveMachine(m, now)
 	}
 }
 
 // reserve takes a machine in if it has room for services and more is wanted.
-func (p *warmPool) reserve(m *machine, now time.Duration) bool {
-	reserved := p.reserved[m.machineKind]
-	if reserved.covers(p.target[m.machineKind]) || !p.schedulable(m, now) {
+func (p *warmPool) reserveMachine(m *machine, now time.Duration) bool {
+	reserved := p.reservedHeadroom[m.machineKind]
+	if reserved.covers(p.targetHeadroom[m.machineKind]) || !p.schedulable(m, now) {
 		return false
 	}
 	n := p.replicaCapacity(m)
 	if n == 0 {
 		return false
 	}
-	p.reserved[m.machineKind] = headroom{reserved.machines + 1, reserved.replicas + n}
-	p.members = append(p.members, m)
+	p.reservedHeadroom[m.machineKind] = headroom{reserved.machines + 1, reserved.replicas + n}
+	p.poolMachines = append(p.poolMachines, m)
 	return true
 }
 
 // replicaCapacity is how many replicas of some shape a machine has room for.
 func (p *warmPool) replicaCapacity(m *machine) int {
 	most := 0
-	for _, load := range p.shapes {
+	for _, load := range p.loadByShape {
 		if !permits(load.spec, m.machineKind) {
 			continue
 		}
@@ -200,7 +200,7 @@
 		}
 		most = max(most, n)
 	}
-	if len(p.shapes) == 0 && m.empty() {
+	if len(p.loadByShape) == 0 && m.empty() {
 		return 1
 	}
 	return most
@@ -209,7 +209,7 @@
 // replicasPerMachine is how many replicas of some shape an empty machine holds.
 func (p *warmPool) replicasPerMachine(kind machineKind) int {
 	t, most := p.catalog.Type(kind.typeName), 1
-	for _, load := range p.shapes {
+	for _, load := range p.loadByShape {
 		if t != nil && permits(load.spec, kind) {
 			most = max(most, int(tasksPerMachine(t, load.spec)))
 		}
@@ -217,17 +217,17 @@
 	return most
 }
 
-// sizeForExpected wants a few ordinary machines, in all zones: services may begin
+// sizeForUnseenClasses wants a few ordinary machines, in all zones: services may begin
 // on a running day, and those that arrive while more machines boot need room. In
 // a large fleet the few cost little.
-func (p *warmPool) sizeForExpected() {
+func (p *warmPool) sizeForUnseenClasses() {
 	t := p.fastestBootingType()
 	if t == nil {
 		return
 	}
-	n := max(minSpreadMachines, min(2*minSpreadMachines, p.counts.reportedMachines/expectedMachinesDivisor))
+	n := max(minSpreadMachines, min(2*minSpreadMachines, p.counts.reportedMachines/initialPoolDivisor))
 	for _, zone := range t.Zones {
-		p.raiseTarget(machineKind{t.Name, zone, false}, headroom{machines: divideUp(n, len(t.Zones))})
+		p.raiseTarget(machineKind{t.Name, zone, false}, headroom{machines: ceilDiv(n, len(t.Zones))})
 	}
 }
 
@@ -241,7 +241,7 @@
 	}
 	var best *protocol.MachineType
 	for _, t := range p.catalog.Catalog() {
-		if perCPU(t) > least*servicePriceTolerance {
+		if perCPU(t) > least*servicePriceFactor {
 			continue
 		}
 		if best == nil || t.BootS < best.BootS || (t.BootS == best.BootS && t.Name < best.Name) {
@@ -256,7 +256,7 @@
 	job := &trackedJob{spec: load.spec, image: load.image, onlyMachineType: p.kinds.onlyFittingType(load.spec)}
 	// Kinds that the cloud refuses at present count: then what is there has to be
 	// kept all the more.
-	kind, ok := p.kinds.best(kindQuery{job: job, now: now, includeRefused: true})
+	kind, ok := p.kinds.bestKind(kindQuery{job: job, now: now, includeUnavailable: true})
 	if !ok {
 		return
 	}
@@ -271,7 +271,7 @@
 	}
 	// Each zone has its part, whether or not the service has to spread: a zone that
 	// is cut off takes no more than that with it.
-	part := wanted.divided(max(1, len(t.Zones)))
+	part := wanted.dividedByZones(max(1, len(t.Zones)))
 	for _, zone := range t.Zones {
 		p.raiseTarget(machineKind{kind.typeName, zone, kind.spot}, part)
 	}
@@ -279,8 +279,8 @@
 
 // raiseTarget wants at least that much headroom on a kind of machine.
 func (p *warmPool) raiseTarget(kind machineKind, wanted headroom) {
-	target := p.target[kind]
-	p.target[kind] = headroom{max(target.machines, wanted.machines), max(target.replicas, wanted.replicas)}
+	target := p.targetHeadroom[kind]
+	p.targetHeadroom[kind] = headroom{max(target.machines, wanted.machines), max(target.replicas, wanted.replicas)}
 }
 
 // affordableMachines is how many machines of a kind may be kept for prompt starts:
@@ -298,30 +298,30 @@
 // which the users want it started, if each takes one task: the heartbeats of n
 // machines come an n-th of their interval apart.
 func (p *warmPool) machinesForPromptStart(class string, tasks float64) int {
-	within := p.startWithin(class)
+	within := p.startObjectiveS(class)
 	if within <= 0 {
 		return 0
 	}
 	return int(math.Ceil(2 * tasks * p.settings.Workers.HeartbeatIntervalS / within))
 }
 
-// startWithin is the time, in seconds, within which the users want the starts of
+// startObjectiveS is the time, in seconds, within which the users want the starts of
 // a class; 0: they name none.
-func (p *warmPool) startWithin(class string) float64 {
+func (p *warmPool) startObjectiveS(class string) float64 {
 	return forecast.StartObjectiveOf(p.settings.Objectives, class).WithinS
 }
 
 // planScaleOut adds the machines that are wanted and neither there nor to come to
 // a plan, up to a number.
 func (p *warmPool) planScaleOut(plan *scaleOutPlan, coming map[machineKind]int, limit int, now time.Duration) {
-	if len(p.shapes) == 0 && now-p.electedAt < observationTime {
+	if len(p.loadByShape) == 0 && now-p.electedAt < fleetObservationTime {
 		return // more classes may yet be seen
 	}
-	for kind, target := range p.target {
-		reserved := p.reserved[kind]
-		forReplicas := divideUp(target.replicas-reserved.replicas, p.replicasPerMachine(kind))
+	for kind, target := range p.targetHeadroom {
+		reserved := p.reservedHeadroom[kind]
+		forReplicas := ceilDiv(target.replicas-reserved.replicas, p.replicasPerMachine(kind))
 		missing := max(target.machines-reserved.machines, forReplicas) - coming[kind]
-		for ; missing > 0 && limit > 0 && !p.kinds.refused(kind, now); missing-- {
+		for ; missing > 0 && limit > 0 && !p.kinds.kindUnavailable(kind, now); missing-- {
 			plan.add(kind)
 			limit--
 		}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -83,7 +83,7 @@
 
 // Where starts are wanted sooner than machines send heartbeats, two machines are enough: the
 // last replica waits for as many heartbeats as there are machines.
-func TestReplicasSpreadOverTwoMachinesIfStartsAreUrgent(t *testing.T) {
+func TestReplicasSpreadOverTwoMachinesForPromptStarts(t *testing.T) {
 	for within, started := range map[float64]int{1: 6, 5: 4} {
 		t.Run(fmt.Sprint("wanted in ", within), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
@@ -105,7 +105,7 @@
 
 // A replica is left to a machine that has its image if that one's next heartbeat is due
 // sooner than the image could be fetched, and not otherwise.
-func TestReplicaWaitsForAMachineWithItsImage(t *testing.T) {
+func TestReplicaWaitsForMachineWithItsImage(t *testing.T) {
 	for since, goesTo := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
 		t.Run(fmt.Sprint("last heartbeat before ", since), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
@@ -181,7 +181,7 @@
 
 // Machines kept for services take them even if other work waits that fits on no
 // other type.
-func TestServicesUseTheWarmPoolOfAContestedType(t *testing.T) {
+func TestServicesUseWarmPoolOfContendedType(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.Cloud.RefusesScaleOut = true
 	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
@@ -200,7 +200,7 @@
 
 // Machines are not kept for prompt starts while the cloud has too few of their type
 // for work that fits on no other: on two recorded days that work missed its deadlines.
-func TestWarmPoolLeavesAScarceTypeToOthers(t *testing.T) {
+func TestWarmPoolLeavesScarceTypeToOtherJobs(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Run(60 * time.Second)
 	l := controllerOf(sim.Leader()).leader
@@ -212,12 +212,12 @@
 	requireEqual(t, "a part of the fleet", kept(), 10)
 	l.kinds.exclusiveNeedAt["m8"] = now
 	requireEqual(t, "others need the type, the cloud has it", kept(), 10)
-	l.kinds.refusedUntil[kind] = now + cloud.CapacityBackoff
+	l.kinds.unavailableUntil[kind] = now + cloud.CapacityBackoff
 	requireEqual(t, "the cloud refuses it", kept(), 0)
 	now += cloud.CapacityBackoff + contentionWindow
 	l.kinds.exclusiveNeedAt["m8"] = now
 	requireEqual(t, "it has not for a while", kept(), 10)
-	l.kinds.refusedUntil[kind] = now
+	l.kinds.unavailableUntil[kind] = now
 	delete(l.kinds.exclusiveNeedAt, "m8")
 	requireEqual(t, "nobody needs it", kept(), 10)
 }
