--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// bootTimeoutFactor and bootTimeoutGrace say when a boot has failed: it takes
-	// this many times the usual time, and the grace.
+	// A boot counts as failed once it has taken bootTimeoutFactor times the boot time of the
+	// machine's type, plus bootTimeoutGrace.
 	bootTimeoutFactor = 3.0
 	bootTimeoutGrace  = 10 * time.Second
-	// fleetObservationTime is how long a new leader waits for heartbeats before it adds
+	// fleetObservationTime is how long a new leader waits for heartbeats before it requests
 	// machines.
 	fleetObservationTime = 6 * time.Second
 )
 
-// machineInventory is what the cloud says of machines and their types.
+// machineInventory provides the cloud's machine types and its latest machine list.
 type machineInventory interface {
 	catalog
 	Listed(name string) (cloud.ListedMachine, bool)
 	AllListed() iter.Seq2[string, cloud.ListedMachine]
-	ListedAt() time.Duration // 0: no list was read yet
+	ListedAt() time.Duration // when the latest list was requested; 0: no list was read yet
 }
 
-// autoscaler sizes the fleet. Once a second it counts the machines, matches the
-// pending jobs with the supply that is there or to come, and decides which
-// machines to request and which to release.
+// autoscaler sizes the fleet. Once a second it counts the machines, matches the pending
+// jobs with the available and expected supply, and decides which machines to request and
+// which to release.
 //
-// It owns the counts and the marks needed and terminating of machines. It makes
-// no calls to the cloud: its decisions are a scaleOutPlan and names of machines,
-// for the cloud.Scaler to carry out.
+// It owns the counts, and the marks neededByPendingTasks and terminating of machines. It
+// makes no calls to the cloud: it returns a scaleOutPlan's machines and the names of
+// machines to release, which a cloud.Scaler requests and releases.
 type autoscaler struct {
 	settings         *settings.Settings
 	tuning           *settings.Tuning
@@ -52,18 +52,18 @@
 	counts fleetCounts
 }
 
-// autoscalerInput is what one pass of the autoscaler goes by.
+// autoscalerInput is the input of one pass of the autoscaler.
 type autoscalerInput struct {
-	now               time.Duration
-	wallMs            int64                      // Unix time
-	actingSince       time.Duration              // since when heartbeats have been answered without a break
-	pendingJobs       []*trackedJob              // in the order of service
-	requestedMachines iter.Seq2[cloud.Kind, int] // machines, by request that the cloud has not answered
-	forecastMachines  map[string]int             // how many machines of each type there should be at the least
-	machinesKnown     bool                       // every machine that may hold a task is known
+	now               time.Duration              // on this process's steady clock
+	wallMs            int64                      // Unix time in milliseconds
+	actingSince       time.Duration              // see leader.actingSince
+	pendingJobs       []*trackedJob              // in the scheduling order
+	requestedMachines iter.Seq2[cloud.Kind, int] // counts of requests that the cloud has not answered
+	forecastMachines  map[string]int             // by type: the least number of machines to have
+	machinesKnown     bool                       // see machineRecorder.machinesKnown
 }
 
-// recordCreationTimes takes from the cloud's list when machines were created.
+// recordCreationTimes sets the creation times of machines from the ages in the cloud's list.
 func (a *autoscaler) recordCreationTimes(now time.Duration) {
 	for name, listed := range a.inventory.AllListed() {
 		if m := a.machines.get(name); m != nil && m.createdAt == 0 {
@@ -72,8 +72,10 @@
 	}
 }
 
-// knowsFleet tells whether a new leader knows the fleet well enough to add to it:
-// it has waited for a while, or there is nobody to be heard of.
+// knowsFleet reports whether a new leader knows the fleet well enough to request machines:
+// it has waited for fleetObservationTime, or no machine is left that could send a heartbeat:
+// the machine records and a machine list were read since the election, and all machines
+// known from them are terminated.
 func (a *autoscaler) knowsFleet(in *autoscalerInput) bool {
 	if in.now-a.electedAt >= fleetObservationTime {
 		return true
@@ -89,8 +91,8 @@
 	return true
 }
 
-// obtainable tells whether a machine for a job's tasks can be created or is
-// booting.
+// machineObtainable reports whether a machine for a job's tasks can be created or is
+// booting. It returns true during the first fleetObservationTime of a leader's term.
 func (a *autoscaler) machineObtainable(job *trackedJob, now time.Duration) bool {
 	if _, ok := a.kinds.bestKind(kindQuery{job: job, now: now}); ok || now-a.electedAt < fleetObservationTime {
 		return true
@@ -103,8 +105,8 @@
 	return false
 }
 
-// bootTimeout is how long after its creation a machine that has sent no heartbeat
-// counts as one whose boot has failed.
+// bootTimeout returns the time after a machine's creation at which its boot counts as
+// failed, if it has sent no heartbeat.
 func bootTimeout(t *protocol.MachineType) time.Duration {
 	return seconds(t.BootS*bootTimeoutFactor) + bootTimeoutGrace
 }
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -8,19 +8,19 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// BenchmarkBusyFleet plays a second of three controllers with a fleet whose
-// machines send heartbeats every second and a long queue; profile it with -cpuprofile.
-// Divided by the machines it is the cost of a heartbeat, with all that goes with
-// it: forwarding, offers, bindings, finished tasks.
+// BenchmarkBusyFleet simulates one second of three controllers, with a fleet whose machines
+// send heartbeats every second, and a long queue; profile it with -cpuprofile. The time
+// divided by the number of machines is the cost of a heartbeat with all the work that it
+// causes: forwarding, offers, bindings, finished tasks.
 func BenchmarkBusyFleet(b *testing.B) {
 	for _, size := range []struct {
 		name                  string
 		machines, jobs, tasks int
-		crew                  string
+		team                  string
 	}{
-		{"earlier", 44, 60, 10, "blue"},
-		{"presses", 640, 200, 150, "red"}, // a team with a limit
-		{"birds", 2060, 400, 60, "blue"},
+		{"44 machines", 44, 60, 10, "blue"},
+		{"640 machines, team limit", 640, 200, 150, "red"}, // team red has a limit
+		{"2060 machines", 2060, 400, 60, "blue"},
 	} {
 		b.Run(size.name, func(b *testing.B) {
 			sim := newSimulation(b, "a", "b", "c")
@@ -33,9 +33,9 @@
 			submit := func() {
 				jobs++
 				n := sim.Nodes[sim.Names[jobs%3]]
-				request := simtest.BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.crew).With("plate", fmt.Sprint("img-", jobs%16))
+				request := simtest.BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.team).With("plate", fmt.Sprint("img-", jobs%16))
 				if r := n.Submit(request); r.Status != 201 && r.Status != 0 {
-					b.Fatalf("submission was answered %d", r.Status)
+					b.Fatalf("submission was answered with status %d, want 201 or none", r.Status)
 				}
 			}
 			for range size.jobs {
--- a/internal/coordination/fleet_counts.go
+++ b/internal/coordination/fleet_counts.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// fleetCounts says how many machines there are, as the autoscaler counted them
-// once a second. Other components only read it.
+// fleetCounts holds the counts of machines that the autoscaler makes once a second. Other
+// components only read them.
 type fleetCounts struct {
-	creatableKinds   []machineKind       // that can be created, spot ones first
-	machinesByZone   map[string]int      // machines, there or to come
+	creatableKinds   []machineKind       // kinds that the cloud offers, spot ones first
+	machinesByZone   map[string]int      // known machines that are not terminated
 	machinesByType   map[string]int      // machines that are schedulable, starting, requested or planned
-	bootingByKind    map[machineKind]int // machines that were created and should be up soon
-	partitionedZones map[string]bool     // zones in which so many machines are silent that they must be cut off
+	bootingByKind    map[machineKind]int // machines that are starting, within their boot timeout
+	partitionedZones map[string]bool     // zones that are most likely cut off; see partitionDivisor
 	reportedMachines int                 // machines that have sent a heartbeat to this leader
-	reportedCPUs     float64             // that these have
+	reportedCPUs     float64             // CPUs of the reported machines
 }
 
-// partitionDivisor: a zone counts as cut off if more than this part of its
-// machines is silent.
+// partitionDivisor: a zone counts as partitioned if more than one of its machines and more
+// than this part of its reported machines is silent.
 const partitionDivisor = 8
 
-// count counts the machines anew.
+// countMachines recomputes the counts.
 func (a *autoscaler) countMachines(in *autoscalerInput) {
 	c := &a.counts
 	*c = fleetCounts{
@@ -34,13 +34,13 @@
 	for kind, n := range in.requestedMachines {
 		c.machinesByType[kind.Type] += n
 	}
-	silent, heard := make(map[string]int), make(map[string]int)
+	silent, reported := make(map[string]int), make(map[string]int) // machines by zone
 	for m := range a.machines.all {
 		if m.terminated {
 			continue
 		}
 		if m.heartbeatSeen {
-			heard[m.zone]++
+			reported[m.zone]++
 			a.countReported(m)
 			if a.silenceBeyondLimit(m, in) > 0 && !a.missingFromList(m) {
 				silent[m.zone]++
@@ -50,7 +50,7 @@
 	}
 	c.partitionedZones = make(map[string]bool)
 	for zone, n := range silent {
-		c.partitionedZones[zone] = n > max(1, heard[zone]/partitionDivisor)
+		c.partitionedZones[zone] = n > max(1, reported[zone]/partitionDivisor)
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// listKinds lists what can be created: spot machines first, by type and zone.
+// listKinds lists the kinds that the cloud offers: spot ones first, then by type and zone.
 func (a *autoscaler) listKinds() {
 	kinds := a.counts.creatableKinds
 	for name, t := range a.inventory.Catalog() {
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -13,12 +13,12 @@
 
 const (
 	largeFleetSize              = 6000
-	largeFleetHeartbeatInterval = 8 * time.Second // report_s of a large fleet
+	largeFleetHeartbeatInterval = 8 * time.Second // setting report_s of a large fleet
 	heartbeatsPerTick           = largeFleetSize * int(tickInterval) / int(largeFleetHeartbeatInterval)
 )
 
-// newLargeSimulation has settings like those of a large deployment: the cloud answers three
-// calls a second, and machines send heartbeats every eight seconds.
+// newLargeSimulation returns a simulation with settings like those of a large deployment: the
+// cloud answers three calls a second, and machines send heartbeats every eight seconds.
 func newLargeSimulation(t testing.TB) *simulation {
 	t.Helper()
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
@@ -32,14 +32,14 @@
 	return sim
 }
 
-// largeFleetScenario has the workers send heartbeats in turn, each once in
-// largeFleetHeartbeatInterval, and again a
-// second after a heartbeat that was refused.
+// largeFleetScenario has the machines send heartbeats in turn: each one once in
+// largeFleetHeartbeatInterval, and again one second after a heartbeat that was rejected or
+// got no response.
 type largeFleetScenario struct {
 	*simulation
 	nextAgent  int
-	retries    map[time.Duration][]*simtest.Agent
-	rejections map[string]int
+	retries    map[time.Duration][]*simtest.Agent // by time
+	rejections map[string]int                     // heartbeats answered with status 503, by error text
 }
 
 func (scenario *largeFleetScenario) runFor(span time.Duration) {
@@ -48,9 +48,9 @@
 		if scenario.Now()%time.Second == 0 {
 			scenario.BootMachines(0)
 		}
-		again := scenario.retries[scenario.Now()]
+		retrying := scenario.retries[scenario.Now()]
 		delete(scenario.retries, scenario.Now())
-		for _, agent := range again {
+		for _, agent := range retrying {
 			if scenario.Agents[agent.Name] == agent {
 				scenario.heartbeat(agent)
 			}
@@ -84,21 +84,21 @@
 	}
 }
 
-// waitFor plays until something holds.
-func (scenario *largeFleetScenario) waitFor(what string, limit time.Duration, holds func() bool) {
+// waitFor runs the scenario until a condition holds, and fails the test after limit.
+func (scenario *largeFleetScenario) waitFor(what string, limit time.Duration, condition func() bool) {
 	scenario.T.Helper()
-	for end := scenario.Now() + limit; !holds(); {
+	for end := scenario.Now() + limit; !condition(); {
 		if scenario.Now() >= end {
-			scenario.T.Fatalf("%s: not within %s; %d machines, %d tasks run", what, limit, len(scenario.Agents), scenario.runningTasks())
+			scenario.T.Fatalf("%s: not within %s; %d machines, %d tasks running", what, limit, len(scenario.Agents), scenario.runningTasks())
 		}
 		scenario.runFor(time.Second)
 	}
 }
 
-// Nothing stands in the way of a fleet of 6,000 machines: they are rented, all
-// send heartbeats, the leader is lost, all controllers end and come back, and in the end
-// every machine is returned. Before, a list of more than six pages was never read
-// whole, as its pages came faster than the cloud answers.
+// A fleet of 6,000 machines works: all are requested and send heartbeats, their tasks survive
+// the loss of the leader and then the replacement of all controllers, and at the end every
+// machine is released. It guards against a machine list of more than six pages that is never
+// read whole, because its pages are requested faster than the cloud's limit allows.
 func TestFleetOfSixThousandMachines(t *testing.T) {
 	sim := newLargeSimulation(t)
 	scenario := &largeFleetScenario{simulation: sim, retries: make(map[time.Duration][]*simtest.Agent), rejections: make(map[string]int)}
@@ -109,8 +109,8 @@
 		request := simtest.BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
 		requireEqual(t, "submit", n.Submit(request).Status, 201)
 	}
-	scenario.waitFor("the whole fleet runs", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
-	scenario.waitFor("the list is read whole", time.Minute, func() bool { return len(maps.Collect(controllerOf(sim.Leader()).cloud.AllListed())) >= largeFleetSize })
+	scenario.waitFor("a task runs on every machine", 5*time.Minute, func() bool { return scenario.runningTasks() == largeFleetSize })
+	scenario.waitFor("the machine list is read whole", time.Minute, func() bool { return len(maps.Collect(controllerOf(sim.Leader()).cloud.AllListed())) >= largeFleetSize })
 	started := scenario.startCount()
 	requireEqual(t, "starts", started, largeFleetSize)
 
@@ -126,8 +126,8 @@
 	sim.StartMembers()
 	scenario.runFor(40 * time.Second)
 	requireEqual(t, "tasks that run after all controllers were replaced", scenario.runningTasks(), largeFleetSize)
-	requireEqual(t, "starts in all", scenario.startCount(), started)
-	requireEqual(t, "heartbeats refused for size", scenario.rejections["too many machines"]+scenario.rejections["too many reports"], 0)
+	requireEqual(t, "starts after all controllers were replaced", scenario.startCount(), started)
+	requireEqual(t, "heartbeats rejected for exceeding a limit", scenario.rejections["too many machines"]+scenario.rejections["too many reports"], 0)
 
 	sim.FinishAllTasks()
 	scenario.waitFor("every job is done", time.Minute, func() bool {
@@ -138,8 +138,8 @@
 		}
 		return true
 	})
-	scenario.waitFor("every machine is returned", 4*time.Minute, func() bool { return len(sim.Cloud.Machines) == 0 })
-	requireEqual(t, "records of machines", scenario.machineRecordsDeleted(), true)
+	scenario.waitFor("every machine is released", 4*time.Minute, func() bool { return len(sim.Cloud.Machines) == 0 })
+	requireEqual(t, "machine records are deleted", scenario.machineRecordsDeleted(), true)
 }
 
 func (scenario *largeFleetScenario) startCount() int {
@@ -150,7 +150,8 @@
 	return n
 }
 
-// machineRecordsDeleted waits until no record names a machine any more.
+// machineRecordsDeleted waits until no machine record is left, for at most 240 s, and reports
+// whether that is so.
 func (scenario *largeFleetScenario) machineRecordsDeleted() bool {
 	for range 240 {
 		left := 0
@@ -167,32 +168,33 @@
 	return false
 }
 
-// newBusySimulation has three controllers and machines with two tasks each.
+// newBusySimulation returns a simulation of three controllers, and of machines with two tasks
+// each.
 func newBusySimulation(b *testing.B, machines int) *simulation {
 	b.Helper()
 	sim := newSimulation(b, "a", "b", "c")
 	for i := range machines {
 		sim.AddMachine(fmt.Sprintf("vm-%06d", i), []string{"z1", "z2"}[i%2])
 	}
-	reportAll := func() {
+	sendHeartbeats := func() {
 		for _, name := range sim.AgentNames() {
 			sim.Agents[name].Heartbeat()
 		}
 	}
-	reportAll()
+	sendHeartbeats()
 	sim.Advance(5 * time.Second)
 	for i := range machines / 50 {
 		sim.Nodes[sim.Names[i%3]].Submit(simtest.BatchJob(fmt.Sprint("wk-", i), 100))
 	}
 	for range 3 {
-		reportAll()
+		sendHeartbeats()
 		sim.Advance(time.Second)
 	}
 	return sim
 }
 
-// BenchmarkRegisterShard is the cost of a member's shard registering with the leader on a new stream:
-// it grows with what the machines list, and with nothing else.
+// BenchmarkRegisterShard measures the registration of a shard with the leader on a new
+// stream. The cost must grow only with the replicas that the machines list.
 func BenchmarkRegisterShard(b *testing.B) {
 	for _, machines := range []int{600, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -208,8 +210,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is the cost of one heartbeat that says nothing new, with all that
-// it causes at three controllers: it must not grow with the fleet.
+// BenchmarkHeartbeat measures one heartbeat that reports no change, with all the work that it
+// causes in three controllers. The cost must not grow with the fleet.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, machines := range []int{600, 6000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -231,8 +233,8 @@
 	}
 }
 
-// A machine that is up, but sends a new leader heartbeats only after its long interval,
-// is not taken for a failed boot and returned with its tasks.
+// A running machine that sends a new leader its first heartbeat only after a long heartbeat
+// interval is not taken for a failed boot and released with its tasks.
 func TestLongHeartbeatIntervalIsNotAFailedBoot(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a", "b", "c")
 	sim.AdjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
@@ -242,12 +244,12 @@
 	sim.Run(2 * time.Second)
 	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	requireEqual(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "tasks running before the leader's loss", len(agent.Running()), 2)
 	sim.Crash(sim.Leader().Name)
 	agent.Silent = true
 	sim.Run(12 * time.Second) // an election within a second, and the longest interval
 	agent.Silent = false
 	sim.Run(3 * time.Second)
-	requireEqual(t, "returned", len(sim.Cloud.Released), 0)
-	requireEqual(t, "running", len(agent.Running()), 2)
+	requireEqual(t, "released machines", len(sim.Cloud.Released), 0)
+	requireEqual(t, "tasks running at the end", len(agent.Running()), 2)
 }
--- a/internal/coordination/kind_selection.go
+++ b/internal/coordination/kind_selection.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// priceTolerance is by how much costs may differ that count as equal.
+	// priceTolerance is the difference, per hour, up to which prices count as equal.
 	priceTolerance = 1e-12
-	// servicePriceFactor is how many times the least cost a replica of a
-	// service may cost on a kind that fetches its image sooner.
+	// servicePriceFactor is how many times the lowest price a replica of a service may cost
+	// on a kind that fetches its image faster.
 	servicePriceFactor = 1.25
-	// exclusiveNeedWindow is for how long a type stays reserved for the jobs that
-	// fit on no other, after one was seen.
+	// exclusiveNeedWindow is how long a type stays reserved for the jobs that fit on no
+	// other, after the last time such a job was observed.
 	exclusiveNeedWindow = 3 * time.Minute
-	// contentionWindow is for how long after the cloud refused a kind the
-	// machines of it count as scarce.
+	// contentionWindow is how long a kind still counts as scarce after the end of the time
+	// for which the cloud had no machines of it.
 	contentionWindow = time.Minute
 )
 
-// catalog is the machine types that the cloud offers, as they were last read.
+// catalog provides the machine types that the cloud offers, as last read.
 type catalog interface {
-	Catalog() cloud.Catalog                 // by name; nobody changes it
+	Catalog() cloud.Catalog                 // by name; must not be changed
 	Type(name string) *protocol.MachineType // nil: the cloud does not offer it
 }
 
-// kindSelector chooses kinds of machines for tasks. It owns what is known of
-// their availability: which the cloud refused of late, and which types are the
-// only ones that some job fits on. It changes neither jobs nor machines.
+// kindSelector chooses kinds of machines for tasks. It owns the state of their availability:
+// of which kinds the cloud recently had no machines, and which types are the only ones that
+// some job fits on. It changes neither jobs nor machines.
 type kindSelector struct {
 	catalog          catalog
-	counts           *fleetCounts // the autoscaler's last count, only read here
+	counts           *fleetCounts // the autoscaler's latest counts, only read here
 	unavailableUntil map[machineKind]time.Duration
-	exclusiveNeedAt  map[string]time.Duration // by type, when a job was last seen that fits on no other
+	exclusiveNeedAt  map[string]time.Duration // by type: when a job that fits on no other was last observed
 }
 
 func newKindSelector(types catalog, counts *fleetCounts) kindSelector {
@@ -48,43 +48,44 @@
 	}
 }
 
-// recordExclusiveNeed notes that a job is there that fits on a single type.
+// recordExclusiveNeed records that an unfinished job fits on no type but the given one.
 func (s *kindSelector) recordExclusiveNeed(typeName string, now time.Duration) {
 	s.exclusiveNeedAt[typeName] = now
 }
 
-// hasExclusiveNeed tells whether some job of late fits on no other type.
+// hasExclusiveNeed reports whether a job that fits on no other type was observed within the
+// last exclusiveNeedWindow.
 func (s *kindSelector) hasExclusiveNeed(typeName string, now time.Duration) bool {
 	at, ok := s.exclusiveNeedAt[typeName]
 	return ok && now-at < exclusiveNeedWindow
 }
 
-// reservedForOthers tells whether machines of a type are reserved for jobs that
-// fit on no other, while this job does. Replicas of services are few and stay on
-// the machines that were created for them, whatever their type.
+// reservedForOthers reports whether machines of a type are reserved for jobs that fit on no
+// other, and the given job is not one of them. Replicas of services are exempt: they are few,
+// and stay on the machines that were created for them, whatever their type.
 func (s *kindSelector) reservedForOthers(job *trackedJob, typeName string, now time.Duration) bool {
 	return !job.spec.Service && job.onlyMachineType != typeName && s.hasExclusiveNeed(typeName, now)
 }
 
-// refuse notes that the cloud has no machines of a kind for a time.
+// markKindUnavailable records that no machines of a kind should be requested until a time.
 func (s *kindSelector) markKindUnavailable(kind machineKind, until time.Duration) {
 	s.unavailableUntil[kind] = until
 }
 
-// refused tells whether the cloud has no machines of a kind at present.
+// kindUnavailable reports whether the cloud is assumed to have no machines of a kind now.
 func (s *kindSelector) kindUnavailable(kind machineKind, now time.Duration) bool {
 	return s.unavailableUntil[kind] > now
 }
 
-// contended tells whether the cloud has refused a kind of late while some job
-// fits on no other type.
+// contended reports whether a kind is unavailable, or was within the last contentionWindow,
+// while some job fits on no other type.
 func (s *kindSelector) contended(kind machineKind, now time.Duration) bool {
-	until, refused := s.unavailableUntil[kind]
-	return refused && now < until+contentionWindow && s.hasExclusiveNeed(kind.typeName, now)
+	until, marked := s.unavailableUntil[kind]
+	return marked && now < until+contentionWindow && s.hasExclusiveNeed(kind.typeName, now)
 }
 
-// onlyFittingType returns the one type that a task fits on, or "" if there are
-// none or several.
+// onlyFittingType returns the only type that a task fits on, or "" if it fits on none or on
+// several.
 func (s *kindSelector) onlyFittingType(spec *meshpb.JobSummary) string {
 	only := ""
 	for name, t := range s.catalog.Catalog() {
@@ -99,8 +100,8 @@
 	return only
 }
 
-// leadTime is how long it takes at the least from the request for a machine
-// until a job's tasks run on it: it boots and fetches their image.
+// leadTime returns the least time from the request for a machine until a job's tasks run on
+// it: the machine boots and fetches their image.
 func (s *kindSelector) leadTime(job *trackedJob) time.Duration {
 	least := time.Duration(-1)
 	for _, t := range s.catalog.Catalog() {
@@ -114,27 +115,27 @@
 	return max(0, least)
 }
 
-// kindQuery asks for the kind of machine that should be created for a task.
+// kindQuery holds the parameters of a search for the kind of machine to create for a task.
 type kindQuery struct {
 	job                *trackedJob
 	now                time.Duration
-	includeUnavailable bool                // also kinds that the cloud refuses at present
-	planned            map[machineKind]int // machines that are about to be requested
+	includeUnavailable bool                // also consider kinds that are unavailable at present
+	planned            map[machineKind]int // machines that will be requested in this pass
 }
 
 // kindCandidate is a kind of machine that could be created for a task.
 type kindCandidate struct {
 	kind           machineKind
-	taskPrice      float64       // of the part of the machine that the task takes, an hour
+	taskPrice      float64       // per hour, of the task's share of the machine
 	fetchTime      time.Duration // of the task's image
-	machinesInZone int           // there or to come
+	machinesInZone int           // known or planned
 }
 
-// best returns the kind of machine to create for a task, if there is any: the
-// cheapest by the part of the machine that the task takes, and of equals the one
-// in the zone with the fewest machines. Replicas of services are wanted back at
-// once, and stay: among kinds that cost little more the one that fetches their
-// image soonest is taken.
+// bestKind returns the kind of machine to create for a task, if there is any: the one with
+// the lowest price of the task's share of the machine, and among equal ones that in the zone
+// with the fewest machines. Lost replicas of services must be replaced at once, and replicas
+// stay on their machines, so for these it chooses the kind that fetches their image fastest
+// among those within servicePriceFactor of the lowest price.
 func (s *kindSelector) bestKind(q kindQuery) (machineKind, bool) {
 	candidates := s.listCandidates(q)
 	if len(candidates) == 0 {
@@ -152,8 +153,8 @@
 	return best.kind, true
 }
 
-// priceLimit is what a candidate may cost to count as about as cheap as the
-// cheapest.
+// priceLimit returns the highest task price at which a candidate counts as equally cheap as
+// the cheapest.
 func priceLimit(candidates []kindCandidate, service bool) float64 {
 	least := math.Inf(1)
 	for _, c := range candidates {
@@ -165,7 +166,8 @@
 	return least + priceTolerance
 }
 
-// preferredTo compares kinds that are about as cheap.
+// preferredTo reports whether a candidate is preferred to another, both within the price
+// limit.
 func (c *kindCandidate) preferredTo(other *kindCandidate, service bool) bool {
 	switch {
 	case service && c.fetchTime != other.fetchTime:
@@ -176,7 +178,7 @@
 	return c.machinesInZone < other.machinesInZone
 }
 
-// candidates lists the kinds of machines that could be created for a task.
+// listCandidates returns the kinds of machines that could be created for a task.
 func (s *kindSelector) listCandidates(q kindQuery) []kindCandidate {
 	plannedInZone := make(map[string]int)
 	for kind, n := range q.planned {
@@ -187,7 +189,7 @@
 		if !capacityOf(t).fits(q.job.spec) || s.reservedForOthers(q.job, name, q.now) {
 			continue
 		}
-		part := machineShare(t, q.job.spec)
+		share := machineShare(t, q.job.spec)
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				kind := machineKind{name, zone, spot}
@@ -196,7 +198,7 @@
 				}
 				candidates = append(candidates, kindCandidate{
 					kind:           kind,
-					taskPrice:      priceOf(t, spot) * part,
+					taskPrice:      priceOf(t, spot) * share,
 					fetchTime:      fetchTime(q.job.image, t),
 					machinesInZone: s.counts.machinesByZone[zone] + plannedInZone[zone],
 				})
@@ -206,7 +208,7 @@
 	return candidates
 }
 
-// priceOf is what a machine costs an hour.
+// priceOf returns the price of a machine per hour.
 func priceOf(t *protocol.MachineType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -214,16 +216,17 @@
 	return t.Price
 }
 
-// machineShare is the part of a machine that a task takes.
+// machineShare returns the share of a machine that a task needs: the largest of its shares
+// of CPUs, memory and GPUs.
 func machineShare(t *protocol.MachineType, spec *meshpb.JobSummary) float64 {
-	part := math.Max(spec.Cpus/math.Max(t.CPUs, 1e-9), spec.MemoryGb/math.Max(t.MemoryGB, 1e-9))
+	share := math.Max(spec.Cpus/math.Max(t.CPUs, 1e-9), spec.MemoryGb/math.Max(t.MemoryGB, 1e-9))
 	if t.GPUs > 0 {
-		part = math.Max(part, spec.Gpus/t.GPUs)
+		share = math.Max(share, spec.Gpus/t.GPUs)
 	}
-	return part
+	return share
 }
 
-// tasksPerMachine is how many tasks of a job a machine holds at once.
+// tasksPerMachine returns how many tasks of a job an empty machine has room for.
 func tasksPerMachine(t *protocol.MachineType, spec *meshpb.JobSummary) float64 {
 	n := math.Inf(1)
 	for _, r := range []struct{ capacity, request float64 }{{t.CPUs, spec.Cpus}, {t.GPUs, spec.Gpus}, {t.MemoryGB, spec.MemoryGb}} {
--- a/internal/coordination/kind_selection_test.go
+++ b/internal/coordination/kind_selection_test.go
@@ -9,14 +9,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// fixedCatalog is a catalogue that does not change.
+// fixedCatalog is a catalog that does not change.
 type fixedCatalog cloud.Catalog
 
 func (c fixedCatalog) Catalog() cloud.Catalog                 { return cloud.Catalog(c) }
 func (c fixedCatalog) Type(name string) *protocol.MachineType { return c[name] }
 
-// testCatalog has a cheap type, one that costs little more and fetches sooner, and
-// a dear one with GPUs.
+// testCatalog returns a catalog with a cheap type, one that costs a little more and fetches
+// images faster, and an expensive one with GPUs.
 func testCatalog() fixedCatalog {
 	return fixedCatalog{
 		"m8":   {Name: "m8", CPUs: 8, MemoryGB: 64, FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}},
@@ -33,31 +33,31 @@
 func TestBestKind(t *testing.T) {
 	const now = time.Minute
 	array := &meshpb.JobSummary{Cpus: 2, MemoryGb: 4, Spot: true}
-	ordinary := &meshpb.JobSummary{Cpus: 2, MemoryGb: 4}
+	onDemand := &meshpb.JobSummary{Cpus: 2, MemoryGb: 4}
 	service := &meshpb.JobSummary{Cpus: 2, MemoryGb: 4, Service: true}
 	for _, test := range []struct {
-		name    string
-		spec    *meshpb.JobSummary
-		counts  fleetCounts
-		query   kindQuery
-		refused []machineKind
-		want    machineKind
-		ok      bool
+		name        string
+		spec        *meshpb.JobSummary
+		counts      fleetCounts
+		query       kindQuery
+		unavailable []machineKind
+		want        machineKind
+		ok          bool
 	}{
-		{"the cheapest is a spot machine", array, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{}, nil, machineKind{"m8", "z2", true}, true},
-		{"the zone with fewer machines", ordinary, fleetCounts{machinesByZone: map[string]int{"z2": 3}}, kindQuery{}, nil, machineKind{"m8", "z1", false}, true},
-		{"planned machines count in their zone", ordinary, fleetCounts{machinesByZone: map[string]int{"z2": 3}},
+		{"the cheapest kind is a spot kind", array, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{}, nil, machineKind{"m8", "z2", true}, true},
+		{"the zone with fewer machines is chosen", onDemand, fleetCounts{machinesByZone: map[string]int{"z2": 3}}, kindQuery{}, nil, machineKind{"m8", "z1", false}, true},
+		{"planned machines count in their zone", onDemand, fleetCounts{machinesByZone: map[string]int{"z2": 3}},
 			kindQuery{planned: map[machineKind]int{{"m8", "z1", false}: 4}}, nil, machineKind{"m8", "z2", false}, true},
-		{"a replica gets what fetches sooner, if it costs little more", service, fleetCounts{}, kindQuery{}, nil, machineKind{"fast", "z1", false}, true},
-		{"what the cloud refuses is left out", service, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{},
+		{"a service gets the kind that fetches faster if it costs little more", service, fleetCounts{}, kindQuery{}, nil, machineKind{"fast", "z1", false}, true},
+		{"unavailable kinds are excluded", service, fleetCounts{machinesByZone: map[string]int{"z1": 1}}, kindQuery{},
 			[]machineKind{{"fast", "z1", false}}, machineKind{"m8", "z2", false}, true},
-		{"unless it is asked for", service, fleetCounts{}, kindQuery{includeUnavailable: true},
+		{"unavailable kinds are included if the query says so", service, fleetCounts{}, kindQuery{includeUnavailable: true},
 			[]machineKind{{"fast", "z1", false}}, machineKind{"fast", "z1", false}, true},
-		{"nothing fits", &meshpb.JobSummary{Cpus: 9}, fleetCounts{}, kindQuery{}, nil, machineKind{}, false},
+		{"the task fits on no type", &meshpb.JobSummary{Cpus: 9}, fleetCounts{}, kindQuery{}, nil, machineKind{}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			kinds := newKindSelector(testCatalog(), &test.counts)
-			for _, kind := range test.refused {
+			for _, kind := range test.unavailable {
 				kinds.markKindUnavailable(kind, now+1)
 			}
 			test.query.job, test.query.now = testJob(test.spec), now
@@ -68,28 +68,28 @@
 	}
 }
 
-// A type that some job needs, since it fits on no other, is reserved for such jobs
-// for a while; replicas of services may use it all the same.
+// A type is reserved for the jobs that fit on no other, for exclusiveNeedWindow after such a
+// job was last observed. Replicas of services may still use it.
 func TestTypeIsReservedForJobsThatFitOnNoOther(t *testing.T) {
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
-	needy := testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})
-	needy.onlyMachineType = kinds.onlyFittingType(needy.spec)
-	requireEqual(t, "the type that fits", needy.onlyMachineType, "gpu")
+	gpuJob := testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})
+	gpuJob.onlyMachineType = kinds.onlyFittingType(gpuJob.spec)
+	requireEqual(t, "only type that the GPU job fits on", gpuJob.onlyMachineType, "gpu")
 	array := testJob(&meshpb.JobSummary{Cpus: 1})
-	requireEqual(t, "several types fit", kinds.onlyFittingType(array.spec), "")
+	requireEqual(t, "only type that the array fits on", kinds.onlyFittingType(array.spec), "")
 	service := testJob(&meshpb.JobSummary{Cpus: 1, Service: true})
 
-	kinds.recordExclusiveNeed(needy.onlyMachineType, 0)
-	requireEqual(t, "reserved for the job that needs it", kinds.reservedForOthers(needy, "gpu", 1), false)
-	requireEqual(t, "reserved against others", kinds.reservedForOthers(array, "gpu", 1), true)
-	requireEqual(t, "reserved against services", kinds.reservedForOthers(service, "gpu", 1), false)
-	requireEqual(t, "another type", kinds.reservedForOthers(array, "m8", 1), false)
-	requireEqual(t, "after a while", kinds.reservedForOthers(array, "gpu", exclusiveNeedWindow), false)
+	kinds.recordExclusiveNeed(gpuJob.onlyMachineType, 0)
+	requireEqual(t, "reserved for jobs other than the GPU job", kinds.reservedForOthers(gpuJob, "gpu", 1), false)
+	requireEqual(t, "reserved for jobs other than the array", kinds.reservedForOthers(array, "gpu", 1), true)
+	requireEqual(t, "reserved for jobs other than the service", kinds.reservedForOthers(service, "gpu", 1), false)
+	requireEqual(t, "another type is reserved", kinds.reservedForOthers(array, "m8", 1), false)
+	requireEqual(t, "still reserved after the window", kinds.reservedForOthers(array, "gpu", exclusiveNeedWindow), false)
 }
 
 func TestLeadTimeIsThatOfTheFastestType(t *testing.T) {
 	kinds := newKindSelector(testCatalog(), &fleetCounts{})
-	requireEqual(t, "boot and fetch", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1})), 20*time.Second+500*time.Millisecond)
-	requireEqual(t, "of the only type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})), 42*time.Second)
-	requireEqual(t, "of none", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 9})), time.Duration(0))
+	requireEqual(t, "lead time with the fastest type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1})), 20*time.Second+500*time.Millisecond)
+	requireEqual(t, "lead time with the only fitting type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 1, Gpus: 1})), 42*time.Second)
+	requireEqual(t, "lead time without a fitting type", kinds.leadTime(testJob(&meshpb.JobSummary{Cpus: 9})), time.Duration(0))
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -9,10 +9,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
 )
 
-// leader is what this process knows and decides while it leads.
+// leader holds the state and the components of one term in which this process leads. All
+// times are on this process's steady clock.
 type leader struct {
 	env              leaderEnvironment
-	ended            bool // this process leads no more
+	ended            bool // the term has ended
 	fencingToken     uint64
 	electedAt        time.Duration
 	machines         machineTable
@@ -22,10 +23,10 @@
 	usage            usageAccounting
 	reconciler       reconciler
 	publisher        statusPublisher
-	pendingResponses []*pendingResponse // that wait for bindings, the oldest first
+	pendingResponses []*pendingResponse // waiting for bindings, the oldest first
 	deliveries       deliveryTracker
 	quarantine       quarantine
-	actingSince      time.Duration // since when this member may act without a break
+	actingSince      time.Duration // start of the uninterrupted time in which this member may act
 	nextSlowTick     time.Duration
 	records          machineRecorder
 	intake           heartbeatIntake
@@ -42,17 +43,18 @@
 const (
 	slowTickInterval = time.Second
 
-	// slicesPerSweep is in how many parts the work that concerns all machines is
-	// done: one a tick, all of them in a second.
+	// slicesPerSweep is the number of slices into which work on all machines is divided: one
+	// is done in each tick, and all of them in a second.
 	slicesPerSweep = int(time.Second / tickInterval)
 
-	// A leader resigns if no response has surely arrived for so many intervals
-	// of machines' heartbeats, and for so long.
+	// A leader resigns if no response was proven to arrive within the last
+	// deliveryTimeoutIntervals heartbeat intervals of the machines, or within the last
+	// minDeliveryTimeout if that is longer.
 	deliveryTimeoutIntervals = 4
 	minDeliveryTimeout       = 10 * time.Second
 )
 
-// becomeLeader begins to lead under a fencing token.
+// becomeLeader starts a term of leadership under a fencing token.
 func (c *Controller) becomeLeader(fencingToken uint64) {
 	now := c.now()
 	l := newLeader(c.leaderEnvironment(), fencingToken, now)
@@ -70,7 +72,7 @@
 	c.sendPeerHeartbeats(now)
 }
 
-// newLeader is a leader that knows of no shard or machine yet.
+// newLeader returns a leader with no shards and no machines.
 func newLeader(env leaderEnvironment, fencingToken uint64, now time.Duration) *leader {
 	l := &leader{
 		env:          env,
@@ -99,8 +101,8 @@
 	return l
 }
 
-// endLeadership ends this process's leadership: whoever still waits for a
-// response is refused.
+// endLeadership ends this process's term of leadership: heartbeats that still await a
+// response are answered with status 503.
 func (c *Controller) endLeadership() {
 	l := c.leader
 	c.leader, l.ended = nil, true
@@ -115,12 +117,12 @@
 	c.subscription.registerShards()
 }
 
-// tick does what time asks for, ten times a second.
+// tick does the periodic work. It is called once in each tickInterval.
 func (l *leader) tick(now time.Duration) {
 	l.sendDueResponses(now)
 	mayAct := l.env.authority.MayAct(now)
 	if !mayAct {
-		// Heartbeats are refused meanwhile, so silence means nothing.
+		// Heartbeats are rejected meanwhile, so silence shows nothing.
 		l.actingSince = now
 		l.deliveries.reset(now)
 	}
@@ -135,7 +137,7 @@
 	l.slowTick(now)
 }
 
-// slowTick does what has to be done once in a slowTickInterval.
+// slowTick does the periodic work that is due once in each slowTickInterval.
 func (l *leader) slowTick(now time.Duration) {
 	l.removeTerminated(now)
 	l.images.removeUnused(&l.shards, &l.machines)
@@ -150,8 +152,10 @@
 	}
 }
 
-// reachesMachines tells whether machines still get responses from here. Without
-// it the responses that name this member would keep every machine trying in vain.
+// reachesMachines reports whether responses of this process still reach machines, or no
+// machine has run long enough to show that they don't. A leader whose responses do not
+// arrive must resign: the other members refer the machines to it, so these would keep
+// trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
 	timeout := max(seconds(deliveryTimeoutIntervals*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
 	if l.deliveries.sinceLastProof(now) < timeout || l.env.memberCount == 1 {
@@ -165,7 +169,8 @@
 	return true
 }
 
-// loadMachineRecords learns the machines that earlier leaders may have given tasks.
+// loadMachineRecords reads the records of the machines on which earlier leaders may have
+// started tasks.
 func (l *leader) loadMachineRecords() {
 	l.records.load(func(loaded loadedRecords) {
 		now := l.now()
@@ -177,8 +182,8 @@
 	})
 }
 
-// removeTerminated forgets machines that were terminated long ago, and has their
-// records compacted.
+// removeTerminated removes the machines that have been terminated for longer than
+// tombstoneTTL and are named in no record, and compacts the machine records.
 func (l *leader) removeTerminated(now time.Duration) {
 	for m := range l.machines.all {
 		if m.terminated && m.recordKey == "" && now-m.lastHeartbeat > tombstoneTTL {
@@ -190,7 +195,7 @@
 	}
 }
 
-// newIntake connects the intake of heartbeats with those who follow from them.
+// newIntake returns the intake of heartbeats, connected to the components that it updates.
 func (l *leader) newIntake() heartbeatIntake {
 	return heartbeatIntake{
 		fencingToken:  l.fencingToken,
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -14,27 +14,28 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// authority tells up to when a leader may act, and takes its leadership back.
+// authority provides the time until which a leader may act, and lets it resign. Times are on
+// this process's steady clock.
 type authority interface {
 	MayAct(now time.Duration) bool
 	MayActUntil() time.Duration
 	Resign(reason election.LossReason)
 }
 
-// leaderStore is what a leader reads and writes at the state service.
+// leaderStore is the part of the state service that a leader uses.
 type leaderStore interface {
 	machineRecordStore
 	UnfinishedJobs(shard string, done func(jobs []storage.RecoveredJob, revision uint64, err error))
 }
 
-// leaderEnvironment is what a leader has of its controller, and all of it: it
-// reaches neither the controller nor the shards that this process owns.
+// leaderEnvironment holds all that a leader uses of its controller. A leader accesses neither
+// the controller nor the shards that this process owns in any other way.
 type leaderEnvironment struct {
 	settings     *settings.Settings
 	tuning       *settings.Tuning
 	memberCount  int           // of the deployment
-	leaseTimeout time.Duration // of machines, after the arrival of a heartbeat
-	silenceLimit time.Duration // after which a machine gets no more starts
+	leaseTimeout time.Duration // guaranteed to outlast a machine's lease, from its heartbeat's arrival
+	silenceLimit time.Duration // see leader.schedulable
 
 	clock     storage.Clock
 	wallClock func() time.Time
@@ -45,14 +46,14 @@
 	authority authority
 	events    *eventcount.Counter // by responseEvent
 
-	// imagesOf is what this process, when another led, last heard of the images that
-	// a machine has cached.
+	// imagesOf returns the cached images of a machine, as the machine's latest status from the
+	// previous leader reported them.
 	imagesOf func(machine string) []*meshpb.CachedImage
-	// errorResponse builds a response that refuses a heartbeat.
+	// errorResponse builds a response that rejects a heartbeat.
 	errorResponse func(status int, text string, retryAfterS int) Response
 }
 
-// leaderEnvironment returns what a leader on this process has.
+// leaderEnvironment returns the environment of a leader on this process.
 func (c *Controller) leaderEnvironment() leaderEnvironment {
 	return leaderEnvironment{
 		settings:      &c.cfg.Settings,
@@ -73,16 +74,16 @@
 	}
 }
 
-// maxRecordBytes is what one record may take at the state service.
+// maxRecordBytes is the limit of one record's size at the state service.
 func (e *leaderEnvironment) maxRecordBytes() int {
 	return int(e.settings.State.Effective().ValueKB * 1024)
 }
 
-// now is the time on the steady clock.
+// now returns the time on this process's steady clock.
 func (l *leader) now() time.Duration { return l.env.clock.Now() }
 
-// wallMs is the Unix time in milliseconds.
+// wallMs returns the Unix time in milliseconds.
 func (l *leader) wallMs() int64 { return l.env.wallClock().UnixMilli() }
 
-// countResponse counts an event, to be logged with others.
+// countResponse counts a response event. The counts are logged together.
 func (l *leader) countResponse(e responseEvent) { l.env.events.Add(int(e)) }
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// minChargedTime is for how long the cloud charges a machine at the least.
+	// minChargedTime is the least time for which the cloud charges a machine.
 	minChargedTime = 60 * time.Second
-	// listLagFactor is by how many times the lag that the cloud states its lists
-	// may be late.
+	// listLagFactor is the most by which the age of a machine list may exceed the lag that
+	// the cloud states, as a factor.
 	listLagFactor = 4.0
-	// endedJobLimitDivisor: a machine may run a task of an ended job for this part
-	// of the time in which a cancelled job has to be stopped.
+	// endedJobLimitDivisor limits how long a machine may run a task of an ended job: the time
+	// within which a cancelled job has to be stopped, divided by this.
 	endedJobLimitDivisor = 3
-	// onDemandIdleDivisor: ordinary machines, which cost several times as much,
-	// may be idle for this part of the time of spot ones.
+	// onDemandIdleDivisor limits how long an on-demand machine may be idle: the limit of spot
+	// machines, divided by this, since on-demand machines cost several times as much.
 	onDemandIdleDivisor = 2
 )
 
-// machinesToRelease returns the names of the machines to release, in order: idle
-// ones, quarantined and reclaimed ones once they are empty, those whose boot has
-// failed, and silent ones, whose release is proof of their end sooner than their
-// lease.
+// machinesToRelease returns the sorted names of the machines to release: idle ones,
+// quarantined and reclaimed ones once they are empty, those whose boot has failed, and
+// silent ones, whose confirmed release proves their tasks lost sooner than the lease
+// timeout does.
 func (a *autoscaler) machinesToRelease(in *autoscalerInput) []string {
 	var names []string
 	for m := range a.machines.all {
@@ -46,8 +46,8 @@
 	return names
 }
 
-// shouldRelease tells whether a machine should be released now. An idle one counts
-// no more for its type.
+// shouldRelease reports whether a machine should be released now. If it is idle, it is
+// taken off the count of its type.
 func (a *autoscaler) shouldRelease(m *machine, in *autoscalerInput) bool {
 	t := a.inventory.Type(m.typeName)
 	switch {
@@ -74,23 +74,23 @@
 	return true
 }
 
-// bootFailed tells whether a machine should have sent a heartbeat by now. It is
-// charged until it is released.
+// bootFailed reports whether a machine that has sent no heartbeat should have sent one by
+// now. Such a machine is charged until it is released.
 func (a *autoscaler) bootFailed(m *machine, t *protocol.MachineType, now time.Duration) bool {
 	return t != nil && m.createdAt != 0 && now-m.createdAt > bootTimeout(t) && now-a.electedAt > a.firstHeartbeatTimeout()
 }
 
-// firstHeartbeatTimeout is the time in which machines that are up have sent a
-// heartbeat to a new leader. With long intervals it is more than a boot's grace:
-// machines that had sent none by then were taken for failed boots, and released
-// with their tasks.
+// firstHeartbeatTimeout returns the time after an election within which every running
+// machine has sent the new leader a heartbeat. With long heartbeat intervals this exceeds
+// bootTimeoutGrace; with the grace alone, running machines would be taken for failed boots
+// and released with their tasks.
 func (a *autoscaler) firstHeartbeatTimeout() time.Duration {
 	return max(bootTimeoutGrace, seconds(heartbeatJitterFactor*a.settings.Workers.HeartbeatIntervalS)+leaderSearchTime)
 }
 
-// runsEndedJob tells whether a machine still runs a task of a job that ended long
-// ago, although every heartbeat response stops it: whatever the cause, releasing
-// the machine ends the task in time (rule ran_cancelled).
+// runsEndedJob reports whether a machine still runs a task of a job that ended longer ago
+// than the limit, although every heartbeat response tells it to stop the task. Whatever the
+// cause, releasing the machine ends the task in time (rule ran_cancelled).
 func (a *autoscaler) runsEndedJob(m *machine, now time.Duration) bool {
 	limit := seconds(a.settings.Workers.CancelS / endedJobLimitDivisor)
 	for i := range m.tasks {
@@ -102,13 +102,13 @@
 	return false
 }
 
-// silenceBeyondLimit is how long beyond the limit no heartbeat has shown that
-// responses reach a machine.
+// silenceBeyondLimit returns by how much the time in which no heartbeat has shown that
+// responses reach a machine exceeds the silence limit. Negative: it is below the limit.
 func (a *autoscaler) silenceBeyondLimit(m *machine, in *autoscalerInput) time.Duration {
 	return in.now - max(m.lastReachable, in.actingSince) - a.silenceLimit
 }
 
-// silentTooLong tells whether a silent machine is rather replaced than waited for.
+// silentTooLong reports whether a silent machine should be released rather than waited for.
 func (a *autoscaler) silentTooLong(m *machine, t *protocol.MachineType, silence, now time.Duration) bool {
 	if a.missingFromList(m) {
 		return true
@@ -116,8 +116,8 @@
 	leaseTimeout := a.leaseTimeout
 	if now-m.lastHeartbeat <= a.silenceLimit {
 		// Its heartbeats arrive, but nothing shows that responses reach it. Most such
-		// machines only try one controller after another and are well in a moment;
-		// one that hears nothing loses its tasks with its lease anyhow.
+		// machines are trying one controller after another and will soon get a response; one
+		// that gets none loses its tasks anyway when its lease expires.
 		return silence > leaseTimeout
 	}
 	if !a.counts.partitionedZones[m.zone] {
@@ -126,10 +126,10 @@
 	return silence > leaseTimeout+replacementTime(m, t)
 }
 
-// missingFromList tells whether the cloud's list lacks a machine that it should
-// have by now: most likely the machine was taken away without notice. That is no
-// proof of its end, since lists may be older than the cloud states; its release
-// is, sooner than its lease.
+// missingFromList reports whether the cloud's list lacks a machine that it should have by
+// now: most likely the machine was terminated without notice. That does not prove it, since
+// lists may be older than the cloud states; a confirmed release does, sooner than the lease
+// timeout.
 func (a *autoscaler) missingFromList(m *machine) bool {
 	listedAt := a.inventory.ListedAt()
 	if _, ok := a.inventory.Listed(m.name); ok || m.createdAt == 0 || listedAt <= max(m.lastHeartbeat, a.electedAt) {
@@ -138,10 +138,10 @@
 	return listedAt-m.createdAt > seconds(listLagFactor*a.settings.Cloud.ListLagS)
 }
 
-// replacementTime is how long a new machine takes to be what a silent one is: it
-// boots and fetches the images that pending work needs. Machines that fall silent
-// together are most likely cut off, and so long they are cheaper to wait for than
-// to replace.
+// replacementTime returns how long a new machine takes to replace a silent one: it boots and
+// fetches the slowest of the silent machine's images that pending tasks need. Machines that
+// fall silent together are most likely partitioned, and for that long it is cheaper to wait
+// for them than to replace them.
 func replacementTime(m *machine, t *protocol.MachineType) time.Duration {
 	if t == nil {
 		return 0
@@ -155,7 +155,9 @@
 	return longest
 }
 
-// idleTooLong tells whether an empty machine is neither needed nor worth keeping.
+// idleTooLong reports whether an empty machine should be released: it is needed neither by
+// pending tasks nor by the warm pool or the forecast, has been idle beyond the limit, and
+// the least time that the cloud charges has passed.
 func (a *autoscaler) idleTooLong(m *machine, in *autoscalerInput) bool {
 	idleLimit := a.tuning.IdleBeforeScaleIn
 	if !m.spot {
--- a/internal/coordination/scale_out.go
+++ b/internal/coordination/scale_out.go
@@ -8,14 +8,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/cloud"
 )
 
-// queueingSlackShare is the part of a deadline's slack that tasks may wait for
-// others to end.
+// queueingSlackShare is the part of the slack before a deadline that tasks may spend
+// waiting for others to end.
 const queueingSlackShare = 0.25
 
-// scaleOutPlan is the machines that are to be requested.
+// scaleOutPlan holds the machines to request.
 type scaleOutPlan struct {
 	machines map[machineKind]int
-	counts   *fleetCounts // in which planned machines count at once
+	counts   *fleetCounts // planned machines are counted here at once
 }
 
 func (p *scaleOutPlan) add(kind machineKind) {
@@ -23,8 +23,8 @@
 	p.counts.machinesByType[kind.typeName]++
 }
 
-// planScaleOut plans machines for the tasks that no supply takes, for the warm
-// pool and for what is forecast.
+// planScaleOut returns the machines to request: for the tasks that the supply has no room
+// for, for the warm pool and for the forecast.
 func (a *autoscaler) planScaleOut(in *autoscalerInput, shortfalls []shortfall, s supply, pool *warmPool) map[machineKind]int {
 	plan := &scaleOutPlan{machines: make(map[machineKind]int), counts: &a.counts}
 	limit := a.maxMachinesPerPass()
@@ -36,8 +36,7 @@
 	return plan.machines
 }
 
-// planForJob plans machines for a job's tasks and returns how many: no more than
-// a limit.
+// planForJob plans machines for a job's tasks, at most limit of them, and returns how many.
 func (a *autoscaler) planForJob(plan *scaleOutPlan, short shortfall, s supply, limit int, now time.Duration) int {
 	planned, tasks := 0, short.tasks
 	var last *supplyMachine
@@ -47,7 +46,7 @@
 			tasks--
 			continue
 		}
-		// Machines that were planned for a job before may have room left.
+		// Machines planned for an earlier job may have room left.
 		if tasks = a.allocateSupply(short.job, tasks, s, now); tasks == 0 {
 			break
 		}
@@ -63,8 +62,8 @@
 	return planned
 }
 
-// planForForecast plans the machines that are forecast: of the cheapest kinds,
-// and no ordinary ones, which cost several times as much as spot machines.
+// planForForecast plans the machines that the forecast asks for: only spot ones, since
+// on-demand machines cost several times as much.
 func (a *autoscaler) planForForecast(plan *scaleOutPlan, in *autoscalerInput, limit int) {
 	for _, kind := range a.counts.creatableKinds {
 		for kind.spot && limit > 0 && !a.kinds.kindUnavailable(kind, in.now) && a.counts.machinesByType[kind.typeName] < in.forecastMachines[kind.typeName] {
@@ -74,26 +73,28 @@
 	}
 }
 
-// incomingMachines counts the machines that boot or are requested.
+// incomingMachines returns how many machines of each kind are booting or requested.
 func incomingMachines(booting map[machineKind]int, requested iter.Seq2[cloud.Kind, int]) map[machineKind]int {
-	coming := make(map[machineKind]int)
+	incoming := make(map[machineKind]int)
 	for kind, n := range booting {
-		coming[kind] += n
+		incoming[kind] += n
 	}
 	for kind, n := range requested {
-		coming[machineKindOf(kind)] += n
+		incoming[machineKindOf(kind)] += n
 	}
-	return coming
+	return incoming
 }
 
-// maxMachinesPerPass is how many machines the calls of a second can request.
+// maxMachinesPerPass returns how many machines can be requested with the calls that the
+// leader may make to the cloud in a second, which is the interval between passes.
 func (a *autoscaler) maxMachinesPerPass() int {
 	return cloud.MaxMachinesPerScaleOut * max(1, int(cloud.LeaderCallsPerSecond(a.settings.Cloud.RPS)))
 }
 
-// tasksNeedingSupply is how many of a job's pending tasks should find room soon. Urgent
-// jobs want all at once; others may take turns on the same machines as long as
-// their deadline leaves time for that.
+// tasksNeedingSupply returns how many of a job's pending tasks should find room soon: all
+// of an urgent job or a job without a deadline, as far as the team's limit allows. The
+// tasks of other jobs may run one after the other on the same machines as far as the
+// deadline leaves time for that.
 func (a *autoscaler) tasksNeedingSupply(job *trackedJob, wallMs int64) int {
 	n := max(0, job.pending-job.offered)
 	if job.team.cfg.CPUsMax > 0 && job.spec.Cpus > 0 {
@@ -107,6 +108,6 @@
 	if slack <= run || run <= 0 {
 		return n
 	}
-	turns := 1 + slack*queueingSlackShare/run
-	return min(n, max(0, int(math.Ceil(float64(n+job.placed)/turns))-job.placed))
+	sequentialRuns := 1 + slack*queueingSlackShare/run
+	return min(n, max(0, int(math.Ceil(float64(n+job.placed)/sequentialRuns))-job.placed))
 }
--- a/internal/coordination/scale_outcomes.go
+++ b/internal/coordination/scale_outcomes.go
@@ -8,9 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/cloud"
 )
 
-// scaleOutcomes applies what becomes of the requests for machines and of their
-// release: to the machine table, and to what is known of the kinds. It is the
-// observer of the leader's cloud.Scaler.
+// scaleOutcomes applies the outcomes of scale-out and release requests to the machine table
+// and to the kind selector. It is the observer of the leader's cloud.Scaler.
 type scaleOutcomes struct {
 	machines       *machineTable
 	kinds          *kindSelector
@@ -18,7 +17,7 @@
 	markTerminated func(*machine)
 }
 
-// MachinesCreated makes new machines known.
+// MachinesCreated adds new machines to the machine table.
 func (o *scaleOutcomes) MachinesCreated(kind cloud.Kind, names []string, now time.Duration) {
 	for _, name := range names {
 		m := o.machines.add(name)
@@ -34,7 +33,7 @@
 	}
 }
 
-// KindRefused keeps a kind from being requested for a while.
+// KindRefused marks a kind as unavailable until a time, so that it is not requested.
 func (o *scaleOutcomes) KindRejected(kind cloud.Kind, why cloud.RejectReason, until time.Duration) {
 	o.kinds.markKindUnavailable(machineKindOf(kind), until)
 	if why == cloud.MalformedRequest {
@@ -42,14 +41,15 @@
 	}
 }
 
-// ReleaseSent keeps machines from being released twice.
+// ReleaseSent records that the release of machines was requested, so that it is not
+// requested twice.
 func (o *scaleOutcomes) ReleaseSent(names []string) {
 	for _, name := range names {
 		o.machines.get(name).terminateInFlight = true
 	}
 }
 
-// ReleaseConfirmed ends machines: that the cloud has released them is proof.
+// ReleaseConfirmed marks machines as terminated: the cloud's confirmation is proof.
 func (o *scaleOutcomes) ReleaseConfirmed(names []string) {
 	for _, name := range names {
 		if m := o.machines.get(name); m != nil {
@@ -58,7 +58,8 @@
 	}
 }
 
-// ReleaseFailed has machines released again.
+// ReleaseFailed records that the outcome of a release request is unknown, so that the
+// release is requested again.
 func (o *scaleOutcomes) ReleaseFailed(names []string) {
 	for _, name := range names {
 		if m := o.machines.get(name); m != nil {
@@ -67,12 +68,12 @@
 	}
 }
 
-// machineKindOf is a kind as the cloud's requests name it.
+// machineKindOf converts a kind of the cloud's requests.
 func machineKindOf(kind cloud.Kind) machineKind {
 	return machineKind{kind.Type, kind.Zone, kind.Spot}
 }
 
-// cloudKind is the kind as the cloud's requests name it.
+// cloudKind converts the kind for the cloud's requests.
 func (k machineKind) cloudKind() cloud.Kind {
 	return cloud.Kind{Type: k.typeName, Zone: k.zone, Spot: k.spot}
 }
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -8,31 +8,30 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// shortageInterval is how often the shortage is computed; the heartbeats in
-// between share the result.
+// shortageInterval is the least time between two computations of the shortage. The
+// heartbeats that arrive meanwhile use the same result.
 const shortageInterval = 300 * time.Millisecond
 
-// shortage is how many CPUs are lacking for what may preempt other tasks, beyond
-// what is free or about to be, and the most work that has to be lost on any
-// machine for it.
+// shortage holds how many CPUs the tasks that may preempt others lack, beyond those that
+// are free or will be soon, and for each group of tasks the cost limit: the most work, as a
+// run time, that may be lost by preempting one task for them.
 type shortage struct {
 	computedAt         time.Duration
 	urgentCPUs         float64 // for urgent tasks; by image in image.urgentCPUs
 	urgentCostLimit    time.Duration
-	guaranteeCPUs      float64 // that teams lack of their guarantees
+	guaranteeCPUs      float64 // for teams that use less than their guarantee
 	guaranteeCostLimit time.Duration
-	jobsBelowGuarantee []*trackedJob // the jobs of these teams
-	standardCPUs       float64       // for standard tasks that find no machine; by image in image.standardCPUs
-	standardCostLimit  time.Duration
+	jobsBelowGuarantee []*trackedJob // pending jobs of these teams
+	standardCPUs       float64       // for pending standard tasks; by image in image.standardCPUs
+	standardCostLimit  time.Duration // for the best-effort tasks that are preempted for them
 }
 
-// shortageDue tells whether the shortage is to be computed.
+// shortageDue reports whether it is time to compute the shortage.
 func (p *preemptor) shortageDue(now time.Duration) bool {
 	return now-p.shortage.computedAt >= shortageInterval
 }
 
-// findShortage computes the shortage. While urgent tasks lack room nothing else
-// preempts.
+// findShortage computes the shortage. While urgent tasks lack room, no other tasks preempt.
 func (p *preemptor) findShortage(now time.Duration) {
 	p.shortage = shortage{computedAt: now}
 	p.findUrgentShortage(now)
@@ -42,9 +41,8 @@
 	}
 }
 
-// findUrgentShortage finds the urgent tasks that lack room where they could be
-// placed: on machines that have their image, or on any if they would rather have
-// it fetched than wait.
+// findUrgentShortage computes the shortage of urgent tasks: those that lack room on the
+// machines that have their image, or on any machine if their image may be fetched.
 func (p *preemptor) findUrgentShortage(now time.Duration) {
 	for _, im := range p.images.byName {
 		im.urgentCPUs = 0
@@ -70,7 +68,7 @@
 // the limits of their teams allow them to run, and returns the sum of all.
 func (p *preemptor) sumUrgentByImage() float64 {
 	total := 0.0
-	left := make(map[*teamUsage]float64) // of the teams' limits
+	left := make(map[*teamUsage]float64) // CPUs that the teams' limits leave
 	for _, job := range p.queue.jobs {
 		if !job.isUrgent() || job.unoffered() == 0 || !p.withinTeamLimit(job) {
 			continue
@@ -89,9 +87,8 @@
 	return total
 }
 
-// subtractUrgentSupply takes off the shortage what a machine has free or soon will
-// have, and returns the queue of the highest priority that may preempt there, if
-// any may.
+// subtractUrgentSupply subtracts from the shortage the CPUs that a machine has free or will
+// have soon. It returns the queue of the highest priority that may preempt there, or nil.
 func (p *preemptor) subtractUrgentSupply(m *machine, now time.Duration) *imageQueue {
 	queue := p.queue.byKind[m.machineKind]
 	if queue == nil {
@@ -99,7 +96,7 @@
 	}
 	free := p.soonFreeCPUs(m, now)
 	var highest *imageQueue
-	serve := func(im *image) {
+	allocate := func(im *image) {
 		q := queue.byImage[im]
 		if im.urgentCPUs <= 0 || q == nil || (m.inWarmPool && q.highestPriority < protocol.PriorityProduction) {
 			return
@@ -113,18 +110,18 @@
 		free -= cpus
 	}
 	for i := range m.images {
-		serve(m.images[i].image)
+		allocate(m.images[i].image)
 	}
 	for _, q := range queue.images {
 		if q.mayFetch {
-			serve(q.image)
+			allocate(q.image)
 		}
 	}
 	return highest
 }
 
-// soonFreeCPUs is what a machine has free once the tasks have ended that are being
-// stopped or nearly finished.
+// soonFreeCPUs returns the CPUs that a machine has free once the tasks that are being
+// stopped or are nearly finished have ended.
 func (p *preemptor) soonFreeCPUs(m *machine, now time.Duration) float64 {
 	free := math.Max(0, m.free.cpus)
 	for i := range m.tasks {
@@ -136,10 +133,9 @@
 	return free
 }
 
-// findStandardShortage finds the standard tasks that are pending while tasks that
-// should only run in idle time run on machines that have their image. They get the
-// place of these if that loses less than a new machine takes to be ready, or if
-// none is to be had.
+// findStandardShortage computes the shortage of pending standard tasks, which may preempt
+// best-effort tasks on machines that have their image: if that loses less work, as a run
+// time, than a new machine takes to be ready, or if no machine can be obtained.
 func (p *preemptor) findStandardShortage(now time.Duration) {
 	s := &p.shortage
 	for _, im := range p.images.byName {
@@ -163,8 +159,8 @@
 	}
 }
 
-// findGuaranteeShortage finds how many CPUs teams lack that have pending tasks, use
-// less than their guarantee and can get no more machines.
+// findGuaranteeShortage computes how many CPUs are lacking to teams that have pending tasks,
+// use less than their guarantee and can obtain no more machines.
 func (p *preemptor) findGuaranteeShortage(now time.Duration) {
 	s := &p.shortage
 	s.guaranteeCPUs = p.sumBelowGuarantee(now)
@@ -191,8 +187,8 @@
 	s.guaranteeCostLimit = costLimit(candidates, s.guaranteeCPUs)
 }
 
-// sumBelowGuarantee lists the jobs whose teams use less than their guarantee and
-// returns the CPUs that they lack.
+// sumBelowGuarantee lists the pending jobs whose teams use less than their guarantee and
+// returns the CPUs that the teams lack: at most those of the pending tasks.
 func (p *preemptor) sumBelowGuarantee(now time.Duration) float64 {
 	pending := make(map[*teamUsage]float64)
 	for _, job := range p.queue.jobs {
@@ -208,8 +204,9 @@
 	return total
 }
 
-// subtractGuaranteeSupply takes off the shortage what a machine has free or soon
-// will have, and notes what teams are giving back there.
+// subtractGuaranteeSupply subtracts from the shortage the CPUs that a machine has free or
+// will have soon, and adds those of the tasks that are being stopped to their teams'
+// stoppingCPUs.
 func (p *preemptor) subtractGuaranteeSupply(m *machine, now time.Duration) {
 	s := &p.shortage
 	s.guaranteeCPUs -= math.Max(0, m.free.cpus)
@@ -227,11 +224,10 @@
 	}
 }
 
-// preemptionCandidate is a task that could be preempted: the work that would be
-// lost and the CPUs that would become free.
+// preemptionCandidate is a task that could be preempted.
 type preemptionCandidate struct {
-	cost time.Duration
-	cpus float64
+	cost time.Duration // see preemptionCost
+	cpus float64       // that would become free
 }
 
 func (p *preemptor) appendCandidates(candidates []preemptionCandidate, m *machine, now time.Duration, eligible victimFilter) []preemptionCandidate {
@@ -243,8 +239,8 @@
 	return candidates
 }
 
-// costLimit is the most that any of the cheapest candidates costs that free the
-// CPUs needed.
+// costLimit returns the highest cost among the cheapest candidates that together free the
+// needed CPUs, or noCostLimit if all candidates free fewer.
 func costLimit(candidates []preemptionCandidate, neededCPUs float64) time.Duration {
 	if neededCPUs <= 0 {
 		return 0
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -8,27 +8,27 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// supply is the machines that pending tasks can be matched with, by kind, the
-// fullest first.
+// supply holds the machines that pending tasks can be matched with, by kind. Those of a
+// kind are ordered by their free CPUs, least first.
 type supply map[machineKind][]*supplyMachine
 
-// supplyMachine is the room on a machine that is there or to come.
+// supplyMachine holds the free resources of an existing, requested or planned machine.
 type supplyMachine struct {
-	machine     *machine // nil: it is requested or planned
+	machine     *machine // nil: the machine is requested or planned
 	free        resources
-	partitioned bool // it is cut off, and should be back: work that is not urgent can wait for it
+	partitioned bool // in a partitioned zone; tasks that are not urgent can wait for its return
 }
 
 func (s supply) add(kind machineKind, m *supplyMachine) { s[kind] = append(s[kind], m) }
 
-// shortfall is how many of a job's tasks find no room on machines there or to come.
+// shortfall is the number of a job's tasks that no machine of the supply has room for.
 type shortfall struct {
 	job   *trackedJob
 	tasks int
 }
 
-// collectSupply lists the machines that have room now or soon. It clears the mark
-// needed of all machines.
+// collectSupply returns the machines that have room now or soon. It clears the mark
+// neededByPendingTasks of the machines that it considers.
 func (a *autoscaler) collectSupply(in *autoscalerInput) supply {
 	s := make(supply)
 	smallest := smallestTaskCPUs(in.pendingJobs)
@@ -39,7 +39,7 @@
 		}
 		m.neededByPendingTasks = false
 		if found := a.supplyOf(m, t, in); found.free.cpus > 0 && found.free.cpus >= smallest {
-			added := found // so that only what is added is allocated
+			added := found // a copy, so that only machines that are added are allocated on the heap
 			s.add(m.machineKind, &added)
 		}
 	}
@@ -58,7 +58,7 @@
 	return s
 }
 
-// supplyOf is the room that a machine has, or will have soon.
+// supplyOf returns the resources that are free on a machine now or will be soon.
 func (a *autoscaler) supplyOf(m *machine, t *protocol.MachineType, in *autoscalerInput) supplyMachine {
 	switch {
 	case a.schedulable(m, in.now):
@@ -83,27 +83,27 @@
 	return smallest
 }
 
-// matchPending gives the supply to the pending tasks, in the order of service, and
-// marks the machines that they need. Tasks that can take turns get what the
-// others leave.
+// matchPending allocates the supply to the pending tasks in the scheduling order, marks
+// the machines that they need and returns the tasks that need more machines. Tasks that
+// can wait until others have ended are allocated what remains.
 func (a *autoscaler) matchPending(in *autoscalerInput, s supply) []shortfall {
 	var shortfalls []shortfall
-	rest := make([]shortfall, 0, len(in.pendingJobs))
+	deferrable := make([]shortfall, 0, len(in.pendingJobs))
 	for _, job := range in.pendingJobs {
 		n := a.tasksNeedingSupply(job, in.wallMs)
 		if short := a.allocateSupply(job, n, s, in.now); short > 0 {
 			shortfalls = append(shortfalls, shortfall{job, short})
 		} else if more := job.unoffered() - n; more > 0 {
-			rest = append(rest, shortfall{job, more})
+			deferrable = append(deferrable, shortfall{job, more})
 		}
 	}
-	for _, r := range rest {
-		a.allocateSupply(r.job, r.tasks, s, in.now)
+	for _, d := range deferrable {
+		a.allocateSupply(d.job, d.tasks, s, in.now)
 	}
 	return shortfalls
 }
 
-// allocateSupply takes room for n tasks of a job and returns how many found none.
+// allocateSupply allocates room for n tasks of a job and returns how many found none.
 func (a *autoscaler) allocateSupply(job *trackedJob, n int, s supply, now time.Duration) int {
 	for _, kind := range a.counts.creatableKinds {
 		machines := s[kind]
@@ -126,7 +126,8 @@
 				full++
 			}
 		}
-		// Full machines are passed over for each job: they go once they are many.
+		// Each job has to skip the full machines, so these are removed once they are more
+		// than half.
 		if full > len(machines)/2 {
 			s[kind] = removeFullMachines(machines)
 		}
@@ -134,32 +135,33 @@
 	return n
 }
 
-// take takes room for up to n tasks of a job and returns for how many.
+// allocateTasks allocates room for at most n tasks of a job and returns for how many it did.
 func (s *supplyMachine) allocateTasks(job *trackedJob, n int) int {
-	taken := 0
-	for taken < n && s.free.fits(job.spec) && !(s.partitioned && job.isUrgent()) {
+	allocated := 0
+	for allocated < n && s.free.fits(job.spec) && !(s.partitioned && job.isUrgent()) {
 		s.free.subtract(job.spec)
-		taken++
+		allocated++
 		if s.machine != nil {
 			s.machine.neededByPendingTasks = true
 		}
 	}
-	return taken
+	return allocated
 }
 
-// removeFullMachines drops the machines without free CPUs, in place.
+// removeFullMachines removes the machines without free CPUs, in place.
 func removeFullMachines(machines []*supplyMachine) []*supplyMachine {
-	kept := machines[:0]
+	remaining := machines[:0]
 	for _, m := range machines {
 		if m.free.cpus > 0 {
-			kept = append(kept, m)
+			remaining = append(remaining, m)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// freeWithinBootTime is what a machine has free by the time that a new one would usually be
-// up.
+// freeWithinBootTime returns the resources that are expected to be free on a machine within
+// the boot time of a new one. A task that is overdue by more than the boot time does not
+// count as ending, since it may run for long.
 func (a *autoscaler) freeWithinBootTime(m *machine, t *protocol.MachineType, now time.Duration) resources {
 	free := m.free
 	boot := seconds(t.BootS)
--- a/internal/coordination/supply_test.go
+++ b/internal/coordination/supply_test.go
@@ -10,20 +10,20 @@
 func TestAllocateSupply(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		tasks       int // of 2 CPUs, pending
+		tasks       int // pending tasks of 2 CPUs each
 		urgent      bool
 		service     bool
 		partitioned bool
 		inWarmPool  bool
-		want        int // that find no room on 8 CPUs
+		want        int // tasks that find no room on a machine of 8 CPUs
 		needed      bool
 	}{
-		{"all fit", 3, false, false, false, false, 0, true},
-		{"some don't", 6, false, false, false, false, 2, true},
-		{"others wait for machines that are cut off", 3, false, false, true, false, 0, true},
-		{"urgent tasks don't", 3, true, false, true, false, 3, false},
-		{"the warm pool is not for arrays", 3, false, false, false, true, 3, false},
-		{"but for services", 3, false, true, false, true, 0, true},
+		{"all tasks fit", 3, false, false, false, false, 0, true},
+		{"some tasks don't fit", 6, false, false, false, false, 2, true},
+		{"tasks that are not urgent wait for a partitioned machine", 3, false, false, true, false, 0, true},
+		{"urgent tasks don't wait for a partitioned machine", 3, true, false, true, false, 3, false},
+		{"array jobs can't use the warm pool", 3, false, false, false, true, 3, false},
+		{"services can use the warm pool", 3, false, true, false, true, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			kind := machineKind{"m8", "z1", false}
@@ -36,8 +36,8 @@
 			if test.urgent {
 				job.priority = protocol.PriorityUrgent
 			}
-			requireEqual(t, "without room", a.allocateSupply(job, test.tasks, s, 0), test.want)
-			requireEqual(t, "the machine is needed", m.neededByPendingTasks, test.needed)
+			requireEqual(t, "tasks without room", a.allocateSupply(job, test.tasks, s, 0), test.want)
+			requireEqual(t, "machine is marked as needed", m.neededByPendingTasks, test.needed)
 		})
 	}
 }
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -11,70 +11,73 @@
 )
 
 const (
-	// maxPoolSizeAge is how old the size of the warm pool may be when a machine
-	// is about to be offered.
+	// maxPoolSizeAge is the age beyond which the size of the warm pool is recomputed before
+	// a machine is offered.
 	maxPoolSizeAge = time.Second
-	// maxServiceShapes bounds the shapes that headroom is kept for.
+	// maxServiceShapes is the number of shapes for which headroom is kept, at most.
 	maxServiceShapes = 64
-	// maxCountedReplicas bounds how many replicas are counted on one machine.
+	// maxCountedReplicas is the number of replicas counted on one machine, at most.
 	maxCountedReplicas = 1000
-	// promptStartDivisor: at most this part of the fleet's CPUs is kept free for
-	// prompt starts.
+	// promptStartDivisor limits the CPUs that are kept free for prompt starts: those of the
+	// fleet, divided by this.
 	promptStartDivisor = 20
-	// initialPoolDivisor: this part of all machines is kept free for
-	// services before any was seen.
+	// initialPoolDivisor sets the number of machines that are kept free for services before
+	// any was observed: that of the reported machines, divided by this, within the bounds of
+	// sizeForUnseenClasses.
 	initialPoolDivisor = 50
-	// minSpreadMachines is over how many machines headroom is spread, so that one
-	// of them sends its heartbeat soon.
+	// minSpreadMachines is the least number of machines over which headroom is spread, so
+	// that the next heartbeat of one of them comes soon.
 	minSpreadMachines = 4
 )
 
-// The kinds of objectives that only headroom meets where machines boot slowly.
+// The kinds of objectives that cannot be met without headroom where machines boot slowly.
 const (
-	objectiveWait = "wait" // a start within a time
-	objectiveUp   = "up"   // replicas that are running
+	objectiveWait = "wait" // tasks start within a time after their submission
+	objectiveUp   = "up"   // replicas are running
 )
 
-// warmPool keeps headroom for replicas of services: for those that arrive, and
-// for those that are lost and wanted back sooner than a machine boots. Unlike
-// arrays, services may often not use spot machines, and their replicas stay.
+// warmPool keeps headroom for replicas of services: for new ones, and to replace lost ones
+// sooner than a machine boots. Unlike array jobs, many services may not use spot machines,
+// and their replicas stay on their machines.
 //
-// It owns the headroom wanted, the machines that provide it and their mark
-// inWarmPool. It requests and releases no machines itself.
+// It owns the target headroom, the machines that provide it and their mark inWarmPool. It
+// requests and releases no machines itself.
 type warmPool struct {
 	settings    *settings.Settings
 	catalog     catalog
 	kinds       *kindSelector
 	machines    *machineTable
-	counts      *fleetCounts // the autoscaler's last count, only read here
+	counts      *fleetCounts // the autoscaler's latest counts, only read here
 	electedAt   time.Duration
 	schedulable func(*machine, time.Duration) bool
 
 	loadByShape      map[serviceShape]*serviceLoad
-	unseenClasses    map[string]bool          // classes whose starts the users want soon, of which no job was seen
-	targetHeadroom   map[machineKind]headroom // that there should be
-	reservedHeadroom map[machineKind]headroom // that members provide
-	sizedAt          time.Duration            // when target was computed
-	poolMachines     []*machine
-	machinesWithRoom []*machine // with room for services, members or not
+	unseenClasses    map[string]bool          // classes with an objective, without a job so far
+	targetHeadroom   map[machineKind]headroom // to be kept
+	reservedHeadroom map[machineKind]headroom // provided by poolMachines
+	sizedAt          time.Duration            // when targetHeadroom was computed
+	poolMachines     []*machine               // marked inWarmPool
+	machinesWithRoom []*machine               // schedulable and with room for services, in the pool or not
 }
 
-// headroom is machines with room for replicas, and how many replicas fit there.
+// headroom is a number of machines with room for replicas, and the number of replicas for
+// which they have room.
 type headroom struct{ machines, replicas int }
 
-// covers tells whether it is enough for a target.
+// covers reports whether the headroom is at least a target.
 func (h headroom) covers(target headroom) bool {
 	return h.machines >= target.machines && h.replicas >= target.replicas
 }
 
-// divided is the part that each of several zones has to provide.
+// dividedByZones returns the headroom that each of several zones has to provide.
 func (h headroom) dividedByZones(zones int) headroom {
 	return headroom{ceilDiv(h.machines, zones), ceilDiv(h.replicas, zones)}
 }
 
 func ceilDiv(n, by int) int { return (n + by - 1) / by }
 
-// serviceShape is what services need that count as alike.
+// serviceShape is the key under which the arrivals of services with equal requirements are
+// counted together.
 type serviceShape struct {
 	class, zone        string
 	spot               bool
@@ -85,15 +88,15 @@
 	return serviceShape{spec.Class, spec.Zone, spec.Spot, spec.Cpus, spec.Gpus, spec.MemoryGb}
 }
 
-// serviceLoad is what arrived lately of a shape.
+// serviceLoad holds the recent arrivals of services of a shape.
 type serviceLoad struct {
-	spec     *meshpb.JobSummary // of the latest, as is the image
-	image    *image
+	spec     *meshpb.JobSummary // of the latest service
+	image    *image             // of the latest service
 	arrivals forecast.Services
 }
 
-// init makes a pool that has seen no services. The fields above the first blank
-// line are set by then.
+// init initializes the state of a pool that has observed no services. The fields above the
+// blank line in warmPool must be set before.
 func (p *warmPool) init() {
 	p.loadByShape = make(map[serviceShape]*serviceLoad)
 	p.unseenClasses = make(map[string]bool)
@@ -104,10 +107,11 @@
 	}
 }
 
-// recordClass notes that a job of a class has arrived.
+// recordClass records that a job of a class has arrived.
 func (p *warmPool) recordClass(class string) { delete(p.unseenClasses, class) }
 
-// observe takes in a new service that was submitted at a time.
+// observeService records the arrival of a service that was submitted at a time on this
+// process's steady clock.
 func (p *warmPool) observeService(job *trackedJob, submitted time.Duration) {
 	shape := shapeOf(job.spec)
 	load := p.loadByShape[shape]
@@ -122,9 +126,9 @@
 	load.arrivals.Observe(submitted, int(job.spec.Tasks))
 }
 
-// resize computes the headroom that is wanted: on each kind of machine, for the
-// largest service of late and for as many replicas as arrive while a machine
-// boots. Then it chooses the machines that provide it. These take nothing but
+// resize computes the target headroom: on each kind of machine, for the largest service
+// within the forecast's window and for as many replicas as are expected to arrive while a
+// machine boots. Then it chooses the machines that provide it, which are offered only to
 // services.
 func (p *warmPool) resize(now time.Duration) {
 	p.sizedAt = now
@@ -144,8 +148,8 @@
 	p.chooseMachines(now)
 }
 
-// chooseMachines marks machines until the target is met. Members stay if they
-// can, since they hold services already, and their images.
+// chooseMachines marks machines until the target is met. It prefers the machines that are
+// already in the pool, since they run services and have their images.
 func (p *warmPool) chooseMachines(now time.Duration) {
 	p.machinesWithRoom = p.machinesWithRoom[:0]
 	for m := range p.machines.all {
@@ -161,8 +165,8 @@
 	}
 }
 
-// addIfNeeded takes a machine in that is about to be offered, if its room is
-// wanted: one that has just booted would be full before the next resize.
+// addIfNeeded adds a machine that is about to be offered to the pool, if the target is not
+// met. Otherwise a machine that has just booted would be full before the next resize.
 func (p *warmPool) addIfNeeded(m *machine, now time.Duration) {
 	if now-p.sizedAt > maxPoolSizeAge {
 		p.resize(now)
@@ -172,7 +176,8 @@
 	}
 }
 
-// reserve takes a machine in if it has room for services and more is wanted.
+// reserveMachine adds a machine to the pool if the machine has room for services and the
+// target is not met. It reports whether it did.
 func (p *warmPool) reserveMachine(m *machine, now time.Duration) bool {
 	reserved := p.reservedHeadroom[m.machineKind]
 	if reserved.covers(p.targetHeadroom[m.machineKind]) || !p.schedulable(m, now) {
@@ -187,7 +192,8 @@
 	return true
 }
 
-// replicaCapacity is how many replicas of some shape a machine has room for.
+// replicaCapacity returns how many replicas a machine has room for, of the shape of which it
+// has room for the most. While no services were observed it is 1 for an empty machine.
 func (p *warmPool) replicaCapacity(m *machine) int {
 	most := 0
 	for _, load := range p.loadByShape {
@@ -206,7 +212,8 @@
 	return most
 }
 
-// replicasPerMachine is how many replicas of some shape an empty machine holds.
+// replicasPerMachine returns how many replicas an empty machine of a kind has room for, of
+// the shape of which it has room for the most; at least 1.
 func (p *warmPool) replicasPerMachine(kind machineKind) int {
 	t, most := p.catalog.Type(kind.typeName), 1
 	for _, load := range p.loadByShape {
@@ -217,9 +224,9 @@
 	return most
 }
 
-// sizeForUnseenClasses wants a few ordinary machines, in all zones: services may begin
-// on a running day, and those that arrive while more machines boot need room. In
-// a large fleet the few cost little.
+// sizeForUnseenClasses raises the target by a few on-demand machines in all zones: the first
+// services may arrive at any time, and those that arrive while more machines boot need room.
+// In a large fleet these few machines cost little.
 func (p *warmPool) sizeForUnseenClasses() {
 	t := p.fastestBootingType()
 	if t == nil {
@@ -231,8 +238,9 @@
 	}
 }
 
-// fastestBootingType returns the type that boots soonest of those that cost about
-// as little per CPU as the cheapest: what services will need is not known yet.
+// fastestBootingType returns the type with the shortest boot time among those whose price
+// per CPU is within servicePriceFactor of the lowest. It goes by CPUs since it is not known
+// yet what services will need.
 func (p *warmPool) fastestBootingType() *protocol.MachineType {
 	perCPU := func(t *protocol.MachineType) float64 { return t.Price / math.Max(t.CPUs, 1) }
 	least := math.Inf(1)
@@ -251,11 +259,11 @@
 	return best
 }
 
-// sizeForShape wants headroom for the services of a shape.
+// sizeForShape raises the target to the headroom for services of a shape.
 func (p *warmPool) sizeForShape(load *serviceLoad, now time.Duration) {
 	job := &trackedJob{spec: load.spec, image: load.image, onlyMachineType: p.kinds.onlyFittingType(load.spec)}
-	// Kinds that the cloud refuses at present count: then what is there has to be
-	// kept all the more.
+	// Kinds that are unavailable at present are included: since no machines of them can be
+	// added, the existing ones have to be kept.
 	kind, ok := p.kinds.bestKind(kindQuery{job: job, now: now, includeUnavailable: true})
 	if !ok {
 		return
@@ -269,22 +277,22 @@
 		p.raiseTarget(kind, wanted)
 		return
 	}
-	// Each zone has its part, whether or not the service has to spread: a zone that
-	// is cut off takes no more than that with it.
+	// Each zone provides an equal part, whether or not the service has to be spread over
+	// zones: if a zone is partitioned, no more than its part is lost.
 	part := wanted.dividedByZones(max(1, len(t.Zones)))
 	for _, zone := range t.Zones {
 		p.raiseTarget(machineKind{kind.typeName, zone, kind.spot}, part)
 	}
 }
 
-// raiseTarget wants at least that much headroom on a kind of machine.
+// raiseTarget raises the target headroom on a kind of machine to at least the given one.
 func (p *warmPool) raiseTarget(kind machineKind, wanted headroom) {
 	target := p.targetHeadroom[kind]
 	p.targetHeadroom[kind] = headroom{max(target.machines, wanted.machines), max(target.replicas, wanted.replicas)}
 }
 
-// affordableMachines is how many machines of a kind may be kept for prompt starts:
-// a small part of the fleet, and none while the cloud has too few for jobs that
+// affordableMachines returns how many machines of a kind may be kept for prompt starts: a
+// small part of the fleet, and none while the cloud has too few of the kind for jobs that
 // fit on no other type.
 func (p *warmPool) affordableMachines(t *protocol.MachineType, kind machineKind, now time.Duration) int {
 	if p.kinds.contended(kind, now) {
@@ -293,10 +301,9 @@
 	return int(p.counts.reportedCPUs / promptStartDivisor / math.Max(t.CPUs, 1))
 }
 
-// machinesForPromptStart is how many machines need room for the last of a
-// service's tasks to find one that sends a heartbeat within half of the time in
-// which the users want it started, if each takes one task: the heartbeats of n
-// machines come an n-th of their interval apart.
+// machinesForPromptStart returns how many machines need room for a service's tasks, one on
+// each, so that the last task is offered to a machine within half of the class's start
+// objective: the heartbeats of n machines come an n-th of their interval apart.
 func (p *warmPool) machinesForPromptStart(class string, tasks float64) int {
 	within := p.startObjectiveS(class)
 	if within <= 0 {
@@ -305,22 +312,22 @@
 	return int(math.Ceil(2 * tasks * p.settings.Workers.HeartbeatIntervalS / within))
 }
 
-// startObjectiveS is the time, in seconds, within which the users want the starts of
-// a class; 0: they name none.
+// startObjectiveS returns the time, in seconds, within which the tasks of a class should
+// start; 0: the settings state none.
 func (p *warmPool) startObjectiveS(class string) float64 {
 	return forecast.StartObjectiveOf(p.settings.Objectives, class).WithinS
 }
 
-// planScaleOut adds the machines that are wanted and neither there nor to come to
-// a plan, up to a number.
-func (p *warmPool) planScaleOut(plan *scaleOutPlan, coming map[machineKind]int, limit int, now time.Duration) {
+// planScaleOut adds to a plan the machines that the target lacks, beyond the incoming ones:
+// at most limit machines.
+func (p *warmPool) planScaleOut(plan *scaleOutPlan, incoming map[machineKind]int, limit int, now time.Duration) {
 	if len(p.loadByShape) == 0 && now-p.electedAt < fleetObservationTime {
-		return // more classes may yet be seen
+		return // jobs of unseen classes may still become known
 	}
 	for kind, target := range p.targetHeadroom {
 		reserved := p.reservedHeadroom[kind]
 		forReplicas := ceilDiv(target.replicas-reserved.replicas, p.replicasPerMachine(kind))
-		missing := max(target.machines-reserved.machines, forReplicas) - coming[kind]
+		missing := max(target.machines-reserved.machines, forReplicas) - incoming[kind]
 		for ; missing > 0 && limit > 0 && !p.kinds.kindUnavailable(kind, now); missing-- {
 			plan.add(kind)
 			limit--
