--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -40,7 +40,7 @@
 		started(agent, task)
 		id, _, _ := strings.Cut(task.Name, "/")
 		if scenario.jobs[id]["crew"] == "red" {
-			scenario.redStarts++
+			scenario.startedRedTasks++
 		}
 	}
 	scenario.OnTick = func() {
@@ -95,7 +95,7 @@
 			scenario.T.Fatalf("tasks of shard %s use %v out of an allocation of %v", shardName, use, allocation)
 		}
 	}
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		n := scenario.Nodes[name]
 		if !n.Up || n.Paused || !controllerOf(n).election.MayAct(scenario.Now()) {
 			continue
@@ -113,7 +113,7 @@
 // submitRedJobs submits jobs of red at all controllers, more than the limit allows, and cancels
 // some.
 func (scenario *faultScenario) submitRedJobs(second int) {
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; n.Up && second%2 == 0 {
 			scenario.submit(n, 1+scenario.rand.IntN(5), "crew", "red")
 		}
@@ -126,7 +126,7 @@
 // submitRedEverywhere submits a job of red at each controller.
 func (sim *simulation) submitRedEverywhere(tasks int) {
 	sim.T.Helper()
-	for i, name := range sim.Names {
+	for i, name := range sim.Members {
 		if got := sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), tasks).With("crew", "red")).Status; got != 201 {
 			sim.T.Fatalf("submission at %s is answered %d", name, got)
 		}
@@ -164,12 +164,12 @@
 			t.Parallel()
 			for seed := range uint64(3) {
 				scenario := newEscrowScenario(t, seed, 10)
-				scenario.setTaskDuration(3 * time.Second)
-				scenario.play(40, script(scenario))
+				scenario.setTaskDurations(3 * time.Second)
+				scenario.runScript(40, script(scenario))
 				scenario.recoverAndCheck()
 				scenario.checkAudit()
-				if len(scenario.knownStatus) < scenario.submitted/3 || scenario.startedTasks < 30 {
-					t.Fatalf("%d of %d jobs were accepted, %d tasks started", len(scenario.knownStatus), scenario.submitted, scenario.startedTasks)
+				if len(scenario.knownStatus) < scenario.submittedJobs/3 || scenario.startedTasks < 30 {
+					t.Fatalf("%d of %d jobs were accepted, %d tasks started", len(scenario.knownStatus), scenario.submittedJobs, scenario.startedTasks)
 				}
 			}
 		})
@@ -186,8 +186,8 @@
 			scenario.T.Errorf("%s of %s: %s", f.Kind, f.Team, f.Text)
 		}
 	}
-	if len(report.Teams) != 1 || report.Teams[0].Admissions < scenario.redStarts {
-		scenario.T.Errorf("machines have started %d tasks of red, the audit records show %+v", scenario.redStarts, report.Teams)
+	if len(report.Teams) != 1 || report.Teams[0].Admissions < scenario.startedRedTasks {
+		scenario.T.Errorf("machines have started %d tasks of red, the audit records show %+v", scenario.startedRedTasks, report.Teams)
 	}
 }
 
@@ -215,7 +215,7 @@
 		scenario.submitRedJobs(s)
 		clear(scenario.State.StalledWatches)
 		if s < 36 { // each controller's watch stalls in turn, for 6 s
-			scenario.State.StalledWatches[scenario.Names[s/6%3]] = true
+			scenario.State.StalledWatches[scenario.Members[s/6%3]] = true
 		}
 	}
 }
@@ -241,7 +241,7 @@
 			scenario.Reconnect(frozen)
 		}
 		if n := scenario.Nodes[frozen]; s == 13 && n != nil { // the others take its silence for a disconnection
-			for _, other := range scenario.Names {
+			for _, other := range scenario.Members {
 				if other != frozen {
 					controllerOf(scenario.Nodes[other]).LinkDown(scenario.Nodes[other].Links[frozen])
 				}
@@ -256,7 +256,7 @@
 		switch s {
 		case 10:
 			lead := scenario.Leader().Name
-			for _, name := range scenario.Names {
+			for _, name := range scenario.Members {
 				if name != lead {
 					scenario.Crash(name)
 					break
@@ -338,7 +338,7 @@
 func moveShardAndBack(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
-		if name := scenario.Names[s/10%3]; s%10 == 3 {
+		if name := scenario.Members[s/10%3]; s%10 == 3 {
 			scenario.Crash(name)
 		} else if s%10 == 7 {
 			scenario.restoreAll()
@@ -352,7 +352,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := newEscrowScenario(t, 100+seed, 8)
-			playConcurrentFaults(scenario)
+			runConcurrentFaults(scenario)
 			scenario.checkAudit()
 		})
 	}
@@ -375,7 +375,7 @@
 	}
 	sim.Run(8 * time.Second)
 	requireEqual(t, "running at the limit", sim.runningTasks(), 16)
-	sim.finishTask("wk-1/0")
+	sim.finishRunningTask("wk-1/0")
 	sim.Run(6 * time.Second)
 	requireEqual(t, "running after a task has finished", sim.runningTasks(), 16)
 	for i, name := range []string{"b", "c"} {
@@ -439,7 +439,7 @@
 	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
 	requireEqual(t, "running on", sim.runningTasks(), 16)
 	for round := range 10 {
-		sim.finishTask(sim.anyRunningTask())
+		sim.finishRunningTask(sim.anyRunningTask())
 		sim.Run(4 * time.Second)
 		if round < 7 {
 			requireEqual(t, "starts while use is above the limit", starts, 0)
@@ -482,7 +482,7 @@
 	requireEqual(t, "shares once all divide limits", len(sim.quotaRecord("red").Shares), 3)
 	requireEqual(t, "running", sim.runningTasks(), 16)
 	for range 6 {
-		sim.finishTask(sim.anyRunningTask())
+		sim.finishRunningTask(sim.anyRunningTask())
 		sim.Run(2 * time.Second)
 	}
 	sim.Run(4 * time.Second)
@@ -495,7 +495,7 @@
 	if n := len(sim.quotaRecord("red").Shares); n > 1 { // only b may withdraw its own share
 		t.Errorf("%d shares are left alongside the previous version, want at most 1", n)
 	}
-	sim.finishTask(sim.anyRunningTask())
+	sim.finishRunningTask(sim.anyRunningTask())
 	sim.Run(4 * time.Second)
 	requireEqual(t, "running alongside the previous version again", sim.runningTasks(), 16)
 }
@@ -552,7 +552,7 @@
 	for _, n := range sim.Nodes {
 		controllerOf(n).cfg.Settings.Teams[0].CPUsMax = 1000 // disables the leader's count, not the allocations
 	}
-	for _, name := range sim.Names { // disables the allocations: members seem not to divide limits
+	for _, name := range sim.Members { // disables the allocations: members seem not to divide limits
 		sim.State.Announce(storage.ProcessKey(name), sim.Codec.Encode(storage.Holder{Member: name, RecordFormat: storage.CurrentRecordFormat}))
 	}
 	sim.Run(2 * time.Second)
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -32,7 +32,7 @@
 			jobs := 0
 			submit := func() {
 				jobs++
-				n := sim.Nodes[sim.Names[jobs%3]]
+				n := sim.Nodes[sim.Members[jobs%3]]
 				request := simtest.BatchJob(fmt.Sprintf("wk-%d", jobs), size.tasks).With("crew", size.team).With("plate", fmt.Sprint("img-", jobs%16))
 				if r := n.Submit(request); r.Status != 201 && r.Status != 0 {
 					b.Fatalf("submission was answered with status %d, want 201 or none", r.Status)
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -24,14 +24,14 @@
 	lead, owner = scenario.Leader(), scenario.Follower()
 	id = scenario.submit(owner, 8)
 	scenario.submit(lead, 4)
-	scenario.play(4, func(int) {})
+	scenario.runScript(4, func(int) {})
 	requireEqual(t, "running", scenario.runningTasks(), 12)
 	return scenario, lead, owner, id
 }
 
 // otherNode returns the first node that is neither a nor b.
 func (scenario *faultScenario) otherNode(a, b *simtest.Node) *simtest.Node {
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; n != a && n != b {
 			return n
 		}
@@ -47,7 +47,7 @@
 		scenario.T.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
 	}
 	scenario.State.Unavailable[""] = true
-	scenario.play(50, func(int) {}) // checkInvariants fails the test if a cancelled task still runs
+	scenario.runScript(50, func(int) {}) // checkInvariants fails the test if a cancelled task still runs
 	scenario.recoverAndCheck()
 }
 
@@ -80,7 +80,7 @@
 		submit = scenario.submitService
 	}
 	id := submit(owner, 8)
-	scenario.play(4, func(int) {})
+	scenario.runScript(4, func(int) {})
 	requireEqual(t, "running", scenario.runningTasks(), 8)
 	scenario.State.Unavailable[lead.Name] = true
 	switch mesh {
@@ -100,7 +100,7 @@
 		requireEqual(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
 	}
 	scenario.State.Unavailable[""] = true
-	scenario.play(50, func(int) {})
+	scenario.runScript(50, func(int) {})
 	scenario.recoverAndCheck()
 }
 
@@ -155,10 +155,10 @@
 func TestOwnerUnawareOfTheNextLeader(t *testing.T) {
 	scenario, lead, owner, id := newLongJobScenario(t, 3)
 	scenario.submit(owner, 2)
-	scenario.play(4, func(int) {})
+	scenario.runScript(4, func(int) {})
 	scenario.State.StalledWatches[owner.Name] = true
 	scenario.State.Unavailable[lead.Name] = true
-	scenario.play(9, func(int) {})
+	scenario.runScript(9, func(int) {})
 	if scenario.Leader() == lead || scenario.Leader() == owner {
 		t.Fatal("the third member does not lead")
 	}
@@ -166,7 +166,7 @@
 	scenario.Advance(400 * time.Millisecond)
 	started := scenario.startedTasks
 	scenario.State.Unavailable[""] = true
-	scenario.play(50, func(int) {})
+	scenario.runScript(50, func(int) {})
 	requireEqual(t, "running tasks, tasks started in the outage", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
 	scenario.playOutageAfterCancellation(id)
 }
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -29,9 +29,9 @@
 	scenario.Start(name)
 }
 
-// activeLeader returns who leads, if anybody does.
-func (scenario *faultScenario) activeLeader() *simtest.Node {
-	for _, name := range scenario.Names {
+// actingLeader returns who leads, if anybody does.
+func (scenario *faultScenario) actingLeader() *simtest.Node {
+	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; n.Up && controllerOf(n).leader != nil && controllerOf(n).election.MayAct(scenario.Now()) {
 			return n
 		}
@@ -51,7 +51,7 @@
 // replayHeartbeats sends old heartbeats to every node; their answers reach nobody.
 func (scenario *faultScenario) replayHeartbeats(old map[*simtest.Agent][]byte) {
 	for _, body := range old {
-		for _, name := range scenario.Names {
+		for _, name := range scenario.Members {
 			if n := scenario.Nodes[name]; n.Up && !n.Paused {
 				controllerOf(n).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: body, Conn: 1 << 30}, func(Response) {})
 			}
@@ -67,7 +67,7 @@
 		"transactions are carried out late":                                               delayTransactions,
 		"teams at their limits, cancelled jobs on machines that hang, the leader changes": cancelAtTeamLimits,
 		"jobs are cancelled while a shard changes hands":                                  cancelDuringHandover,
-		"machines up at once get work while writes lag, and the leader ends":              startOnNewMachinesWhileWritesLag,
+		"machines up at once get work while writes lag, and the leader ends":              startOnNewMachinesDuringSlowWrites,
 		"old heartbeats reach every controller as a new leader begins":                    replayOldHeartbeats,
 		"one-task jobs come four a second, a quarter cancelled":                           submitOneTaskJobs,
 		"leaders change ten times, also in an outage":                                     changeLeaders,
@@ -82,18 +82,18 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				scenario := newFaultScenario(t, seed, 8)
-				scenario.play(45, script(scenario))
+				scenario.runScript(45, script(scenario))
 				scenario.recoverAndCheck()
-				if scenario.submitted == 0 || len(scenario.knownStatus) < scenario.submitted/3 {
-					t.Fatalf("%d of %d jobs were accepted", len(scenario.knownStatus), scenario.submitted)
+				if scenario.submittedJobs == 0 || len(scenario.knownStatus) < scenario.submittedJobs/3 {
+					t.Fatalf("%d of %d jobs were accepted", len(scenario.knownStatus), scenario.submittedJobs)
 				}
 			}
 		})
 	}
 }
 
-// setTaskDuration has the tasks of all machines take some time.
-func (scenario *faultScenario) setTaskDuration(takes time.Duration) {
+// setTaskDurations has the tasks of all machines take some time.
+func (scenario *faultScenario) setTaskDurations(takes time.Duration) {
 	for _, agent := range scenario.Agents {
 		agent.TaskDuration, agent.DurationSpread = takes, takes/4
 	}
@@ -115,14 +115,14 @@
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playConcurrentFaults(newFaultScenario(t, seed, 8))
+			runConcurrentFaults(newFaultScenario(t, seed, 8))
 		})
 	}
 }
 
-func playConcurrentFaults(scenario *faultScenario) {
+func runConcurrentFaults(scenario *faultScenario) {
 	scenario.T.Helper()
-	scenario.setTaskDuration(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
+	scenario.setTaskDurations(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
 	r := scenario.rand
 	pause := func() int { return 1 + r.IntN(25) }
 	var lead *simtest.Node
@@ -132,18 +132,18 @@
 		},
 		func() (func(), func()) { // the leader is refused alone
 			return func() {
-				if lead = scenario.activeLeader(); lead != nil {
+				if lead = scenario.actingLeader(); lead != nil {
 					scenario.State.Unavailable[lead.Name] = true
 				}
 			}, func() { clear(scenario.State.Unavailable) }
 		},
 		func() (func(), func()) { // and cut from the other controllers
 			return func() {
-				if lead = scenario.activeLeader(); lead == nil {
+				if lead = scenario.actingLeader(); lead == nil {
 					return
 				}
 				scenario.State.Unavailable[lead.Name] = true
-				for _, other := range scenario.Names {
+				for _, other := range scenario.Members {
 					if other != lead.Name {
 						scenario.Disconnect(lead.Name, other)
 					}
@@ -154,7 +154,7 @@
 			a, b := r.IntN(3), r.IntN(3)
 			return func() {
 				if a != b {
-					scenario.Disconnect(scenario.Names[a], scenario.Names[b])
+					scenario.Disconnect(scenario.Members[a], scenario.Members[b])
 				}
 			}, scenario.restoreAll
 		},
@@ -165,11 +165,11 @@
 			return func() { scenario.loseTransactions(0.2, false) }, func() { scenario.loseTransactions(0, true) }
 		},
 		func() (func(), func()) {
-			name := scenario.Names[r.IntN(3)]
+			name := scenario.Members[r.IntN(3)]
 			return func() { scenario.Crash(name) }, scenario.restoreAll
 		},
 		func() (func(), func()) {
-			return func() { scenario.crashOnConfirm = true }, func() { scenario.crashOnConfirm = false; scenario.restoreAll() }
+			return func() { scenario.crashOnConfirmedCancellation = true }, func() { scenario.crashOnConfirmedCancellation = false; scenario.restoreAll() }
 		},
 		func() (func(), func()) { // all are back at once
 			return func() {
@@ -198,7 +198,7 @@
 			return func() { scenario.cancelRandomJobs(6) }, func() { scenario.cancelRandomJobs(6) }
 		},
 		func() (func(), func()) {
-			return func() { scenario.State.StalledWatches[scenario.Names[r.IntN(3)]] = true }, func() { clear(scenario.State.StalledWatches) }
+			return func() { scenario.State.StalledWatches[scenario.Members[r.IntN(3)]] = true }, func() { clear(scenario.State.StalledWatches) }
 		},
 		func() (func(), func()) {
 			return func() {
@@ -219,7 +219,7 @@
 			at[s] = append(at[s], end)
 		}
 	}
-	scenario.play(60, func(s int) {
+	scenario.runScript(60, func(s int) {
 		if s < 45 {
 			n := scenario.randomNode()
 			if s%5 == 4 {
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -108,7 +108,7 @@
 		sim.Run(time.Second)
 		sim.failJobs("wk-1", "wk-2", "wk-3")
 	}
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(20 * time.Second)
 	requireEqual(t, "running", sim.runningTasks(), 3)
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -15,8 +15,8 @@
 // starts on one machine while it is on another is checked at every start, see
 // checkRunsOnce.
 
-// finishTask ends one running task wherever it runs.
-func (sim *simulation) finishTask(name string) {
+// finishRunningTask ends one running task wherever it runs.
+func (sim *simulation) finishRunningTask(name string) {
 	for _, agent := range sim.Agents {
 		for _, task := range agent.Tasks {
 			if task.Name == name && task.State == "running" {
@@ -50,11 +50,11 @@
 			}
 			requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 3)).Status, 201)
 			sim.Run(3 * time.Second)
-			sim.finishTask("wk-1/0")
+			sim.finishRunningTask("wk-1/0")
 			sim.Run(300 * time.Millisecond) // reported, and perhaps not yet written
 			sim.Crash(lead.Name)
 			sim.Run(time.Second)
-			sim.finishTask("wk-1/1")
+			sim.finishRunningTask("wk-1/1")
 			sim.Run(15 * time.Second)
 			next := sim.Leader()
 			if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
@@ -63,9 +63,9 @@
 			requireEqual(t, "starts", sim.startCount(), 3)
 			sim.Start(lead.Name)
 			sim.Run(10 * time.Second)
-			sim.finishTask("wk-1/2")
+			sim.finishRunningTask("wk-1/2")
 			sim.Run(5 * time.Second)
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 			}
 			requireEqual(t, "starts in all", sim.startCount(), 3)
@@ -132,7 +132,7 @@
 	sim.State.Unavailable[""] = true
 	told := make(map[string]bool)
 	for i := range 50 { // cancel_s is 40
-		for _, name := range sim.Names {
+		for _, name := range sim.Members {
 			out := sim.Nodes[name].Send("POST", "/submissions/wk-1/abort")
 			ask := sim.Nodes[name].Send("GET", "/submissions/wk-2")
 			sim.Run(time.Second)
@@ -152,7 +152,7 @@
 	requireEqual(t, "cancelled", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.Run(6 * time.Second)
 	requireEqual(t, "running", sim.runningTasks(), 2)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 	}
 }
@@ -201,7 +201,7 @@
 			sim.AddMachine("vm-1", "z1")
 			sim.AddMachine("vm-2", "z1")
 			sim.Run(2 * time.Second)
-			for i, n := range sim.Names {
+			for i, n := range sim.Members {
 				requireEqual(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 			}
 			sim.Run(4 * time.Second)
@@ -212,12 +212,12 @@
 			n := sim.Nodes[name]
 			requireEqual(t, "leads", sim.Leader(), n)
 			requireEqual(t, "running", sim.runningTasks(), 6)
-			for i := range sim.Names {
+			for i := range sim.Members {
 				sim.requireStatus(n, fmt.Sprint("wk-", i+1), 200, "running")
 			}
 			sim.FinishAllTasks()
 			sim.Run(5 * time.Second)
-			for i := range sim.Names {
+			for i := range sim.Members {
 				sim.requireStatus(n, fmt.Sprint("wk-", i+1), 200, "done")
 			}
 			requireEqual(t, "starts", sim.startCount(), 6)
@@ -287,7 +287,7 @@
 				for i := range 40 {
 					second()
 					id := fmt.Sprint("wk-", i+1)
-					r := sim.Nodes[sim.Names[i%3]]
+					r := sim.Nodes[sim.Members[i%3]]
 					if r.Up && r.Submit(simtest.BatchJob(id, 1+i%9)).Status == 201 {
 						accepted[id] = true
 					}
@@ -300,7 +300,7 @@
 					case variant == 3 && i == 15:
 						sim.Crash(sim.Leader().Name)
 					case variant == 3 && i == 25:
-						for _, name := range sim.Names {
+						for _, name := range sim.Members {
 							if !sim.Nodes[name].Up {
 								sim.Start(name)
 							}
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -18,19 +18,19 @@
 // zones are the worker's.
 type faultScenario struct {
 	*simulation
-	rand            *rand.Rand
-	jobs            map[string]simtest.JobRequest
-	knownStatus     map[string]string // the newest that any node has told of a job
-	knownSince      map[string]time.Duration
-	cancelRequested map[string]bool // its user has asked to cancel it
-	completedTasks  map[string]bool // tasks that ended well
-	repeatedQueries []repeatedQuery
-	delayedCalls    []delayedCall
-	submitted       int                      // jobs
-	startedTasks    int                      // tasks
-	redStarts       int                      // of the team red, see divided
-	lastAnswers     map[string]time.Duration // when a question about a job was last answered
-	crashOnConfirm  bool                     // the next node that confirms a cancellation ends as it does
+	rand                         *rand.Rand
+	jobs                         map[string]simtest.JobRequest
+	knownStatus                  map[string]string // the newest that any node has told of a job
+	knownStatusSince             map[string]time.Duration
+	cancelRequested              map[string]bool // its user has asked to cancel it
+	completedTasks               map[string]bool // tasks that ended well
+	repeatedQueries              []repeatedQuery
+	delayedCalls                 []delayedCall
+	submittedJobs                int                      // jobs
+	startedTasks                 int                      // tasks
+	startedRedTasks              int                      // of the team red, see divided
+	lastAnsweredAt               map[string]time.Duration // when a question about a job was last answered
+	crashOnConfirmedCancellation bool                     // the next node that confirms a cancellation ends as it does
 }
 
 // repeatedQuery is a question that is put to every node for a while.
@@ -40,11 +40,11 @@
 }
 
 type delayedCall struct {
-	at  time.Duration
-	run func()
+	dueAt time.Duration
+	call  func()
 }
 
-const cancelWithin = 40 * time.Second // cancel_s of simtest.SettingsFormat
+const cancellationTimeout = 40 * time.Second // cancel_s of simtest.SettingsFormat
 
 const statusAccepted = "accepted"
 
@@ -57,21 +57,21 @@
 func newFaultScenarioIn(t *testing.T, sim *simulation, seed uint64, machines int) *faultScenario {
 	t.Helper()
 	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]simtest.JobRequest),
-		knownStatus: make(map[string]string), knownSince: make(map[string]time.Duration), cancelRequested: make(map[string]bool),
-		completedTasks: make(map[string]bool), lastAnswers: make(map[string]time.Duration)}
+		knownStatus: make(map[string]string), knownStatusSince: make(map[string]time.Duration), cancelRequested: make(map[string]bool),
+		completedTasks: make(map[string]bool), lastAnsweredAt: make(map[string]time.Duration)}
 	scenario.ExpireLeases = true
 	scenario.loseTransactions(0, true)
 	scenario.OnTick = scenario.checkInvariants
 	scenario.OnTaskDone = func(_ *simtest.Agent, name string) { scenario.completedTasks[name] = true }
-	scenario.IsEndless = func(name string) bool {
+	scenario.RunsUntilStopped = func(name string) bool {
 		id, _, _ := strings.Cut(name, "/")
 		return scenario.isService(id)
 	}
 	scenario.OnStart = func(agent *simtest.Agent, task *simtest.AgentTask) {
 		scenario.startedTasks++
 		id, _, _ := strings.Cut(task.Name, "/")
-		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownSince[id] > 100*time.Millisecond {
-			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.Now()-scenario.knownSince[id])
+		if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownStatusSince[id] > 100*time.Millisecond {
+			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.Now()-scenario.knownStatusSince[id])
 		}
 		if zone := scenario.jobs[id]["hall"]; zone != nil && zone != agent.Zone {
 			t.Fatalf("%s starts in %s", task.Name, agent.Zone)
@@ -95,8 +95,8 @@
 			id, _, _ := strings.Cut(task.Name, "/")
 			request := scenario.jobs[id]
 			use[request["crew"].(string)] += request["vcpus"].(float64)
-			if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownSince[id] > cancelWithin {
-				scenario.T.Fatalf("%s is on %s %s after its cancellation was confirmed", task.Name, agent.Name, scenario.Now()-scenario.knownSince[id])
+			if scenario.knownStatus[id] == protocol.StatusCancelled && scenario.Now()-scenario.knownStatusSince[id] > cancellationTimeout {
+				scenario.T.Fatalf("%s is on %s %s after its cancellation was confirmed", task.Name, agent.Name, scenario.Now()-scenario.knownStatusSince[id])
 			}
 		}
 	}
@@ -106,8 +106,8 @@
 	kept := scenario.delayedCalls[:0]
 	var due []func()
 	for _, l := range scenario.delayedCalls {
-		if scenario.Now() >= l.at {
-			due = append(due, l.run)
+		if scenario.Now() >= l.dueAt {
+			due = append(due, l.call)
 			continue
 		}
 		kept = append(kept, l)
@@ -128,7 +128,7 @@
 
 // queryEverywhere asks all nodes about a job and repeats its submission.
 func (scenario *faultScenario) queryEverywhere(id string) {
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		scenario.query(scenario.Nodes[name], "GET", id)
 		scenario.query(scenario.Nodes[name], "POST", id)
 	}
@@ -177,7 +177,7 @@
 	if err := scenario.Codec.Decode(r.Body, &s); err != nil {
 		scenario.T.Fatal(err)
 	}
-	scenario.lastAnswers[id] = scenario.Now()
+	scenario.lastAnsweredAt[id] = scenario.Now()
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	switch {
 	case scenario.jobs[id] == nil:
@@ -198,10 +198,10 @@
 		news = statusAccepted
 	}
 	if scenario.knownStatus[id] == "" || (final && scenario.knownStatus[id] == statusAccepted) {
-		scenario.knownStatus[id], scenario.knownSince[id] = news, scenario.Now()
+		scenario.knownStatus[id], scenario.knownStatusSince[id] = news, scenario.Now()
 		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.Now() + 500*time.Millisecond})
-		if scenario.crashOnConfirm && news == protocol.StatusCancelled && controllerOf(n).owner.Job(id) == nil {
-			scenario.crashOnConfirm, n.Up = false, false // nothing that it has not sent yet is sent
+		if scenario.crashOnConfirmedCancellation && news == protocol.StatusCancelled && controllerOf(n).owner.Job(id) == nil {
+			scenario.crashOnConfirmedCancellation, n.Up = false, false // nothing that it has not sent yet is sent
 			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now(), func() { scenario.Crash(n.Name) }})
 		}
 	}
@@ -209,8 +209,8 @@
 
 // submit hands a new job in at a node and returns its id.
 func (scenario *faultScenario) submit(n *simtest.Node, pages int, with ...any) string {
-	scenario.submitted++
-	id := fmt.Sprint("wk-", scenario.submitted)
+	scenario.submittedJobs++
+	id := fmt.Sprint("wk-", scenario.submittedJobs)
 	request := simtest.BatchJob(id, pages)
 	for i := 0; i+1 < len(with); i += 2 {
 		request = request.With(with[i].(string), with[i+1])
@@ -230,13 +230,13 @@
 }
 
 func (scenario *faultScenario) randomNode() *simtest.Node {
-	return scenario.Nodes[scenario.Names[scenario.rand.IntN(len(scenario.Names))]]
+	return scenario.Nodes[scenario.Members[scenario.rand.IntN(len(scenario.Members))]]
 }
 
 // unfinishedJobs returns the jobs that go on for all that was told.
 func (scenario *faultScenario) unfinishedJobs() []string {
 	var out []string
-	for i := range scenario.submitted {
+	for i := range scenario.submittedJobs {
 		if id := fmt.Sprint("wk-", i+1); scenario.knownStatus[id] == statusAccepted {
 			out = append(out, id)
 		}
@@ -264,7 +264,7 @@
 }
 
 // play lets seconds pass; each does what a script says, and users go on asking.
-func (scenario *faultScenario) play(seconds int, script func(second int)) {
+func (scenario *faultScenario) runScript(seconds int, script func(second int)) {
 	for i := range seconds {
 		script(i)
 		scenario.Run(time.Second)
@@ -278,14 +278,14 @@
 
 // restoreAll starts all nodes that are down and mends the mesh.
 func (scenario *faultScenario) restoreAll() {
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; !n.Up {
 			scenario.Crash(name) // one that died as it spoke
 			scenario.Start(name)
 		}
 	}
-	for i, name := range scenario.Names {
-		for _, other := range scenario.Names[i+1:] {
+	for i, name := range scenario.Members {
+		for _, other := range scenario.Members[i+1:] {
 			if l := scenario.Nodes[name].Links[other]; l == nil || l.Closed {
 				scenario.Connect(name, other)
 			}
@@ -300,8 +300,8 @@
 	clear(scenario.State.Unavailable)
 	clear(scenario.State.StalledWatches)
 	scenario.loseTransactions(0, true)
-	scenario.Cloud.RefusesScaleOut, scenario.Cloud.LosesResponses, scenario.Cloud.RefusesRelease = false, false, false
-	scenario.crashOnConfirm = false
+	scenario.Cloud.RejectsScaleOut, scenario.Cloud.LosesResponses, scenario.Cloud.RejectsRelease = false, false, false
+	scenario.crashOnConfirmedCancellation = false
 	scenario.restoreAll()
 	for _, agent := range scenario.Agents {
 		agent.Silent, agent.LosesResponses, agent.DropsStarts = false, false, false
@@ -315,17 +315,17 @@
 			scenario.query(scenario.randomNode(), "GET", id)
 		}
 	}
-	scenario.play(75, quiet)
+	scenario.runScript(75, quiet)
 	for id := range scenario.knownStatus {
 		scenario.query(scenario.randomNode(), "GET", id)
 	}
 	scenario.Run(3 * time.Second)
 	for id := range scenario.knownStatus {
-		if scenario.lastAnswers[id] < at {
+		if scenario.lastAnsweredAt[id] < at {
 			scenario.T.Fatalf("forgotten: no question about %s is answered for 75 s", id)
 		}
 	}
-	scenario.play(45, quiet)
+	scenario.runScript(45, quiet)
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.isService(id) && !scenario.cancelRequested[id] {
 			if n := len(scenario.machinesByTask(id)); n != scenario.jobs[id]["pages"].(int) {
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -22,7 +22,7 @@
 
 // users ask everywhere as jobs begin, end and are cancelled.
 func queryAllControllers(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	return func(s int) {
 		scenario.submitRandomJob()
 		id := scenario.submit(scenario.randomNode(), 1)
@@ -38,7 +38,7 @@
 
 // only the answers are lost, others read what was written.
 func loseTransactionResponses(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	scenario.loseTransactions(0.3, true)
 	return func(s int) {
 		scenario.submitRandomJob()
@@ -53,7 +53,7 @@
 
 // transactions are carried out late.
 func delayTransactions(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	scenario.loseTransactions(0.2, false)
 	return func(s int) {
 		scenario.submitRandomJob()
@@ -84,7 +84,7 @@
 			}
 		case 7:
 			scenario.Crash(scenario.Leader().Name)
-			for _, name := range scenario.Names {
+			for _, name := range scenario.Members {
 				if n := scenario.Nodes[name]; n.Up {
 					scenario.submit(n, 16, "crew", "red")
 				}
@@ -104,11 +104,11 @@
 	}
 	return func(s int) {
 		if s%12 == 5 || s%12 == 7 {
-			scenario.crashOnConfirm = true // with what it has confirmed and told nobody else
+			scenario.crashOnConfirmedCancellation = true // with what it has confirmed and told nobody else
 		}
 		if s%12 == 9 {
-			scenario.crashOnConfirm = false
-			for _, name := range scenario.Names {
+			scenario.crashOnConfirmedCancellation = false
+			for _, name := range scenario.Members {
 				if !scenario.Nodes[name].Up {
 					scenario.Start(name)
 				}
@@ -123,7 +123,7 @@
 }
 
 // machines up at once get work while writes lag, and the leader ends.
-func startOnNewMachinesWhileWritesLag(scenario *faultScenario) func(int) {
+func startOnNewMachinesDuringSlowWrites(scenario *faultScenario) func(int) {
 	return func(s int) {
 		if s < 20 {
 			scenario.AddMachine(fmt.Sprintf("vm-1%02d", s), "z1").TaskDuration = 4 * time.Second
@@ -144,7 +144,7 @@
 
 // old heartbeats reach every controller as a new leader begins.
 func replayOldHeartbeats(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(5 * time.Second)
+	scenario.setTaskDurations(5 * time.Second)
 	var old map[*simtest.Agent][]byte
 	return func(s int) {
 		scenario.submitRandomJob()
@@ -157,7 +157,7 @@
 		case 4:
 			lead := scenario.Leader()
 			scenario.restart(lead.Name)
-			for i := 0; i < 80 && (scenario.activeLeader() == nil || controllerOf(scenario.activeLeader()) == controllerOf(lead)); i++ {
+			for i := 0; i < 80 && (scenario.actingLeader() == nil || controllerOf(scenario.actingLeader()) == controllerOf(lead)); i++ {
 				scenario.Advance(100 * time.Millisecond)
 			}
 			scenario.replayHeartbeats(old) // before any machine says anything new
@@ -171,7 +171,7 @@
 
 // one-task jobs come four a second, a quarter cancelled.
 func submitOneTaskJobs(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	return func(s int) {
 		for i := range 4 {
 			id := scenario.submit(scenario.randomNode(), 1, "vcpus", 1.0)
@@ -181,18 +181,18 @@
 			}
 		}
 		if s == 20 || s == 30 { // what has ended stays so
-			scenario.restart(scenario.Names[s/10%3])
+			scenario.restart(scenario.Members[s/10%3])
 		}
 	}
 }
 
 // leaders change ten times, also in an outage.
 func changeLeaders(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(4 * time.Second)
+	scenario.setTaskDurations(4 * time.Second)
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s%5 == 2 {
-			scenario.restart(scenario.Names[s/5%3])
+			scenario.restart(scenario.Members[s/5%3])
 		}
 		scenario.State.Unavailable[""] = s >= 22 && s < 30
 		if s%7 == 0 {
@@ -203,7 +203,7 @@
 
 // all controllers are away for longer than a lease.
 func stopAllControllers(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(6 * time.Second)
+	scenario.setTaskDurations(6 * time.Second)
 	return func(s int) {
 		switch {
 		case s < 10 || s > 35:
@@ -218,7 +218,7 @@
 
 // a zone with its workers and a controller is cut off.
 func partitionZone(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(6 * time.Second)
+	scenario.setTaskDurations(6 * time.Second)
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
@@ -245,14 +245,14 @@
 
 // a leader keeps its workers and users alone.
 func isolateLeader(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(20 * time.Second)
+	scenario.setTaskDurations(20 * time.Second)
 	var lead *simtest.Node
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
 			lead = scenario.Leader()
 			scenario.State.Unavailable[lead.Name] = true
-			for _, other := range scenario.Names {
+			for _, other := range scenario.Members {
 				if other != lead.Name {
 					scenario.Disconnect(lead.Name, other)
 				}
@@ -263,7 +263,7 @@
 		}
 		if s == 30 {
 			delete(scenario.State.Unavailable, lead.Name)
-			for _, other := range scenario.Names {
+			for _, other := range scenario.Members {
 				if other != lead.Name {
 					scenario.Connect(lead.Name, other)
 				}
@@ -274,7 +274,7 @@
 
 // jobs of one zone lose machines.
 func failMachinesOfOneZone(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(6 * time.Second)
+	scenario.setTaskDurations(6 * time.Second)
 	return func(s int) {
 		scenario.submit(scenario.randomNode(), 3, "hall", "z2")
 		if s == 10 || s == 20 {
@@ -290,7 +290,7 @@
 
 // cancellations, questions and repeats meet the end of the last task.
 func cancelAsLastTaskEnds(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	return func(int) {
 		scenario.submitRandomJob()
 		for _, id := range scenario.unfinishedJobs() {
@@ -310,7 +310,7 @@
 
 // machines can't reach any controller.
 func silenceMachines(scenario *faultScenario) func(int) {
-	scenario.setTaskDuration(6 * time.Second)
+	scenario.setTaskDurations(6 * time.Second)
 	return func(s int) {
 		scenario.submitRandomJob()
 		if s == 8 {
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -105,7 +105,7 @@
 	const tasksPerJob = 200
 	jobs := largeFleetSize / tasksPerJob
 	for i := range jobs {
-		n := sim.Nodes[sim.Names[i%3]]
+		n := sim.Nodes[sim.Members[i%3]]
 		request := simtest.BatchJob(fmt.Sprint("wk-", i), tasksPerJob).With("vcpus", 8.0).With("expectedS", 3000.0)
 		requireEqual(t, "submit", n.Submit(request).Status, 201)
 	}
@@ -184,7 +184,7 @@
 	sendHeartbeats()
 	sim.Advance(5 * time.Second)
 	for i := range machines / 50 {
-		sim.Nodes[sim.Names[i%3]].Submit(simtest.BatchJob(fmt.Sprint("wk-", i), 100))
+		sim.Nodes[sim.Members[i%3]].Submit(simtest.BatchJob(fmt.Sprint("wk-", i), 100))
 	}
 	for range 3 {
 		sendHeartbeats()
@@ -240,7 +240,7 @@
 	sim.AdjustSettings = func(f *settings.File) { f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS = 8, 40 }
 	sim.StartAll()
 	agent := sim.AddMachine("vm-1", "z1")
-	sim.Cloud.Machines[0].At = sim.Now() - time.Hour
+	sim.Cloud.Machines[0].CreatedAt = sim.Now() - time.Hour
 	sim.Run(2 * time.Second)
 	requireEqual(t, "submit", sim.Follower().Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
@@ -250,6 +250,6 @@
 	sim.Run(12 * time.Second) // an election within a second, and the longest interval
 	agent.Silent = false
 	sim.Run(3 * time.Second)
-	requireEqual(t, "released machines", len(sim.Cloud.Released), 0)
+	requireEqual(t, "released machines", len(sim.Cloud.ReleasedMachines), 0)
 	requireEqual(t, "tasks running at the end", len(agent.Running()), 2)
 }
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -31,7 +31,7 @@
 
 // allowOnlyLeader lets only one member become leader within the next minute.
 func (sim *simulation) allowOnlyLeader(member string) {
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != member && sim.Nodes[name].Up {
 			controllerOf(sim.Nodes[name]).election.Abstain(sim.Now() + time.Minute)
 		}
@@ -144,7 +144,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
 	var gone string
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != lead.Name {
 			gone = name
 		}
@@ -160,7 +160,7 @@
 	requireEqual(t, "shards of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
 	started := first.Starts + second.Starts + idle.Starts
 	var next string
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != lead.Name && name != gone {
 			next = name
 		}
@@ -197,7 +197,7 @@
 
 // startDownMembers starts the members that are down.
 func (sim *simulation) startDownMembers() {
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if !sim.Nodes[name].Up {
 			sim.Start(name)
 		}
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -45,7 +45,7 @@
 	owner := sim.Follower()
 	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 6)).Status, 201)
 	requireEqual(t, "retry", owner.Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		requireEqual(t, "retry at "+name, sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	sim.Run(3 * time.Second)
@@ -55,7 +55,7 @@
 	sim.requireStatus(owner, "wk-1", 200, "running")
 	agent.FinishTasks("done")
 	sim.Run(3 * time.Second)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 	}
 	requireEqual(t, "tasks left on the machine", len(agent.Tasks), 0)
@@ -63,7 +63,7 @@
 	sim.Advance(10 * time.Second)
 	sim.StartMembers()
 	sim.Advance(5 * time.Second)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "done")
 		requireEqual(t, "late retry", sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
@@ -126,7 +126,7 @@
 	requireEqual(t, "running", len(agent.Running()), 4)
 	code, status := sim.Leader().Cancel("wk-1")
 	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 		code, status = sim.Nodes[name].Cancel("wk-1")
 		requireEqual(t, "again", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
@@ -200,7 +200,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(8)
 	sim.Run(15 * time.Second)
-	for i, name := range sim.Names {
+	for i, name := range sim.Members {
 		requireEqual(t, "submit", sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), 12).With("crew", "red")).Status, 201)
 	}
 	check := func(d time.Duration) {
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -110,7 +110,7 @@
 	for range 100 {
 		sim.Advance(100 * time.Millisecond)
 		acting := 0
-		for _, name := range sim.Names {
+		for _, name := range sim.Members {
 			if c := controllerOf(sim.Nodes[name]); c.leader != nil && c.election.MayAct(sim.Now()) {
 				acting++
 			}
@@ -157,7 +157,7 @@
 	sim.Connect(lead.Name, sim.Follower().Name)
 	sim.State.Unavailable[""] = false
 	sim.Run(8 * time.Second)
-	requireEqual(t, "machines returned for the outage", len(sim.Cloud.Released), 0)
+	requireEqual(t, "machines returned for the outage", len(sim.Cloud.ReleasedMachines), 0)
 	requireEqual(t, "running on", sim.runningTasks(), 2)
 }
 
@@ -223,7 +223,7 @@
 			if r.IntN(20) == 0 {
 				lateOfTen = max(0, r.IntN(12)-6)
 			}
-			member := sim.Names[r.IntN(3)]
+			member := sim.Members[r.IntN(3)]
 			switch r.IntN(30) {
 			case 0:
 				sim.State.Unavailable[member] = !sim.State.Unavailable[member]
@@ -236,7 +236,7 @@
 					sim.Start(member)
 				}
 			case 3:
-				other := sim.Names[r.IntN(3)]
+				other := sim.Members[r.IntN(3)]
 				if other != member && sim.Nodes[member].Up && sim.Nodes[other].Up {
 					if sim.Nodes[member].Links[other] != nil {
 						sim.Disconnect(member, other)
@@ -248,7 +248,7 @@
 			sim.Advance(200 * time.Millisecond)
 			leaders := 0
 			holders := make(map[string]int)
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				node := sim.Nodes[name]
 				if !node.Up || !controllerOf(node).election.MayAct(sim.Now()) {
 					continue
@@ -292,7 +292,7 @@
 	requireEqual(t, "submit in the outage", fmt.Sprint(r.Status, r.RetryAfterS > 0), "503 true")
 	code, _ := sim.Nodes["b"].Status("wk-77")
 	requireEqual(t, "unknown job in the outage", code, 503)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		requireEqual(t, "ready", sim.Nodes[name].Call("GET", "/ready", nil).Status, 200)
 	}
 	sim.State.Unavailable[""] = false
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -47,7 +47,7 @@
 
 // A process that is not certain that its predecessor's claims are dead
 // extends nothing: one of them might still be applied in spite of it.
-func TestNoLeaseExtensionBeforeTheMemberKey(t *testing.T) {
+func TestNoLeaseExtensionBeforeMemberKeyIsWritten(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
@@ -89,7 +89,7 @@
 		}
 		var accepted []string
 		for step := range 120 {
-			name := sim.Names[r.IntN(3)]
+			name := sim.Members[r.IntN(3)]
 			switch r.IntN(16) {
 			case 0:
 				sim.State.Unavailable[name] = !sim.State.Unavailable[name]
@@ -105,7 +105,7 @@
 				}
 				sim.Start(name)
 			case 4:
-				if other := sim.Names[r.IntN(3)]; other != name && sim.Nodes[name].Up && sim.Nodes[other].Up {
+				if other := sim.Members[r.IntN(3)]; other != name && sim.Nodes[name].Up && sim.Nodes[other].Up {
 					if sim.Nodes[name].Links[other] != nil {
 						sim.Disconnect(name, other)
 					} else {
@@ -136,13 +136,13 @@
 			e.do()
 		}
 		clear(sim.State.Unavailable)
-		for _, name := range sim.Names {
+		for _, name := range sim.Members {
 			if !sim.Nodes[name].Up {
 				sim.Start(name)
 			}
 		}
-		for i, a := range sim.Names {
-			for _, b := range sim.Names[i+1:] {
+		for i, a := range sim.Members {
+			for _, b := range sim.Members[i+1:] {
 				if sim.Nodes[a].Links[b] == nil {
 					sim.Connect(a, b)
 				}
@@ -150,7 +150,7 @@
 		}
 		sim.Run(20 * time.Second)
 		for _, id := range accepted {
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				if code, _ := sim.Nodes[name].Status(id); code != 200 {
 					t.Fatalf("seed %d: %s asked for %s answers %d", seed, name, id, code)
 				}
@@ -161,7 +161,7 @@
 			sim.Run(time.Second)
 		}
 		for _, id := range accepted {
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				if code, s := sim.Nodes[name].Status(id); code != 200 || s.Status != "done" {
 					t.Fatalf("seed %d: %s says %d %q of %s", seed, name, code, s.Status, id)
 				}
@@ -205,12 +205,12 @@
 		other.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	requireEqual(t, "returned", fmt.Sprint(sim.Cloud.Released), "[vm-1]")
+	requireEqual(t, "returned", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
 }
 
 // The same at a new leader, whose fencing token the machine never sees: its new epoch
 // is proof all the same, as epochs end only with all their tasks.
-func TestNewEpochWithoutFencingTokenIsProofOfLoss(t *testing.T) {
+func TestNewEpochWithOldFencingTokenIsProofOfLoss(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
@@ -272,8 +272,8 @@
 	}{{5 * time.Second, false}, {8 * time.Second, true}} {
 		t.Run(fmt.Sprint("silent for ", c.pause), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
-			sim.Cloud.RefusesScaleOut = true
-			for _, name := range sim.Names {
+			sim.Cloud.RejectsScaleOut = true
+			for _, name := range sim.Members {
 				tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
 				tune.MaxMissedHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
 			}
@@ -334,7 +334,7 @@
 // A machine that sends heartbeats on another connection each time, as it does while it
 // tries one controller after another, keeps its tasks until its lease is over:
 // returned at once, it lost them although it was well a moment later.
-func TestMachineThatTriesOtherControllersKeepsItsTasks(t *testing.T) {
+func TestMachineThatTriesOtherControllersKeepsTasks(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	for i := range 10 {
@@ -348,7 +348,7 @@
 	sim.Run(14 * time.Second)
 	agent.LosesResponses = false
 	sim.Run(10 * time.Second)
-	requireEqual(t, "returned", len(sim.Cloud.Released), 0)
+	requireEqual(t, "returned", len(sim.Cloud.ReleasedMachines), 0)
 	requireEqual(t, "running", len(agent.Running()), 4)
 }
 
@@ -461,7 +461,7 @@
 	sim.Run(3 * time.Second)
 	sim.requireStatus(lead, "wk-1", 200, "running")
 	sim.State.Unavailable[lead.Name] = true
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != lead.Name {
 			sim.Disconnect(lead.Name, name)
 		}
@@ -470,7 +470,7 @@
 	for range 80 {
 		sim.Advance(100 * time.Millisecond)
 		acting := 0
-		for _, name := range sim.Names {
+		for _, name := range sim.Members {
 			if c := controllerOf(sim.Nodes[name]); c.leader != nil && c.election.MayAct(sim.Now()) {
 				acting++
 			}
@@ -495,7 +495,7 @@
 		t.Fatalf("an older answer: %q", s.Status)
 	}
 	clear(sim.State.Unavailable)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != lead.Name {
 			sim.Connect(lead.Name, name)
 		}
@@ -514,7 +514,7 @@
 // before neither loses a machine nor brings back one that is gone.
 func TestScaleOutAndScaleInOfHundredsOfMachines(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.Cloud.MaxPerRequest = 40
+	sim.Cloud.MaxMachinesPerRequest = 40
 	n := sim.Nodes["a"]
 	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
 	for s := 0; len(sim.Cloud.Machines) < 480 && s < 200; s++ {
@@ -539,7 +539,7 @@
 	requireEqual(t, "machines known by an older list", len(controllerOf(n).leader.machines.byName), known)
 	sim.Cloud.StaleList = nil
 	sim.Run(90 * time.Second)
-	requireEqual(t, "machines returned", len(sim.Cloud.Released), 480)
+	requireEqual(t, "machines returned", len(sim.Cloud.ReleasedMachines), 480)
 	for _, k := range sim.Cloud.ReleaseSizes {
 		if k > cloud.MaxMachinesPerScaleIn {
 			t.Fatalf("a release of %d machines", k)
@@ -552,5 +552,5 @@
 			t.Fatalf("%s is back by an older list", m.name)
 		}
 	}
-	requireEqual(t, "machines rented in all", sim.Cloud.Created, 480)
+	requireEqual(t, "machines rented in all", sim.Cloud.CreatedMachines, 480)
 }
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -84,7 +84,7 @@
 	agent1.PreemptionNotice = 10.0
 	sim.Run(5 * time.Second)
 	requireEqual(t, "moved", len(agent2.Running()), 2)
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), fmt.Sprint([]string{agent1.Name}))
 }
 
 func TestFailingMachineIsQuarantinedForSeveralJobsOnly(t *testing.T) {
@@ -98,7 +98,7 @@
 		}
 		sim.Run(time.Second)
 	}
-	requireEqual(t, "machines released because of a failing job", len(sim.Cloud.Released), 0)
+	requireEqual(t, "machines released because of a failing job", len(sim.Cloud.ReleasedMachines), 0)
 	starts := 0
 	for _, agent := range sim.Agents {
 		starts += agent.Starts
@@ -117,7 +117,7 @@
 		failing.FinishTasks("error")
 		sim.Run(time.Second)
 	}
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-2]")
 }
 
 func TestScaleOutForDemandAndScaleInWhenIdle(t *testing.T) {
@@ -144,7 +144,7 @@
 	requireEqual(t, "running", sim.runningTasks(), 16)
 	sim.FinishAllTasks()
 	sim.Run(2 * time.Minute)
-	requireEqual(t, "released machines", len(sim.Cloud.Released), 4)
+	requireEqual(t, "released machines", len(sim.Cloud.ReleasedMachines), 4)
 	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "done")
 }
 
@@ -154,8 +154,8 @@
 	sim := newSimulation(t, "a")
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Advance(3 * time.Minute)
-	requireEqual(t, "released machines", sim.Cloud.Released[0], "vm-900001")
-	if sim.Cloud.Created < 2 {
+	requireEqual(t, "released machines", sim.Cloud.ReleasedMachines[0], "vm-900001")
+	if sim.Cloud.CreatedMachines < 2 {
 		t.Fatal("no other machine was rented")
 	}
 }
@@ -164,7 +164,7 @@
 // preempted tasks would start there again and be preempted again forever.
 func TestNoPreemptionForWorkPlacedElsewhere(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "s2", CPUs: 2, MemoryGB: 8, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 30, Zones: []string{"z1"}}}
+	sim.Cloud.ExtraMachineTypes = []protocol.MachineType{{Name: "s2", CPUs: 2, MemoryGB: 8, CacheGB: 50, FetchRate: 1, Price: 0.3, SpotPrice: 0.1, BootS: 30, Zones: []string{"z1"}}}
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(15 * time.Second) // until the leader has read the catalog again
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2).With("vcpus", 4.0)).Status, 201)
@@ -211,7 +211,7 @@
 // another team uses less than its own guarantee and no machine can be created.
 func TestBorrowedCapacityIsReturned(t *testing.T) {
 	sim := newSimulation(t, "a")
-	sim.Cloud.RefusesScaleOut = true
+	sim.Cloud.RejectsScaleOut = true
 	sim.AddMachine("vm-1", "z1")
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(15 * time.Second)
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -221,7 +221,7 @@
 	}
 	agent1.Silent = true
 	sim.HeartbeatFor(10, agent2)
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{agent1.Name}))
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), fmt.Sprint([]string{agent1.Name}))
 	requireEqual(t, "replica", len(agent2.Running()), 1)
 }
 
@@ -255,7 +255,7 @@
 	sim.Agents["vm-2"].PreemptionNotice = 30.0
 	sim.Agents["vm-2"].FinishTasks("done")
 	sim.Run(6 * time.Second)
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-2]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-2]")
 	requireEqual(t, "second submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	sim.CrashAll()
 	sim.Advance(8 * time.Second)
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -26,14 +26,14 @@
 					scenario := newFaultScenario(t, uint64(lasts), 6)
 					id := scenario.submitService(scenario.Follower(), 6)
 					other := scenario.submitService(scenario.Leader(), 2)
-					scenario.play(5, func(int) {})
+					scenario.runScript(5, func(int) {})
 					requireEqual(t, "replicas", len(scenario.machinesByTask(id)), 6)
 					agents := scenario.busyMachines(4)
 					for _, agent := range agents {
 						fault(agent, true)
 					}
 					scenario.query(scenario.Follower(), "ABORT", id)
-					scenario.play(lasts, func(s int) {
+					scenario.runScript(lasts, func(s int) {
 						if s == 2 && leaderRestarts {
 							scenario.restart(scenario.Leader().Name)
 						}
@@ -41,7 +41,7 @@
 					for _, agent := range agents {
 						fault(agent, false)
 					}
-					scenario.play(25, func(int) {})
+					scenario.runScript(25, func(int) {})
 					requireEqual(t, "replicas left of the cancelled service", len(scenario.machinesByTask(id)), 0)
 					scenario.recoverAndCheck()
 					requireEqual(t, "replicas of the other service", len(scenario.machinesByTask(other)), 2)
@@ -83,7 +83,7 @@
 					scenario := newFaultScenario(t, 5, 6)
 					owner := scenario.Follower()
 					id := scenario.submitService(owner, 4)
-					scenario.play(25, func(int) {})
+					scenario.runScript(25, func(int) {})
 					requireEqual(t, "replicas", len(scenario.machinesByTask(id)), 4)
 					on := scenario.Agents[scenario.machinesByTask(id)[id+"/0"]]
 					for _, task := range on.Tasks {
@@ -98,7 +98,7 @@
 					if !reportedBefore {
 						on.Heartbeat()
 					}
-					scenario.play(20, func(int) {})
+					scenario.runScript(20, func(int) {})
 					on.LosesResponses = false
 					scenario.recoverAndCheck()
 					left := 4
--- a/internal/coordination/services_test.go
+++ b/internal/coordination/services_test.go
@@ -61,7 +61,7 @@
 		}
 		sim.Run(4 * time.Second)
 		requireEqual(t, "replicas after "+cause, len(sim.machinesByTask("wk-1")), 3)
-		for _, name := range sim.Names {
+		for _, name := range sim.Members {
 			code, s := sim.Nodes[name].Status("wk-1")
 			requireEqual(t, "status", fmt.Sprintf("%d %s %d %d", code, s.Status, *s.Done, *s.Running), "200 running 0 3")
 		}
@@ -117,7 +117,7 @@
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachines(4)
 	sim.Run(2 * time.Second)
-	for i, name := range sim.Names {
+	for i, name := range sim.Members {
 		requireEqual(t, "submit", sim.Nodes[name].Submit(simtest.ServiceJob(fmt.Sprint("wk-", i+1), 2)).Status, 201)
 	}
 	sim.Run(4 * time.Second)
@@ -135,7 +135,7 @@
 	sim.Run(15 * time.Second)
 	requireEqual(t, "replicas that still run", sim.runningTasks(), 6)
 	requireEqual(t, "starts", sim.startCount(), 6)
-	for i := range sim.Names {
+	for i := range sim.Members {
 		sim.requireStatus(sim.Nodes["b"], fmt.Sprint("wk-", i+1), 200, "running")
 	}
 }
@@ -195,7 +195,7 @@
 // priority, urgent ones included, but no tasks of other services of its own priority.
 func TestServicePreemptsLowerPriorities(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.Cloud.RefusesScaleOut = true
+	sim.Cloud.RejectsScaleOut = true
 	sim.AddMachine("vm-1", "z1")
 	sim.AddMachine("vm-2", "z1")
 	sim.Run(2 * time.Second)
@@ -219,7 +219,7 @@
 	for _, room := range []bool{true, false} {
 		t.Run(fmt.Sprint("room: ", room), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
-			sim.Cloud.RefusesScaleOut = true
+			sim.Cloud.RejectsScaleOut = true
 			first := sim.AddMachine("vm-0", "z1")
 			sim.Run(2 * time.Second)
 			n := sim.Leader()
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -29,7 +29,7 @@
 	requireEqual(t, "submit", owner.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	sim.Run(3 * time.Second)
 	requireEqual(t, "running", len(dead.Running()), 1)
-	sim.Cloud.RefusesRelease = true
+	sim.Cloud.RejectsRelease = true
 	dead.Silent = true
 	agent2, agent3 := sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
 	dead.ExpireLease()
@@ -45,7 +45,7 @@
 	sim.Run(5 * time.Second)
 	sim.requireStatus(sim.Nodes[owner.Name], "wk-1", 200, "running")
 	requireEqual(t, "live replicas after the shard was acquired", len(live.Running()), 1)
-	sim.Cloud.RefusesRelease = false
+	sim.Cloud.RejectsRelease = false
 	sim.Run(10 * time.Second) // the lost machine is released
 	requireEqual(t, "second replicas", len(other.Running()), 0)
 	live.FinishTasks("done")
@@ -71,7 +71,7 @@
 	agent.FencingToken = 1
 	agent.HeartbeatTo(sim.Leader())
 	agent.FencingToken, agent.Silent = token, true
-	sim.Cloud.RefusesRelease = true // so that a release does not prove the loss
+	sim.Cloud.RejectsRelease = true // so that a release does not prove the loss
 	sim.Run(3 * time.Second)
 	requireEqual(t, "replicas on the second machine", len(agent2.Running()), 1)
 	sim.Crash(owner.Name)
@@ -339,7 +339,7 @@
 	lead, other := sim.Leader(), sim.Follower()
 	requestExtension(other, lead, storage.LeaderKey)
 	granted := sim.Now()
-	for _, name := range sim.Names { // only the sender sees the claim applied
+	for _, name := range sim.Members { // only the sender sees the claim applied
 		sim.State.StalledWatches[name] = name != other.Name
 	}
 	lease := sim.State.Keys[storage.ShardKey(other.Name)].Lease
@@ -363,7 +363,7 @@
 	sim.Run(2 * time.Second)
 	last := sim.Leader()
 	requireEqual(t, "active members", controllerOf(last).activeMembers(), 3)
-	for _, name := range sim.Names {
+	for _, name := range sim.Members {
 		if name != last.Name {
 			sim.Crash(name)
 		}
@@ -415,7 +415,7 @@
 	gone := sim.Cloud.Machines[0].Name
 	sim.Cloud.Machines = sim.Cloud.Machines[1:]
 	sim.Run(15 * time.Second)
-	requireEqual(t, "released after the silence limit", fmt.Sprint(sim.Cloud.Released), fmt.Sprint([]string{gone}))
+	requireEqual(t, "released after the silence limit", fmt.Sprint(sim.Cloud.ReleasedMachines), fmt.Sprint([]string{gone}))
 	sim.Run(20 * time.Second) // by then their leases have expired
 	for name, agent := range sim.Agents {
 		if agent.Silent {
@@ -425,17 +425,17 @@
 			delete(sim.Agents, name)
 		}
 	}
-	requireEqual(t, "released when their leases have expired", len(sim.Cloud.Released), 1)
+	requireEqual(t, "released when their leases have expired", len(sim.Cloud.ReleasedMachines), 1)
 	// Their tasks wait for them, so only the missing machine is replaced. Urgent tasks get
 	// machines of their own.
-	requireEqual(t, "machines created for the waiting tasks", sim.Cloud.Created, 1)
+	requireEqual(t, "machines created for the waiting tasks", sim.Cloud.CreatedMachines, 1)
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-2", 8).With("urgency", "urgent").With("vcpus", 8.0)).Status, 201)
 	sim.Run(3 * time.Second)
-	requireEqual(t, "more than 5 machines created with urgent tasks", sim.Cloud.Created > 5, true)
-	for len(sim.Cloud.Released) < 6 && sim.Now() < silentSince+2*time.Minute {
+	requireEqual(t, "more than 5 machines created with urgent tasks", sim.Cloud.CreatedMachines > 5, true)
+	for len(sim.Cloud.ReleasedMachines) < 6 && sim.Now() < silentSince+2*time.Minute {
 		sim.Run(time.Second)
 	}
-	requireEqual(t, "at least 6 machines released in the end", len(sim.Cloud.Released) >= 6, true)
+	requireEqual(t, "at least 6 machines released in the end", len(sim.Cloud.ReleasedMachines) >= 6, true)
 	requireEqual(t, "more than 50 s after they fell silent", sim.Now()-silentSince > 50*time.Second, true)
 }
 
@@ -606,5 +606,5 @@
 	sim.Run(6 * time.Second)
 	next := controllerOf(sim.Leader())
 	requireEqual(t, "reconciled", next.owner.Shard(lead.Name).Reconciled(), true)
-	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.Released), "[vm-1 vm-3]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1 vm-3]")
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -15,7 +15,7 @@
 func newFixedFleet(t *testing.T, machines int, taskDuration time.Duration) (*simulation, *simtest.Node) {
 	t.Helper()
 	sim := newSimulation(t, "a")
-	sim.Cloud.RefusesScaleOut = true
+	sim.Cloud.RejectsScaleOut = true
 	for i := range machines {
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1").TaskDuration = taskDuration
 	}
@@ -146,11 +146,11 @@
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1").TaskDuration = 5 * time.Second
 	}
 	sim.Run(3 * time.Second)
-	for i, n := range sim.Names {
+	for i, n := range sim.Members {
 		requireEqual(t, "submit", sim.Nodes[n].Submit(simtest.BatchJob(fmt.Sprint("wk-1", i), 10).With("crew", "red")).Status, 201)
 	}
 	sim.Run(4 * time.Second)
-	sim.Cloud.RefusesRelease = true // so that no release proves the lost machines terminated
+	sim.Cloud.RejectsRelease = true // so that no release proves the lost machines terminated
 	sim.CrashAll()
 	for _, agent := range sim.Agents {
 		agent.Silent = true // no machine comes back
@@ -228,7 +228,7 @@
 			requireEqual(t, "guest", sim.Leader().Submit(guest).Status, 201)
 			sim.Run(10 * time.Second)
 			requireEqual(t, "guest's tasks", sim.runningTasks(), 16)
-			sim.Cloud.RefusesScaleOut = true
+			sim.Cloud.RejectsScaleOut = true
 			owner := sim.Follower()
 			requireEqual(t, "standard job", owner.Submit(simtest.BatchJob("wk-2", 5).With("crew", "red").With("vcpus", 6.0)).Status, 201)
 			sim.Run(8 * time.Second)
@@ -250,8 +250,8 @@
 			requireEqual(t, "remaining tasks of the guest", count("wk-1"), 4)
 			requireEqual(t, "the guest's first task runs", fmt.Sprint(sim.machineOfTask("wk-1/0") != nil), "true")
 			for range 30 { // the guest's tasks restart where standard tasks have ended
-				sim.finishTask(fmt.Sprint("wk-2/", 0))
-				sim.finishTask(fmt.Sprint("wk-2/", 1))
+				sim.finishRunningTask(fmt.Sprint("wk-2/", 0))
+				sim.finishRunningTask(fmt.Sprint("wk-2/", 1))
 				sim.Run(time.Second)
 			}
 			if n := count("wk-1"); n < 7 {
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -20,7 +20,7 @@
 	sim.Run(3 * time.Second)
 	follower := sim.Follower()
 	other := ""
-	for _, n := range sim.Names {
+	for _, n := range sim.Members {
 		if sim.Nodes[n] != follower && sim.Nodes[n] != sim.Leader() {
 			other = n
 		}
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -26,12 +26,12 @@
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playTakeovers(t, seed)
+			runTakeoverScenario(t, seed)
 		})
 	}
 }
 
-func playTakeovers(t *testing.T, seed uint64) {
+func runTakeoverScenario(t *testing.T, seed uint64) {
 	t.Helper()
 	names := []string{"a", "b", "c"}
 	var before []string
@@ -42,8 +42,8 @@
 	sim.Tuning.QuotaEscrow = seed%3 == 1 && len(before) == 0
 	sim.StartAll()
 	scenario := &takeoverScenario{faultScenario: newFaultScenarioIn(t, sim, seed, 8)}
-	scenario.setTaskDuration(time.Duration(10+scenario.rand.IntN(30)) * time.Second)
-	scenario.play(70, func(s int) {
+	scenario.setTaskDurations(time.Duration(10+scenario.rand.IntN(30)) * time.Second)
+	scenario.runScript(70, func(s int) {
 		if s < 40 && s%2 == 0 {
 			scenario.submit(scenario.randomNode(), 1+scenario.rand.IntN(4), "crew", []string{"red", "blue"}[s/2%2])
 		}
@@ -56,9 +56,9 @@
 		switch {
 		case s < 6 || s >= 60:
 		case s%9 == 0:
-			scenario.slowTakeover()
+			scenario.beginSlowTakeover()
 		case s%9 < 3:
-			scenario.randomFault()
+			scenario.beginRandomFault()
 		}
 	})
 	scenario.State.HiddenPrefix, scenario.State.ResponseDelay = "", nil
@@ -70,13 +70,13 @@
 type takeoverScenario struct{ *faultScenario }
 
 // after has something happen between the two times from now on.
-func (scenario *takeoverScenario) after(least, most time.Duration, fn func()) {
+func (scenario *takeoverScenario) callAfter(least, most time.Duration, fn func()) {
 	scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + least + time.Duration(scenario.rand.Int64N(int64(most-least)+1)), fn})
 }
 
-// slowTakeover ends the leader, all members or just a leadership, while the reads of
+// beginSlowTakeover ends the leader, all members or just a leadership, while the reads of
 // whoever takes over are late and streams between members are cut.
-func (scenario *takeoverScenario) slowTakeover() {
+func (scenario *takeoverScenario) beginSlowTakeover() {
 	if scenario.rand.IntN(2) == 0 {
 		scenario.hideListings()
 	} else {
@@ -85,10 +85,10 @@
 	for range scenario.rand.IntN(3) {
 		scenario.disconnectLink()
 	}
-	lead := scenario.activeLeader()
+	lead := scenario.actingLeader()
 	switch scenario.rand.IntN(4) {
 	case 0:
-		for _, name := range scenario.Names {
+		for _, name := range scenario.Members {
 			scenario.crashForSeconds(name)
 		}
 	case 1:
@@ -102,17 +102,17 @@
 	}
 }
 
-// randomFault begins one that is drawn, and has it end some seconds later.
-func (scenario *takeoverScenario) randomFault() {
+// beginRandomFault begins one that is drawn, and has it end some seconds later.
+func (scenario *takeoverScenario) beginRandomFault() {
 	switch scenario.rand.IntN(8) {
 	case 0:
-		scenario.crashForSeconds(scenario.Names[scenario.rand.IntN(len(scenario.Names))])
+		scenario.crashForSeconds(scenario.Members[scenario.rand.IntN(len(scenario.Members))])
 	case 1:
-		if lead := scenario.activeLeader(); lead != nil {
+		if lead := scenario.actingLeader(); lead != nil {
 			scenario.crashForSeconds(lead.Name)
 		}
 	case 2:
-		for _, name := range scenario.Names {
+		for _, name := range scenario.Members {
 			scenario.crashForSeconds(name)
 		}
 	case 3:
@@ -120,12 +120,12 @@
 	case 4:
 		scenario.delayStateResponses()
 	case 5:
-		scenario.refuseState()
+		scenario.makeStateUnavailable()
 	case 6:
 		scenario.disconnectLink()
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
-			if lead := scenario.activeLeader(); lead != nil { // it keeps its shards
+			if lead := scenario.actingLeader(); lead != nil { // it keeps its shards
 				controllerOf(lead).election.Resign(election.MachinesUnreachable)
 			}
 			return
@@ -141,59 +141,59 @@
 	}
 	scenario.Nodes[name].Paused = false
 	scenario.Crash(name)
-	scenario.after(200*time.Millisecond, 6*time.Second, scenario.restoreAll)
+	scenario.callAfter(200*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
 // hideListings has one member, or all, refused the listings of some records.
 func (scenario *takeoverScenario) hideListings() {
 	scenario.State.HiddenPrefix = []string{"own/", "own/", "fleet/", "done/"}[scenario.rand.IntN(4)]
-	scenario.State.HiddenFrom = append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
-	scenario.after(time.Second, 6*time.Second, func() { scenario.State.HiddenPrefix, scenario.State.HiddenFrom = "", "" })
+	scenario.State.HiddenFrom = append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
+	scenario.callAfter(time.Second, 6*time.Second, func() { scenario.State.HiddenPrefix, scenario.State.HiddenFrom = "", "" })
 }
 
 // delayStateResponses has answers come late, for one member or all.
 func (scenario *takeoverScenario) delayStateResponses() {
 	most := time.Duration(1+scenario.rand.IntN(5)) * time.Second
-	member := append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
+	member := append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
 	scenario.State.ResponseDelay = func(to string) time.Duration {
 		if member != "" && member != to {
 			return 0
 		}
 		return time.Duration(scenario.rand.Int64N(int64(most)))
 	}
-	scenario.after(time.Second, 8*time.Second, func() { scenario.State.ResponseDelay = nil })
+	scenario.callAfter(time.Second, 8*time.Second, func() { scenario.State.ResponseDelay = nil })
 }
 
-// refuseState has the state service refuse one member, or be away for all.
-func (scenario *takeoverScenario) refuseState() {
-	who := append([]string{""}, scenario.Names...)[scenario.rand.IntN(4)]
+// makeStateUnavailable has the state service refuse one member, or be away for all.
+func (scenario *takeoverScenario) makeStateUnavailable() {
+	who := append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
 	scenario.State.Unavailable[who] = true
-	scenario.after(time.Second, 8*time.Second, func() { delete(scenario.State.Unavailable, who) })
+	scenario.callAfter(time.Second, 8*time.Second, func() { delete(scenario.State.Unavailable, who) })
 }
 
 func (scenario *takeoverScenario) disconnectLink() {
-	a := scenario.rand.IntN(len(scenario.Names))
-	scenario.Disconnect(scenario.Names[a], scenario.Names[(a+1)%len(scenario.Names)])
-	scenario.after(500*time.Millisecond, 6*time.Second, scenario.restoreAll)
+	a := scenario.rand.IntN(len(scenario.Members))
+	scenario.Disconnect(scenario.Members[a], scenario.Members[(a+1)%len(scenario.Members)])
+	scenario.callAfter(500*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
 // pauseMember pauses a member; the others take it for disconnected after a while.
 func (scenario *takeoverScenario) pauseMember() {
-	name := scenario.Names[scenario.rand.IntN(len(scenario.Names))]
+	name := scenario.Members[scenario.rand.IntN(len(scenario.Members))]
 	n := scenario.Nodes[name]
 	if !n.Up || n.Paused {
 		return
 	}
 	n.Paused = true
 	controller := controllerOf(n)
-	scenario.after(4*time.Second, 4*time.Second, func() {
-		for _, other := range scenario.Names {
+	scenario.callAfter(4*time.Second, 4*time.Second, func() {
+		for _, other := range scenario.Members {
 			if l := scenario.Nodes[other].Links[name]; other != name && scenario.Nodes[other].Up && n.Paused && controllerOf(n) == controller && l != nil {
 				controllerOf(scenario.Nodes[other]).LinkDown(l)
 			}
 		}
 	})
-	scenario.after(500*time.Millisecond, 9*time.Second, func() {
+	scenario.callAfter(500*time.Millisecond, 9*time.Second, func() {
 		if n.Paused && controllerOf(n) == controller {
 			scenario.Resume(name)
 			scenario.reconnectAll(name)
@@ -203,7 +203,7 @@
 
 // reconnectAll ends a member's streams and begins new ones.
 func (scenario *takeoverScenario) reconnectAll(name string) {
-	for _, other := range scenario.Names {
+	for _, other := range scenario.Members {
 		if other != name {
 			scenario.Disconnect(name, other)
 		}
@@ -213,7 +213,7 @@
 
 // resumeAll has all members that are paused go on.
 func (scenario *takeoverScenario) resumeAll() {
-	for _, name := range scenario.Names {
+	for _, name := range scenario.Members {
 		if scenario.Nodes[name].Paused {
 			scenario.Resume(name)
 			scenario.reconnectAll(name)
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -19,7 +19,7 @@
 
 // lowerStateLimits makes the state service enforce loweredStateLimits from now on.
 func (scenario *faultScenario) lowerStateLimits() {
-	scenario.State.Limits = &simtest.StateLimits{ValueBytes: 1024, Operations: 3, WriteRPS: 60, WriteBudget: 60, BudgetAt: scenario.Now()}
+	scenario.State.Limits = &simtest.StateLimits{MaxValueBytes: 1024, MaxOperations: 3, WriteRPS: 60, WriteBudget: 60, BudgetUpdatedAt: scenario.Now()}
 }
 
 // upgrade stops a member that runs the previous version and starts it with this version.
@@ -59,7 +59,7 @@
 	t.Helper()
 	names := []string{"a", "b", "c"}
 	scenario := newFaultScenarioIn(t, newUpgradeSimulation(t, loweredStateLimits, names, names...), seed, 8)
-	scenario.setTaskDuration(2 * time.Second)
+	scenario.setTaskDurations(2 * time.Second)
 	previousLed, currentLed := false, false
 	order := []string{scenario.Follower().Name, "", ""}
 	if seed%2 == 0 {
@@ -71,8 +71,8 @@
 		}
 	}
 	script := func(s int) {
-		if lead := scenario.activeLeader(); lead != nil {
-			for _, other := range scenario.Names {
+		if lead := scenario.actingLeader(); lead != nil {
+			for _, other := range scenario.Members {
 				mixed := scenario.Nodes[other].Up && scenario.PreviousVersion[other] != scenario.PreviousVersion[lead.Name]
 				previousLed = previousLed || (mixed && scenario.PreviousVersion[lead.Name])
 				currentLed = currentLed || (mixed && !scenario.PreviousVersion[lead.Name])
@@ -113,7 +113,7 @@
 			scenario.submitService(scenario.randomNode(), 1+scenario.rand.IntN(3), "crew", "blue", "apart", s%2 == 0)
 		}
 	}
-	scenario.play(76, script)
+	scenario.runScript(76, script)
 	scenario.recoverAndCheck()
 	services := 0
 	for id := range scenario.knownStatus {
@@ -136,8 +136,8 @@
 			t.Run(fmt.Sprint("takeover ", takeover, ", step ", step), func(t *testing.T) {
 				t.Parallel()
 				scenario := newFaultScenarioIn(t, newUpgradeSimulation(t, loweredStateLimits, nil, "a", "b", "c"), uint64(step), 8)
-				scenario.setTaskDuration(time.Second)
-				scenario.play(16, func(s int) {
+				scenario.setTaskDurations(time.Second)
+				scenario.runScript(16, func(s int) {
 					for range 5 {
 						scenario.submitArrays(s)
 					}
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -35,7 +35,7 @@
 	if zones["z1"] == 0 || zones["z2"] == 0 {
 		t.Fatalf("on-demand machines requested by zone: %v, want some in z1 and z2", zones)
 	}
-	sim.Cloud.RefusesScaleOut = true
+	sim.Cloud.RejectsScaleOut = true
 	requireEqual(t, "array", n.Submit(simtest.BatchJob("wk-2", 200)).Status, 201)
 	for range 10 {
 		sim.Run(time.Second)
@@ -89,7 +89,7 @@
 	for within, started := range map[float64]int{1: 6, 5: 4} {
 		t.Run(fmt.Sprint("objective ", within), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: within, Share: 0.9}}
 			}
 			sim.AddMachines(3)
@@ -135,7 +135,7 @@
 	for _, objective := range []string{"wait", "deadline"} {
 		t.Run(objective, func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
-			for _, name := range sim.Names {
+			for _, name := range sim.Members {
 				controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: objective, Class: "portal", WithinS: 5, Share: 0.9}}
 			}
 			sim.Crash(sim.Leader().Name)
@@ -162,12 +162,12 @@
 	}{{2.2, false, "m16"}, {2.2, true, "m16"}, {3, false, "m8"}, {3, true, "m8"}} {
 		t.Run(fmt.Sprintf("m16 at %v, service submitted: %v", c.price, c.submitted), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
-			sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
+			sim.Cloud.ExtraMachineTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: c.price, SpotPrice: c.price / 3, BootS: 15, Zones: []string{"z1", "z2"}}}
 			sim.Run(90 * time.Second) // until all controllers have read the catalog
 			if c.submitted {
 				requireEqual(t, "submit", sim.Leader().Submit(simtest.ServiceJob("wk-1", 4)).Status, 201)
 			} else {
-				for _, name := range sim.Names {
+				for _, name := range sim.Members {
 					controllerOf(sim.Nodes[name]).cfg.Settings.Objectives = []settings.Objective{{Kind: "wait", Class: "d", WithinS: 5, Share: 0.9}}
 				}
 				sim.Crash(sim.Leader().Name)
@@ -186,8 +186,8 @@
 // other type.
 func TestServicesUseWarmPoolOfContendedType(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	sim.Cloud.RefusesScaleOut = true
-	sim.Cloud.MoreTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
+	sim.Cloud.RejectsScaleOut = true
+	sim.Cloud.ExtraMachineTypes = []protocol.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 128, CacheGB: 50, FetchRate: 2, Price: 2.2, SpotPrice: 0.7, BootS: 15, Zones: []string{"z1", "z2"}}}
 	sim.Run(60 * time.Second) // until all controllers have read the catalog
 	sim.AddMachine("vm-0", "z1").MachineType = "m16"
 	sim.Run(2 * time.Second)
--- a/internal/simtest/agent.go
+++ b/internal/simtest/agent.go
@@ -32,7 +32,7 @@
 	ConnectedTo      Process       // where its last heartbeat was answered
 	RedirectedTo     string        // the member that it was told to send heartbeats to
 	Connection       uint64
-	LastAnswered     time.Duration // when the last heartbeat that was answered was sent, or the epoch began
+	LeaseRenewedAt   time.Duration // when the last heartbeat that was answered was sent, or the epoch began
 }
 
 // AgentTask is a replica on a machine.
@@ -46,7 +46,7 @@
 
 // AddMachine adds a machine that is up, with its agent.
 func (d *Deployment) AddMachine(name, zone string) *Agent {
-	m := CloudMachine{Name: name, Zone: zone, Status: "running", At: d.now}
+	m := CloudMachine{Name: name, Zone: zone, Status: "running", CreatedAt: d.now}
 	d.Cloud.Machines = append(d.Cloud.Machines, m)
 	return d.StartAgent(m)
 }
@@ -62,7 +62,7 @@
 // take the given time.
 func (d *Deployment) BootMachines(takes time.Duration) {
 	for _, m := range d.Cloud.Machines {
-		if d.Agents[m.Name] == nil && m.Status == "starting" && d.now-m.At > 5*time.Second {
+		if d.Agents[m.Name] == nil && m.Status == "starting" && d.now-m.CreatedAt > 5*time.Second {
 			d.StartAgent(m).TaskDuration = takes
 		}
 	}
@@ -70,7 +70,7 @@
 
 // StartAgent starts the agent of a machine.
 func (d *Deployment) StartAgent(m CloudMachine) *Agent {
-	agent := &Agent{deployment: d, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LastAnswered: d.now}
+	agent := &Agent{deployment: d, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LeaseRenewedAt: d.now}
 	d.Agents[m.Name] = agent
 	return agent
 }
@@ -86,7 +86,7 @@
 	sort.Strings(keys)
 	for _, key := range keys {
 		task := agent.Tasks[key]
-		if agent.TaskDuration > 0 && task.State == "running" && !(agent.deployment.IsEndless != nil && agent.deployment.IsEndless(task.Name)) && agent.deployment.now-task.StartedAt >= agent.TaskDuration+agent.DurationSpread*time.Duration(task.Replica%7) {
+		if agent.TaskDuration > 0 && task.State == "running" && !(agent.deployment.RunsUntilStopped != nil && agent.deployment.RunsUntilStopped(task.Name)) && agent.deployment.now-task.StartedAt >= agent.TaskDuration+agent.DurationSpread*time.Duration(task.Replica%7) {
 			task.State, task.Cause = "ended", "done"
 		}
 		if task.State == "ended" && task.Cause == "done" && agent.deployment.OnTaskDone != nil {
@@ -111,7 +111,7 @@
 	if n := agent.deployment.Nodes[agent.RedirectedTo]; n != nil && n.Up && !n.Paused {
 		return agent.HeartbeatTo(n)
 	}
-	for _, name := range agent.deployment.Names {
+	for _, name := range agent.deployment.Members {
 		if n := agent.deployment.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() {
 			return agent.HeartbeatTo(n)
 		}
@@ -163,7 +163,7 @@
 	agent.RedirectedTo = n.Name
 	if agent.Epoch == session { // else it belongs to one that is over
 		agent.Execute(r.Body)
-		agent.LastAnswered = max(agent.LastAnswered, sent)
+		agent.LeaseRenewedAt = max(agent.LeaseRenewedAt, sent)
 	}
 	return r
 }
@@ -183,7 +183,7 @@
 		task := agent.Tasks[key]
 		switch {
 		case c.Op == protocol.CommandStart && task == nil && !agent.DropsStarts:
-			agent.deployment.checkRunsOnce(c.Task, agent)
+			agent.deployment.checkNotRunningElsewhere(c.Task, agent)
 			agent.Starts++
 			agent.Tasks[key] = &AgentTask{Name: c.Task, Replica: c.Replica, State: "running", StartedAt: agent.deployment.now}
 			if agent.deployment.OnStart != nil {
@@ -197,21 +197,21 @@
 	}
 }
 
-// checkRunsOnce is the rule ran_twice. It looks at the machines on which the task was
+// checkNotRunningElsewhere is the rule ran_twice. It looks at the machines on which the task was
 // started before: nothing else brings a copy of it onto a machine, but for tests
 // that put old ones there, which have ended or are of an earlier number.
-func (d *Deployment) checkRunsOnce(task string, on *Agent) {
+func (d *Deployment) checkNotRunningElsewhere(task string, on *Agent) {
 	if _, bench := d.T.(*testing.B); bench {
 		return // it would cost more than what is measured
 	}
-	for _, agent := range d.startedOn[task] {
+	for _, agent := range d.agentsByStartedTask[task] {
 		for _, t := range agent.Tasks {
 			if t.Name == task && t.State != "ended" && d.Agents[agent.Name] == agent {
 				d.T.Fatalf("%s is started on %s while it runs on %s", task, on.Name, agent.Name)
 			}
 		}
 	}
-	d.startedOn[task] = append(d.startedOn[task], on)
+	d.agentsByStartedTask[task] = append(d.agentsByStartedTask[task], on)
 }
 
 // Running names the tasks that run, in order.
@@ -239,5 +239,5 @@
 func (agent *Agent) ExpireLease() {
 	agent.Tasks = make(map[string]*AgentTask)
 	agent.Epoch++
-	agent.LastAnswered = agent.deployment.now
+	agent.LeaseRenewedAt = agent.deployment.now
 }
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -14,36 +14,36 @@
 // Cloud rents machines that never come up by themselves: a test adds
 // their workers.
 type Cloud struct {
-	deployment       *Deployment
-	Machines         []CloudMachine
-	answers          map[string][]string
-	ScaleOutRequests []protocol.ScaleOutRequest
-	Released         []string
-	RefusesScaleOut  bool
-	MoreTypes        []protocol.MachineType // besides m8
-	LosesResponses   bool                   // carries requests out but gives no answer
-	RefusesRelease   bool                   // releases nothing
-	MaxPerRequest    int                    // machines that one request fills; 0: all
-	ReleaseSizes     []int                  // names in each release
-	StaleList        []CloudMachine         // listed instead, if not nil
-	RPS              float64                // calls beyond it are answered 429; 0: none are
-	callBudget       float64                // calls that it allows at present
-	budgetAt         time.Duration
-	rateLimited      int // calls answered 429
-	Created          int
+	deployment            *Deployment
+	Machines              []CloudMachine
+	machinesByRequest     map[string][]string
+	ScaleOutRequests      []protocol.ScaleOutRequest
+	ReleasedMachines      []string
+	RejectsScaleOut       bool
+	ExtraMachineTypes     []protocol.MachineType // besides m8
+	LosesResponses        bool                   // carries requests out but gives no answer
+	RejectsRelease        bool                   // releases nothing
+	MaxMachinesPerRequest int                    // machines that one request fills; 0: all
+	ReleaseSizes          []int                  // names in each release
+	StaleList             []CloudMachine         // listed instead, if not nil
+	RPS                   float64                // calls beyond it are answered 429; 0: none are
+	callBudget            float64                // calls that it allows at present
+	budgetUpdatedAt       time.Duration
+	rateLimitedCalls      int // calls answered 429
+	CreatedMachines       int
 }
 
 // CloudMachine is a machine that it has rented out.
 type CloudMachine struct {
 	Name, Zone, Status string
-	At                 time.Duration
+	CreatedAt          time.Duration
 }
 
 // listLag is how long after a change the cloud's list shows it.
 const listLag = 6 * time.Second
 
 // catalogue is the type that every deployment has.
-var catalogue = protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
+var defaultMachineType = protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
 	FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}
 
 func (c *Cloud) serve(_, method, path string, body []byte, done func(storage.Response)) {
@@ -52,13 +52,13 @@
 	}
 	switch {
 	case !c.allowCall():
-		c.rateLimited++
+		c.rateLimitedCalls++
 		answer(http.StatusTooManyRequests, protocol.ErrorBody{Error: "too many requests"})
 	case path == "/catalog":
-		answer(http.StatusOK, protocol.Catalog{Types: append([]protocol.MachineType{catalogue}, c.MoreTypes...)})
+		answer(http.StatusOK, protocol.Catalog{Types: append([]protocol.MachineType{defaultMachineType}, c.ExtraMachineTypes...)})
 	case path == "/hosts" && method == "POST":
 		c.scaleOut(body, answer, done)
-	case path == "/hosts/release" && c.RefusesRelease:
+	case path == "/hosts/release" && c.RejectsRelease:
 		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
 	case path == "/hosts/release":
 		c.release(body)
@@ -75,18 +75,18 @@
 		c.deployment.T.Fatal(err)
 	}
 	c.ScaleOutRequests = append(c.ScaleOutRequests, request)
-	if c.RefusesScaleOut {
+	if c.RejectsScaleOut {
 		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "no capacity"})
 		return
 	}
-	names, ok := c.answers[request.RequestID]
-	for i := 0; !ok && i < request.Count && (c.MaxPerRequest == 0 || i < c.MaxPerRequest); i++ {
-		c.Created++
-		name := fmt.Sprintf("vm-9%05d", c.Created)
+	names, ok := c.machinesByRequest[request.RequestID]
+	for i := 0; !ok && i < request.Count && (c.MaxMachinesPerRequest == 0 || i < c.MaxMachinesPerRequest); i++ {
+		c.CreatedMachines++
+		name := fmt.Sprintf("vm-9%05d", c.CreatedMachines)
 		names = append(names, name)
-		c.Machines = append(c.Machines, CloudMachine{Name: name, Zone: request.Zone, Status: "starting", At: c.deployment.now})
+		c.Machines = append(c.Machines, CloudMachine{Name: name, Zone: request.Zone, Status: "starting", CreatedAt: c.deployment.now})
 	}
-	c.answers[request.RequestID] = names
+	c.machinesByRequest[request.RequestID] = names
 	if c.LosesResponses {
 		done(storage.Response{})
 		return
@@ -102,7 +102,7 @@
 	}
 	c.ReleaseSizes = append(c.ReleaseSizes, len(request.Machines))
 	for _, name := range request.Machines {
-		c.Released = append(c.Released, name)
+		c.ReleasedMachines = append(c.ReleasedMachines, name)
 		if agent := c.deployment.Agents[name]; agent != nil {
 			agent.Tasks = nil
 			delete(c.deployment.Agents, name)
@@ -133,14 +133,14 @@
 		listed = c.StaleList
 	}
 	for _, m := range listed {
-		if c.deployment.now-m.At < listLag || m.Name <= after {
+		if c.deployment.now-m.CreatedAt < listLag || m.Name <= after {
 			continue
 		}
 		if len(page.Machines) == limit {
 			page.More = true
 			break
 		}
-		page.Machines = append(page.Machines, protocol.ListedMachine{ID: m.Name, Type: catalogue.Name, Zone: m.Zone, Status: m.Status, AgeS: (c.deployment.now - m.At).Seconds()})
+		page.Machines = append(page.Machines, protocol.ListedMachine{ID: m.Name, Type: defaultMachineType.Name, Zone: m.Zone, Status: m.Status, AgeS: (c.deployment.now - m.CreatedAt).Seconds()})
 	}
 	return page
 }
@@ -150,8 +150,8 @@
 	if c.RPS == 0 {
 		return true
 	}
-	c.callBudget = min(2*c.RPS, c.callBudget+c.RPS*(c.deployment.now-c.budgetAt).Seconds())
-	c.budgetAt = c.deployment.now
+	c.callBudget = min(2*c.RPS, c.callBudget+c.RPS*(c.deployment.now-c.budgetUpdatedAt).Seconds())
+	c.budgetUpdatedAt = c.deployment.now
 	if c.callBudget < 1 {
 		return false
 	}
--- a/internal/simtest/deployment.go
+++ b/internal/simtest/deployment.go
@@ -33,29 +33,29 @@
 // Deployment is a site on a fake clock: controllers, scripted machines, and stand-ins
 // for the state service and the cloud.
 type Deployment struct {
-	T               testing.TB
-	Codec           *protocol.Codec
-	Nodes           map[string]*Node
-	Names           []string
-	State           *State
-	Cloud           *Cloud
-	Agents          map[string]*Agent
-	PreviousVersion map[string]bool                     // members that run the version before
-	AdjustSettings  func(*settings.File)                // the settings of each process, as it starts; nil: as in SettingsFormat
-	AuditStreams    []*audit.Stream                     // what each process has recorded of admissions
-	Tuning          settings.Tuning                     // the operators' settings
-	ExpireLeases    bool                                // agents' leases end by themselves
-	WorkerLease     time.Duration                       // lease_s of the settings
-	OnTick          func()                              // after every tick
-	OnStart         func(agent *Agent, task *AgentTask) // a start is carried out
-	IsEndless       func(name string) bool              // whose tasks don't end by themselves
-	OnTaskDone      func(agent *Agent, name string)     // a task that has ended well is reported
-
-	options        Options
-	now            time.Duration
-	startedOn      map[string][]*Agent // by task: where replicas of it were ever started
-	lastProcess    uint64
-	lastConnection uint64
+	T                testing.TB
+	Codec            *protocol.Codec
+	Nodes            map[string]*Node
+	Members          []string
+	State            *State
+	Cloud            *Cloud
+	Agents           map[string]*Agent
+	PreviousVersion  map[string]bool                     // members that run the version before
+	AdjustSettings   func(*settings.File)                // the settings of each process, as it starts; nil: as in SettingsFormat
+	AuditStreams     []*audit.Stream                     // what each process has recorded of admissions
+	Tuning           settings.Tuning                     // the operators' settings
+	ExpireLeases     bool                                // agents' leases end by themselves
+	WorkerLease      time.Duration                       // lease_s of the settings
+	OnTick           func()                              // after every tick
+	OnStart          func(agent *Agent, task *AgentTask) // a start is carried out
+	RunsUntilStopped func(name string) bool              // whose tasks don't end by themselves
+	OnTaskDone       func(agent *Agent, name string)     // a task that has ended well is reported
+
+	options             Options
+	now                 time.Duration
+	agentsByStartedTask map[string][]*Agent // by task: where replicas of it were ever started
+	lastProcess         uint64
+	lastConnection      uint64
 }
 
 // Now implements storage.Clock.
@@ -68,14 +68,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Deployment{T: t, Codec: codec, options: options, now: time.Hour, Nodes: make(map[string]*Node), Names: options.Members,
-		Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool), startedOn: make(map[string][]*Agent),
-		Tuning: settings.DefaultTuning(), WorkerLease: defaultLease}
+	d := &Deployment{T: t, Codec: codec, options: options, now: time.Hour, Nodes: make(map[string]*Node), Members: options.Members,
+		Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool), agentsByStartedTask: make(map[string][]*Agent),
+		Tuning: settings.DefaultTuning(), WorkerLease: defaultWorkerLease}
 	for _, name := range options.PreviousVersion {
 		d.PreviousVersion[name] = true
 	}
 	d.State = newState(d)
-	d.Cloud = &Cloud{deployment: d, answers: make(map[string][]string)}
+	d.Cloud = &Cloud{deployment: d, machinesByRequest: make(map[string][]string)}
 	for _, name := range options.Members {
 		d.Nodes[name] = &Node{deployment: d, Name: name, Links: make(map[string]*Stream)}
 	}
@@ -90,7 +90,7 @@
 
 // StartMembers starts a process of every member.
 func (d *Deployment) StartMembers() {
-	for _, name := range d.Names {
+	for _, name := range d.Members {
 		d.Start(name)
 	}
 }
@@ -99,9 +99,9 @@
 func (d *Deployment) Start(name string) *Node {
 	n := d.Nodes[name]
 	d.lastProcess++
-	config := ProcessConfig{Member: name, PreviousVersion: d.PreviousVersion[name], Settings: d.settingsOf(name), Tuning: d.Tuning,
+	config := ProcessConfig{Member: name, PreviousVersion: d.PreviousVersion[name], Settings: d.settingsFor(name), Tuning: d.Tuning,
 		Clock: d, Wall: func() time.Time { return time.Unix(1e9, 0).Add(d.now) }, Rand: rand.New(rand.NewPCG(1, d.lastProcess)),
-		State: &caller{node: n, serve: d.State.serve}, Cloud: &caller{node: n, serve: d.Cloud.serve},
+		State: &nodeCaller{node: n, serve: d.State.serve}, Cloud: &nodeCaller{node: n, serve: d.Cloud.serve},
 		Audit: d.newAuditStream(name), ID: d.lastProcess}
 	if config.PreviousVersion {
 		config.Tuning.QuotaEscrow = false
@@ -111,7 +111,7 @@
 		d.T.Fatal(err)
 	}
 	n.Process, n.Up = process, true
-	for _, other := range d.Names {
+	for _, other := range d.Members {
 		if other != name && d.Nodes[other].Up {
 			d.Connect(name, other)
 		}
@@ -133,7 +133,7 @@
 func (d *Deployment) Crash(name string) {
 	n := d.Nodes[name]
 	n.Up = false
-	for _, other := range d.Names {
+	for _, other := range d.Members {
 		if other != name {
 			d.Disconnect(name, other)
 		}
@@ -142,7 +142,7 @@
 
 // CrashAll ends the processes of all members without a word.
 func (d *Deployment) CrashAll() {
-	for _, name := range d.Names {
+	for _, name := range d.Members {
 		d.Crash(name)
 	}
 }
@@ -153,7 +153,7 @@
 	n := d.Nodes[name]
 	n.Paused = true
 	d.Run(4 * time.Second)
-	for _, other := range d.Names {
+	for _, other := range d.Members {
 		if other != name && d.Nodes[other].Up {
 			d.Nodes[other].Process.LinkDown(d.Nodes[other].Links[name])
 		}
@@ -172,7 +172,7 @@
 	for end := d.now + span; d.now < end; {
 		d.now += d.options.TickInterval
 		d.State.tick()
-		for _, name := range d.Names {
+		for _, name := range d.Members {
 			if n := d.Nodes[name]; n.Up && !n.Paused {
 				n.Process.Tick()
 			}
@@ -180,7 +180,7 @@
 		d.DeliverAll()
 		if d.ExpireLeases {
 			for _, agent := range d.Agents {
-				if d.now-agent.LastAnswered > d.WorkerLease {
+				if d.now-agent.LeaseRenewedAt > d.WorkerLease {
 					agent.ExpireLease()
 				}
 			}
@@ -213,7 +213,7 @@
 
 // Leader returns the member that leads and may act.
 func (d *Deployment) Leader() *Node {
-	for _, name := range d.Names {
+	for _, name := range d.Members {
 		if n := d.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() && n.Process.MayAct() {
 			return n
 		}
@@ -224,7 +224,7 @@
 
 // Follower returns a running member that does not lead.
 func (d *Deployment) Follower() *Node {
-	for _, name := range d.Names {
+	for _, name := range d.Members {
 		if n := d.Nodes[name]; n.Up && !n.Process.Leads() {
 			return n
 		}
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -31,7 +31,7 @@
 // Reconnect ends the streams of a process that was paused and begins new ones.
 func (d *Deployment) Reconnect(name string) {
 	n := d.Nodes[name]
-	for _, other := range d.Names {
+	for _, other := range d.Members {
 		if other != name {
 			n.Process.LinkDown(n.Links[other])
 			d.Connect(name, other)
@@ -78,13 +78,13 @@
 func (d *Deployment) DeliverAll() {
 	for again := true; again; {
 		again = false
-		for _, name := range d.Names {
+		for _, name := range d.Members {
 			n := d.Nodes[name]
 			if !n.Up || n.Paused {
 				continue
 			}
 			n.Process.EndBatch()
-			for _, other := range d.Names {
+			for _, other := range d.Members {
 				l := n.Links[other]
 				if l == nil || len(l.Queue) == 0 || l.to.Paused {
 					continue
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -48,13 +48,13 @@
 sockets = 500
 `
 
-// defaultLease is lease_s of SettingsFormat.
-const defaultLease = 16 * time.Second
+// defaultWorkerLease is lease_s of SettingsFormat.
+const defaultWorkerLease = 16 * time.Second
 
-// settingsOf are the settings that a process of a member starts with.
-func (d *Deployment) settingsOf(name string) *settings.File {
+// settingsFor are the settings that a process of a member starts with.
+func (d *Deployment) settingsFor(name string) *settings.File {
 	known := ""
-	for _, other := range d.Names {
+	for _, other := range d.Members {
 		if other != name {
 			known += fmt.Sprintf("[[known]]\nmember = %q\nsite = \"z1\"\naddress = \"10.0.0.2:2\"\n", other)
 		}
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -14,14 +14,14 @@
 
 // caller serves the calls of one member's processes at once, unless the member is cut
 // off.
-type caller struct {
+type nodeCaller struct {
 	node  *Node
 	serve func(from string, method, path string, body []byte, done func(storage.Response))
 }
 
 // Call implements storage.Caller. A process gets no answers to the calls of an earlier
 // one.
-func (c *caller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
+func (c *nodeCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
 	process := c.node.Process
 	answer := func(r storage.Response) {
 		if c.node.Up && c.node.Process != nil && (process == nil || c.node.Process == process) {
@@ -29,13 +29,13 @@
 		}
 	}
 	c.serve(c.node.Name, method, path, body, func(r storage.Response) {
-		c.node.deployment.State.deliver(c.node.Name, path, timeout, r, answer)
+		c.node.deployment.State.deliverResponse(c.node.Name, path, timeout, r, answer)
 	})
 }
 
 // deliver hands an answer over, at once or as late as the service is slow. A caller
 // that has waited for too long has no answer, though the request was carried out.
-func (s *State) deliver(to, path string, timeout time.Duration, r storage.Response, answer func(storage.Response)) {
+func (s *State) deliverResponse(to, path string, timeout time.Duration, r storage.Response, answer func(storage.Response)) {
 	if s.ResponseDelay == nil || strings.HasPrefix(path, "/watch") {
 		answer(r)
 		return
@@ -48,18 +48,18 @@
 		answer(r)
 		return
 	}
-	s.lateResponses = append(s.lateResponses, lateResponse{s.deployment.now + after, func() { answer(r) }})
+	s.delayedResponses = append(s.delayedResponses, delayedResponse{s.deployment.now + after, func() { answer(r) }})
 }
 
-// deliverLate hands over the late answers that have come due.
-func (s *State) deliverLate() {
-	waiting := s.lateResponses
-	s.lateResponses = nil
+// deliverDueResponses hands over the late answers that have come due.
+func (s *State) deliverDueResponses() {
+	waiting := s.delayedResponses
+	s.delayedResponses = nil
 	for _, a := range waiting {
-		if s.deployment.now >= a.at {
+		if s.deployment.now >= a.dueAt {
 			a.deliver()
 		} else {
-			s.lateResponses = append(s.lateResponses, a)
+			s.delayedResponses = append(s.delayedResponses, a)
 		}
 	}
 }
@@ -80,22 +80,22 @@
 	Writes        int // changes that were asked for
 	Requests      int // requests, but for watches and renewals
 
-	deployment    *Deployment
-	watches       []*stateWatch
-	lateResponses []lateResponse
+	deployment       *Deployment
+	watches          []*stateWatch
+	delayedResponses []delayedResponse
 }
 
 type stateWatch struct {
-	member string // a member; while it is refused its watches wait
-	prefix string
-	from   uint64
-	until  time.Duration
-	done   func(storage.Response)
+	member       string // a member; while it is refused its watches wait
+	prefix       string
+	fromRevision uint64
+	expiresAt    time.Duration
+	done         func(storage.Response)
 }
 
-// lateResponse is delivered once its time has come.
-type lateResponse struct {
-	at      time.Duration
+// delayedResponse is delivered once its time has come.
+type delayedResponse struct {
+	dueAt   time.Duration
 	deliver func()
 }
 
@@ -129,15 +129,15 @@
 		s.respond(done, http.StatusOK, protocol.LeaseResponse{Lease: id})
 	case strings.HasSuffix(path, "/touch"):
 		status := http.StatusNotFound
-		if s.RenewLease(s.parse(strings.Split(path, "/")[2]), s.deployment.now) {
+		if s.RenewLease(s.parseNumber(strings.Split(path, "/")[2]), s.deployment.now) {
 			status = http.StatusOK
 		}
 		s.respond(done, status, map[string]any{})
 	case u.Path == "/kv":
 		s.list(from, u.Query(), done)
 	case u.Path == "/watch":
-		since := s.parse(u.Query().Get("from"))
-		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + watchSpan, done})
+		since := s.parseNumber(u.Query().Get("from"))
+		s.watches = append(s.watches, &stateWatch{from, u.Query().Get("under"), since, s.deployment.now + watchTimeout, done})
 		s.NotifyWatches()
 	case method == "GET":
 		entry := s.KeyValue(strings.TrimPrefix(path, "/kv/"))
@@ -157,7 +157,7 @@
 	}
 }
 
-func (s *State) parse(number string) uint64 {
+func (s *State) parseNumber(number string) uint64 {
 	n, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
 		s.deployment.T.Fatal(err)
@@ -190,8 +190,8 @@
 }
 
 const (
-	pageLimit = 3               // small pages, so that paging is put to use
-	watchSpan = 8 * time.Second // a watch is answered then at the latest
+	pageLimit    = 3               // small pages, so that paging is put to use
+	watchTimeout = 8 * time.Second // a watch is answered then at the latest
 )
 
 func (s *State) list(from string, q url.Values, done func(storage.Response)) {
@@ -217,8 +217,8 @@
 			kept = append(kept, w)
 			continue
 		}
-		events := s.EventsSince(w.prefix, w.from)
-		if len(events) == 0 && s.deployment.now < w.until {
+		events := s.EventsSince(w.prefix, w.fromRevision)
+		if len(events) == 0 && s.deployment.now < w.expiresAt {
 			kept = append(kept, w)
 			continue
 		}
@@ -231,7 +231,7 @@
 }
 
 func (s *State) tick() {
-	s.deliverLate()
+	s.deliverDueResponses()
 	if s.Unavailable[""] {
 		s.RenewAll(s.deployment.now)
 		return
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -10,11 +10,11 @@
 
 // StateLimits are what the stand-in of the state service takes.
 type StateLimits struct {
-	ValueBytes, Operations int
-	WriteRPS               float64
-	WriteBudget            float64 // changes that the rate allows now
-	BudgetAt               time.Duration
-	rateLimited            int // requests, for the rate
+	MaxValueBytes, MaxOperations int
+	WriteRPS                     float64
+	WriteBudget                  float64 // changes that the rate allows now
+	BudgetUpdatedAt              time.Duration
+	rateLimitedTransactions      int // requests, for the rate
 }
 
 // checkLimits is the status of a transaction that goes beyond the limits, or 0.
@@ -24,16 +24,16 @@
 	if l == nil {
 		return 0
 	}
-	l.WriteBudget = min(l.WriteRPS, l.WriteBudget+l.WriteRPS*(s.deployment.Now()-l.BudgetAt).Seconds())
-	l.BudgetAt = s.deployment.Now()
+	l.WriteBudget = min(l.WriteRPS, l.WriteBudget+l.WriteRPS*(s.deployment.Now()-l.BudgetUpdatedAt).Seconds())
+	l.BudgetUpdatedAt = s.deployment.Now()
 	if l.WriteBudget < float64(len(t.Then)) {
-		l.rateLimited++
+		l.rateLimitedTransactions++
 		return http.StatusTooManyRequests
 	}
 	l.WriteBudget -= float64(len(t.Then))
-	large := len(t.Then) > l.Operations
+	large := len(t.Then) > l.MaxOperations
 	for _, c := range t.Then {
-		large = large || (c.Put != "" && s.jsonSize(c) > l.ValueBytes)
+		large = large || (c.Put != "" && s.jsonSize(c) > l.MaxValueBytes)
 	}
 	if !large {
 		return 0
@@ -50,26 +50,26 @@
 	if err := s.deployment.Codec.Decode(s.deployment.Codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
 		s.deployment.T.Fatal(err)
 	}
-	b, err := json.Marshal(textKeys(v["v"]))
+	b, err := json.Marshal(withStringKeys(v["v"]))
 	if err != nil {
 		s.deployment.T.Fatal(err)
 	}
 	return len(b)
 }
 
-// textKeys makes a decoded value fit for JSON.
-func textKeys(v any) any {
+// withStringKeys makes a decoded value fit for JSON.
+func withStringKeys(v any) any {
 	switch v := v.(type) {
 	case map[any]any:
 		out := make(map[string]any, len(v))
 		for k, x := range v {
 			name, _ := k.(string)
-			out[name] = textKeys(x)
+			out[name] = withStringKeys(x)
 		}
 		return out
 	case []any:
 		for i := range v {
-			v[i] = textKeys(v[i])
+			v[i] = withStringKeys(v[i])
 		}
 	}
 	return v
