--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -8,9 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// The meetings of the operators' page that need no script of their own beyond
-// faults at set times: faultScenario checks every rule all the while, and that everything
-// is known and done once the faults are over.
+// Scenarios of faults that begin and end at set times. faultScenario checks all rules throughout,
+// and that every job is known and ends once the faults are over.
 
 // busyMachines returns up to n machines that run tasks.
 func (scenario *faultScenario) busyMachines(n int) []*simtest.Agent {
@@ -23,13 +22,13 @@
 	return out
 }
 
-// restart ends a node and starts it again at once.
+// restart crashes a node and starts it again at once.
 func (scenario *faultScenario) restart(name string) {
 	scenario.Crash(name)
 	scenario.Start(name)
 }
 
-// actingLeader returns who leads, if anybody does.
+// actingLeader returns the node that leads and may act, or nil.
 func (scenario *faultScenario) actingLeader() *simtest.Node {
 	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; n.Up && controllerOf(n).leader != nil && controllerOf(n).election.MayAct(scenario.Now()) {
@@ -39,7 +38,7 @@
 	return nil
 }
 
-// recordHeartbeats keeps the machines' heartbeats, to be sent again later.
+// recordHeartbeats returns the last heartbeat of each machine, for replayHeartbeats.
 func (scenario *faultScenario) recordHeartbeats() map[*simtest.Agent][]byte {
 	out := make(map[*simtest.Agent][]byte)
 	for _, agent := range scenario.Agents {
@@ -48,7 +47,7 @@
 	return out
 }
 
-// replayHeartbeats sends old heartbeats to every node; their answers reach nobody.
+// replayHeartbeats sends old heartbeats to every node and discards the responses.
 func (scenario *faultScenario) replayHeartbeats(old map[*simtest.Agent][]byte) {
 	for _, body := range old {
 		for _, name := range scenario.Members {
@@ -62,21 +61,21 @@
 
 func TestFaultScenarios(t *testing.T) {
 	for name, script := range map[string]func(scenario *faultScenario) func(second int){
-		"users ask everywhere as jobs begin, end and are cancelled":                       queryAllControllers,
-		"only the answers are lost, others read what was written":                         loseTransactionResponses,
-		"transactions are carried out late":                                               delayTransactions,
-		"teams at their limits, cancelled jobs on machines that hang, the leader changes": cancelAtTeamLimits,
-		"jobs are cancelled while a shard changes hands":                                  cancelDuringHandover,
-		"machines up at once get work while writes lag, and the leader ends":              startOnNewMachinesDuringSlowWrites,
-		"old heartbeats reach every controller as a new leader begins":                    replayOldHeartbeats,
-		"one-task jobs come four a second, a quarter cancelled":                           submitOneTaskJobs,
-		"leaders change ten times, also in an outage":                                     changeLeaders,
-		"all controllers are away for longer than a lease":                                stopAllControllers,
-		"a zone with its workers and a controller is cut off":                             partitionZone,
-		"a leader keeps its workers and users alone":                                      isolateLeader,
-		"jobs of one zone lose machines":                                                  failMachinesOfOneZone,
-		"cancellations, questions and repeats meet the end of the last task":              cancelAsLastTaskEnds,
-		"machines can't reach any controller":                                             silenceMachines,
+		"jobs are queried at all controllers as they start, end and are cancelled":     queryAllControllers,
+		"responses to transactions that were applied are lost":                         loseTransactionResponses,
+		"transactions without a response are applied late":                             delayTransactions,
+		"jobs on silent machines are cancelled at a team limit as the leader changes":  cancelAtTeamLimits,
+		"jobs are cancelled while their shard changes owner":                           cancelDuringHandover,
+		"new machines start tasks while writes are slow, and the leader crashes":       startOnNewMachinesDuringSlowWrites,
+		"old heartbeats reach every controller as a new leader takes over":             replayOldHeartbeats,
+		"four one-task jobs are submitted each second, a quarter cancelled":            submitOneTaskJobs,
+		"controllers restart one after another, also in an outage":                     changeLeaders,
+		"all controllers are down for longer than a machine lease":                     stopAllControllers,
+		"a zone with its machines and a controller is partitioned":                     partitionZone,
+		"the leader can reach only machines and users":                                 isolateLeader,
+		"machines fail while all jobs require one zone":                                failMachinesOfOneZone,
+		"cancellations, queries and repeated submissions arrive as the last task ends": cancelAsLastTaskEnds,
+		"machines can't reach any controller":                                          silenceMachines,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -92,14 +91,16 @@
 	}
 }
 
-// setTaskDurations has the tasks of all machines take some time.
-func (scenario *faultScenario) setTaskDurations(takes time.Duration) {
+// setTaskDurations sets the time after which tasks complete on all present machines: duration
+// and up to six quarters of it more, depending on the replica.
+func (scenario *faultScenario) setTaskDurations(duration time.Duration) {
 	for _, agent := range scenario.Agents {
-		agent.TaskDuration, agent.DurationSpread = takes, takes/4
+		agent.TaskDuration, agent.DurationSpread = duration, duration/4
 	}
 }
 
-// failMachine ends a machine and all on it.
+// failMachine removes a machine's agent with its tasks and has the cloud list the machine as
+// failed.
 func (scenario *faultScenario) failMachine(agent *simtest.Agent) {
 	delete(scenario.Agents, agent.Name)
 	for i := range scenario.Cloud.Machines {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Two or three faults at a time, whichever they are, for as long as they last
-// and at whatever time they begin.
+// In each of three periods two or three random faults begin within 4 s of each other. Each lasts
+// for a random time.
 func TestConcurrentFaults(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -123,35 +124,35 @@
 func runConcurrentFaults(scenario *faultScenario) {
 	scenario.T.Helper()
 	scenario.setTaskDurations(time.Duration(1+scenario.rand.IntN(20)) * time.Second)
-	r := scenario.rand
-	pause := func() int { return 1 + r.IntN(25) }
-	var lead *simtest.Node
+	random := scenario.rand
+	faultSeconds := func() int { return 1 + random.IntN(25) }
+	var leader *simtest.Node
 	faults := []func() (begin, end func()){
 		func() (func(), func()) {
 			return func() { scenario.State.Unavailable[""] = true }, func() { scenario.State.Unavailable[""] = false }
 		},
-		func() (func(), func()) { // the leader is refused alone
+		func() (func(), func()) { // the state service is unavailable to the leader only
 			return func() {
-				if lead = scenario.actingLeader(); lead != nil {
-					scenario.State.Unavailable[lead.Name] = true
+				if leader = scenario.actingLeader(); leader != nil {
+					scenario.State.Unavailable[leader.Name] = true
 				}
 			}, func() { clear(scenario.State.Unavailable) }
 		},
-		func() (func(), func()) { // and cut from the other controllers
+		func() (func(), func()) { // and the leader is disconnected from the other controllers
 			return func() {
-				if lead = scenario.actingLeader(); lead == nil {
+				if leader = scenario.actingLeader(); leader == nil {
 					return
 				}
-				scenario.State.Unavailable[lead.Name] = true
+				scenario.State.Unavailable[leader.Name] = true
 				for _, other := range scenario.Members {
-					if other != lead.Name {
-						scenario.Disconnect(lead.Name, other)
+					if other != leader.Name {
+						scenario.Disconnect(leader.Name, other)
 					}
 				}
 			}, func() { clear(scenario.State.Unavailable); scenario.restoreAll() }
 		},
 		func() (func(), func()) {
-			a, b := r.IntN(3), r.IntN(3)
+			a, b := random.IntN(3), random.IntN(3)
 			return func() {
 				if a != b {
 					scenario.Disconnect(scenario.Members[a], scenario.Members[b])
@@ -165,13 +166,13 @@
 			return func() { scenario.loseTransactions(0.2, false) }, func() { scenario.loseTransactions(0, true) }
 		},
 		func() (func(), func()) {
-			name := scenario.Members[r.IntN(3)]
+			name := scenario.Members[random.IntN(3)]
 			return func() { scenario.Crash(name) }, scenario.restoreAll
 		},
 		func() (func(), func()) {
 			return func() { scenario.crashOnConfirmedCancellation = true }, func() { scenario.crashOnConfirmedCancellation = false; scenario.restoreAll() }
 		},
-		func() (func(), func()) { // all are back at once
+		func() (func(), func()) { // all controllers restart at once
 			return func() {
 				scenario.CrashAll()
 				scenario.restoreAll()
@@ -180,7 +181,7 @@
 		func() (func(), func()) {
 			var agents []*simtest.Agent
 			return func() {
-					agents = scenario.busyMachines(1 + r.IntN(5))
+					agents = scenario.busyMachines(1 + random.IntN(5))
 					for i, agent := range agents {
 						agent.Silent, agent.LosesResponses = i%2 == 0, i%2 == 1
 					}
@@ -198,7 +199,7 @@
 			return func() { scenario.cancelRandomJobs(6) }, func() { scenario.cancelRandomJobs(6) }
 		},
 		func() (func(), func()) {
-			return func() { scenario.State.StalledWatches[scenario.Members[r.IntN(3)]] = true }, func() { clear(scenario.State.StalledWatches) }
+			return func() { scenario.State.StalledWatches[scenario.Members[random.IntN(3)]] = true }, func() { clear(scenario.State.StalledWatches) }
 		},
 		func() (func(), func()) {
 			return func() {
@@ -208,30 +209,30 @@
 			}, func() {}
 		},
 	}
-	at := make(map[int][]func())
+	callsBySecond := make(map[int][]func())
 	for range 3 {
-		from := 4 + r.IntN(20)
-		for range 2 + r.IntN(2) {
-			begin, end := faults[r.IntN(len(faults))]()
-			s := from + r.IntN(4)
-			at[s] = append(at[s], begin)
-			s += pause()
-			at[s] = append(at[s], end)
+		periodStart := 4 + random.IntN(20)
+		for range 2 + random.IntN(2) {
+			begin, end := faults[random.IntN(len(faults))]()
+			second := periodStart + random.IntN(4)
+			callsBySecond[second] = append(callsBySecond[second], begin)
+			second += faultSeconds()
+			callsBySecond[second] = append(callsBySecond[second], end)
 		}
 	}
-	scenario.runScript(60, func(s int) {
-		if s < 45 {
+	scenario.runScript(60, func(second int) {
+		if second < 45 {
 			n := scenario.randomNode()
-			if s%5 == 4 {
-				scenario.submitService(n, 1+r.IntN(2), "crew", "blue", "apart", s%2 == 0)
+			if second%5 == 4 {
+				scenario.submitService(n, 1+random.IntN(2), "crew", "blue", "apart", second%2 == 0)
 			} else {
-				scenario.submit(n, 1+r.IntN(4), "crew", []string{"red", "blue"}[s%2], "urgency", []string{"urgent", "standard"}[r.IntN(2)])
+				scenario.submit(n, 1+random.IntN(4), "crew", []string{"red", "blue"}[second%2], "urgency", []string{"urgent", "standard"}[random.IntN(2)])
 			}
 		}
-		if s%4 == 0 {
+		if second%4 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
-		for _, fn := range at[s] {
+		for _, fn := range callsBySecond[second] {
 			fn()
 		}
 	})
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -12,28 +12,28 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// faultScenario plays users who check every answer, and machines whose leases end by
-// themselves, so that a test only has to bring faults about together.
-// Every rule of the protocol is looked at ten times a second; checkRunsOnce and
-// zones are the worker's.
+// faultScenario simulates users who check every response, and machines whose leases expire by
+// themselves, so that a test only has to cause faults. checkInvariants runs after every tick,
+// ten times a second. That a task doesn't run on two machines and starts in the zone of its job
+// is checked at each start, by package simtest and by OnStart.
 type faultScenario struct {
 	*simulation
 	rand                         *rand.Rand
 	jobs                         map[string]simtest.JobRequest
-	knownStatus                  map[string]string // the newest that any node has told of a job
-	knownStatusSince             map[string]time.Duration
-	cancelRequested              map[string]bool // its user has asked to cancel it
-	completedTasks               map[string]bool // tasks that ended well
+	knownStatus                  map[string]string        // by job: the latest in the responses of all nodes; statusAccepted until it is final
+	knownStatusSince             map[string]time.Duration // by job: when knownStatus last changed
+	cancelRequested              map[string]bool          // by job: a user has requested its cancellation
+	completedTasks               map[string]bool          // tasks that have completed, as reported in heartbeats
 	repeatedQueries              []repeatedQuery
 	delayedCalls                 []delayedCall
-	submittedJobs                int                      // jobs
-	startedTasks                 int                      // tasks
-	startedRedTasks              int                      // of the team red, see divided
-	lastAnsweredAt               map[string]time.Duration // when a question about a job was last answered
-	crashOnConfirmedCancellation bool                     // the next node that confirms a cancellation ends as it does
+	submittedJobs                int                      // number of jobs
+	startedTasks                 int                      // number of started replicas
+	startedRedTasks              int                      // those of the team red; counted with quota escrow only
+	lastAnsweredAt               map[string]time.Duration // by job: when a request about it was last answered
+	crashOnConfirmedCancellation bool                     // crash the next node that confirms the cancellation of another owner's job
 }
 
-// repeatedQuery is a question that is put to every node for a while.
+// repeatedQuery repeats the queries of a job at every node, at each tick.
 type repeatedQuery struct {
 	id    string
 	until time.Duration
@@ -53,7 +53,7 @@
 	return newFaultScenarioIn(t, newSimulation(t, "a", "b", "c"), seed, machines)
 }
 
-// newFaultScenarioIn plays a scenario in a deployment that is there already.
+// newFaultScenarioIn creates a scenario in a deployment that has been started.
 func newFaultScenarioIn(t *testing.T, sim *simulation, seed uint64, machines int) *faultScenario {
 	t.Helper()
 	scenario := &faultScenario{simulation: sim, rand: rand.New(rand.NewPCG(seed, 11)), jobs: make(map[string]simtest.JobRequest),
@@ -84,7 +84,9 @@
 	return scenario
 }
 
-// checkInvariants looks at the rules, and does what has come due.
+// checkInvariants checks that no replica of a cancelled job still runs cancellationTimeout after
+// the confirmation (ran_cancelled), and that the team red uses at most its cpus_max of 32. Then
+// it makes the delayed calls that are due, and the repeated queries.
 func (scenario *faultScenario) checkInvariants() {
 	use := make(map[string]float64)
 	for _, agent := range scenario.Agents {
@@ -105,28 +107,28 @@
 	}
 	kept := scenario.delayedCalls[:0]
 	var due []func()
-	for _, l := range scenario.delayedCalls {
-		if scenario.Now() >= l.dueAt {
-			due = append(due, l.call)
+	for _, pending := range scenario.delayedCalls {
+		if scenario.Now() >= pending.dueAt {
+			due = append(due, pending.call)
 			continue
 		}
-		kept = append(kept, l)
+		kept = append(kept, pending)
 	}
 	scenario.delayedCalls = kept
 	for _, fn := range due {
 		fn()
 	}
-	looks := scenario.repeatedQueries
+	queries := scenario.repeatedQueries
 	scenario.repeatedQueries = nil
-	for _, l := range looks {
-		scenario.queryEverywhere(l.id)
-		if scenario.Now() < l.until {
-			scenario.repeatedQueries = append(scenario.repeatedQueries, l)
+	for _, pending := range queries {
+		scenario.queryEverywhere(pending.id)
+		if scenario.Now() < pending.until {
+			scenario.repeatedQueries = append(scenario.repeatedQueries, pending)
 		}
 	}
 }
 
-// queryEverywhere asks all nodes about a job and repeats its submission.
+// queryEverywhere requests a job's status from all nodes and repeats its submission at each.
 func (scenario *faultScenario) queryEverywhere(id string) {
 	for _, name := range scenario.Members {
 		scenario.query(scenario.Nodes[name], "GET", id)
@@ -134,15 +136,16 @@
 	}
 }
 
-// query puts a question to a node: GET, POST (a submission) or ABORT. Whatever
-// it answers may not be older than what any node had told when it was put.
-func (scenario *faultScenario) query(n *simtest.Node, what, id string) {
+// query sends a request about a job to a node: GET (its status), POST (its submission) or ABORT
+// (its cancellation). The response must not be older than the status that was known from any
+// node when the request was sent.
+func (scenario *faultScenario) query(n *simtest.Node, operation, id string) {
 	if !n.Up || n.Paused {
 		return
 	}
 	before := scenario.knownStatus[id]
 	req := &Request{Method: "GET", Path: "/submissions/" + id}
-	switch what {
+	switch operation {
 	case "POST":
 		req = &Request{Method: "POST", Path: "/submissions", Body: scenario.Codec.Encode(map[string]any(scenario.jobs[id]))}
 	case "ABORT":
@@ -152,21 +155,23 @@
 	controller := controllerOf(n)
 	controller.HandleHTTP(req, func(r Response) {
 		if controllerOf(n) != controller || !n.Up {
-			return // nobody hears it
+			return // the node has crashed: its response reaches no user
 		}
-		scenario.checkResponse(n, what, id, before, r)
+		scenario.checkResponse(n, operation, id, before, r)
 	})
 }
 
-func (scenario *faultScenario) checkResponse(n *simtest.Node, what, id, before string, r Response) {
-	fail := func(rule string) {
+// checkResponse checks a response about a job whose known status was before when the request
+// was sent, and records the status that it shows.
+func (scenario *faultScenario) checkResponse(n *simtest.Node, operation, id, before string, r Response) {
+	fail := func(violation string) {
 		scenario.T.Helper()
-		scenario.T.Fatalf("%s: %s %s at %s is answered %d after %q", rule, what, id, n.Name, r.Status, before)
+		scenario.T.Fatalf("%s: %s %s at %s is answered %d after %q", violation, operation, id, n.Name, r.Status, before)
 	}
 	switch r.Status {
 	case 404, 400, 422:
 		if before != "" {
-			fail("forgotten")
+			fail("an accepted job is unknown (forgotten)")
 		}
 		return
 	case 200, 201:
@@ -181,48 +186,49 @@
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	switch {
 	case scenario.jobs[id] == nil:
-		fail("invented")
+		fail("a job is known that was never submitted (invented)")
 	case before != "" && before != statusAccepted && s.Status != before:
-		fail("went_back to " + s.Status)
+		fail("a final status changed to " + s.Status + " (went_back)")
 	case s.Status == protocol.StatusCancelled && !scenario.cancelRequested[id]:
-		fail("went_back to withdrawn, which nobody asked for")
+		fail("a job is withdrawn whose cancellation was not requested (went_back)")
 	case s.Status == protocol.StatusDone:
 		for i := range scenario.jobs[id]["pages"].(int) {
 			if !scenario.completedTasks[fmt.Sprintf("%s/%d", id, i)] {
-				fail("not_done")
+				fail("a job is done before all its tasks have completed (not_done)")
 			}
 		}
 	}
-	news := s.Status
+	newStatus := s.Status
 	if !final {
-		news = statusAccepted
+		newStatus = statusAccepted
 	}
 	if scenario.knownStatus[id] == "" || (final && scenario.knownStatus[id] == statusAccepted) {
-		scenario.knownStatus[id], scenario.knownStatusSince[id] = news, scenario.Now()
+		scenario.knownStatus[id], scenario.knownStatusSince[id] = newStatus, scenario.Now()
 		scenario.repeatedQueries = append(scenario.repeatedQueries, repeatedQuery{id, scenario.Now() + 500*time.Millisecond})
-		if scenario.crashOnConfirmedCancellation && news == protocol.StatusCancelled && controllerOf(n).owner.Job(id) == nil {
-			scenario.crashOnConfirmedCancellation, n.Up = false, false // nothing that it has not sent yet is sent
+		if scenario.crashOnConfirmedCancellation && newStatus == protocol.StatusCancelled && controllerOf(n).owner.Job(id) == nil {
+			scenario.crashOnConfirmedCancellation, n.Up = false, false // it sends nothing more
 			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now(), func() { scenario.Crash(n.Name) }})
 		}
 	}
 }
 
-// submit hands a new job in at a node and returns its id.
-func (scenario *faultScenario) submit(n *simtest.Node, pages int, with ...any) string {
+// submit submits a new job at a node and returns its id. The fields are pairs of a key and a
+// value that are set in the request.
+func (scenario *faultScenario) submit(n *simtest.Node, taskCount int, fields ...any) string {
 	scenario.submittedJobs++
 	id := fmt.Sprint("wk-", scenario.submittedJobs)
-	request := simtest.BatchJob(id, pages)
-	for i := 0; i+1 < len(with); i += 2 {
-		request = request.With(with[i].(string), with[i+1])
+	request := simtest.BatchJob(id, taskCount)
+	for i := 0; i+1 < len(fields); i += 2 {
+		request = request.With(fields[i].(string), fields[i+1])
 	}
 	scenario.jobs[id] = request
 	scenario.query(n, "POST", id)
 	return id
 }
 
-// submitService hands a new service in at a node.
-func (scenario *faultScenario) submitService(n *simtest.Node, replicas int, with ...any) string {
-	return scenario.submit(n, replicas, append([]any{"form", "service", "urgency", "production", "expectedS", 0.0}, with...)...)
+// submitService submits a new service at a node and returns its id. For the fields see submit.
+func (scenario *faultScenario) submitService(n *simtest.Node, replicas int, fields ...any) string {
+	return scenario.submit(n, replicas, append([]any{"form", "service", "urgency", "production", "expectedS", 0.0}, fields...)...)
 }
 
 func (scenario *faultScenario) isService(id string) bool {
@@ -233,7 +239,7 @@
 	return scenario.Nodes[scenario.Members[scenario.rand.IntN(len(scenario.Members))]]
 }
 
-// unfinishedJobs returns the jobs that go on for all that was told.
+// unfinishedJobs returns the accepted jobs of which no response has shown a final status.
 func (scenario *faultScenario) unfinishedJobs() []string {
 	var out []string
 	for i := range scenario.submittedJobs {
@@ -244,7 +250,8 @@
 	return out
 }
 
-// cancelRandomJobs asks at some node to cancel some jobs that go on.
+// cancelRandomJobs requests the cancellation of up to n random unfinished jobs, each at a
+// random node.
 func (scenario *faultScenario) cancelRandomJobs(n int) {
 	for _, id := range scenario.unfinishedJobs() {
 		if n > 0 && scenario.rand.IntN(2) == 0 {
@@ -254,7 +261,7 @@
 	}
 }
 
-// retryCancellations repeats the cancellations that were not confirmed.
+// retryCancellations repeats the requests for cancellations that were not confirmed.
 func (scenario *faultScenario) retryCancellations() {
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.cancelRequested[id] {
@@ -263,7 +270,8 @@
 	}
 }
 
-// play lets seconds pass; each does what a script says, and users go on asking.
+// runScript runs the scenario for some seconds. Each second begins with a call of script and
+// ends with retries of cancellations and a query of a random unfinished job.
 func (scenario *faultScenario) runScript(seconds int, script func(second int)) {
 	for i := range seconds {
 		script(i)
@@ -276,11 +284,11 @@
 	}
 }
 
-// restoreAll starts all nodes that are down and mends the mesh.
+// restoreAll starts all nodes that are down and connects all members that are disconnected.
 func (scenario *faultScenario) restoreAll() {
 	for _, name := range scenario.Members {
 		if n := scenario.Nodes[name]; !n.Up {
-			scenario.Crash(name) // one that died as it spoke
+			scenario.Crash(name) // closes the streams of a node that crashOnConfirmedCancellation ended
 			scenario.Start(name)
 		}
 	}
@@ -293,9 +301,9 @@
 	}
 }
 
-// recoverAndCheck ends all faults. From then on every job has to be known within 75 s, and
-// whatever was not cancelled has to be done: nothing waits 90 s while there is
-// room.
+// recoverAndCheck ends all faults. Within 75 s a request about each known job must be answered.
+// After 120 s each job must have ended, or all replicas of a service must run: no task may wait
+// for 90 s while there is capacity.
 func (scenario *faultScenario) recoverAndCheck() {
 	clear(scenario.State.Unavailable)
 	clear(scenario.State.StalledWatches)
@@ -309,46 +317,47 @@
 			agent.TaskDuration = 3 * time.Second
 		}
 	}
-	at := scenario.Now()
-	quiet := func(int) {
+	recoveredAt := scenario.Now()
+	queryUnfinished := func(int) {
 		for _, id := range scenario.unfinishedJobs() {
 			scenario.query(scenario.randomNode(), "GET", id)
 		}
 	}
-	scenario.runScript(75, quiet)
+	scenario.runScript(75, queryUnfinished)
 	for id := range scenario.knownStatus {
 		scenario.query(scenario.randomNode(), "GET", id)
 	}
 	scenario.Run(3 * time.Second)
 	for id := range scenario.knownStatus {
-		if scenario.lastAnsweredAt[id] < at {
-			scenario.T.Fatalf("forgotten: no question about %s is answered for 75 s", id)
+		if scenario.lastAnsweredAt[id] < recoveredAt {
+			scenario.T.Fatalf("no request about %s was answered for 75 s after the last fault (forgotten)", id)
 		}
 	}
-	scenario.runScript(45, quiet)
+	scenario.runScript(45, queryUnfinished)
 	for _, id := range scenario.unfinishedJobs() {
 		if scenario.isService(id) && !scenario.cancelRequested[id] {
 			if n := len(scenario.machinesByTask(id)); n != scenario.jobs[id]["pages"].(int) {
-				scenario.T.Errorf("of %s (%v replicas) %d run 120 s after the last fault", id, scenario.jobs[id]["pages"], n)
+				scenario.T.Errorf("of service %s (%v replicas) %d run 120 s after the last fault", id, scenario.jobs[id]["pages"], n)
 			}
 			continue
 		}
-		scenario.T.Errorf("%s (%v tasks) is not over 120 s after the last fault, cancelled: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
+		scenario.T.Errorf("job %s (%v tasks) has not ended 120 s after the last fault, cancellation requested: %v", id, scenario.jobs[id]["pages"], scenario.cancelRequested[id])
 	}
 }
 
-// loseTransactions has a share of the transactions get no answer; they are carried out at
-// once, or 2 to 12 s later. Others are answered up to 0.3 s after they were.
-func (scenario *faultScenario) loseTransactions(share float64, atOnce bool) {
+// loseTransactions loses the responses to a share of the transactions, which are applied at once,
+// or after 2 to 12 s. All others are applied at once and answered within 0.3 s. The caller of a
+// lost transaction gets an empty response within 0.3 s.
+func (scenario *faultScenario) loseTransactions(share float64, applyAtOnce bool) {
 	scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 		lost := scenario.rand.Float64() < share
-		if lost && !atOnce {
+		if lost && !applyAtOnce {
 			scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + 2*time.Second + time.Duration(scenario.rand.Int64N(int64(10*time.Second))), func() { apply() }})
 		}
 		r := storage.Response{}
 		if !lost {
 			r = apply()
-		} else if atOnce {
+		} else if applyAtOnce {
 			apply()
 		}
 		scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(scenario.rand.Int64N(int64(300*time.Millisecond))), func() { done(r) }})
--- a/internal/coordination/fault_scripts_test.go
+++ b/internal/coordination/fault_scripts_test.go
@@ -9,10 +9,11 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// The scripts of TestFaultScenarios: each prepares a scenario and returns what happens in its
-// seconds.
+// The scripts of TestFaultScenarios. Each prepares a scenario and returns the function that is
+// called at the start of each second.
 
-// submitRandomJob comes at about one job a second.
+// submitRandomJob submits a job of a random size, team and urgency at a random node, if the node
+// is up. Most scripts call it once a second.
 func (scenario *faultScenario) submitRandomJob() {
 	crew := []string{"red", "blue", "guest"}[scenario.rand.IntN(3)]
 	if n := scenario.randomNode(); n.Up {
@@ -20,63 +21,66 @@
 	}
 }
 
-// users ask everywhere as jobs begin, end and are cancelled.
+// queryAllControllers submits and cancels jobs at random controllers. At each change of a job's
+// status faultScenario queries it at all of them.
 func queryAllControllers(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(2 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
 		id := scenario.submit(scenario.randomNode(), 1)
 		scenario.DeliverAll()
-		if s%3 == 0 { // some cancel at once
+		if second%3 == 0 { // cancelled at once
 			scenario.query(scenario.randomNode(), "ABORT", id)
 		}
-		if s%4 == 0 {
+		if second%4 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
 	}
 }
 
-// only the answers are lost, others read what was written.
+// loseTransactionResponses loses the responses to transactions that were applied, so that other
+// controllers read values whose writer doesn't know that they were written.
 func loseTransactionResponses(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(2 * time.Second)
 	scenario.loseTransactions(0.3, true)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s%3 == 0 {
+		if second%3 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
-		if s == 20 {
+		if second == 20 {
 			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
 
-// transactions are carried out late.
+// delayTransactions gives some transactions no response and applies them later.
 func delayTransactions(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(2 * time.Second)
 	scenario.loseTransactions(0.2, false)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s%3 == 0 {
+		if second%3 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
-		if s == 15 {
+		if second == 15 {
 			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
 
-// teams at their limits, cancelled jobs on machines that hang, the leader changes.
+// cancelAtTeamLimits cancels jobs of a team at its limit while some of their machines send no
+// heartbeats or get no responses, crashes the leader and submits more jobs of the team.
 func cancelAtTeamLimits(scenario *faultScenario) func(int) {
 	for range 3 {
 		scenario.submit(scenario.randomNode(), 8, "crew", "red")
 	}
-	var hung []*simtest.Agent
-	return func(s int) {
-		switch s {
+	var unreachable []*simtest.Agent
+	return func(second int) {
+		switch second {
 		case 6:
-			hung = scenario.busyMachines(3)
-			for i, agent := range hung {
+			unreachable = scenario.busyMachines(3)
+			for i, agent := range unreachable {
 				agent.Silent, agent.LosesResponses = i != 1, i == 1
 			}
 			for _, id := range scenario.unfinishedJobs() {
@@ -90,23 +94,24 @@
 				}
 			}
 		case 17:
-			for _, agent := range hung {
+			for _, agent := range unreachable {
 				agent.Silent, agent.LosesResponses = false, false
 			}
 		}
 	}
 }
 
-// jobs are cancelled while a shard changes hands.
+// cancelDuringHandover cancels jobs while shards change owners, as controllers crash when they
+// confirm a cancellation.
 func cancelDuringHandover(scenario *faultScenario) func(int) {
 	for range 6 {
 		scenario.submit(scenario.randomNode(), 2)
 	}
-	return func(s int) {
-		if s%12 == 5 || s%12 == 7 {
-			scenario.crashOnConfirmedCancellation = true // with what it has confirmed and told nobody else
+	return func(second int) {
+		if second%12 == 5 || second%12 == 7 {
+			scenario.crashOnConfirmedCancellation = true // before the confirming node can send anything else
 		}
-		if s%12 == 9 {
+		if second%12 == 9 {
 			scenario.crashOnConfirmedCancellation = false
 			for _, name := range scenario.Members {
 				if !scenario.Nodes[name].Up {
@@ -115,53 +120,55 @@
 			}
 		}
 		scenario.submitRandomJob()
-		for range 10 { // in the very seconds
+		for range 10 { // also at the ticks of the handover
 			scenario.cancelRandomJobs(1)
 			scenario.Advance(100 * time.Millisecond)
 		}
 	}
 }
 
-// machines up at once get work while writes lag, and the leader ends.
+// startOnNewMachinesDuringSlowWrites adds a machine and a job each second, answers transactions
+// after 1 s, and restarts the leader.
 func startOnNewMachinesDuringSlowWrites(scenario *faultScenario) func(int) {
-	return func(s int) {
-		if s < 20 {
-			scenario.AddMachine(fmt.Sprintf("vm-1%02d", s), "z1").TaskDuration = 4 * time.Second
+	return func(second int) {
+		if second < 20 {
+			scenario.AddMachine(fmt.Sprintf("vm-1%02d", second), "z1").TaskDuration = 4 * time.Second
 			scenario.submit(scenario.randomNode(), 4)
 		}
-		if s == 4 {
+		if second == 4 {
 			scenario.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
 				r := apply()
 				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Second, func() { done(r) }})
 				return true
 			}
 		}
-		if s == 8 || s == 14 {
+		if second == 8 || second == 14 {
 			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
 
-// old heartbeats reach every controller as a new leader begins.
+// replayOldHeartbeats sends old heartbeats to all controllers: after newer ones, and as the first
+// ones that a new leader gets. Machines also begin new epochs.
 func replayOldHeartbeats(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(5 * time.Second)
-	var old map[*simtest.Agent][]byte
-	return func(s int) {
+	var recorded map[*simtest.Agent][]byte
+	return func(second int) {
 		scenario.submitRandomJob()
 		scenario.submitRandomJob()
-		switch s % 8 {
+		switch second % 8 {
 		case 0:
-			old = scenario.recordHeartbeats()
-		case 2: // after newer ones
-			scenario.replayHeartbeats(old)
+			recorded = scenario.recordHeartbeats()
+		case 2: // newer ones have arrived
+			scenario.replayHeartbeats(recorded)
 		case 4:
-			lead := scenario.Leader()
-			scenario.restart(lead.Name)
-			for i := 0; i < 80 && (scenario.actingLeader() == nil || controllerOf(scenario.actingLeader()) == controllerOf(lead)); i++ {
+			leader := scenario.Leader()
+			scenario.restart(leader.Name)
+			for i := 0; i < 80 && (scenario.actingLeader() == nil || controllerOf(scenario.actingLeader()) == controllerOf(leader)); i++ {
 				scenario.Advance(100 * time.Millisecond)
 			}
-			scenario.replayHeartbeats(old) // before any machine says anything new
-		case 7: // of an earlier epoch
+			scenario.replayHeartbeats(recorded) // before any machine sends a new one
+		case 7: // a busy machine begins a new epoch
 			for _, agent := range scenario.busyMachines(1) {
 				agent.ExpireLease()
 			}
@@ -169,59 +176,62 @@
 	}
 }
 
-// one-task jobs come four a second, a quarter cancelled.
+// submitOneTaskJobs submits four jobs of one task each second and cancels a quarter of them.
+// Controllers restart twice.
 func submitOneTaskJobs(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(2 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		for i := range 4 {
 			id := scenario.submit(scenario.randomNode(), 1, "vcpus", 1.0)
 			scenario.DeliverAll()
-			if i == s%4 {
-				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(s%5)*700*time.Millisecond, func() { scenario.query(scenario.randomNode(), "ABORT", id) }})
+			if i == second%4 {
+				scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + time.Duration(second%5)*700*time.Millisecond, func() { scenario.query(scenario.randomNode(), "ABORT", id) }})
 			}
 		}
-		if s == 20 || s == 30 { // what has ended stays so
-			scenario.restart(scenario.Members[s/10%3])
+		if second == 20 || second == 30 { // ended jobs must stay ended
+			scenario.restart(scenario.Members[second/10%3])
 		}
 	}
 }
 
-// leaders change ten times, also in an outage.
+// changeLeaders restarts the controllers in turn, one every 5 s, also during an outage of the
+// state service.
 func changeLeaders(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(4 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s%5 == 2 {
-			scenario.restart(scenario.Members[s/5%3])
+		if second%5 == 2 {
+			scenario.restart(scenario.Members[second/5%3])
 		}
-		scenario.State.Unavailable[""] = s >= 22 && s < 30
-		if s%7 == 0 {
+		scenario.State.Unavailable[""] = second >= 22 && second < 30
+		if second%7 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
 	}
 }
 
-// all controllers are away for longer than a lease.
+// stopAllControllers stops all controllers for longer than a machine lease.
 func stopAllControllers(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(6 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		switch {
-		case s < 10 || s > 35:
+		case second < 10 || second > 35:
 			scenario.submitRandomJob()
-		case s == 12:
+		case second == 12:
 			scenario.CrashAll()
-		case s == 34:
+		case second == 34:
 			scenario.StartMembers()
 		}
 	}
 }
 
-// a zone with its workers and a controller is cut off.
+// partitionZone disconnects controller a from the state service and its peers, and the machines
+// of zone z2 from all controllers.
 func partitionZone(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(6 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s == 8 {
+		if second == 8 {
 			scenario.Disconnect("a", "b")
 			scenario.Disconnect("a", "c")
 			scenario.State.Unavailable["a"] = true
@@ -229,7 +239,7 @@
 				agent.Silent = agent.Zone == "z2"
 			}
 		}
-		if s == 28 {
+		if second == 28 {
 			delete(scenario.State.Unavailable, "a")
 			scenario.Connect("a", "b")
 			scenario.Connect("a", "c")
@@ -237,70 +247,73 @@
 				agent.Silent = false
 			}
 		}
-		if s%6 == 0 {
+		if second%6 == 0 {
 			scenario.cancelRandomJobs(1)
 		}
 	}
 }
 
-// a leader keeps its workers and users alone.
+// isolateLeader disconnects the leader from the state service and its peers, but not from machines
+// and users.
 func isolateLeader(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(20 * time.Second)
-	var lead *simtest.Node
-	return func(s int) {
+	var leader *simtest.Node
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s == 8 {
-			lead = scenario.Leader()
-			scenario.State.Unavailable[lead.Name] = true
+		if second == 8 {
+			leader = scenario.Leader()
+			scenario.State.Unavailable[leader.Name] = true
 			for _, other := range scenario.Members {
-				if other != lead.Name {
-					scenario.Disconnect(lead.Name, other)
+				if other != leader.Name {
+					scenario.Disconnect(leader.Name, other)
 				}
 			}
 		}
-		if s > 8 && s < 30 {
+		if second > 8 && second < 30 {
 			scenario.cancelRandomJobs(1)
 		}
-		if s == 30 {
-			delete(scenario.State.Unavailable, lead.Name)
+		if second == 30 {
+			delete(scenario.State.Unavailable, leader.Name)
 			for _, other := range scenario.Members {
-				if other != lead.Name {
-					scenario.Connect(lead.Name, other)
+				if other != leader.Name {
+					scenario.Connect(leader.Name, other)
 				}
 			}
 		}
 	}
 }
 
-// jobs of one zone lose machines.
+// failMachinesOfOneZone submits jobs that require zone z2, fails busy machines and restarts the
+// leader.
 func failMachinesOfOneZone(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(6 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		scenario.submit(scenario.randomNode(), 3, "hall", "z2")
-		if s == 10 || s == 20 {
+		if second == 10 || second == 20 {
 			for _, agent := range scenario.busyMachines(2) {
 				scenario.failMachine(agent)
 			}
 		}
-		if s == 11 {
+		if second == 11 {
 			scenario.restart(scenario.Leader().Name)
 		}
 	}
 }
 
-// cancellations, questions and repeats meet the end of the last task.
+// cancelAsLastTaskEnds queries, submits again and cancels each job whose last task has just
+// completed.
 func cancelAsLastTaskEnds(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(2 * time.Second)
 	return func(int) {
 		scenario.submitRandomJob()
 		for _, id := range scenario.unfinishedJobs() {
-			left := 0
+			unfinishedTasks := 0
 			for i := range scenario.jobs[id]["pages"].(int) {
 				if !scenario.completedTasks[fmt.Sprintf("%s/%d", id, i)] {
-					left++
+					unfinishedTasks++
 				}
 			}
-			if left == 0 {
+			if unfinishedTasks == 0 {
 				scenario.queryEverywhere(id)
 				scenario.query(scenario.randomNode(), "ABORT", id)
 			}
@@ -308,18 +321,19 @@
 	}
 }
 
-// machines can't reach any controller.
+// silenceMachines disconnects machines from all controllers, cancels jobs and restarts the
+// leader.
 func silenceMachines(scenario *faultScenario) func(int) {
 	scenario.setTaskDurations(6 * time.Second)
-	return func(s int) {
+	return func(second int) {
 		scenario.submitRandomJob()
-		if s == 8 {
+		if second == 8 {
 			for _, agent := range scenario.busyMachines(3) {
-				agent.Silent = true // nothing is sent to machines but answers
+				agent.Silent = true // it gets no commands either: they are sent only in responses
 			}
 			scenario.cancelRandomJobs(2)
 		}
-		if s == 20 {
+		if second == 20 {
 			scenario.restart(scenario.Leader().Name)
 		}
 	}
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -13,47 +13,47 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// What the users added to the protocol when their deployments grew: jobs stay
-// known, every class is served, answers are lost, copies of heartbeats come late, a
-// controller is alone with its workers, processes are back at once.
+// Tests of liveness and fencing in large deployments: accepted jobs stay known, responses to
+// machines are lost, copies of heartbeats arrive late, a controller can reach only its machines,
+// processes restart at once.
 
-// An earlier process's claim, held by the network, must not be applied once the
-// next process of the member can extend anything: with the holder's key gone
-// meanwhile, it would make a second holder.
+// A claim of an earlier process, delayed by the network, must not be applied once the next process
+// of the member can grant lease extensions. If the holder's key is deleted meanwhile, the claim
+// would create a second holder.
 func TestDelayedClaimOfAnEarlierProcessIsFenced(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	var held func() storage.Response
+	var delayedClaim func() storage.Response
 	claimer := ""
-	sim.State.OnTransaction = func(from string, q *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-		if held == nil && len(q.Then) == 1 && q.Then[0].Put == storage.LeaderKey {
-			held, claimer = apply, from
+	sim.State.OnTransaction = func(from string, txn *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
+		if delayedClaim == nil && len(txn.Then) == 1 && txn.Then[0].Put == storage.LeaderKey {
+			delayedClaim, claimer = apply, from
 			return true
 		}
 		return false
 	}
 	sim.Crash(sim.Leader().Name)
 	sim.Advance(6 * time.Second)
-	if held == nil {
-		t.Fatal("nobody claimed the leader key")
+	if delayedClaim == nil {
+		t.Fatal("no member claimed the leader key")
 	}
 	sim.Crash(claimer)
 	sim.Start(claimer)
 	sim.Advance(time.Second)
 	requireEqual(t, "registered", controllerOf(sim.Nodes[claimer]).election.Registered(), true)
 	sim.State.DeleteKey(storage.LeaderKey)
-	requireEqual(t, "held claim", held().Status, 409)
-	requireEqual(t, "leader key", sim.State.Keys[storage.LeaderKey] == nil, true)
+	requireEqual(t, "delayed claim", delayedClaim().Status, 409)
+	requireEqual(t, "leader key is absent", sim.State.Keys[storage.LeaderKey] == nil, true)
 }
 
-// A process that is not certain that its predecessor's claims are dead
-// extends nothing: one of them might still be applied in spite of it.
+// A process must not extend the leader's lease before its member key is written. Until then, a
+// claim of the member's previous process might still be applied in spite of the extension.
 func TestNoLeaseExtensionBeforeMemberKeyIsWritten(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
-	lead, follower := sim.Leader(), sim.Follower()
-	sim.State.OnTransaction = func(from string, q *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
-		return from == follower.Name && len(q.Then) == 1 && q.Then[0].Put == storage.ProcessKey(follower.Name)
+	leader, follower := sim.Leader(), sim.Follower()
+	sim.State.OnTransaction = func(from string, txn *protocol.Transaction, _ func() storage.Response, done func(storage.Response)) bool {
+		return from == follower.Name && len(txn.Then) == 1 && txn.Then[0].Put == storage.ProcessKey(follower.Name)
 	}
 	sim.Crash(follower.Name)
 	sim.Start(follower.Name)
@@ -61,36 +61,37 @@
 	requireEqual(t, "view of the restarted member", controllerOf(follower).election.ViewLoaded(), true)
 	sim.State.Unavailable[""] = true
 	sim.Run(6 * time.Second)
-	requireEqual(t, "acts on a extension of a member that can't give one", controllerOf(lead).election.MayAct(sim.Now()), false)
+	requireEqual(t, "leader acts by the extension of an unregistered member", controllerOf(leader).election.MayAct(sim.Now()), false)
 }
 
-// Once all faults are over, every accepted job is answered for, whichever
-// member is asked and whoever owned it, and its tasks run to their end.
+// Once all faults are over, every member answers requests about every accepted job, whoever owned
+// it, and the job's tasks complete.
 func TestAcceptedJobsStayKnown(t *testing.T) {
 	for seed := range uint64(25) {
-		r := rand.New(rand.NewPCG(seed, 11))
+		random := rand.New(rand.NewPCG(seed, 11))
 		sim := newSimulation(t, "a", "b", "c")
 		for i := range 4 {
 			sim.AddMachine(fmt.Sprintf("vm-%d", i), []string{"z1", "z2"}[i%2]).TaskDuration = 3 * time.Second
 		}
-		type event struct {
-			at time.Duration
-			do func()
+		type delayedEvent struct {
+			dueAt time.Duration
+			call  func()
 		}
-		var late []event
+		var delayed []delayedEvent
 		sim.State.OnTransaction = func(_ string, _ *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool {
-			if r.IntN(40) > 0 {
+			if random.IntN(40) > 0 {
 				return false
 			}
-			// Held by the network: given up after a while, applied sooner or later.
-			late = append(late, event{sim.Now() + 1500*time.Millisecond, func() { done(storage.Response{}) }},
-				event{sim.Now() + time.Duration(r.IntN(8000))*time.Millisecond, func() { apply() }})
+			// Delayed by the network: the caller gives up after 1.5 s, and the transaction is
+			// applied within 8 s.
+			delayed = append(delayed, delayedEvent{sim.Now() + 1500*time.Millisecond, func() { done(storage.Response{}) }},
+				delayedEvent{sim.Now() + time.Duration(random.IntN(8000))*time.Millisecond, func() { apply() }})
 			return true
 		}
 		var accepted []string
 		for step := range 120 {
-			name := sim.Members[r.IntN(3)]
-			switch r.IntN(16) {
+			name := sim.Members[random.IntN(3)]
+			switch random.IntN(16) {
 			case 0:
 				sim.State.Unavailable[name] = !sim.State.Unavailable[name]
 			case 1:
@@ -105,7 +106,7 @@
 				}
 				sim.Start(name)
 			case 4:
-				if other := sim.Members[r.IntN(3)]; other != name && sim.Nodes[name].Up && sim.Nodes[other].Up {
+				if other := sim.Members[random.IntN(3)]; other != name && sim.Nodes[name].Up && sim.Nodes[other].Up {
 					if sim.Nodes[name].Links[other] != nil {
 						sim.Disconnect(name, other)
 					} else {
@@ -114,26 +115,26 @@
 				}
 			case 5, 6, 7:
 				if id := fmt.Sprintf("wk-%d", step); sim.Nodes[name].Up {
-					if q := sim.Nodes[name].Submit(simtest.BatchJob(id, 3)); q.Status == 201 {
+					if r := sim.Nodes[name].Submit(simtest.BatchJob(id, 3)); r.Status == 201 {
 						accepted = append(accepted, id)
 					}
 				}
 			}
-			due := late
-			late = nil
-			for _, e := range due {
-				if sim.Now() >= e.at {
-					e.do()
+			pending := delayed
+			delayed = nil
+			for _, event := range pending {
+				if sim.Now() >= event.dueAt {
+					event.call()
 				} else {
-					late = append(late, e)
+					delayed = append(delayed, event)
 				}
 			}
 			sim.BootMachines(3 * time.Second)
 			sim.Run(time.Second)
 		}
 		sim.State.OnTransaction = nil
-		for _, e := range late {
-			e.do()
+		for _, event := range delayed {
+			event.call()
 		}
 		clear(sim.State.Unavailable)
 		for _, name := range sim.Members {
@@ -152,7 +153,7 @@
 		for _, id := range accepted {
 			for _, name := range sim.Members {
 				if code, _ := sim.Nodes[name].Status(id); code != 200 {
-					t.Fatalf("seed %d: %s asked for %s answers %d", seed, name, id, code)
+					t.Fatalf("seed %d: %s answers a query of %s with %d", seed, name, id, code)
 				}
 			}
 		}
@@ -163,78 +164,78 @@
 		for _, id := range accepted {
 			for _, name := range sim.Members {
 				if code, s := sim.Nodes[name].Status(id); code != 200 || s.Status != "done" {
-					t.Fatalf("seed %d: %s says %d %q of %s", seed, name, code, s.Status, id)
+					t.Fatalf("seed %d: %s answers %d %q for %s", seed, name, code, s.Status, id)
 				}
 			}
 		}
 	}
 }
 
-// A machine whose heartbeats arrive but which no answer reaches gets no starts,
-// holds nothing up, and is returned if that lasts.
+// A machine whose heartbeats arrive but which gets no responses is sent no starts, does not delay
+// pending tasks, and is returned if that lasts.
 func TestMachineWithoutResponsesIsReturned(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+	unreachable, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
-	lead := sim.Leader()
-	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
-	deaf.Heartbeat()
-	requireEqual(t, "running", len(deaf.Running()), 2)
-	deaf.Heartbeat()
+	leader := sim.Leader()
+	requireEqual(t, "submit", leader.Submit(simtest.BatchJob("wk-1", 2).With("crew", "red")).Status, 201)
+	unreachable.Heartbeat()
+	requireEqual(t, "running", len(unreachable.Running()), 2)
+	unreachable.Heartbeat()
 
-	deaf.LosesResponses = true
-	deaf.Heartbeat() // its answer is lost; the worker closes the connection
-	requireEqual(t, "more", lead.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
-	m := controllerOf(lead).leader.machines.get("vm-1")
+	unreachable.LosesResponses = true
+	unreachable.Heartbeat() // the response is lost; the agent closes the connection
+	requireEqual(t, "more", leader.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	m := controllerOf(leader).leader.machines.get("vm-1")
 	for range 3 {
-		deaf.Heartbeat()
+		unreachable.Heartbeat()
 		requireEqual(t, "starts sent to a machine that gets no responses", len(m.sentStarts), 0)
 	}
 	other.Heartbeat()
 	requireEqual(t, "running elsewhere", len(other.Running()), 2)
-	requireEqual(t, "its use of a limit", controllerOf(lead).leader.usage.teams["red"].cpus, 4)
+	requireEqual(t, "its CPUs counted against the team limit", controllerOf(leader).leader.usage.teams["red"].cpus, 4)
 
-	// Its new epoch proves that its tasks are gone, whatever fencing token it bears.
-	deaf.ExpireLease()
-	deaf.Heartbeat()
+	// Its new epoch proves its tasks lost, whatever fencing token its heartbeats carry.
+	unreachable.ExpireLease()
+	unreachable.Heartbeat()
 	sim.Advance(tickInterval)
 	other.Heartbeat()
 	requireEqual(t, "running elsewhere", strings.Join(other.Running(), " "), "wk-1/0 wk-1/1 wk-2/0 wk-2/1")
 	for range 30 {
-		deaf.Heartbeat()
+		unreachable.Heartbeat()
 		other.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	requireEqual(t, "returned", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
+	requireEqual(t, "returned machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
 }
 
-// The same at a new leader, whose fencing token the machine never sees: its new epoch
-// is proof all the same, as epochs end only with all their tasks.
+// As above with a new leader, whose fencing token never reaches the machine. The machine's new
+// epoch still proves its tasks lost, as an epoch ends only when all its tasks have ended.
 func TestNewEpochWithOldFencingTokenIsProofOfLoss(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	deaf, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
+	unreachable, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
-	lead, follower := sim.Leader(), sim.Follower()
+	leader, follower := sim.Leader(), sim.Follower()
 	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-	deaf.Heartbeat()
-	requireEqual(t, "running", len(deaf.Running()), 2)
-	deaf.Heartbeat()
-	deaf.LosesResponses = true
-	sim.Crash(lead.Name)
+	unreachable.Heartbeat()
+	requireEqual(t, "running", len(unreachable.Running()), 2)
+	unreachable.Heartbeat()
+	unreachable.LosesResponses = true
+	sim.Crash(leader.Name)
 	sim.Run(10 * time.Second)
-	requireEqual(t, "running elsewhere before the lease is over", len(other.Running()), 0)
-	deaf.ExpireLease()
+	requireEqual(t, "running elsewhere before the lease expires", len(other.Running()), 0)
+	unreachable.ExpireLease()
 	sim.Run(3 * time.Second)
 	requireEqual(t, "running elsewhere", len(other.Running()), 2)
 }
 
-// Heartbeats with very many tasks, all at once, keep the mesh's frames and the
-// answers within their sizes: a frame that is too large would end the stream.
+// Many heartbeats with 1500 tasks each arrive at once. The frames between members and the responses
+// must stay within their size limits: a frame that is too large would end the stream.
 func TestLargeHeartbeatsStayWithinSizeLimits(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	lead, follower := sim.Leader(), sim.Follower()
+	leader, follower := sim.Leader(), sim.Follower()
 	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 3000)).Status, 201)
-	var answers []*Response
+	var responses []*Response
 	for i := range 40 {
 		agent := sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 		agent.Heartbeat()
@@ -242,43 +243,43 @@
 			name := fmt.Sprintf("wk-1/%d", n)
 			agent.Tasks[name] = &simtest.AgentTask{Name: name, Replica: uint64(1 + i), State: "ended", Cause: "halted"}
 		}
-		out := &Response{}
-		controllerOf(lead).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *out = r })
-		answers = append(answers, out)
+		response := &Response{}
+		controllerOf(leader).HandleHTTP(&Request{Method: "POST", Path: "/checkin", Body: agent.HeartbeatBody(), Conn: agent.Connection}, func(r Response) { *response = r })
+		responses = append(responses, response)
 	}
 	sim.DeliverAll()
 	sim.Advance(time.Second)
 	code, _ := follower.Cancel("wk-1")
-	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "cancellation", code, 200)
 	for _, name := range sim.AgentNames() {
-		controllerOf(lead).balancer.redirectBudget = 0 // none is sent elsewhere
+		controllerOf(leader).balancer.redirectBudget = 0 // no machine is redirected
 		r := sim.Agents[name].Heartbeat()
 		if r.Status != 200 || len(r.Body) > 64<<10 {
 			t.Fatalf("answered %d with %d bytes", r.Status, len(r.Body))
 		}
 	}
-	for _, r := range answers {
-		requireEqual(t, "answer", r.Status, 200)
+	for _, r := range responses {
+		requireEqual(t, "response", r.Status, 200)
 	}
 }
 
-// A machine that was out of reach for longer than a worker waits for an answer gets
-// starts with its first heartbeat, on whatever connection; one that sends heartbeats as a worker
-// does that gets no answers still gets none.
+// A machine that was silent for longer than an agent waits for a response gets starts in response
+// to its first heartbeat, on any connection. A machine that was silent for less may have sent
+// heartbeats whose responses were lost: it gets none on a new connection.
 func TestReconnectedMachineGetsStartsAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		pause  time.Duration
-		starts bool
+		pause        time.Duration
+		startsAtOnce bool
 	}{{5 * time.Second, false}, {8 * time.Second, true}} {
 		t.Run(fmt.Sprint("silent for ", c.pause), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
 			sim.Cloud.RejectsScaleOut = true
 			for _, name := range sim.Members {
-				tune := &controllerOf(sim.Nodes[name]).tuning // it is not returned for its pauses
-				tune.MaxMissedHeartbeats, tune.IdleBeforeScaleIn = 20, time.Hour
+				tuning := &controllerOf(sim.Nodes[name]).tuning // a silent machine is not returned
+				tuning.MaxMissedHeartbeats, tuning.IdleBeforeScaleIn = 20, time.Hour
 			}
 			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
-			pause := func(d time.Duration) { // the leader hears of others meanwhile
+			pause := func(d time.Duration) { // the leader gets heartbeats of the other machine meanwhile
 				for end := sim.Now() + d; sim.Now() < end; {
 					sim.Advance(time.Second)
 					other.Heartbeat()
@@ -289,33 +290,33 @@
 			agent.HeartbeatTo(n)
 			pause(c.pause)
 			requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 2).With("hall", "z1")).Status, 201)
-			agent.ConnectedTo = nil // its connection is gone
+			agent.ConnectedTo = nil // its connection is closed
 			agent.HeartbeatTo(n)
-			requireEqual(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.starts)
+			requireEqual(t, fmt.Sprint("started after ", c.pause), sim.runningTasks() > 0, c.startsAtOnce)
 			agent.HeartbeatTo(n)
 			requireEqual(t, "started by the next heartbeat", sim.runningTasks(), 2)
 			agent.FinishTasks("done")
-			for range 3 { // until its results are written and cleared
+			for range 3 { // until the end of its tasks is written and they are reaped
 				agent.HeartbeatTo(n)
 				sim.Advance(time.Second)
 			}
-			agent.LosesResponses = true // it hears nothing, and pauses again: it gets nothing twice
-			sent := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
+			agent.LosesResponses = true // and pauses again: starts that were lost once are not repeated
+			sentStarts := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
 			agent.ConnectedTo = nil
 			pause(8 * time.Second)
 			requireEqual(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
 			agent.HeartbeatTo(n)
-			first := sent()
-			for range 2 { // the first shows that its starts are lost
+			first := sentStarts()
+			for range 2 { // the first heartbeat shows that the starts were lost
 				pause(8 * time.Second)
 				agent.HeartbeatTo(n)
 			}
-			requireEqual(t, fmt.Sprint("sent to one that gets no responses, away for ", c.pause), fmt.Sprint(first, " ", sent()), "2 0")
+			requireEqual(t, fmt.Sprint("starts sent to a machine without responses, silent for ", c.pause), fmt.Sprint(first, " ", sentStarts()), "2 0")
 		})
 	}
 }
 
-// A machine that gets responses again is served again.
+// A machine that gets responses again gets starts again.
 func TestMachineWithRestoredResponsesIsServed(t *testing.T) {
 	sim := newSimulation(t, "a")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -326,14 +327,14 @@
 	agent.LosesResponses = false
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	agent.Heartbeat()
-	requireEqual(t, "starts in answer to the first heartbeat on a new connection", len(agent.Running()), 0)
+	requireEqual(t, "starts in response to the first heartbeat on a new connection", len(agent.Running()), 0)
 	agent.Heartbeat()
-	requireEqual(t, "starts once an answer has arrived", len(agent.Running()), 2)
+	requireEqual(t, "starts once a response has arrived", len(agent.Running()), 2)
 }
 
-// A machine that sends heartbeats on another connection each time, as it does while it
-// tries one controller after another, keeps its tasks until its lease is over:
-// returned at once, it lost them although it was well a moment later.
+// A machine that sends each heartbeat on a new connection, as an agent does while it tries one
+// controller after another, keeps its tasks until its lease expires. Returned at once, it would
+// lose them although it recovers soon after.
 func TestMachineThatTriesOtherControllersKeepsTasks(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -348,62 +349,62 @@
 	sim.Run(14 * time.Second)
 	agent.LosesResponses = false
 	sim.Run(10 * time.Second)
-	requireEqual(t, "returned", len(sim.Cloud.ReleasedMachines), 0)
+	requireEqual(t, "returned machines", len(sim.Cloud.ReleasedMachines), 0)
 	requireEqual(t, "running", len(agent.Running()), 4)
 }
 
-// What is cancelled on a machine that gets no responses ends in time, and such
-// machines do not keep a leader believing that it reaches its workers.
+// The tasks of a cancelled job on a machine that gets no responses end in time, and heartbeats of
+// such machines do not count as proof that the leader reaches its machines.
 func TestCancellationWhenNoMachineGetsResponses(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
-	var deaf []*simtest.Agent
+	var agents []*simtest.Agent
 	for i := range 10 {
-		deaf = append(deaf, sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1"))
+		agents = append(agents, sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1"))
 	}
 	sim.Run(10 * time.Second)
-	lead := sim.Leader()
-	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	leader := sim.Leader()
+	requireEqual(t, "submit", leader.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(2 * time.Second)
 	requireEqual(t, "running", sim.runningTasks(), 2)
-	code, _ := lead.Cancel("wk-1")
-	requireEqual(t, "abort", code, 200)
-	for _, agent := range deaf {
+	code, _ := leader.Cancel("wk-1")
+	requireEqual(t, "cancellation", code, 200)
+	for _, agent := range agents {
 		agent.LosesResponses = true
 	}
 	sim.Run(17 * time.Second)
-	if controllerOf(lead).leader != nil {
-		t.Fatal("the leader believes that it reaches its workers")
+	if controllerOf(leader).leader != nil {
+		t.Fatal("the leader leads although no machine gets its responses")
 	}
-	for _, agent := range deaf {
-		agent.ExpireLease() // their leases are over
+	for _, agent := range agents {
+		agent.ExpireLease()
 	}
 	sim.Run(20 * time.Second)
-	requireEqual(t, "left of the cancelled job", sim.runningTasks(), 0)
+	requireEqual(t, "running tasks of the cancelled job", sim.runningTasks(), 0)
 }
 
-// A late copy of a heartbeat renews nothing, proves nothing, changes no task and
-// brings back no machine: at the same leader, at a new one, after a release.
+// A late copy of a heartbeat must not renew a lease, prove a loss, change a task or add a machine
+// that is gone: at the same leader, at a new leader, and after the machine was terminated.
 func TestLateHeartbeatCopiesChangeNothing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
 	sim.Run(3 * time.Second)
-	lead := sim.Leader()
-	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
+	leader := sim.Leader()
+	requireEqual(t, "submit", leader.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	agent.Heartbeat()
 	requireEqual(t, "running", len(agent.Running()), 1)
 	agent.Heartbeat()
-	old := append([]byte(nil), agent.LastHeartbeat...) // lists wk-1/0, with the present fencing token
+	copied := append([]byte(nil), agent.LastHeartbeat...) // reports wk-1/0, with the current fencing token
 	sim.Run(time.Second)
-	m := controllerOf(lead).leader.machines.get("vm-1")
+	m := controllerOf(leader).leader.machines.get("vm-1")
 	before := *m
 	sim.Advance(900 * time.Millisecond)
-	requireEqual(t, "copy at the same leader", lead.CallOnConnection(agent.Connection, "POST", "/checkin", old).Status, 503)
+	requireEqual(t, "copy at the same leader", leader.CallOnConnection(agent.Connection, "POST", "/checkin", copied).Status, 503)
 	if m.lastHeartbeat != before.lastHeartbeat || m.lastReachable != before.lastReachable || m.lastCurrentHeartbeat != before.lastCurrentHeartbeat || m.sequence != before.sequence {
-		t.Fatal("a late copy renewed what is known of its machine")
+		t.Fatal("a late copy changed the state of its machine")
 	}
 
-	// The machine fails the task; its replica runs on the other one. Then the
-	// leader and owner ends, and the copy is the first that the next one hears.
+	// The task fails on the machine, and its next replica runs on the other one. Then the leader,
+	// which also owns the job, crashes, and the next leader gets the copy as its first heartbeat.
 	agent.FinishTasks("error")
 	agent.Heartbeat()
 	agent.Heartbeat()
@@ -412,112 +413,112 @@
 		other.Heartbeat()
 	}
 	requireEqual(t, "replica", strings.Join(other.Running(), " "), "wk-1/0")
-	requireEqual(t, "left on the first", len(agent.Tasks), 0)
-	sim.Crash(lead.Name)
+	requireEqual(t, "tasks on the first machine", len(agent.Tasks), 0)
+	sim.Crash(leader.Name)
 	sim.Advance(8 * time.Second)
 	next := sim.Leader()
-	requireEqual(t, "copy at a new leader", next.Call("POST", "/checkin", old).Status, 200)
+	requireEqual(t, "copy at a new leader", next.Call("POST", "/checkin", copied).Status, 200)
 	sim.HeartbeatFor(6, other)
 	agent.Heartbeat()
-	requireEqual(t, "replica runs on", strings.Join(other.Running(), " "), "wk-1/0")
+	requireEqual(t, "replica keeps running", strings.Join(other.Running(), " "), "wk-1/0")
 	requireEqual(t, "starts", agent.Starts+other.Starts, 2)
 
-	// A machine that is gone stays gone, here and at the next leader.
+	// A copy does not add a machine that is gone, at this leader or at the next one.
 	sim.Run(2 * time.Second)
-	last := agent.HeartbeatBody() // newer than any that has arrived
+	newest := agent.HeartbeatBody() // newer than any that has arrived
 	controllerOf(next).leader.markTerminated(controllerOf(next).leader.machines.get("vm-1"))
 	delete(sim.Agents, "vm-1")
 	gone := controllerOf(next).leader.machines.get("vm-1")
-	at := gone.lastHeartbeat
+	lastHeartbeat := gone.lastHeartbeat
 	sim.Advance(time.Second)
-	requireEqual(t, "copy of a machine that is gone", next.Call("POST", "/checkin", last).Status, 503)
-	requireEqual(t, "last heard of it", gone.lastHeartbeat, at)
+	requireEqual(t, "copy of a machine that is gone", next.Call("POST", "/checkin", newest).Status, 503)
+	requireEqual(t, "time of its last heartbeat", gone.lastHeartbeat, lastHeartbeat)
 	sim.Cloud.Machines = sim.Cloud.Machines[1:]
 	sim.Run(3 * time.Second)
 	sim.Crash(next.Name)
-	sim.Start(lead.Name)
+	sim.Start(leader.Name)
 	sim.Advance(8 * time.Second)
 	third := sim.Leader()
-	third.Call("POST", "/checkin", last)
+	third.Call("POST", "/checkin", newest)
 	requireEqual(t, "more", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	for range 4 {
-		third.Call("POST", "/checkin", last)
+		third.Call("POST", "/checkin", newest)
 		sim.Run(time.Second)
 	}
-	g := controllerOf(third).leader.machines.get("vm-1")
-	if g == nil || controllerOf(third).leader.schedulable(g, sim.Now()) || g.recordKey != "" || len(g.sentStarts) > 0 {
-		t.Fatal("a late copy made a machine of one that is gone")
+	atThird := controllerOf(third).leader.machines.get("vm-1")
+	if atThird == nil || controllerOf(third).leader.schedulable(atThird, sim.Now()) || atThird.recordKey != "" || len(atThird.sentStarts) > 0 {
+		t.Fatal("late copies made the next leader use a machine that is gone")
 	}
 }
 
-// A member that loses the state service and the other members, but not its
-// workers and users, stops before another acts, and says so.
+// A leader that loses the state service and its peers, but not machines and users, stops acting
+// before another member acts, and reports that it is not ready.
 func TestIsolatedMemberStopsActing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(3 * time.Second)
-	lead := sim.Leader()
-	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
+	leader := sim.Leader()
+	requireEqual(t, "submit", leader.Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
 	sim.Run(3 * time.Second)
-	sim.requireStatus(lead, "wk-1", 200, "running")
-	sim.State.Unavailable[lead.Name] = true
+	sim.requireStatus(leader, "wk-1", 200, "running")
+	sim.State.Unavailable[leader.Name] = true
 	for _, name := range sim.Members {
-		if name != lead.Name {
-			sim.Disconnect(lead.Name, name)
+		if name != leader.Name {
+			sim.Disconnect(leader.Name, name)
 		}
 	}
-	lead.Call("GET", "/ready", nil)
+	leader.Call("GET", "/ready", nil)
 	for range 80 {
 		sim.Advance(100 * time.Millisecond)
-		acting := 0
+		actingLeaders := 0
 		for _, name := range sim.Members {
 			if c := controllerOf(sim.Nodes[name]); c.leader != nil && c.election.MayAct(sim.Now()) {
-				acting++
+				actingLeaders++
 			}
 		}
-		if acting > 1 {
+		if actingLeaders > 1 {
 			t.Fatal("two members act as leader")
 		}
 	}
-	requireEqual(t, "ready", lead.Call("GET", "/ready", nil).Status, 503)
-	if r := agent.HeartbeatTo(lead); r.Status != 503 {
-		t.Fatalf("a worker is answered %d", r.Status)
+	requireEqual(t, "ready", leader.Call("GET", "/ready", nil).Status, 503)
+	if r := agent.HeartbeatTo(leader); r.Status != 503 {
+		t.Fatalf("a heartbeat is answered %d", r.Status)
 	}
-	requireEqual(t, "submission", lead.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
+	requireEqual(t, "submission", leader.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
 	next := sim.Leader()
 	for range 10 {
 		sim.Advance(time.Second)
 		agent.HeartbeatTo(next)
 	}
 	code, status := next.Cancel("wk-1")
-	requireEqual(t, "withdrawn elsewhere", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
-	if code, s := lead.Status("wk-1"); code == 200 && s.Status != "withdrawn" {
-		t.Fatalf("an older answer: %q", s.Status)
+	requireEqual(t, "cancellation at the next leader", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	if code, s := leader.Status("wk-1"); code == 200 && s.Status != "withdrawn" {
+		t.Fatalf("the isolated member answers with the older status %q", s.Status)
 	}
 	clear(sim.State.Unavailable)
 	for _, name := range sim.Members {
-		if name != lead.Name {
-			sim.Connect(lead.Name, name)
+		if name != leader.Name {
+			sim.Connect(leader.Name, name)
 		}
 	}
 	sim.Run(10 * time.Second)
-	requireEqual(t, "leader after the return", sim.Leader().Name, next.Name)
-	requireEqual(t, "ready after the return", lead.Call("GET", "/ready", nil).Status, 200)
-	sim.requireStatus(lead, "wk-1", 200, "withdrawn")
-	requireEqual(t, "submission after the return", lead.Submit(simtest.BatchJob("wk-3", 2)).Status, 201)
+	requireEqual(t, "leader after the reconnection", sim.Leader().Name, next.Name)
+	requireEqual(t, "ready after the reconnection", leader.Call("GET", "/ready", nil).Status, 200)
+	sim.requireStatus(leader, "wk-1", 200, "withdrawn")
+	requireEqual(t, "submission after the reconnection", leader.Submit(simtest.BatchJob("wk-3", 2)).Status, 201)
 	sim.Run(5 * time.Second)
 	requireEqual(t, "running", strings.Join(agent.Running(), " "), "wk-3/0 wk-3/1")
 }
 
-// Hundreds of machines are rented and returned within what one request takes,
-// also if requests are filled in part; and a list that is older than the one
-// before neither loses a machine nor brings back one that is gone.
+// Hundreds of machines are rented and returned in requests within the cloud's limits, even if it
+// fills requests only in part. A list of machines that is older than the previous one neither
+// removes a machine nor adds one that is gone.
 func TestScaleOutAndScaleInOfHundredsOfMachines(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Cloud.MaxMachinesPerRequest = 40
 	n := sim.Nodes["a"]
 	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 480).With("vcpus", 8.0).With("ramGb", 60.0)).Status, 201)
-	for s := 0; len(sim.Cloud.Machines) < 480 && s < 200; s++ {
+	for second := 0; len(sim.Cloud.Machines) < 480 && second < 200; second++ {
 		sim.Advance(time.Second)
 	}
 	requireEqual(t, "machines rented", len(sim.Cloud.Machines), 480)
@@ -532,25 +533,25 @@
 		sim.Run(time.Second)
 	}
 	sim.requireStatus(n, "wk-1", 200, "done")
-	before := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
+	oldList := append([]simtest.CloudMachine(nil), sim.Cloud.Machines...)
 	known := len(controllerOf(n).leader.machines.byName)
-	sim.Cloud.StaleList = before[:100]
+	sim.Cloud.StaleList = oldList[:100]
 	sim.Run(5 * time.Second)
-	requireEqual(t, "machines known by an older list", len(controllerOf(n).leader.machines.byName), known)
+	requireEqual(t, "machines known after an older list", len(controllerOf(n).leader.machines.byName), known)
 	sim.Cloud.StaleList = nil
 	sim.Run(90 * time.Second)
 	requireEqual(t, "machines returned", len(sim.Cloud.ReleasedMachines), 480)
-	for _, k := range sim.Cloud.ReleaseSizes {
-		if k > cloud.MaxMachinesPerScaleIn {
-			t.Fatalf("a release of %d machines", k)
+	for _, size := range sim.Cloud.ReleaseSizes {
+		if size > cloud.MaxMachinesPerScaleIn {
+			t.Fatalf("a release of %d machines", size)
 		}
 	}
-	sim.Cloud.StaleList = before
+	sim.Cloud.StaleList = oldList
 	sim.Run(10 * time.Second)
 	for m := range controllerOf(n).leader.machines.all {
 		if !m.terminated {
-			t.Fatalf("%s is back by an older list", m.name)
+			t.Fatalf("an older list added %s again", m.name)
 		}
 	}
-	requireEqual(t, "machines rented in all", sim.Cloud.CreatedMachines, 480)
+	requireEqual(t, "machines rented in total", sim.Cloud.CreatedMachines, 480)
 }
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -10,14 +10,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/election"
 )
 
-// takeoverSeeds is how many scenarios TestTakeoverScenarios plays; TAKEOVER_DAYS asks for
-// more, for a long run by hand.
+// takeoverSeeds is the number of scenarios that TestTakeoverScenarios runs. The environment
+// variable TAKEOVER_DAYS overrides it, for long runs by hand.
 const takeoverSeeds = 48
 
-// Leaders and owners change while the state service is slow, refuses some reads or
-// one member, streams between members come up late, and members are paused. The
-// rules are looked at ten times a second, and every list that is forwarded. Each
-// seed draws its own meetings; every fourth has members of the version before.
+// Leaders and owners change while the state service is slow, rejects some reads or all requests of
+// one member, streams between members open late, and members are paused. All rules are checked ten
+// times a second, and each forwarded status for completeness. Each seed draws its own combination
+// of faults; every fourth has members of the previous version.
 func TestTakeoverScenarios(t *testing.T) {
 	seeds := takeoverSeeds
 	if n, err := strconv.Atoi(os.Getenv("TAKEOVER_DAYS")); err == nil {
@@ -34,30 +34,30 @@
 func runTakeoverScenario(t *testing.T, seed uint64) {
 	t.Helper()
 	names := []string{"a", "b", "c"}
-	var before []string
+	var previousVersion []string
 	if seed%4 == 3 {
-		before = names[:1+seed/4%3]
+		previousVersion = names[:1+seed/4%3]
 	}
-	sim := prepareSimulation(t, "", before, names...)
-	sim.Tuning.QuotaEscrow = seed%3 == 1 && len(before) == 0
+	sim := prepareSimulation(t, "", previousVersion, names...)
+	sim.Tuning.QuotaEscrow = seed%3 == 1 && len(previousVersion) == 0
 	sim.StartAll()
 	scenario := &takeoverScenario{faultScenario: newFaultScenarioIn(t, sim, seed, 8)}
 	scenario.setTaskDurations(time.Duration(10+scenario.rand.IntN(30)) * time.Second)
-	scenario.runScript(70, func(s int) {
-		if s < 40 && s%2 == 0 {
-			scenario.submit(scenario.randomNode(), 1+scenario.rand.IntN(4), "crew", []string{"red", "blue"}[s/2%2])
+	scenario.runScript(70, func(second int) {
+		if second < 40 && second%2 == 0 {
+			scenario.submit(scenario.randomNode(), 1+scenario.rand.IntN(4), "crew", []string{"red", "blue"}[second/2%2])
 		}
-		if s%8 == 7 {
+		if second%8 == 7 {
 			scenario.submitService(scenario.randomNode(), 1, "crew", "blue")
 		}
-		if s%6 == 5 {
+		if second%6 == 5 {
 			scenario.cancelRandomJobs(1)
 		}
 		switch {
-		case s < 6 || s >= 60:
-		case s%9 == 0:
+		case second < 6 || second >= 60:
+		case second%9 == 0:
 			scenario.beginSlowTakeover()
-		case s%9 < 3:
+		case second%9 < 3:
 			scenario.beginRandomFault()
 		}
 	})
@@ -66,16 +66,17 @@
 	scenario.recoverAndCheck()
 }
 
-// takeoverScenario draws the faults of one such scenario.
+// takeoverScenario is a scenario of TestTakeoverScenarios, with methods that begin random faults
+// and schedule their ends.
 type takeoverScenario struct{ *faultScenario }
 
-// after has something happen between the two times from now on.
-func (scenario *takeoverScenario) callAfter(least, most time.Duration, fn func()) {
-	scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + least + time.Duration(scenario.rand.Int64N(int64(most-least)+1)), fn})
+// callAfter schedules a call after a random delay from minDelay to maxDelay.
+func (scenario *takeoverScenario) callAfter(minDelay, maxDelay time.Duration, fn func()) {
+	scenario.delayedCalls = append(scenario.delayedCalls, delayedCall{scenario.Now() + minDelay + time.Duration(scenario.rand.Int64N(int64(maxDelay-minDelay)+1)), fn})
 }
 
-// beginSlowTakeover ends the leader, all members or just a leadership, while the reads of
-// whoever takes over are late and streams between members are cut.
+// beginSlowTakeover crashes the leader or all members, or has the leader resign, while reads of
+// the next leader are slow or rejected and streams between members are closed.
 func (scenario *takeoverScenario) beginSlowTakeover() {
 	if scenario.rand.IntN(2) == 0 {
 		scenario.hideListings()
@@ -85,31 +86,31 @@
 	for range scenario.rand.IntN(3) {
 		scenario.disconnectLink()
 	}
-	lead := scenario.actingLeader()
+	leader := scenario.actingLeader()
 	switch scenario.rand.IntN(4) {
 	case 0:
 		for _, name := range scenario.Members {
 			scenario.crashForSeconds(name)
 		}
 	case 1:
-		if lead != nil {
-			controllerOf(lead).election.Resign(election.MachinesUnreachable)
+		if leader != nil {
+			controllerOf(leader).election.Resign(election.MachinesUnreachable)
 		}
 	default:
-		if lead != nil {
-			scenario.crashForSeconds(lead.Name)
+		if leader != nil {
+			scenario.crashForSeconds(leader.Name)
 		}
 	}
 }
 
-// beginRandomFault begins one that is drawn, and has it end some seconds later.
+// beginRandomFault begins a random fault, which ends some seconds later.
 func (scenario *takeoverScenario) beginRandomFault() {
 	switch scenario.rand.IntN(8) {
 	case 0:
 		scenario.crashForSeconds(scenario.Members[scenario.rand.IntN(len(scenario.Members))])
 	case 1:
-		if lead := scenario.actingLeader(); lead != nil {
-			scenario.crashForSeconds(lead.Name)
+		if leader := scenario.actingLeader(); leader != nil {
+			scenario.crashForSeconds(leader.Name)
 		}
 	case 2:
 		for _, name := range scenario.Members {
@@ -125,8 +126,8 @@
 		scenario.disconnectLink()
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
-			if lead := scenario.actingLeader(); lead != nil { // it keeps its shards
-				controllerOf(lead).election.Resign(election.MachinesUnreachable)
+			if leader := scenario.actingLeader(); leader != nil { // its process goes on and keeps its shards
+				controllerOf(leader).election.Resign(election.MachinesUnreachable)
 			}
 			return
 		}
@@ -134,7 +135,7 @@
 	}
 }
 
-// crashForSeconds ends a member, which is back some seconds later.
+// crashForSeconds crashes a member and schedules its restart after 0.2 to 6 s.
 func (scenario *takeoverScenario) crashForSeconds(name string) {
 	if !scenario.Nodes[name].Up {
 		return
@@ -144,31 +145,31 @@
 	scenario.callAfter(200*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
-// hideListings has one member, or all, refused the listings of some records.
+// hideListings has the state service reject listings of a kind of records, for one member or all.
 func (scenario *takeoverScenario) hideListings() {
 	scenario.State.HiddenPrefix = []string{"own/", "own/", "fleet/", "done/"}[scenario.rand.IntN(4)]
 	scenario.State.HiddenFrom = append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
 	scenario.callAfter(time.Second, 6*time.Second, func() { scenario.State.HiddenPrefix, scenario.State.HiddenFrom = "", "" })
 }
 
-// delayStateResponses has answers come late, for one member or all.
+// delayStateResponses delays the responses of the state service to one member or all.
 func (scenario *takeoverScenario) delayStateResponses() {
-	most := time.Duration(1+scenario.rand.IntN(5)) * time.Second
+	maxDelay := time.Duration(1+scenario.rand.IntN(5)) * time.Second
 	member := append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
 	scenario.State.ResponseDelay = func(to string) time.Duration {
 		if member != "" && member != to {
 			return 0
 		}
-		return time.Duration(scenario.rand.Int64N(int64(most)))
+		return time.Duration(scenario.rand.Int64N(int64(maxDelay)))
 	}
 	scenario.callAfter(time.Second, 8*time.Second, func() { scenario.State.ResponseDelay = nil })
 }
 
-// makeStateUnavailable has the state service refuse one member, or be away for all.
+// makeStateUnavailable makes the state service unavailable to one member or all.
 func (scenario *takeoverScenario) makeStateUnavailable() {
-	who := append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
-	scenario.State.Unavailable[who] = true
-	scenario.callAfter(time.Second, 8*time.Second, func() { delete(scenario.State.Unavailable, who) })
+	member := append([]string{""}, scenario.Members...)[scenario.rand.IntN(4)]
+	scenario.State.Unavailable[member] = true
+	scenario.callAfter(time.Second, 8*time.Second, func() { delete(scenario.State.Unavailable, member) })
 }
 
 func (scenario *takeoverScenario) disconnectLink() {
@@ -177,7 +178,8 @@
 	scenario.callAfter(500*time.Millisecond, 6*time.Second, scenario.restoreAll)
 }
 
-// pauseMember pauses a member; the others take it for disconnected after a while.
+// pauseMember pauses a random member for 0.5 to 9 s. If it is still paused after 4 s, its peers
+// treat their streams to it as broken.
 func (scenario *takeoverScenario) pauseMember() {
 	name := scenario.Members[scenario.rand.IntN(len(scenario.Members))]
 	n := scenario.Nodes[name]
@@ -201,7 +203,7 @@
 	})
 }
 
-// reconnectAll ends a member's streams and begins new ones.
+// reconnectAll closes a member's streams and opens new ones.
 func (scenario *takeoverScenario) reconnectAll(name string) {
 	for _, other := range scenario.Members {
 		if other != name {
@@ -211,7 +213,7 @@
 	scenario.restoreAll()
 }
 
-// resumeAll has all members that are paused go on.
+// resumeAll resumes all paused members.
 func (scenario *takeoverScenario) resumeAll() {
 	for _, name := range scenario.Members {
 		if scenario.Nodes[name].Paused {
--- a/internal/simtest/agent.go
+++ b/internal/simtest/agent.go
@@ -10,32 +10,33 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Agent is a scripted machine. It follows the protocol's rules for fencing tokens
-// and commands; its lease ends only when a test says so.
+// Agent is the scripted agent of one machine. It follows the protocol's rules for fencing
+// tokens and commands. Its lease expires only when a test calls ExpireLease or sets
+// Deployment.ExpireLeases.
 type Agent struct {
 	deployment       *Deployment
 	Name             string
 	Zone             string
-	MachineType      string // its type; empty: m8
+	MachineType      string // name of its type; empty: m8
 	Epoch            uint64
 	Sequence         uint64
 	FencingToken     uint64
-	Tasks            map[string]*AgentTask // by name and attempt
-	PreemptionNotice any
-	Silent           bool
-	Starts           int
-	LastHeartbeat    []byte
-	DropsStarts      bool          // drops starts, as if the answer were lost
-	LosesResponses   bool          // no answer reaches it
-	TaskDuration     time.Duration // tasks end by themselves after it; 0: never
-	DurationSpread   time.Duration // and up to six times this more
-	ConnectedTo      Process       // where its last heartbeat was answered
-	RedirectedTo     string        // the member that it was told to send heartbeats to
-	Connection       uint64
-	LeaseRenewedAt   time.Duration // when the last heartbeat that was answered was sent, or the epoch began
-}
-
-// AgentTask is a replica on a machine.
+	Tasks            map[string]*AgentTask // by task name and replica, as in wk-1/0#2
+	PreemptionNotice any                   // seconds until the machine is taken back; nil: no notice
+	Silent           bool                  // sends no heartbeats
+	Starts           int                   // replicas that it has started
+	LastHeartbeat    []byte                // body of the last heartbeat
+	DropsStarts      bool                  // ignores start commands
+	LosesResponses   bool                  // receives no responses, though its heartbeats arrive
+	TaskDuration     time.Duration         // tasks complete after this time; 0: never
+	DurationSpread   time.Duration         // added once per replica number modulo 7, so at most six times
+	ConnectedTo      Process               // process to which its connection is open; nil: none
+	RedirectedTo     string                // member to which it sends heartbeats; empty: the leader
+	Connection       uint64                // number of its last connection
+	LeaseRenewedAt   time.Duration         // when the last answered heartbeat was sent, or the epoch began
+}
+
+// AgentTask is a replica on a machine, as its status reports it.
 type AgentTask struct {
 	Name      string
 	Replica   uint64
@@ -44,38 +45,38 @@
 	StartedAt time.Duration
 }
 
-// AddMachine adds a machine that is up, with its agent.
+// AddMachine adds a running machine with its agent.
 func (d *Deployment) AddMachine(name, zone string) *Agent {
 	m := CloudMachine{Name: name, Zone: zone, Status: "running", CreatedAt: d.now}
 	d.Cloud.Machines = append(d.Cloud.Machines, m)
 	return d.StartAgent(m)
 }
 
-// AddMachines adds machines vm-0, vm-1 and so on of one zone.
+// AddMachines adds n machines of zone z1, named vm-0, vm-1 and so on.
 func (d *Deployment) AddMachines(n int) {
 	for i := range n {
 		d.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 }
 
-// BootMachines starts the agents of machines that were rented a while ago; their tasks
-// take the given time.
-func (d *Deployment) BootMachines(takes time.Duration) {
+// BootMachines starts the agents of machines that were rented more than 5 s ago. Their
+// tasks complete after taskDuration.
+func (d *Deployment) BootMachines(taskDuration time.Duration) {
 	for _, m := range d.Cloud.Machines {
 		if d.Agents[m.Name] == nil && m.Status == "starting" && d.now-m.CreatedAt > 5*time.Second {
-			d.StartAgent(m).TaskDuration = takes
+			d.StartAgent(m).TaskDuration = taskDuration
 		}
 	}
 }
 
-// StartAgent starts the agent of a machine.
+// StartAgent starts the agent of a machine, without tasks and with epoch 1.
 func (d *Deployment) StartAgent(m CloudMachine) *Agent {
 	agent := &Agent{deployment: d, Name: m.Name, Zone: m.Zone, Epoch: 1, Tasks: make(map[string]*AgentTask), LeaseRenewedAt: d.now}
 	d.Agents[m.Name] = agent
 	return agent
 }
 
-// HeartbeatBody is its next heartbeat.
+// HeartbeatBody completes the tasks whose time is over and encodes the next heartbeat.
 func (agent *Agent) HeartbeatBody() []byte {
 	agent.Sequence++
 	pages := []any{}
@@ -94,91 +95,92 @@
 		}
 		pages = append(pages, map[string]any{"page": task.Name, "try": task.Replica, "status": task.State, "cause": task.Cause})
 	}
-	machine := agent.MachineType
-	if machine == "" {
-		machine = "m8"
+	machineType := agent.MachineType
+	if machineType == "" {
+		machineType = "m8"
 	}
-	return agent.deployment.Codec.Encode(map[string]any{"roost": agent.Name, "address": "10.1.0.1:1", "breed": machine, "hall": agent.Zone, "loaners": false,
+	return agent.deployment.Codec.Encode(map[string]any{"roost": agent.Name, "address": "10.1.0.1:1", "breed": machineType, "hall": agent.Zone, "loaners": false,
 		"perch": agent.Epoch, "tick": agent.Sequence, "baton": agent.FencingToken, "recallInS": agent.PreemptionNotice, "pages": pages})
 }
 
-// Heartbeat sends one heartbeat to the leader, or where it was told to, and carries
-// out the answer.
+// Heartbeat sends one heartbeat to the member to which the agent was redirected, else to
+// the leader, and executes the response. It returns nil if nothing was sent.
 func (agent *Agent) Heartbeat() *HTTPResponse {
 	if agent.Silent {
 		return nil
 	}
-	if n := agent.deployment.Nodes[agent.RedirectedTo]; n != nil && n.Up && !n.Paused {
-		return agent.HeartbeatTo(n)
+	if node := agent.deployment.Nodes[agent.RedirectedTo]; node != nil && node.Up && !node.Paused {
+		return agent.HeartbeatTo(node)
 	}
 	for _, name := range agent.deployment.Members {
-		if n := agent.deployment.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() {
-			return agent.HeartbeatTo(n)
+		if node := agent.deployment.Nodes[name]; node.Up && !node.Paused && node.Process.Leads() {
+			return agent.HeartbeatTo(node)
 		}
 	}
 	return nil
 }
 
-// HeartbeatFor has some machines, and no others, send a heartbeat each second.
-func (d *Deployment) HeartbeatFor(seconds int, machines ...*Agent) {
+// HeartbeatFor advances the clock while only the given machines send one heartbeat a second.
+func (d *Deployment) HeartbeatFor(seconds int, agents ...*Agent) {
 	for range seconds {
-		for _, agent := range machines {
+		for _, agent := range agents {
 			agent.Heartbeat()
 		}
 		d.Advance(time.Second)
 	}
 }
 
-// FinishAllTasks ends every running task well.
+// FinishAllTasks completes every running task.
 func (d *Deployment) FinishAllTasks() {
 	for _, agent := range d.Agents {
 		agent.FinishTasks("done")
 	}
 }
 
-// HeartbeatTo sends one heartbeat to a member, and carries out the response.
-func (agent *Agent) HeartbeatTo(n *Node) *HTTPResponse {
+// HeartbeatTo sends one heartbeat to a member and executes the response.
+func (agent *Agent) HeartbeatTo(node *Node) *HTTPResponse {
 	agent.LastHeartbeat = agent.HeartbeatBody()
-	session, sent := agent.Epoch, agent.deployment.now
-	if agent.ConnectedTo != n.Process { // it has closed its last connection
+	epoch, sentAt := agent.Epoch, agent.deployment.now
+	if agent.ConnectedTo != node.Process { // the last connection is closed
 		agent.deployment.lastConnection++
-		agent.Connection, agent.ConnectedTo = agent.deployment.lastConnection, n.Process
+		agent.Connection, agent.ConnectedTo = agent.deployment.lastConnection, node.Process
 	}
-	r := n.CallOnConnection(agent.Connection, "POST", "/checkin", agent.LastHeartbeat)
-	if r.Status == 0 { // the answer waits for bindings
+	r := node.CallOnConnection(agent.Connection, "POST", "/checkin", agent.LastHeartbeat)
+	if r.Status == 0 { // the controller holds the response until it has bound tasks
 		agent.deployment.Advance(400 * time.Millisecond)
 	}
 	agent.RedirectedTo = ""
 	if r.Status == 421 {
-		var to protocol.Redirect
-		if err := agent.deployment.Codec.Decode(r.Body, &to); err != nil {
+		var redirect protocol.Redirect
+		if err := agent.deployment.Codec.Decode(r.Body, &redirect); err != nil {
 			agent.deployment.T.Fatal(err)
 		}
-		agent.RedirectedTo = to.HeartbeatTo
+		agent.RedirectedTo = redirect.HeartbeatTo
 	}
 	if r.Status != 200 || agent.LosesResponses {
 		agent.ConnectedTo = nil
 		return r
 	}
-	agent.RedirectedTo = n.Name
-	if agent.Epoch == session { // else it belongs to one that is over
+	agent.RedirectedTo = node.Name
+	if agent.Epoch == epoch { // a response to an earlier epoch is dropped
 		agent.Execute(r.Body)
-		agent.LeaseRenewedAt = max(agent.LeaseRenewedAt, sent)
+		agent.LeaseRenewedAt = max(agent.LeaseRenewedAt, sentAt)
 	}
 	return r
 }
 
-// Execute carries out a heartbeat response.
+// Execute carries out the commands of a heartbeat response, unless its fencing token is
+// lower than the agent's.
 func (agent *Agent) Execute(body []byte) {
-	var a protocol.HeartbeatResponse
-	if err := agent.deployment.Codec.Decode(body, &a); err != nil {
+	var response protocol.HeartbeatResponse
+	if err := agent.deployment.Codec.Decode(body, &response); err != nil {
 		agent.deployment.T.Fatal(err)
 	}
-	if a.FencingToken < agent.FencingToken {
+	if response.FencingToken < agent.FencingToken {
 		return
 	}
-	agent.FencingToken = a.FencingToken
-	for _, c := range a.Commands {
+	agent.FencingToken = response.FencingToken
+	for _, c := range response.Commands {
 		key := c.Task + "#" + strconv.FormatUint(c.Replica, 10)
 		task := agent.Tasks[key]
 		switch {
@@ -197,12 +199,13 @@
 	}
 }
 
-// checkNotRunningElsewhere is the rule ran_twice. It looks at the machines on which the task was
-// started before: nothing else brings a copy of it onto a machine, but for tests
-// that put old ones there, which have ended or are of an earlier number.
+// checkNotRunningElsewhere fails the test if a task is started on one machine while it runs
+// on another (ran_twice). It looks only at the machines on which the task was started before:
+// apart from starts, replicas reach a machine only when a test adds them, and those have ended
+// or have an earlier number.
 func (d *Deployment) checkNotRunningElsewhere(task string, on *Agent) {
 	if _, bench := d.T.(*testing.B); bench {
-		return // it would cost more than what is measured
+		return // the check would cost more time than what the benchmark measures
 	}
 	for _, agent := range d.agentsByStartedTask[task] {
 		for _, t := range agent.Tasks {
@@ -214,7 +217,7 @@
 	d.agentsByStartedTask[task] = append(d.agentsByStartedTask[task], on)
 }
 
-// Running names the tasks that run, in order.
+// Running returns the names of the running tasks, sorted.
 func (agent *Agent) Running() []string {
 	var out []string
 	for _, task := range agent.Tasks {
@@ -226,16 +229,16 @@
 	return out
 }
 
-// FinishTasks ends every running task.
-func (agent *Agent) FinishTasks(why string) {
+// FinishTasks ends every running task with the given cause.
+func (agent *Agent) FinishTasks(cause string) {
 	for _, task := range agent.Tasks {
 		if task.State == "running" {
-			task.State, task.Cause = "ended", why
+			task.State, task.Cause = "ended", cause
 		}
 	}
 }
 
-// ExpireLease ends the worker's epoch, as its lease's end does.
+// ExpireLease removes all tasks and begins a new epoch, as an agent does when its lease expires.
 func (agent *Agent) ExpireLease() {
 	agent.Tasks = make(map[string]*AgentTask)
 	agent.Epoch++
--- a/internal/simtest/cloud.go
+++ b/internal/simtest/cloud.go
@@ -11,38 +11,40 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Cloud rents machines that never come up by themselves: a test adds
-// their workers.
+// Cloud is the stand-in for the cloud. The machines that it rents out don't boot by
+// themselves: a test starts their agents.
 type Cloud struct {
 	deployment            *Deployment
 	Machines              []CloudMachine
-	machinesByRequest     map[string][]string
+	machinesByRequest     map[string][]string // machine names, by the id of the scale-out request
 	ScaleOutRequests      []protocol.ScaleOutRequest
 	ReleasedMachines      []string
 	RejectsScaleOut       bool
-	ExtraMachineTypes     []protocol.MachineType // besides m8
-	LosesResponses        bool                   // carries requests out but gives no answer
-	RejectsRelease        bool                   // releases nothing
-	MaxMachinesPerRequest int                    // machines that one request fills; 0: all
-	ReleaseSizes          []int                  // names in each release
-	StaleList             []CloudMachine         // listed instead, if not nil
-	RPS                   float64                // calls beyond it are answered 429; 0: none are
-	callBudget            float64                // calls that it allows at present
+	ExtraMachineTypes     []protocol.MachineType // types in addition to m8
+	LosesResponses        bool                   // carries out scale-out requests without an answer
+	RejectsRelease        bool                   // answers releases with 503
+	MaxMachinesPerRequest int                    // machines that one scale-out request gets; 0: all
+	ReleaseSizes          []int                  // number of machines in each release
+	StaleList             []CloudMachine         // listed in place of Machines, unless nil
+	RPS                   float64                // calls per second, beyond which they get 429; 0: no limit
+	callBudget            float64                // calls that the limit allows now
 	budgetUpdatedAt       time.Duration
-	rateLimitedCalls      int // calls answered 429
+	rateLimitedCalls      int // calls answered with 429
 	CreatedMachines       int
 }
 
-// CloudMachine is a machine that it has rented out.
+// CloudMachine is a machine that the cloud has rented out. Its Status is "starting",
+// "running" or "failed".
 type CloudMachine struct {
 	Name, Zone, Status string
-	CreatedAt          time.Duration
+	CreatedAt          time.Duration // on Deployment.Now
 }
 
-// listLag is how long after a change the cloud's list shows it.
+// listLag is the time from the creation of a machine until the cloud lists it; list_lag_s of
+// SettingsFormat.
 const listLag = 6 * time.Second
 
-// catalogue is the type that every deployment has.
+// defaultMachineType is the machine type that the cloud of every deployment offers.
 var defaultMachineType = protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 64, CacheGB: 50,
 	FetchRate: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"z1", "z2"}}
 
@@ -59,7 +61,7 @@
 	case path == "/hosts" && method == "POST":
 		c.scaleOut(body, answer, done)
 	case path == "/hosts/release" && c.RejectsRelease:
-		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+		answer(http.StatusServiceUnavailable, protocol.ErrorBody{Error: "unavailable"})
 	case path == "/hosts/release":
 		c.release(body)
 		answer(http.StatusOK, map[string]any{})
@@ -68,7 +70,7 @@
 	}
 }
 
-// scaleOut rents the machines of a request, the same ones if it is repeated.
+// scaleOut rents out the machines of a request. A repeated request gets the same machines.
 func (c *Cloud) scaleOut(body []byte, answer func(int, any), done func(storage.Response)) {
 	var request protocol.ScaleOutRequest
 	if err := c.deployment.Codec.Decode(body, &request); err != nil {
@@ -94,7 +96,7 @@
 	answer(http.StatusOK, protocol.MachineNames{Machines: names})
 }
 
-// release returns machines, with all that runs on them.
+// release removes machines and the tasks that run on them.
 func (c *Cloud) release(body []byte) {
 	var request protocol.MachineNames
 	if err := c.deployment.Codec.Decode(body, &request); err != nil {
@@ -116,7 +118,7 @@
 	}
 }
 
-// list is one page of the cloud's list.
+// list returns one page of the list of machines.
 func (c *Cloud) list(path string) protocol.MachineList {
 	u, err := url.Parse(path)
 	if err != nil {
@@ -126,14 +128,14 @@
 	if err != nil {
 		c.deployment.T.Fatal(err)
 	}
-	after := u.Query().Get("from")
+	lastListed := u.Query().Get("from")
 	page := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 	listed := c.Machines
 	if c.StaleList != nil {
 		listed = c.StaleList
 	}
 	for _, m := range listed {
-		if c.deployment.now-m.CreatedAt < listLag || m.Name <= after {
+		if c.deployment.now-m.CreatedAt < listLag || m.Name <= lastListed {
 			continue
 		}
 		if len(page.Machines) == limit {
@@ -145,7 +147,8 @@
 	return page
 }
 
-// allowCall is the cloud's limit of calls, with bursts of two seconds' worth.
+// allowCall reports whether the limit of calls per second allows one more, and counts it.
+// Bursts may reach the calls of two seconds.
 func (c *Cloud) allowCall() bool {
 	if c.RPS == 0 {
 		return true
--- a/internal/simtest/deployment.go
+++ b/internal/simtest/deployment.go
@@ -1,10 +1,10 @@
-// Package simtest has a deployment on a fake clock for the tests of the controllers:
-// members that are started, crashed, paused and cut off from each other, scripted
-// machines, users' requests, and stand-ins for the state service and the cloud that
-// fail as a test asks. It owns what surrounds the controllers and knows them as a
-// Process only. Nothing in it waits or runs on its own: time passes in Advance and Run.
-// It fails the test when a task is started while it runs elsewhere, when a frame is too
-// large, or when a request is answered twice.
+// Package simtest simulates a deployment on a fake clock for the tests of the controllers:
+// members that a test starts, crashes, pauses and disconnects from each other, scripted
+// agents on machines, users' requests, and stand-ins for the state service and the cloud
+// with faults that a test sets. It simulates the environment of the controllers and uses them
+// only through the interface Process. It has no goroutines and no timers: time passes only in
+// Advance, and in the methods that call it. It fails the test when a task is started while it
+// runs elsewhere, when a frame is too large, or when a request is answered twice.
 package simtest
 
 import (
@@ -20,48 +20,48 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// Options are what differs between deployments before their first process starts.
+// Options are the parameters of NewDeployment.
 type Options struct {
 	Members         []string
-	PreviousVersion []string // members that run the version before
-	NextLimits      string   // settings.state.next, which only this version knows
+	PreviousVersion []string // members that run the previous version
+	NextLimits      string   // the table settings.state.next, appended to the settings of members of this version
 	TickInterval    time.Duration
 	NewProcess      func(ProcessConfig) (Process, error)
-	OnFrame         func(from, to *Node, f *meshpb.Frame) *meshpb.Frame // what becomes of a frame as it is sent
+	OnFrame         func(from, to *Node, f *meshpb.Frame) *meshpb.Frame // returns the frame that is delivered
 }
 
-// Deployment is a site on a fake clock: controllers, scripted machines, and stand-ins
-// for the state service and the cloud.
+// Deployment is a simulated site: controllers, agents on machines, and stand-ins for the
+// state service and the cloud.
 type Deployment struct {
 	T                testing.TB
-	Codec            *protocol.Codec
+	Codec            *protocol.Codec // of requests, responses and stored values
 	Nodes            map[string]*Node
 	Members          []string
 	State            *State
 	Cloud            *Cloud
 	Agents           map[string]*Agent
-	PreviousVersion  map[string]bool                     // members that run the version before
-	AdjustSettings   func(*settings.File)                // the settings of each process, as it starts; nil: as in SettingsFormat
-	AuditStreams     []*audit.Stream                     // what each process has recorded of admissions
+	PreviousVersion  map[string]bool                     // members that run the previous version
+	AdjustSettings   func(*settings.File)                // changes the settings of a process before it starts; may be nil
+	AuditStreams     []*audit.Stream                     // the audit records of each process, in order of start
 	Tuning           settings.Tuning                     // the operators' settings
-	ExpireLeases     bool                                // agents' leases end by themselves
-	WorkerLease      time.Duration                       // lease_s of the settings
-	OnTick           func()                              // after every tick
-	OnStart          func(agent *Agent, task *AgentTask) // a start is carried out
-	RunsUntilStopped func(name string) bool              // whose tasks don't end by themselves
-	OnTaskDone       func(agent *Agent, name string)     // a task that has ended well is reported
+	ExpireLeases     bool                                // agents' leases expire after WorkerLease
+	WorkerLease      time.Duration                       // lease of machines; lease_s of the settings
+	OnTick           func()                              // called after every tick; may be nil
+	OnStart          func(agent *Agent, task *AgentTask) // called when an agent has started a replica; may be nil
+	RunsUntilStopped func(name string) bool              // reports whether a task never completes; nil: none
+	OnTaskDone       func(agent *Agent, name string)     // called when a heartbeat reports a completed task; may be nil
 
 	options             Options
 	now                 time.Duration
-	agentsByStartedTask map[string][]*Agent // by task: where replicas of it were ever started
+	agentsByStartedTask map[string][]*Agent // by task: agents that ever started replicas of it
 	lastProcess         uint64
 	lastConnection      uint64
 }
 
-// Now implements storage.Clock.
+// Now implements storage.Clock. The clock starts at one hour.
 func (d *Deployment) Now() time.Duration { return d.now }
 
-// NewDeployment makes one none of whose processes has started.
+// NewDeployment returns a deployment in which no process has been started.
 func NewDeployment(t testing.TB, options Options) *Deployment {
 	t.Helper()
 	codec, err := protocol.NewCodec()
@@ -82,7 +82,8 @@
 	return d
 }
 
-// StartAll starts a process of every member, and waits until one leads.
+// StartAll starts a process of every member and advances the clock by 8 s, in which one of
+// them becomes the leader.
 func (d *Deployment) StartAll() {
 	d.StartMembers()
 	d.Advance(8 * time.Second)
@@ -95,7 +96,7 @@
 	}
 }
 
-// Start starts a process of a member, and connects it to the others that are up.
+// Start starts a process of a member and connects it to the other members that are up.
 func (d *Deployment) Start(name string) *Node {
 	n := d.Nodes[name]
 	d.lastProcess++
@@ -119,7 +120,8 @@
 	return n
 }
 
-// newAuditStream keeps what the next process of a member records.
+// newAuditStream adds the audit stream of a process that is about to start and returns the
+// function that appends records to it.
 func (d *Deployment) newAuditStream(name string) func(audit.Record) {
 	stream := &audit.Stream{Name: fmt.Sprint(name, "-", d.lastProcess), HasLastSegment: true}
 	d.AuditStreams = append(d.AuditStreams, stream)
@@ -129,7 +131,7 @@
 	}
 }
 
-// Crash ends a process without a word.
+// Crash ends a process at once: it sends nothing more, and its streams are closed.
 func (d *Deployment) Crash(name string) {
 	n := d.Nodes[name]
 	n.Up = false
@@ -140,15 +142,16 @@
 	}
 }
 
-// CrashAll ends the processes of all members without a word.
+// CrashAll crashes the processes of all members.
 func (d *Deployment) CrashAll() {
 	for _, name := range d.Members {
 		d.Crash(name)
 	}
 }
 
-// Pause stops a process while its clock runs on. After four seconds the others take
-// its silence for a broken stream; what they sent before waits for it.
+// Pause stops the execution of a process while its clock advances by span, which is at least
+// four seconds. After the first four seconds the other members treat its silence as a broken
+// stream. The frames that they sent before stay queued for it.
 func (d *Deployment) Pause(name string, span time.Duration) {
 	n := d.Nodes[name]
 	n.Paused = true
@@ -161,13 +164,14 @@
 	d.Run(span - 4*time.Second)
 }
 
-// Resume lets a process that was paused go on, with all that has waited for it.
+// Resume resumes a paused process and delivers the frames queued for it.
 func (d *Deployment) Resume(name string) {
 	d.Nodes[name].Paused = false
 	d.DeliverAll()
 }
 
-// Advance lets time pass, tick by tick.
+// Advance advances the clock by span, tick by tick. After each tick all queued frames are
+// delivered.
 func (d *Deployment) Advance(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.now += d.options.TickInterval
@@ -191,7 +195,8 @@
 	}
 }
 
-// Run advances while all workers send heartbeats every second or so.
+// Run advances the clock by at least span, in steps of a second. After each step every agent
+// sends a heartbeat, which may itself advance the clock by 0.4 s.
 func (d *Deployment) Run(span time.Duration) {
 	for end := d.now + span; d.now < end; {
 		d.Advance(time.Second)
@@ -201,7 +206,7 @@
 	}
 }
 
-// AgentNames are the names of all machines that have an agent, in order.
+// AgentNames returns the names of all machines that have an agent, sorted.
 func (d *Deployment) AgentNames() []string {
 	var names []string
 	for name := range d.Agents {
@@ -211,24 +216,24 @@
 	return names
 }
 
-// Leader returns the member that leads and may act.
+// Leader returns the member that leads and may act. It fails the test if there is none.
 func (d *Deployment) Leader() *Node {
 	for _, name := range d.Members {
 		if n := d.Nodes[name]; n.Up && !n.Paused && n.Process.Leads() && n.Process.MayAct() {
 			return n
 		}
 	}
-	d.T.Fatal("nobody leads")
+	d.T.Fatal("no member leads")
 	return nil
 }
 
-// Follower returns a running member that does not lead.
+// Follower returns a running member that does not lead. It fails the test if there is none.
 func (d *Deployment) Follower() *Node {
 	for _, name := range d.Members {
 		if n := d.Nodes[name]; n.Up && !n.Process.Leads() {
 			return n
 		}
 	}
-	d.T.Fatal("no follower")
+	d.T.Fatal("no running member is a follower")
 	return nil
 }
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -6,34 +6,35 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// Connect begins a stream between two members.
+// Connect opens a stream between two members.
 func (d *Deployment) Connect(a, b string) {
-	na, nb := d.Nodes[a], d.Nodes[b]
-	la, lb := &Stream{deployment: d, to: nb, toProcess: nb.Process}, &Stream{deployment: d, to: na, toProcess: na.Process}
-	la.peer, lb.peer = lb, la
-	na.Links[b], nb.Links[a] = la, lb
-	na.Process.LinkUp(la, b)
-	nb.Process.LinkUp(lb, a)
+	nodeA, nodeB := d.Nodes[a], d.Nodes[b]
+	fromA, fromB := &Stream{deployment: d, to: nodeB, toProcess: nodeB.Process}, &Stream{deployment: d, to: nodeA, toProcess: nodeA.Process}
+	fromA.peer, fromB.peer = fromB, fromA
+	nodeA.Links[b], nodeB.Links[a] = fromA, fromB
+	nodeA.Process.LinkUp(fromA, b)
+	nodeB.Process.LinkUp(fromB, a)
 }
 
-// Disconnect ends the stream between two members, in both directions.
+// Disconnect closes the stream between two members in both directions.
 func (d *Deployment) Disconnect(a, b string) {
-	na, nb := d.Nodes[a], d.Nodes[b]
-	if l := na.Links[b]; l != nil {
-		l.Close()
-		l.peer.Close()
-		delete(na.Links, b)
-		delete(nb.Links, a)
+	nodeA, nodeB := d.Nodes[a], d.Nodes[b]
+	if stream := nodeA.Links[b]; stream != nil {
+		stream.Close()
+		stream.peer.Close()
+		delete(nodeA.Links, b)
+		delete(nodeB.Links, a)
 	}
 	d.DeliverAll()
 }
 
-// Reconnect ends the streams of a process that was paused and begins new ones.
+// Reconnect replaces all streams of a process that was paused, without reporting the end of
+// the old ones to its peers, which Pause has done.
 func (d *Deployment) Reconnect(name string) {
-	n := d.Nodes[name]
+	node := d.Nodes[name]
 	for _, other := range d.Members {
 		if other != name {
-			n.Process.LinkDown(n.Links[other])
+			node.Process.LinkDown(node.Links[other])
 			d.Connect(name, other)
 		}
 	}
@@ -45,56 +46,57 @@
 	deployment *Deployment
 	to         *Node
 	toProcess  Process
-	peer       *Stream
-	Queue      []*meshpb.Frame
+	peer       *Stream         // the opposite direction
+	Queue      []*meshpb.Frame // frames sent and not yet delivered
 	Closed     bool
 }
 
-// Send queues a frame until DeliverAll.
-func (l *Stream) Send(f *meshpb.Frame) {
-	if n := proto.Size(f); n > 1<<20 {
-		l.deployment.T.Fatalf("a frame of %d bytes", n)
+// Send queues a frame until DeliverAll delivers it. A frame of more than 1 MiB fails the test.
+func (stream *Stream) Send(f *meshpb.Frame) {
+	if size := proto.Size(f); size > 1<<20 {
+		stream.deployment.T.Fatalf("a frame of %d bytes", size)
 	}
-	if !l.Closed {
-		l.Queue = append(l.Queue, l.deployment.options.OnFrame(l.peer.to, l.to, f))
+	if !stream.Closed {
+		stream.Queue = append(stream.Queue, stream.deployment.options.OnFrame(stream.peer.to, stream.to, f))
 	}
 }
 
-// Flush does nothing: all that is queued is delivered at once.
-func (l *Stream) Flush() {}
+// Flush does nothing: DeliverAll delivers all queued frames.
+func (stream *Stream) Flush() {}
 
-// Close ends this direction: its sender learns of it.
-func (l *Stream) Close() {
-	if l.Closed {
+// Close closes this direction and reports that to the process at its sending end.
+func (stream *Stream) Close() {
+	if stream.Closed {
 		return
 	}
-	l.Closed = true
-	if l.peer.toProcess != nil && l.deployment.Nodes[l.peer.to.Name].Process == l.peer.toProcess {
-		l.peer.toProcess.LinkDown(l)
+	stream.Closed = true
+	if stream.peer.toProcess != nil && stream.deployment.Nodes[stream.peer.to.Name].Process == stream.peer.toProcess {
+		stream.peer.toProcess.LinkDown(stream)
 	}
 }
 
-// DeliverAll delivers everything that is on its way.
+// DeliverAll delivers all queued frames, and those sent in response, until none is left.
+// Frames from or to a paused process stay queued.
 func (d *Deployment) DeliverAll() {
 	for again := true; again; {
 		again = false
 		for _, name := range d.Members {
-			n := d.Nodes[name]
-			if !n.Up || n.Paused {
+			node := d.Nodes[name]
+			if !node.Up || node.Paused {
 				continue
 			}
-			n.Process.EndBatch()
+			node.Process.EndBatch()
 			for _, other := range d.Members {
-				l := n.Links[other]
-				if l == nil || len(l.Queue) == 0 || l.to.Paused {
+				stream := node.Links[other]
+				if stream == nil || len(stream.Queue) == 0 || stream.to.Paused {
 					continue
 				}
-				f := l.Queue[0]
-				l.Queue = l.Queue[1:]
+				f := stream.Queue[0]
+				stream.Queue = stream.Queue[1:]
 				again = true
-				if l.to.Up && l.to.Process == l.toProcess {
-					l.toProcess.LinkFrame(l.peer, f)
-					l.toProcess.EndBatch()
+				if stream.to.Up && stream.to.Process == stream.toProcess {
+					stream.toProcess.LinkFrame(stream.peer, f)
+					stream.toProcess.EndBatch()
 				}
 			}
 		}
--- a/internal/simtest/node.go
+++ b/internal/simtest/node.go
@@ -2,70 +2,74 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol"
 
-// Node is a member of the deployment, with its present process.
+// Node is the simulated host of one member, with the member's current process.
 type Node struct {
 	Name    string
-	Process Process
-	Up      bool
-	Paused  bool // nothing of it runs, what comes for it waits
-	Links   map[string]*Stream
+	Process Process            // the last process that was started
+	Up      bool               // whether the process runs
+	Paused  bool               // the process doesn't execute; frames for it stay queued
+	Links   map[string]*Stream // streams to other members, by member
 
 	deployment *Deployment
 }
 
-// Call sends an HTTP request and returns the answer, or a Status of 0 while
-// there is none.
+// Call sends an HTTP request and returns the response. Its Status is 0 until the process
+// has answered.
 func (n *Node) Call(method, path string, body []byte) *HTTPResponse {
 	return n.CallOnConnection(0, method, path, body)
 }
 
-// CallOnConnection sends it on a connection of the given number.
-func (n *Node) CallOnConnection(conn uint64, method, path string, body []byte) *HTTPResponse {
-	out := &HTTPResponse{}
-	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path, Body: body, Conn: conn}, func(r HTTPResponse) {
-		if out.Status != 0 {
+// CallOnConnection is Call on the connection of the given number. A second response to the
+// request fails the test.
+func (n *Node) CallOnConnection(connection uint64, method, path string, body []byte) *HTTPResponse {
+	response := &HTTPResponse{}
+	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path, Body: body, Conn: connection}, func(r HTTPResponse) {
+		if response.Status != 0 {
 			n.deployment.T.Fatal("answered twice")
 		}
-		*out = r
+		*response = r
 	})
 	n.deployment.DeliverAll()
-	return out
+	return response
 }
 
-// Send sends a request without waiting for its response.
+// Send sends a request without delivering any frames. The returned response is filled in
+// once the process has answered.
 func (n *Node) Send(method, path string) *HTTPResponse {
-	out := &HTTPResponse{}
-	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path}, func(r HTTPResponse) { *out = r })
-	return out
+	response := &HTTPResponse{}
+	n.Process.HandleHTTP(&HTTPRequest{Method: method, Path: path}, func(r HTTPResponse) { *response = r })
+	return response
 }
 
-// Submit hands a job in.
+// Submit submits a job and advances the clock by one tick.
 func (n *Node) Submit(request JobRequest) *HTTPResponse {
 	r := n.Call("POST", "/submissions", n.deployment.Codec.Encode(map[string]any(request)))
-	n.deployment.Advance(n.deployment.options.TickInterval) // until the leader has put it in order
+	n.deployment.Advance(n.deployment.options.TickInterval) // until the leader has queued the job
 	return r
 }
 
-// Status asks about a job, and returns the status code with what was answered.
+// Status queries a job and returns the status code of the response with its body, which is
+// decoded for 200 only.
 func (n *Node) Status(id string) (int, protocol.JobStatus) {
 	r := n.Call("GET", "/submissions/"+id, nil)
-	var s protocol.JobStatus
+	var status protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.deployment.Codec.Decode(r.Body, &s); err != nil {
+		if err := n.deployment.Codec.Decode(r.Body, &status); err != nil {
 			n.deployment.T.Fatal(err)
 		}
 	}
-	return r.Status, s
+	return r.Status, status
 }
 
-// Cancel cancels a job, and returns the status code with the job's status.
+// Cancel cancels a job and returns the status code of the response with the job's status,
+// which is empty unless the code is 200.
 func (n *Node) Cancel(id string) (int, string) {
 	r := n.Call("POST", "/submissions/"+id+"/abort", nil)
-	var s protocol.JobStatus
+	var status protocol.JobStatus
 	if r.Status == 200 {
-		if err := n.deployment.Codec.Decode(r.Body, &s); err != nil {
+		if err := n.deployment.Codec.Decode(r.Body, &status); err != nil {
 			n.deployment.T.Fatal(err)
 		}
 	}
-	return r.Status, s.Status
+	return r.Status, status.Status
 }
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -10,16 +10,18 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// HTTPRequest is a request of a user or an agent.
+// HTTPRequest is a request of a user or of an agent. Its fields are those of
+// coordination.Request, to which it is converted.
 type HTTPRequest struct {
 	Method, Path string
 	Body         []byte
-	Conn         uint64        // the connection that it came on; 0: not known
-	ReceivedAt   time.Duration // when it came; 0: just now
+	Conn         uint64        // number of the connection on which it arrived; 0: unknown
+	ReceivedAt   time.Duration // when it arrived, on the deployment's clock; 0: now
 }
 
-// HTTPResponse is its response. It may be sent up to ValidUntil, or at any time if
-// that is 0.
+// HTTPResponse is the response to an HTTPRequest. It may be sent until ValidUntil on the
+// deployment's clock, or at any time if that is 0. Its fields are those of
+// coordination.Response.
 type HTTPResponse struct {
 	Status      int
 	Body        []byte
@@ -27,8 +29,8 @@
 	ValidUntil  time.Duration
 }
 
-// Process is a running controller as the deployment drives it. Its methods are called
-// one at a time.
+// Process is the deployment's view of a running controller. Its methods are called by one
+// goroutine only.
 type Process interface {
 	HandleHTTP(req *HTTPRequest, reply func(HTTPResponse))
 	LinkUp(l *Stream, member string)
@@ -36,22 +38,22 @@
 	LinkFrame(l *Stream, f *meshpb.Frame)
 	Tick()
 	EndBatch()
-	RunLater(fn func()) // in its next batch
+	RunLater(fn func()) // calls fn in the next batch
 	Leads() bool
-	MayAct() bool // its state lease entitles it to act now
+	MayAct() bool // reports whether its state lease, or an extension of it, entitles it to act now
 }
 
-// ProcessConfig is what a process of a member starts with.
+// ProcessConfig holds the parameters with which a process of a member starts.
 type ProcessConfig struct {
 	Member          string
-	PreviousVersion bool // it stands for a process of the version before
+	PreviousVersion bool // behave as a process of the previous version
 	Settings        *settings.File
 	Tuning          settings.Tuning
 	Clock           storage.Clock
-	Wall            func() time.Time
+	Wall            func() time.Time // the wall clock
 	Rand            *rand.Rand
 	State           storage.Caller
 	Cloud           storage.Caller
 	Audit           func(audit.Record)
-	ID              uint64 // of the process, higher for each
+	ID              uint64 // of the process, increasing with each start
 }
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -7,7 +7,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-// SettingsFormat is the settings file of a member; it takes the member and the others.
+// SettingsFormat is a format string for the settings file of a member. Its arguments are the
+// member's name and the [[known]] tables of the other members.
 const SettingsFormat = `
 member = "%s"
 site = "z1"
@@ -48,10 +49,10 @@
 sockets = 500
 `
 
-// defaultWorkerLease is lease_s of SettingsFormat.
+// defaultWorkerLease is the lease of machines, lease_s of SettingsFormat.
 const defaultWorkerLease = 16 * time.Second
 
-// settingsFor are the settings that a process of a member starts with.
+// settingsFor returns the settings with which the next process of a member starts.
 func (d *Deployment) settingsFor(name string) *settings.File {
 	known := ""
 	for _, other := range d.Members {
--- a/internal/simtest/state.go
+++ b/internal/simtest/state.go
@@ -12,15 +12,15 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// caller serves the calls of one member's processes at once, unless the member is cut
-// off.
+// nodeCaller passes the calls of one member's processes to the stand-in for the state service
+// or for the cloud, which serves them at once.
 type nodeCaller struct {
 	node  *Node
 	serve func(from string, method, path string, body []byte, done func(storage.Response))
 }
 
-// Call implements storage.Caller. A process gets no answers to the calls of an earlier
-// one.
+// Call implements storage.Caller. Responses to a process that has ended are dropped.
+// State.ResponseDelay applies to calls of the cloud, too.
 func (c *nodeCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
 	process := c.node.Process
 	answer := func(r storage.Response) {
@@ -33,52 +33,54 @@
 	})
 }
 
-// deliver hands an answer over, at once or as late as the service is slow. A caller
-// that has waited for too long has no answer, though the request was carried out.
+// deliverResponse passes a response to its caller at once, or after ResponseDelay. If the delay
+// exceeds the caller's timeout, the caller gets an empty response at the timeout, although the
+// request was carried out. Watches are not delayed.
 func (s *State) deliverResponse(to, path string, timeout time.Duration, r storage.Response, answer func(storage.Response)) {
 	if s.ResponseDelay == nil || strings.HasPrefix(path, "/watch") {
 		answer(r)
 		return
 	}
-	after := s.ResponseDelay(to)
-	if after > timeout {
-		after, r = timeout, storage.Response{}
+	delay := s.ResponseDelay(to)
+	if delay > timeout {
+		delay, r = timeout, storage.Response{}
 	}
-	if after == 0 {
+	if delay == 0 {
 		answer(r)
 		return
 	}
-	s.delayedResponses = append(s.delayedResponses, delayedResponse{s.deployment.now + after, func() { answer(r) }})
+	s.delayedResponses = append(s.delayedResponses, delayedResponse{s.deployment.now + delay, func() { answer(r) }})
 }
 
-// deliverDueResponses hands over the late answers that have come due.
+// deliverDueResponses delivers the delayed responses that are due.
 func (s *State) deliverDueResponses() {
-	waiting := s.delayedResponses
+	delayed := s.delayedResponses
 	s.delayedResponses = nil
-	for _, a := range waiting {
-		if s.deployment.now >= a.dueAt {
-			a.deliver()
+	for _, response := range delayed {
+		if s.deployment.now >= response.dueAt {
+			response.deliver()
 		} else {
-			s.delayedResponses = append(s.delayedResponses, a)
+			s.delayedResponses = append(s.delayedResponses, response)
 		}
 	}
 }
 
-// State is the state service, with the faults that a test asks for.
+// State is the stand-in for the state service, with faults that a test sets.
 type State struct {
 	*kv.Store
-	Unavailable    map[string]bool               // members that get 503; "" is all of them
-	HiddenPrefix   string                        // a prefix whose listings get 503
-	HiddenFrom     string                        // the member that gets it; "" is all of them
-	StalledWatches map[string]bool               // members whose watches tell nothing
-	ResponseDelay  func(to string) time.Duration // how late an answer to a member is; nil: not at all
-	// OnTransaction may take a transaction over: it returns true to swallow it, and
-	// may apply it later.
+	Unavailable    map[string]bool               // members that get 503, except for watches; "": all
+	HiddenPrefix   string                        // prefix of keys whose listings get 503; "": none
+	HiddenFrom     string                        // member that gets these 503s; "": all
+	StalledWatches map[string]bool               // members whose watches get no response
+	ResponseDelay  func(to string) time.Duration // delay of each response to a member; nil: no delay
+	// OnTransaction is called for each transaction within the limits. If it returns true, it
+	// has taken the transaction over: apply carries it out and done answers it, at any time
+	// or never. It may be nil.
 	OnTransaction func(from string, t *protocol.Transaction, apply func() storage.Response, done func(storage.Response)) bool
-	Limits        *StateLimits // beyond them it refuses; nil: none
-	Transactions  int
-	Writes        int // changes that were asked for
-	Requests      int // requests, but for watches and renewals
+	Limits        *StateLimits // larger or more frequent transactions are rejected; nil: no limits
+	Transactions  int          // transactions served
+	Writes        int          // changes in these transactions
+	Requests      int          // requests served, except watches and requests on leases
 
 	deployment       *Deployment
 	watches          []*stateWatch
@@ -86,14 +88,14 @@
 }
 
 type stateWatch struct {
-	member       string // a member; while it is refused its watches wait
+	member       string // gets no response while it is in Unavailable or StalledWatches
 	prefix       string
 	fromRevision uint64
 	expiresAt    time.Duration
 	done         func(storage.Response)
 }
 
-// delayedResponse is delivered once its time has come.
+// delayedResponse is a response that is delivered at dueAt, on the deployment's clock.
 type delayedResponse struct {
 	dueAt   time.Duration
 	deliver func()
@@ -109,7 +111,7 @@
 
 func (s *State) serve(from, method, path string, body []byte, done func(storage.Response)) {
 	if (s.Unavailable[from] || s.Unavailable[""]) && !strings.HasPrefix(path, "/watch") {
-		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "unavailable"})
 		return
 	}
 	u, err := url.Parse(path)
@@ -165,8 +167,8 @@
 	return n
 }
 
-// transact carries a transaction out, unless it is beyond the limits or the test takes
-// it over.
+// transact carries out a transaction, unless it exceeds the limits or OnTransaction takes it
+// over.
 func (s *State) transact(from string, body []byte, done func(storage.Response)) {
 	var t protocol.Transaction
 	s.decode(body, &t)
@@ -179,8 +181,8 @@
 	}
 	s.Transactions++
 	s.Writes += len(t.Then)
-	if refused := s.checkLimits(from, &t); refused != 0 {
-		s.respond(done, refused, protocol.ErrorBody{Error: "limits"})
+	if rejected := s.checkLimits(from, &t); rejected != 0 {
+		s.respond(done, rejected, protocol.ErrorBody{Error: "limits"})
 		return
 	}
 	if s.OnTransaction != nil && s.OnTransaction(from, &t, apply, done) {
@@ -190,25 +192,25 @@
 }
 
 const (
-	pageLimit    = 3               // small pages, so that paging is put to use
-	watchTimeout = 8 * time.Second // a watch is answered then at the latest
+	pageLimit    = 3               // keys in a page of a listing; few, so that tests use several pages
+	watchTimeout = 8 * time.Second // a watch without events is answered after this time
 )
 
 func (s *State) list(from string, q url.Values, done func(storage.Response)) {
 	if s.HiddenPrefix != "" && (s.HiddenFrom == "" || s.HiddenFrom == from) && strings.HasPrefix(q.Get("under"), s.HiddenPrefix) {
-		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "trouble"})
+		s.respond(done, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "unavailable"})
 		return
 	}
 	s.respond(done, http.StatusOK, s.Page(q.Get("under"), q.Get("from"), pageLimit))
 }
 
-// Announce tells the watches of a value that a key does not have.
+// Announce sends watches the event of a write that the stored value of the key does not show.
 func (s *State) Announce(key string, value []byte) {
 	s.Store.Announce(key, value)
 	s.NotifyWatches()
 }
 
-// NotifyWatches answers the watches for which something has changed or whose time is over.
+// NotifyWatches answers the watches for which there are events or whose time is over.
 func (s *State) NotifyWatches() {
 	kept := s.watches[:0]
 	var ready []func()
--- a/internal/simtest/state_limits.go
+++ b/internal/simtest/state_limits.go
@@ -8,17 +8,18 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// StateLimits are what the stand-in of the state service takes.
+// StateLimits are the limits that the stand-in for the state service enforces.
 type StateLimits struct {
 	MaxValueBytes, MaxOperations int
-	WriteRPS                     float64
+	WriteRPS                     float64 // changes per second
 	WriteBudget                  float64 // changes that the rate allows now
 	BudgetUpdatedAt              time.Duration
-	rateLimitedTransactions      int // requests, for the rate
+	rateLimitedTransactions      int // transactions rejected because of the rate
 }
 
-// checkLimits is the status of a transaction that goes beyond the limits, or 0.
-// Only the version before may write what is too large.
+// checkLimits returns the HTTP status for a transaction that exceeds the limits, or 0 for one
+// that is within them. A transaction that is too large fails the test, unless its sender is of
+// the previous version.
 func (s *State) checkLimits(from string, t *protocol.Transaction) int {
 	l := s.Limits
 	if l == nil {
@@ -39,14 +40,14 @@
 		return 0
 	}
 	if !s.deployment.PreviousVersion[from] {
-		s.deployment.T.Errorf("%s writes %d changes, some value of which is too large or they are too many", from, len(t.Then))
+		s.deployment.T.Errorf("%s sends %d changes, which are too many or include a value that is too large", from, len(t.Then))
 	}
 	return http.StatusBadRequest
 }
 
-// jsonSize is what the value of a change counts as.
+// jsonSize returns the size of the value of a change as JSON, which is what the limit counts.
 func (s *State) jsonSize(c protocol.Change) int {
-	var v map[string]any // a codec takes maps only
+	var v map[string]any // the codec encodes maps only
 	if err := s.deployment.Codec.Decode(s.deployment.Codec.Encode(map[string]any{"v": c.Value}), &v); err != nil {
 		s.deployment.T.Fatal(err)
 	}
@@ -57,7 +58,8 @@
 	return len(b)
 }
 
-// withStringKeys makes a decoded value fit for JSON.
+// withStringKeys converts the maps of a decoded value to ones with string keys, as JSON
+// requires. It changes lists in place.
 func withStringKeys(v any) any {
 	switch v := v.(type) {
 	case map[any]any:
