--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -67,11 +67,11 @@
 	n.controller = controller
 	n.mesh = transport.NewMesh(meshConfig(p.file), n.connections, meshEvents{controller, n.events})
 	n.server = transport.NewServer(transport.ServerConfig{
-		Addr:         p.file.APIAddr,
-		MaxConns:     apiConnections(p.file, p.tuning),
-		MaxHeldBytes: heldBytes(p.file),
-		IdleTimeout:  apiIdleTimeout,
-		ReadTimeout:  apiReadTimeout,
+		Addr:                   p.file.APIAddr,
+		MaxConns:               apiConnections(p.file, p.tuning),
+		MaxPendingRequestBytes: heldBytes(p.file),
+		IdleTimeout:            apiIdleTimeout,
+		ReadTimeout:            apiReadTimeout,
 	}, n.connections, apiHandler{controller, n.events, clock}.handle)
 	return n, nil
 }
@@ -116,7 +116,7 @@
 	})
 	defer stop()
 	n.log.Info().Str("member", n.file.Member).Msg("controller started")
-	n.events.Run(n.controller, n.connections.WaitTurn)
+	n.events.Run(n.controller, n.connections.NotifyBatchHandled)
 	select {
 	case err := <-ended:
 		return err
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -34,7 +34,7 @@
 	kinds            kindSelector
 	autoscaler       autoscaler
 	scaler           *cloud.Scaler
-	forecast         forecast.Starts
+	forecast         forecast.JobArrivals
 	warmPool         warmPool
 	runTimes         estimate.RunTimes
 	images           imageTable
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -460,8 +460,8 @@
 		late  bool
 	}{{50, 70, false}, {72, 70, false}, {73, 120, false}, {122, 120, false}, {123, 170, false}, {173, 70, true}} {
 		key := l.scheduler.orderKeyOf(job, submitted+test.after*1000)
-		if key.LatestStart-float64(submitted)/1000 != test.start || key.MissesDeadline != test.late {
-			t.Fatalf("after %d s: latest start %v, misses deadline %v", test.after, key.LatestStart-float64(submitted)/1000, key.MissesDeadline)
+		if key.LatestStart-float64(submitted)/1000 != test.start || key.MissesObjectives != test.late {
+			t.Fatalf("after %d s: latest start %v, misses deadline %v", test.after, key.LatestStart-float64(submitted)/1000, key.MissesObjectives)
 		}
 	}
 }
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -92,7 +92,7 @@
 type serviceLoad struct {
 	spec     *meshpb.JobSummary // of the latest service
 	image    *image             // of the latest service
-	arrivals forecast.Services
+	arrivals forecast.ServiceArrivals
 }
 
 // init initializes the state of a pool that has observed no services. The fields above the
@@ -270,9 +270,9 @@
 	}
 	t := p.catalog.Type(kind.typeName)
 	demand := load.arrivals.Demand(now, arrivalObservationTime(p.electedAt, now), t.BootS)
-	prompt := min(p.machinesForPromptStart(load.spec.Class, demand.Largest), p.affordableMachines(t, kind, now))
-	spread := min(minSpreadMachines, int(demand.Largest))
-	wanted := headroom{machines: max(prompt, spread), replicas: int(math.Ceil(demand.Replicas))}
+	prompt := min(p.machinesForPromptStart(load.spec.Class, demand.LargestReplicas), p.affordableMachines(t, kind, now))
+	spread := min(minSpreadMachines, int(demand.LargestReplicas))
+	wanted := headroom{machines: max(prompt, spread), replicas: int(math.Ceil(demand.RequiredReplicas))}
 	if load.spec.Zone != "" {
 		p.raiseTarget(kind, wanted)
 		return
--- a/internal/estimate/run_times.go
+++ b/internal/estimate/run_times.go
@@ -16,9 +16,9 @@
 const Unbounded = 24 * time.Hour
 
 const (
-	decay       = 0.998 // what each sample leaves of the weight of those before
-	minSamples  = 5     // weight below which a class's samples are not used
-	minVariance = 1e-6  // of the estimates' logarithms, below which no slope is fitted
+	sampleDecay     = 0.998 // what each sample leaves of the weight of those before
+	minSampleWeight = 5     // weight below which a class's samples are not used
+	minLogVariance  = 1e-6  // of the estimates' logarithms, below which no slope is fitted
 )
 
 // Task is what the run time of a task is expected by.
@@ -36,8 +36,8 @@
 // samples are the decayed sums of a class's samples. A sample is a pair of the
 // logarithms of the user's estimate, x, and of the time that the task took, y.
 type samples struct {
-	weight, x, y, xx, xy float64
-	tookS                float64 // seconds
+	weight, sumX, sumY, sumXX, sumXY float64
+	sumRunTimeS                      float64 // seconds
 }
 
 // Expected is the expected run time of a task: its user's estimate, corrected by
@@ -49,7 +49,7 @@
 		return Unbounded
 	}
 	s := r.classes[t.Class]
-	if s == nil || s.weight < minSamples || t.EstimateS <= 0 {
+	if s == nil || s.weight < minSampleWeight || t.EstimateS <= 0 {
 		return seconds(t.EstimateS)
 	}
 	return s.expected(t.EstimateS)
@@ -61,8 +61,8 @@
 	if t.Service {
 		return Unbounded
 	}
-	if s := r.classes[t.Class]; s != nil && s.weight >= minSamples {
-		return seconds(s.tookS / s.weight)
+	if s := r.classes[t.Class]; s != nil && s.weight >= minSampleWeight {
+		return seconds(s.sumRunTimeS / s.weight)
 	}
 	return r.Expected(t)
 }
@@ -86,21 +86,21 @@
 
 func (s *samples) add(estimateS, tookS float64) {
 	x, y := math.Log(estimateS), math.Log(tookS)
-	s.weight = s.weight*decay + 1
-	s.x = s.x*decay + x
-	s.y = s.y*decay + y
-	s.xx = s.xx*decay + x*x
-	s.xy = s.xy*decay + x*y
-	s.tookS = s.tookS*decay + tookS
+	s.weight = s.weight*sampleDecay + 1
+	s.sumX = s.sumX*sampleDecay + x
+	s.sumY = s.sumY*sampleDecay + y
+	s.sumXX = s.sumXX*sampleDecay + x*x
+	s.sumXY = s.sumXY*sampleDecay + x*y
+	s.sumRunTimeS = s.sumRunTimeS*sampleDecay + tookS
 }
 
 // expected fits the line and reads it at an estimate. Its slope stays between
 // 0, where estimates say nothing, and 1, where they are off by a factor.
 func (s *samples) expected(estimateS float64) time.Duration {
-	meanX, meanY := s.x/s.weight, s.y/s.weight
+	meanX, meanY := s.sumX/s.weight, s.sumY/s.weight
 	slope := 1.0
-	if variance := s.xx/s.weight - meanX*meanX; variance > minVariance {
-		slope = math.Min(1, math.Max(0, (s.xy/s.weight-meanX*meanY)/variance))
+	if variance := s.sumXX/s.weight - meanX*meanX; variance > minLogVariance {
+		slope = math.Min(1, math.Max(0, (s.sumXY/s.weight-meanX*meanY)/variance))
 	}
 	return seconds(math.Exp(meanY + slope*(math.Log(estimateS)-meanX)))
 }
--- a/internal/estimate/run_times_test.go
+++ b/internal/estimate/run_times_test.go
@@ -7,7 +7,9 @@
 
 const tolerance = 100 * time.Millisecond // later samples weigh a little more
 
-func near(got, want time.Duration) bool { return got > want-tolerance && got < want+tolerance }
+func withinTolerance(got, want time.Duration) bool {
+	return got > want-tolerance && got < want+tolerance
+}
 
 type sample struct {
 	estimateS float64
@@ -43,10 +45,10 @@
 		{"estimates of one value", Task{Class: "constant", EstimateS: 30}, 12 * time.Second, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := learnt.Expected(c.task); !near(got, c.want) {
+			if got := learnt.Expected(c.task); !withinTolerance(got, c.want) {
 				t.Errorf("expected %v, want %v", got, c.want)
 			}
-			if got := learnt.Mean(c.task); !near(got, c.mean) {
+			if got := learnt.Mean(c.task); !withinTolerance(got, c.mean) {
 				t.Errorf("mean %v, want %v", got, c.mean)
 			}
 		})
@@ -57,7 +59,7 @@
 	}
 }
 
-func TestLaterSamplesCountForMore(t *testing.T) {
+func TestLaterSamplesWeighMore(t *testing.T) {
 	var learnt RunTimes
 	task := Task{Class: "c", EstimateS: 10}
 	for range 1000 {
--- a/internal/eventcount/counter.go
+++ b/internal/eventcount/counter.go
@@ -16,7 +16,7 @@
 // Counter counts events by kind.
 type Counter struct {
 	message   string
-	keys      []string // log fields, by kind
+	logKeys   []string // log fields, by kind
 	counts    []uint64 // since the last line
 	nextLogAt time.Duration
 }
@@ -24,7 +24,7 @@
 // New makes a counter of events whose kinds are the indices of keys. Its lines have the
 // message, with a field of each kind that has occurred.
 func New(message string, keys ...string) Counter {
-	return Counter{message: message, keys: keys, counts: make([]uint64, len(keys))}
+	return Counter{message: message, logKeys: keys, counts: make([]uint64, len(keys))}
 }
 
 // Add counts one event.
@@ -44,7 +44,7 @@
 		if line == nil {
 			line = logger.Info()
 		}
-		line.Uint64(c.keys[kind], n)
+		line.Uint64(c.logKeys[kind], n)
 		c.counts[kind] = 0
 	}
 	if line != nil {
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -17,15 +17,15 @@
 
 const (
 	// Window is how far back arrivals count for the mean rate.
-	Window = 150 * time.Second
+	ArrivalWindow = 150 * time.Second
 
 	maxArrivals = 1024
 	// minArrivals is how many arrivals a forecast takes; with fewer there is none.
 	minArrivals = 5
-	// recentWindow is how far back arrivals count for a change of the rate.
-	recentWindow = 40 * time.Second
-	// chanceDeviations is how many standard deviations chance may account for.
-	chanceDeviations = 2.0
+	// recentArrivalWindow is how far back arrivals count for a change of the rate.
+	recentArrivalWindow = 40 * time.Second
+	// randomDeviations is how many standard deviations chance may account for.
+	randomDeviations = 2.0
 )
 
 // objectiveWait is the kind of objectives that want a job's start within a time.
@@ -66,15 +66,15 @@
 }
 
 // Starts holds the recent arrivals of jobs with start objectives.
-type Starts struct {
+type JobArrivals struct {
 	arrivals []Arrival
 }
 
 // Full tells whether no more arrivals are taken for now.
-func (s *Starts) Full() bool { return len(s.arrivals) >= maxArrivals }
+func (s *JobArrivals) Full() bool { return len(s.arrivals) >= maxArrivals }
 
 // Observe takes an arrival in.
-func (s *Starts) Observe(a Arrival) {
+func (s *JobArrivals) Observe(a Arrival) {
 	if !s.Full() {
 		s.arrivals = append(s.arrivals, a)
 	}
@@ -82,23 +82,23 @@
 
 // demand sums up the arrivals for one type of machine.
 type demand struct {
-	arrivals, recent float64 // how many, and how many of them within recentWindow
-	mean, variance   float64 // of the machines that they hold
-	share            float64 // the highest StartShare
+	arrivals, recentArrivals float64 // how many, and how many of them within recentArrivalWindow
+	meanMachines, variance   float64 // of the machines that they hold
+	startShare               float64 // the highest StartShare
 }
 
 // machines is how many machines suffice for the demand in all but the share of
 // cases that the objective allows to be late.
-func (d *demand) machines(span float64) int {
-	deviations := math.Sqrt2 * math.Erfinv(2*d.share-1)
-	change := rateChange(d.arrivals/span, d.recent)
-	return int(math.Ceil(change*d.mean + math.Max(0, deviations)*math.Sqrt(change*d.variance)))
+func (d *demand) requiredMachines(span float64) int {
+	deviations := math.Sqrt2 * math.Erfinv(2*d.startShare-1)
+	change := rateFactor(d.arrivals/span, d.recentArrivals)
+	return int(math.Ceil(change*d.meanMachines + math.Max(0, deviations)*math.Sqrt(change*d.variance)))
 }
 
 // MachinesWanted returns how many machines of each type should be there,
 // whether or not there is work for them now. observed is for how long arrivals
 // have been seen.
-func (s *Starts) MachinesWanted(now, observed time.Duration) map[string]int {
+func (s *JobArrivals) MachinesWanted(now, observed time.Duration) map[string]int {
 	s.expire(now)
 	byType := make(map[string]*demand)
 	span := spanSeconds(observed)
@@ -113,7 +113,7 @@
 	wanted := make(map[string]int, len(byType))
 	for machineType, d := range byType {
 		if d.arrivals >= minArrivals {
-			wanted[machineType] = d.machines(span)
+			wanted[machineType] = d.requiredMachines(span)
 		}
 	}
 	return wanted
@@ -122,19 +122,19 @@
 func (d *demand) add(a Arrival, now time.Duration, span float64) {
 	hold := a.MeanRunTime().Seconds() + a.FetchSeconds
 	d.arrivals++
-	if now-a.At <= recentWindow {
-		d.recent++
+	if now-a.At <= recentArrivalWindow {
+		d.recentArrivals++
 	}
-	d.mean += a.Machines * hold / span
+	d.meanMachines += a.Machines * hold / span
 	d.variance += a.Machines * a.Machines * hold / span
-	d.share = math.Max(d.share, a.StartShare)
+	d.startShare = math.Max(d.startShare, a.StartShare)
 }
 
 // expire drops the arrivals that are older than Window.
-func (s *Starts) expire(now time.Duration) {
+func (s *JobArrivals) expire(now time.Duration) {
 	recent := s.arrivals[:0]
 	for _, a := range s.arrivals {
-		if now-a.At <= Window {
+		if now-a.At <= ArrivalWindow {
 			recent = append(recent, a)
 		}
 	}
@@ -143,13 +143,13 @@
 
 // spanSeconds is the time, in seconds, over which the arrivals within Window came.
 func spanSeconds(observed time.Duration) float64 {
-	return math.Min(Window.Seconds(), observed.Seconds())
+	return math.Min(ArrivalWindow.Seconds(), observed.Seconds())
 }
 
-// rateChange is by what factor the present rate of arrivals differs from the
+// rateFactor is by what factor the present rate of arrivals differs from the
 // mean rate, in arrivals a second: as far as the recent ones go beyond chance.
-func rateChange(rate, recent float64) float64 {
-	span := recentWindow.Seconds()
-	swing := chanceDeviations * math.Sqrt(recent)
+func rateFactor(rate, recent float64) float64 {
+	span := recentArrivalWindow.Seconds()
+	swing := randomDeviations * math.Sqrt(recent)
 	return math.Min((recent+swing+1)/span, math.Max((recent-swing)/span, rate)) / rate
 }
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -16,15 +16,15 @@
 		MeanRunTime: func() time.Duration { return 20 * time.Second }}
 }
 
-func observe(s *forecast.Starts, n int, every time.Duration) time.Duration {
+func observe(s *forecast.JobArrivals, n int, every time.Duration) time.Duration {
 	for i := range n {
 		s.Observe(arrivalAt(time.Duration(i) * every))
 	}
 	return time.Duration(n-1) * every
 }
 
-func TestFewArrivalsForecastNothing(t *testing.T) {
-	var s forecast.Starts
+func TestTooFewArrivalsGiveNoForecast(t *testing.T) {
+	var s forecast.JobArrivals
 	now := observe(&s, 4, time.Second)
 	if got := s.MachinesWanted(now, observed); len(got) != 0 {
 		t.Errorf("with 4 arrivals %v are wanted, want none", got)
@@ -33,8 +33,8 @@
 
 // Fifteen arrivals in 150 s that hold two machines for 30 s each hold six on
 // average; their swings come on top.
-func TestMeanAndMarginOfASteadyStream(t *testing.T) {
-	var s forecast.Starts
+func TestSteadyArrivalsGiveMeanPlusMargin(t *testing.T) {
+	var s forecast.JobArrivals
 	now := observe(&s, 15, 10*time.Second)
 	got := s.MachinesWanted(now, observed)["m4"]
 	// The variance is 12, and 1.645 deviations cover 95%.
@@ -43,16 +43,16 @@
 	}
 }
 
-func TestOldArrivalsCountNoMore(t *testing.T) {
-	var s forecast.Starts
+func TestExpiredArrivalsAreIgnored(t *testing.T) {
+	var s forecast.JobArrivals
 	now := observe(&s, 15, 10*time.Second)
-	if got := s.MachinesWanted(now+forecast.Window+time.Second, observed); len(got) != 0 {
+	if got := s.MachinesWanted(now+forecast.ArrivalWindow+time.Second, observed); len(got) != 0 {
 		t.Errorf("after the window %v are wanted, want none", got)
 	}
 }
 
 func TestBurstRaisesTheForecast(t *testing.T) {
-	var steady, burst forecast.Starts
+	var steady, burst forecast.JobArrivals
 	now := observe(&steady, 15, 10*time.Second)
 	for range 15 {
 		burst.Observe(arrivalAt(now - time.Second))
@@ -64,7 +64,7 @@
 }
 
 func TestArrivalsAreBounded(t *testing.T) {
-	var s forecast.Starts
+	var s forecast.JobArrivals
 	for i := 0; !s.Full(); i++ {
 		if i > 1_000_000 {
 			t.Fatal("a million arrivals were taken")
@@ -86,11 +86,11 @@
 		now  time.Duration
 		want forecast.ServiceDemand
 	}{
-		{"within the window, what comes during a boot is added", 0, time.Second, forecast.ServiceDemand{Largest: 4, Replicas: 4 + 4 + 2*4}},
-		{"after it, only the largest counts", 0, forecast.Window + time.Second, forecast.ServiceDemand{Largest: 4, Replicas: 4}},
+		{"within the window, what comes during a boot is added", 0, time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4 + 4 + 2*4}},
+		{"after it, only the largest counts", 0, forecast.ArrivalWindow + time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var s forecast.Services
+			var s forecast.ServiceArrivals
 			s.Observe(test.at, 4)
 			if got := s.Demand(test.now, observed, boot); got != test.want {
 				t.Errorf("demand %+v, want %+v", got, test.want)
@@ -100,7 +100,7 @@
 }
 
 func TestServicesExpire(t *testing.T) {
-	var s forecast.Services
+	var s forecast.ServiceArrivals
 	s.Observe(0, 1)
 	if !s.Expire(forecast.ServiceWindow) {
 		t.Error("none is left at the end of the window")
--- a/internal/forecast/services.go
+++ b/internal/forecast/services.go
@@ -15,7 +15,7 @@
 )
 
 // Services holds the recent arrivals of services that need the same of a machine.
-type Services struct {
+type ServiceArrivals struct {
 	arrivals []serviceArrival
 }
 
@@ -26,12 +26,12 @@
 
 // ServiceDemand is what services of one kind are expected to need.
 type ServiceDemand struct {
-	Largest  float64 // replicas of the largest within ServiceWindow
-	Replicas float64 // that room should be free for
+	LargestReplicas  float64 // replicas of the largest within ServiceWindow
+	RequiredReplicas float64 // that room should be free for
 }
 
 // Observe takes in a service that was submitted at a time.
-func (s *Services) Observe(at time.Duration, replicas int) {
+func (s *ServiceArrivals) Observe(at time.Duration, replicas int) {
 	if len(s.arrivals) < maxArrivals {
 		s.arrivals = append(s.arrivals, serviceArrival{at, replicas})
 	}
@@ -39,7 +39,7 @@
 
 // Expire drops the arrivals that are older than ServiceWindow and tells whether
 // any are left.
-func (s *Services) Expire(now time.Duration) bool {
+func (s *ServiceArrivals) Expire(now time.Duration) bool {
 	recent := s.arrivals[:0]
 	for _, a := range s.arrivals {
 		if now-a.at <= ServiceWindow {
@@ -54,19 +54,19 @@
 // those of the largest service, and those that arrive while a machine boots,
 // with as much above their mean as chance may account for. observed is for how
 // long arrivals have been seen, bootSeconds the usual boot time.
-func (s *Services) Demand(now, observed time.Duration, bootSeconds float64) ServiceDemand {
+func (s *ServiceArrivals) Demand(now, observed time.Duration, bootSeconds float64) ServiceDemand {
 	largest, sum, squares := 0.0, 0.0, 0.0
 	for _, a := range s.arrivals {
 		n := float64(a.replicas)
 		largest = math.Max(largest, n)
-		if now-a.at <= Window {
+		if now-a.at <= ArrivalWindow {
 			sum += n
 			squares += n * n
 		}
 	}
 	boots := bootSeconds * slowBootFactor / spanSeconds(observed)
 	return ServiceDemand{
-		Largest:  largest,
-		Replicas: largest + sum*boots + chanceDeviations*math.Sqrt(squares*boots),
+		LargestReplicas:  largest,
+		RequiredReplicas: largest + sum*boots + randomDeviations*math.Sqrt(squares*boots),
 	}
 }
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -18,13 +18,13 @@
 	// it precedes all others.
 	OverdueAfter = 2 * time.Minute
 
-	// startTolerance, in seconds, is how long ago the latest start may have been
+	// startToleranceS, in seconds, is how long ago the latest start may have been
 	// while its deadline still counts as within reach.
-	startTolerance = 2.0
+	startToleranceS = 2.0
 
-	// assumedSlack, in seconds after its submission, is the latest start of a job
+	// defaultLatestStartS, in seconds after its submission, is the latest start of a job
 	// without a deadline.
-	assumedSlack = 3600.0
+	defaultLatestStartS = 3600.0
 )
 
 // The kinds of objectives that set a time by which a job should have ended.
@@ -52,9 +52,9 @@
 	Urgency int
 	// Priority is the priority that the user asked for.
 	Priority protocol.Priority
-	// MissesDeadline marks a job that can meet neither its deadline nor any
+	// MissesObjectives marks a job that can meet neither its deadline nor any
 	// later objective.
-	MissesDeadline bool
+	MissesObjectives bool
 	// LatestStart is the Unix time, in seconds, at which a task has to start to
 	// meet the deadline or, once that is missed, the next objective; of an
 	// overdue job it is the time of its submission.
@@ -69,15 +69,15 @@
 	}
 	k.Overdue = !job.Started && wallMs-job.SubmittedMs > OverdueAfter.Milliseconds()
 	need := job.RunTime.Seconds()
-	earliest := float64(wallMs)/1000 - startTolerance
-	k.LatestStart = float64(job.SubmittedMs)/1000 + assumedSlack
+	earliest := float64(wallMs)/1000 - startToleranceS
+	k.LatestStart = float64(job.SubmittedMs)/1000 + defaultLatestStartS
 	if job.DeadlineMs > 0 {
 		k.LatestStart = float64(job.DeadlineMs)/1000 - need
-		k.MissesDeadline = k.LatestStart < earliest
+		k.MissesObjectives = k.LatestStart < earliest
 	}
-	if k.MissesDeadline {
-		if end, ok := nextObjective(job, earliest+need, objectives); ok {
-			k.LatestStart, k.MissesDeadline = end-need, false
+	if k.MissesObjectives {
+		if end, ok := nextObjectiveEnd(job, earliest+need, objectives); ok {
+			k.LatestStart, k.MissesObjectives = end-need, false
 		}
 	}
 	if k.Overdue {
@@ -86,9 +86,9 @@
 	return k
 }
 
-// nextObjective returns the soonest Unix time, in seconds, by which the users
+// nextObjectiveEnd returns the soonest Unix time, in seconds, by which the users
 // still count a job that has missed its deadline, if it is not before soonest.
-func nextObjective(job Job, soonest float64, objectives []settings.Objective) (end float64, ok bool) {
+func nextObjectiveEnd(job Job, soonest float64, objectives []settings.Objective) (end float64, ok bool) {
 	best := 0.0
 	submitted := float64(job.SubmittedMs) / 1000
 	for _, objective := range objectives {
@@ -125,14 +125,14 @@
 		return a.LatestStart < b.LatestStart
 	case a.Urgency != b.Urgency:
 		return a.Urgency > b.Urgency
-	case a.Urgency > 0 && a.MissesDeadline != b.MissesDeadline:
-		return b.MissesDeadline
+	case a.Urgency > 0 && a.MissesObjectives != b.MissesObjectives:
+		return b.MissesObjectives
 	case aShare != bShare:
 		return aShare < bShare
 	case a.Priority != b.Priority:
 		return a.Priority > b.Priority
-	case a.MissesDeadline != b.MissesDeadline:
-		return b.MissesDeadline
+	case a.MissesObjectives != b.MissesObjectives:
+		return b.MissesObjectives
 	}
 	return a.LatestStart < b.LatestStart
 }
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -29,11 +29,11 @@
 		{"urgent before others, whatever the share", side{priority.Key{Urgency: 2}, 9}, side{priority.Key{}, 0}},
 		{"the more urgent", side{priority.Key{Urgency: 3}, 9}, side{priority.Key{Urgency: 2}, 0}},
 		{"urgent within reach of its deadline", side{priority.Key{Urgency: 2, LatestStart: 9}, 9},
-			side{priority.Key{Urgency: 2, MissesDeadline: true}, 0}},
-		{"the smaller share", side{priority.Key{MissesDeadline: true, LatestStart: 9}, 0.1},
+			side{priority.Key{Urgency: 2, MissesObjectives: true}, 0}},
+		{"the smaller share", side{priority.Key{MissesObjectives: true, LatestStart: 9}, 0.1},
 			side{priority.Key{Priority: protocol.PriorityStandard}, 0.2}},
-		{"the higher priority", side{priority.Key{Priority: protocol.PriorityStandard, MissesDeadline: true}, 0}, side{priority.Key{}, 0}},
-		{"within reach of its deadline", side{priority.Key{LatestStart: 9}, 0}, side{priority.Key{MissesDeadline: true}, 0}},
+		{"the higher priority", side{priority.Key{Priority: protocol.PriorityStandard, MissesObjectives: true}, 0}, side{priority.Key{}, 0}},
+		{"within reach of its deadline", side{priority.Key{LatestStart: 9}, 0}, side{priority.Key{MissesObjectives: true}, 0}},
 		{"the sooner latest start", side{priority.Key{LatestStart: 1}, 0}, side{priority.Key{LatestStart: 2}, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,6 +83,6 @@
 	job := priority.Job{Class: "render", Started: true, SubmittedMs: submitted, DeadlineMs: submitted + 100_000, RunTime: 30 * time.Second}
 	objectives := []settings.Objective{{Kind: "deadline", Class: "render", DeadlineFactor: 1.5}}
 	k := priority.KeyOf(job, submitted+90_000, objectives)
-	fmt.Println(k.LatestStart-float64(submitted)/1000, k.MissesDeadline)
+	fmt.Println(k.LatestStart-float64(submitted)/1000, k.MissesObjectives)
 	// Output: 120 false
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -32,23 +32,23 @@
 // HTTPClient calls one address over a bounded set of kept connections. Any number of
 // goroutines may use it.
 type HTTPClient struct {
-	loop     *Loop
-	addr     string
-	maxConns int
-	maxQueue int
+	loop           *Loop
+	addr           string
+	maxConns       int
+	maxQueuedCalls int
 
-	mu      sync.Mutex // of all below, and of the connections and calls
-	idle    []*httpConn
-	open    int // connections
-	dialing int
-	queue   []*pendingCall // not sent yet
+	mu           sync.Mutex // of all below, and of the connections and calls
+	idleConns    []*httpConn
+	openConns    int // connections
+	dialingConns int
+	queue        []*pendingCall // not sent yet
 }
 
 // pendingCall is a request whose outcome has not been told yet.
 type pendingCall struct {
 	method, path string
 	body         []byte
-	done         func(HTTPResult)
+	onResult     func(HTTPResult)
 	deadline     time.Time
 	timer        *time.Timer // calls expire
 	conn         *httpConn   // that it was sent on; nil: it is in the queue
@@ -57,28 +57,28 @@
 
 // httpConn is one connection of a client. It carries one request at a time.
 type httpConn struct {
-	client  *HTTPClient
-	conn    gnet.Conn
-	current *pendingCall // nil: it is idle
-	closed  bool         // it takes no further request
+	client      *HTTPClient
+	conn        gnet.Conn
+	currentCall *pendingCall // nil: it is idle
+	closed      bool         // it takes no further request
 }
 
 // NewHTTPClient prepares a client for one address. It opens no more than maxConns
-// connections, each when it is needed, and holds no more than maxQueue requests that wait
+// connections, each when it is needed, and holds no more than maxQueuedCalls requests that wait
 // for one.
 func NewHTTPClient(l *Loop, addr string, maxConns, maxQueue int) *HTTPClient {
-	return &HTTPClient{loop: l, addr: addr, maxConns: maxConns, maxQueue: maxQueue}
+	return &HTTPClient{loop: l, addr: addr, maxConns: maxConns, maxQueuedCalls: maxQueue}
 }
 
 // Do sends one request. done is called exactly once, on another goroutine and within the
 // timeout, and must not block for long.
 func (h *HTTPClient) Do(method, path string, body []byte, timeout time.Duration, done func(HTTPResult)) {
-	call := &pendingCall{method: method, path: path, body: body, done: done, deadline: time.Now().Add(timeout)}
+	call := &pendingCall{method: method, path: path, body: body, onResult: done, deadline: time.Now().Add(timeout)}
 	h.mu.Lock()
-	if len(h.queue) >= h.maxQueue {
+	if len(h.queue) >= h.maxQueuedCalls {
 		h.mu.Unlock()
 		// Ends with done, which nobody waits for.
-		go done(HTTPResult{Err: fmt.Errorf("queue of %d requests is full: %w", h.maxQueue, ErrNotSent)})
+		go done(HTTPResult{Err: fmt.Errorf("queue of %d requests is full: %w", h.maxQueuedCalls, ErrNotSent)})
 		return
 	}
 	call.timer = time.AfterFunc(timeout, func() { h.expire(call) })
@@ -90,11 +90,11 @@
 // dispatch hands queued calls to idle connections and dials for the rest. The lock is
 // held.
 func (h *HTTPClient) dispatch() {
-	h.dropExpired()
-	for len(h.queue) > 0 && len(h.idle) > 0 {
-		last := len(h.idle) - 1
-		conn := h.idle[last]
-		h.idle = h.idle[:last]
+	h.failExpired()
+	for len(h.queue) > 0 && len(h.idleConns) > 0 {
+		last := len(h.idleConns) - 1
+		conn := h.idleConns[last]
+		h.idleConns = h.idleConns[:last]
 		if conn.closed {
 			continue
 		}
@@ -102,17 +102,17 @@
 		h.queue = h.queue[1:]
 		h.send(call, conn)
 	}
-	for h.dialing < len(h.queue) && h.open+h.dialing < h.maxConns {
-		h.dialing++
+	for h.dialingConns < len(h.queue) && h.openConns+h.dialingConns < h.maxConns {
+		h.dialingConns++
 		// Ends within the dial timeout; its connection, or its failure, goes to the queue's
 		// calls. Nobody waits for it.
 		go h.connect()
 	}
 }
 
-// dropExpired drops calls whose time is up: after a standstill of the process their timers
+// failExpired drops calls whose time is up: after a standstill of the process their timers
 // may be later than the connection that they have waited for. The lock is held.
-func (h *HTTPClient) dropExpired() {
+func (h *HTTPClient) failExpired() {
 	now := time.Now()
 	if len(h.queue) == 0 || !now.After(h.queue[0].deadline) {
 		return
@@ -131,11 +131,11 @@
 
 // send writes a call's request to an idle connection. The lock is held.
 func (h *HTTPClient) send(call *pendingCall, conn *httpConn) {
-	conn.current, call.conn = call, conn
+	conn.currentCall, call.conn = call, conn
 	out := appendRequest(make([]byte, 0, requestHeadBytes+len(call.body)), call.method, call.path, h.addr, call.body)
 	if err := conn.conn.AsyncWrite(out, nil); err != nil {
 		conn.closed = true
-		h.open--
+		h.openConns--
 		go h.finish(call, HTTPResult{Err: fmt.Errorf("writing: %w", ErrNoAnswer)})
 	}
 }
@@ -147,9 +147,9 @@
 	c, err := h.loop.dial(h.addr, conn)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dialing--
+	h.dialingConns--
 	if err != nil {
-		if len(h.queue) > 0 && h.open == 0 && h.dialing == 0 {
+		if len(h.queue) > 0 && h.openConns == 0 && h.dialingConns == 0 {
 			for _, call := range h.queue {
 				go h.finish(call, HTTPResult{Err: fmt.Errorf("%w: %w", err, ErrNotSent)})
 			}
@@ -161,8 +161,8 @@
 	if conn.closed {
 		return
 	}
-	h.open++
-	h.idle = append(h.idle, conn)
+	h.openConns++
+	h.idleConns = append(h.idleConns, conn)
 	h.dispatch()
 }
 
@@ -176,7 +176,7 @@
 	call.finished = true
 	call.timer.Stop()
 	h.mu.Unlock()
-	call.done(result)
+	call.onResult(result)
 }
 
 // expire ends a call at its deadline. A connection that it was sent on is closed, since
@@ -190,9 +190,9 @@
 		if i := slices.Index(h.queue, call); i >= 0 {
 			h.queue = slices.Delete(h.queue, i, i+1)
 		}
-	case conn != nil && !call.finished && conn.current == call && !conn.closed:
+	case conn != nil && !call.finished && conn.currentCall == call && !conn.closed:
 		conn.closed = true
-		h.open--
+		h.openConns--
 		// An error means that it is closed already.
 		_ = conn.conn.Close()
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		retryAfter = 0
 	}
-	call, closing := hc.takeCurrent(m.close)
+	call, closing := hc.detachCurrentCall(m.close)
 	if call != nil {
 		hc.client.finish(call, HTTPResult{Status: status, Body: m.body, RetryAfterS: retryAfter})
 	}
@@ -238,20 +238,20 @@
 	return gnet.None
 }
 
-// takeCurrent frees the connection from the call whose response has arrived. An answer
+// detachCurrentCall frees the connection from the call whose response has arrived. An answer
 // that nobody asked for ends the connection.
-func (hc *httpConn) takeCurrent(lastResponse bool) (call *pendingCall, closing bool) {
+func (hc *httpConn) detachCurrentCall(lastResponse bool) (call *pendingCall, closing bool) {
 	h := hc.client
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	call, hc.current = hc.current, nil
+	call, hc.currentCall = hc.currentCall, nil
 	switch {
 	case hc.closed:
 	case call == nil || lastResponse:
 		hc.closed = true
-		h.open--
+		h.openConns--
 	default:
-		h.idle = append(h.idle, hc)
+		h.idleConns = append(h.idleConns, hc)
 	}
 	closing = hc.closed
 	h.dispatch()
@@ -265,13 +265,13 @@
 	if !hc.closed {
 		hc.closed = true
 		if hc.conn != nil {
-			h.open--
+			h.openConns--
 		}
 	}
-	call := hc.current
-	hc.current = nil
-	if i := slices.Index(h.idle, hc); i >= 0 {
-		h.idle = slices.Delete(h.idle, i, i+1)
+	call := hc.currentCall
+	hc.currentCall = nil
+	if i := slices.Index(h.idleConns, hc); i >= 0 {
+		h.idleConns = slices.Delete(h.idleConns, i, i+1)
 	}
 	h.dispatch()
 	h.mu.Unlock()
--- a/internal/transport/http_parser.go
+++ b/internal/transport/http_parser.go
@@ -9,12 +9,12 @@
 
 // Limits of one HTTP message, in bytes.
 const (
-	maxHeadBytes     = 8 << 10
-	maxBodyBytes     = 64 << 10 // of a request
-	maxResponseBytes = 4 << 20
-	maxDiscardBytes  = 4 << 20 // of a body above the limit that is read and thrown away
-	maxChunkHead     = 1 << 10
-	maxLeadingBreaks = 4 // bytes of line breaks before a message
+	maxHeadBytes         = 8 << 10
+	maxBodyBytes         = 64 << 10 // of a request
+	maxResponseBytes     = 4 << 20
+	maxDiscardBytes      = 4 << 20 // of a body above the limit that is read and thrown away
+	maxChunkHeadBytes    = 1 << 10
+	maxLeadingBreakBytes = 4 // bytes of line breaks before a message
 )
 
 // messageKind is the direction of an HTTP message.
@@ -84,7 +84,7 @@
 // before it and after it.
 func cutHead(buf []byte) (head string, size int, err error) {
 	start := 0
-	for start < len(buf) && start < maxLeadingBreaks && (buf[start] == '\r' || buf[start] == '\n') {
+	for start < len(buf) && start < maxLeadingBreakBytes && (buf[start] == '\r' || buf[start] == '\n') {
 		start++
 	}
 	end := bytes.Index(buf[start:], []byte(lineBreak+lineBreak))
@@ -212,7 +212,7 @@
 func readChunkHead(b []byte) (length, size int, err error) {
 	end := bytes.Index(b, []byte(lineBreak))
 	if end < 0 {
-		if len(b) > maxChunkHead {
+		if len(b) > maxChunkHeadBytes {
 			return 0, 0, errMalformed
 		}
 		return 0, 0, errIncomplete
--- a/internal/transport/http_parser_test.go
+++ b/internal/transport/http_parser_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestWrittenMessagesParseBack(t *testing.T) {
+func TestWrittenMessagesRoundTrip(t *testing.T) {
 	for _, body := range []string{"", "abc", strings.Repeat("x", 70_000)} {
 		r := Response{Status: 503, Body: []byte(body), RetryAfterS: 7, Close: true}
 		out := appendResponse(nil, &r)
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -15,9 +15,9 @@
 const (
 	dialTimeout  = 1500 * time.Millisecond
 	tickInterval = 500 * time.Millisecond
-	// batchWindow is how soon after one another the parts of what one wake-up brought are
+	// sameBatchWindow is how soon after one another the parts of what one wake-up brought are
 	// taken.
-	batchWindow     = time.Millisecond
+	sameBatchWindow = time.Millisecond
 	readBufferBytes = 32 << 10
 )
 
@@ -43,25 +43,25 @@
 // arrived at most once in every interval; while little arrives nothing waits.
 type Loop struct {
 	gnet.BuiltinEventEngine
-	interval  time.Duration
-	services  []service
-	engine    gnet.Engine
-	ready     chan struct{} // closed once connections can be registered
-	startOnce sync.Once
+	batchInterval time.Duration
+	services      []service
+	engine        gnet.Engine
+	ready         chan struct{} // closed once connections can be registered
+	readyOnce     sync.Once
 
 	registerMu sync.Mutex // of eventLoop, and of registering a connection
 	eventLoop  gnet.EventLoop
 
 	// Known to the loop's goroutine alone.
-	lastTurn    time.Time // when it last began to take what had arrived
-	lastTraffic time.Time // when it last took something
-	lastAccept  time.Time // when a connection last came in
-	busy        bool      // it had little rest before the last turn
+	lastBatchStart time.Time // when it last began to take what had arrived
+	lastTraffic    time.Time // when it last took something
+	lastAccept     time.Time // when a connection last came in
+	underLoad      bool      // it had little rest before the last turn
 }
 
 // NewLoop prepares a loop that takes what arrives at most once in an interval.
 func NewLoop(interval time.Duration) *Loop {
-	return &Loop{interval: interval, ready: make(chan struct{})}
+	return &Loop{batchInterval: interval, ready: make(chan struct{})}
 }
 
 // Run serves the services until Stop, and returns after all connections have closed. It
@@ -70,7 +70,7 @@
 	l.services = services
 	var addrs []string
 	for _, s := range services {
-		if err := l.checkVacant(s.address()); err != nil {
+		if err := l.checkAddressFree(s.address()); err != nil {
 			return err
 		}
 		addrs = append(addrs, "tcp://"+s.address())
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// checkVacant tells whether nobody serves an address yet: a reused port would be
+// checkAddressFree tells whether nobody serves an address yet: a reused port would be
 // shared with another process without a word.
-func (l *Loop) checkVacant(addr string) error {
+func (l *Loop) checkAddressFree(addr string) error {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("serving %s: %w", addr, err)
@@ -185,18 +185,18 @@
 // at once were let in at fourteen a second.
 func (l *Loop) coalesce() {
 	now := time.Now()
-	if now.Sub(l.lastTraffic) < batchWindow || now.Sub(l.lastAccept) < batchWindow {
+	if now.Sub(l.lastTraffic) < sameBatchWindow || now.Sub(l.lastAccept) < sameBatchWindow {
 		return
 	}
-	l.busy = now.Sub(l.lastTurn) < 2*l.interval
-	l.lastTurn = l.sleepUntilTurn(now)
+	l.underLoad = now.Sub(l.lastBatchStart) < 2*l.batchInterval
+	l.lastBatchStart = l.sleepUntilNextBatch(now)
 }
 
-// sleepUntilTurn sleeps until the next turn and returns when it is. The thread itself
+// sleepUntilNextBatch sleeps until the next turn and returns when it is. The thread itself
 // sleeps, which costs one wake-up; a sleeping goroutine would cost the runtime's threads
 // several. That a signal may end it early does no harm.
-func (l *Loop) sleepUntilTurn(now time.Time) time.Time {
-	left := l.interval - now.Sub(l.lastTurn)
+func (l *Loop) sleepUntilNextBatch(now time.Time) time.Time {
+	left := l.batchInterval - now.Sub(l.lastBatchStart)
 	if left <= 0 {
 		return now
 	}
@@ -205,15 +205,15 @@
 	return time.Now()
 }
 
-// WaitTurn is called when all that the loop took has been dealt with. Under load the loop
+// NotifyBatchHandled is called when all that the loop took has been dealt with. Under load the loop
 // then sleeps until its next turn, instead of being woken up only to do so. It returns at
 // once.
-func (l *Loop) WaitTurn() { l.execute(l.waitTurn) }
+func (l *Loop) NotifyBatchHandled() { l.execute(l.sleepIfUnderLoad) }
 
-// waitTurn runs on the loop's goroutine. It does not sleep while connections come in.
-func (l *Loop) waitTurn() {
-	if l.busy && !l.lastAccept.After(l.lastTurn) {
-		l.sleepUntilTurn(time.Now())
+// sleepIfUnderLoad runs on the loop's goroutine. It does not sleep while connections come in.
+func (l *Loop) sleepIfUnderLoad() {
+	if l.underLoad && !l.lastAccept.After(l.lastBatchStart) {
+		l.sleepUntilNextBatch(time.Now())
 	}
 }
 
@@ -243,7 +243,7 @@
 // OnTick implements gnet.EventHandler. Before the first tick there may be no
 // loop yet that could take a connection.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
-	l.startOnce.Do(func() { close(l.ready) })
+	l.readyOnce.Do(func() { close(l.ready) })
 	now := time.Now()
 	for _, s := range l.services {
 		s.tick(now)
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -13,10 +13,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const patience = 20 * time.Second // for what takes milliseconds, on a busy machine
+const testTimeout = 20 * time.Second // for what takes milliseconds, on a busy machine
 
-// closeNow closes what a test has opened.
-func closeNow(t *testing.T, c io.Closer) {
+// closeOrFail closes what a test has opened.
+func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, l)
+	defer closeOrFail(t, l)
 	return l.Addr().String()
 }
 
@@ -40,7 +40,7 @@
 	done := make(chan error, 1)
 	go func() { done <- l.Run(services...) }()
 	t.Cleanup(func() {
-		if err := errors.Join(l.Stop(patience), <-done); err != nil {
+		if err := errors.Join(l.Stop(testTimeout), <-done); err != nil {
 			t.Error(err)
 		}
 	})
@@ -51,7 +51,7 @@
 func startServer(t *testing.T, h Handler, maxHeld int64) (*Loop, string) {
 	t.Helper()
 	addr, l := freeAddr(t), NewLoop(0)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeldBytes: maxHeld, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l, h))
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxPendingRequestBytes: maxHeld, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l, h))
 	return l, addr
 }
 
@@ -62,7 +62,7 @@
 	c := NewHTTPClient(l, addr, 2, 100)
 	results := make(chan HTTPResult, 20)
 	for range 20 {
-		c.Do("POST", "/x?y=1", []byte(strings.Repeat("b", 50_000)), patience, func(r HTTPResult) { results <- r })
+		c.Do("POST", "/x?y=1", []byte(strings.Repeat("b", 50_000)), testTimeout, func(r HTTPResult) { results <- r })
 	}
 	for range 20 {
 		r := <-results
@@ -72,10 +72,10 @@
 	}
 }
 
-func TestClientTellsNotSentFromNoAnswer(t *testing.T) {
+func TestClientDistinguishesNotSentFromNoAnswer(t *testing.T) {
 	d, addr := startServer(t, func(*Request, func(Response)) {}, 1<<20)
 	got := make(chan HTTPResult, 1)
-	NewHTTPClient(d, freeAddr(t), 2, 10).Do("GET", "/", nil, patience, func(r HTTPResult) { got <- r })
+	NewHTTPClient(d, freeAddr(t), 2, 10).Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) {
 		t.Fatalf("nothing listens: got %v", r.Err)
 	}
@@ -86,16 +86,16 @@
 }
 
 // A request that finds the queue full has not been sent, and is told so.
-func TestFullQueueIsNotSent(t *testing.T) {
+func TestRequestBeyondFullQueueIsNotSent(t *testing.T) {
 	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200}) }, 1<<20)
 	got := make(chan HTTPResult, 1)
-	NewHTTPClient(l, addr, 1, 0).Do("GET", "/", nil, patience, func(r HTTPResult) { got <- r })
+	NewHTTPClient(l, addr, 1, 0).Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) || errors.Is(r.Err, ErrNoAnswer) {
 		t.Fatalf("got %d, %v, want %v", r.Status, r.Err, ErrNotSent)
 	}
 }
 
-func TestServerRefusesWhatItCannotTake(t *testing.T) {
+func TestServerRejectsMalformedTooLargeAndExcessRequests(t *testing.T) {
 	hold := make(chan func(Response), 1)
 	_, addr := startServer(t, func(_ *Request, reply func(Response)) { hold <- reply }, requestOverheadBytes)
 	talk := func(text string) string {
@@ -103,8 +103,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer closeNow(t, c)
-		if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+		defer closeOrFail(t, c)
+		if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := c.Write([]byte(text)); err != nil {
@@ -140,19 +140,19 @@
 }
 
 // A request that does not become complete must not hold its connection.
-func TestServerEndsSlowRequests(t *testing.T) {
+func TestServerClosesSlowRequests(t *testing.T) {
 	addr := freeAddr(t)
 	l := NewLoop(0)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxHeldBytes: 1 << 20, IdleTimeout: time.Hour, ReadTimeout: 30 * time.Millisecond}, l, nil))
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 10, MaxPendingRequestBytes: 1 << 20, IdleTimeout: time.Hour, ReadTimeout: 30 * time.Millisecond}, l, nil))
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, c)
+	defer closeOrFail(t, c)
 	if _, err := c.Write([]byte("POST / HTTP/1.1\r\nContent-Length: 50\r\n\r\nhalf")); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -162,7 +162,7 @@
 
 // An answer that a standstill of the process has made late must not be sent: by
 // then others may have acted. Nor must a request.
-func TestNothingLateIsSent(t *testing.T) {
+func TestExpiredResponsesAndRequestsAreNotSent(t *testing.T) {
 	until := make(chan time.Time, 3)
 	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200, ValidUntil: <-until}) }, 1<<20)
 	c := NewHTTPClient(l, addr, 1, 10)
@@ -172,12 +172,12 @@
 		want  int
 	}{{time.Time{}, 200}, {time.Now().Add(time.Hour), 200}, {time.Now().Add(-time.Millisecond), 503}} {
 		until <- test.until
-		c.Do("GET", "/", nil, patience, func(r HTTPResult) { got <- r })
+		c.Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 		if r := <-got; r.Status != test.want || r.Err != nil {
 			t.Fatalf("until %v: got %d, %v", test.until, r.Status, r.Err)
 		}
 	}
-	late := &pendingCall{method: "GET", path: "/", deadline: time.Now().Add(-time.Millisecond), timer: time.NewTimer(time.Hour), done: func(r HTTPResult) { got <- r }}
+	late := &pendingCall{method: "GET", path: "/", deadline: time.Now().Add(-time.Millisecond), timer: time.NewTimer(time.Hour), onResult: func(r HTTPResult) { got <- r }}
 	c.mu.Lock()
 	c.queue = append(c.queue, late)
 	c.dispatch()
@@ -187,19 +187,19 @@
 	}
 }
 
-type meshLog struct {
+type meshRecorder struct {
 	up     chan *MeshLink
 	frames chan *meshpb.Frame
 	down   chan *MeshLink
 }
 
-func newMeshLog() *meshLog {
-	return &meshLog{up: make(chan *MeshLink, 8), frames: make(chan *meshpb.Frame, 1000), down: make(chan *MeshLink, 8)}
+func newMeshRecorder() *meshRecorder {
+	return &meshRecorder{up: make(chan *MeshLink, 8), frames: make(chan *meshpb.Frame, 1000), down: make(chan *MeshLink, 8)}
 }
 
-func (m *meshLog) MeshUp(l *MeshLink, _ string) { m.up <- l }
-func (m *meshLog) MeshDown(l *MeshLink)         { m.down <- l }
-func (m *meshLog) MeshFrames(_ *MeshLink, frames []*meshpb.Frame) {
+func (m *meshRecorder) MeshUp(l *MeshLink, _ string) { m.up <- l }
+func (m *meshRecorder) MeshDown(l *MeshLink)         { m.down <- l }
+func (m *meshRecorder) MeshFrames(_ *MeshLink, frames []*meshpb.Frame) {
 	for _, f := range frames {
 		m.frames <- f
 	}
@@ -207,8 +207,8 @@
 
 func TestMeshKeepsOrderAndReconnects(t *testing.T) {
 	addrA, addrB := freeAddr(t), freeAddr(t)
-	start := func(self, addr, other, otherAddr string) *meshLog {
-		log := newMeshLog()
+	start := func(self, addr, other, otherAddr string) *meshRecorder {
+		log := newMeshRecorder()
 		l := NewLoop(0)
 		m := NewMesh(MeshConfig{Self: self, Addr: addr, IdleTimeout: time.Minute, MaxBacklogBytes: 4 << 20,
 			Peers: []MeshPeer{{Member: other, Addr: otherAddr}}}, l, log)
@@ -218,7 +218,7 @@
 		m.Start(ctx)
 		t.Cleanup(func() {
 			cancel()
-			if err := errors.Join(l.Stop(patience), <-done); err != nil {
+			if err := errors.Join(l.Stop(testTimeout), <-done); err != nil {
 				t.Error(err)
 			}
 		})
@@ -252,20 +252,20 @@
 
 // Connections that come in all at once are let in at once, each with its request,
 // although the loop rests whenever all that it took has been dealt with.
-func TestConnectionsAreAcceptedAtOnce(t *testing.T) {
+func TestSimultaneousConnectionsAreAcceptedPromptly(t *testing.T) {
 	const clients, within = 800, 8 * time.Second // at one in each turn it took 17 s
 	addr, l := freeAddr(t), NewLoop(70*time.Millisecond)
-	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxHeldBytes: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
+	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxPendingRequestBytes: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
 		func(_ *Request, reply func(Response)) {
 			go func() {
 				reply(Response{Status: 200})
-				l.WaitTurn()
+				l.NotifyBatchHandled()
 			}()
 		}))
 	began := time.Now()
 	answered := make(chan error, clients)
 	for range clients {
-		go func() { answered <- askOnce(addr) }()
+		go func() { answered <- sendRequest(addr) }()
 	}
 	for range clients {
 		if err := <-answered; err != nil {
@@ -277,8 +277,8 @@
 	}
 }
 
-// askOnce opens a connection and waits for the answer to one request.
-func askOnce(addr string) (err error) {
+// sendRequest opens a connection and waits for the answer to one request.
+func sendRequest(addr string) (err error) {
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		return err
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// redialPause is the least time between two attempts to connect to a member.
-	redialPause = 400 * time.Millisecond
+	// redialInterval is the least time between two attempts to connect to a member.
+	redialInterval = 400 * time.Millisecond
 	// Connections that may be open at once, for links that replace others and for those
 	// that have not said yet whose they are.
-	connsPerPeer = 4
-	spareConns   = 16
+	maxConnsPerPeer = 4
+	spareConns      = 16
 )
 
 // MeshEvents takes what happens on the mesh. Calls come from the event loop and must not
@@ -53,14 +53,14 @@
 	loop   *Loop
 	events MeshEvents
 
-	mu    sync.Mutex             // of all below
-	links map[string]*MeshLink   // the latest to each member, by its name
-	open  map[*MeshLink]struct{} // all whose connections have not closed
+	mu           sync.Mutex             // of all below
+	linkByMember map[string]*MeshLink   // the latest to each member, by its name
+	openLinks    map[*MeshLink]struct{} // all whose connections have not closed
 }
 
 // NewMesh prepares the mesh.
 func NewMesh(cfg MeshConfig, l *Loop, events MeshEvents) *Mesh {
-	return &Mesh{cfg: cfg, loop: l, events: events, links: make(map[string]*MeshLink), open: make(map[*MeshLink]struct{})}
+	return &Mesh{cfg: cfg, loop: l, events: events, linkByMember: make(map[string]*MeshLink), openLinks: make(map[*MeshLink]struct{})}
 }
 
 // Start dials the members that are this one's to dial, and again after a link has closed,
@@ -86,7 +86,7 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(redialPause)
+		timer.Reset(redialInterval)
 		if !m.isLinked(peer.Member) {
 			m.dial(peer)
 		}
@@ -97,7 +97,7 @@
 func (m *Mesh) isLinked(member string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, linked := m.links[member]
+	_, linked := m.linkByMember[member]
 	return linked
 }
 
@@ -105,8 +105,8 @@
 func (m *Mesh) dial(peer MeshPeer) {
 	l := &MeshLink{mesh: m, member: peer.Member, lastReceived: time.Now()}
 	m.mu.Lock()
-	m.links[peer.Member] = l
-	m.open[l] = struct{}{}
+	m.linkByMember[peer.Member] = l
+	m.openLinks[l] = struct{}{}
 	m.mu.Unlock()
 	conn, err := m.loop.dial(peer.Addr, l)
 	if err != nil {
@@ -118,12 +118,12 @@
 	l.mu.Lock()
 	l.conn = conn
 	l.mu.Unlock()
-	l.Send(m.hello())
+	l.Send(m.helloFrame())
 	l.Flush()
 }
 
 // hello is the first frame of a link.
-func (m *Mesh) hello() *meshpb.Frame {
+func (m *Mesh) helloFrame() *meshpb.Frame {
 	return &meshpb.Frame{Body: &meshpb.Frame_Hello{Hello: &meshpb.Hello{Member: m.cfg.Self}}}
 }
 
@@ -131,9 +131,9 @@
 func (m *Mesh) removeLink(l *MeshLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.open, l)
-	if m.links[l.member] == l {
-		delete(m.links, l.member)
+	delete(m.openLinks, l)
+	if m.linkByMember[l.member] == l {
+		delete(m.linkByMember, l.member)
 	}
 }
 
@@ -145,10 +145,10 @@
 	l := &MeshLink{mesh: m, conn: c, lastReceived: time.Now()}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.open) > connsPerPeer*len(m.cfg.Peers)+spareConns {
+	if len(m.openLinks) > maxConnsPerPeer*len(m.cfg.Peers)+spareConns {
 		return nil
 	}
-	m.open[l] = struct{}{}
+	m.openLinks[l] = struct{}{}
 	return l
 }
 
@@ -156,7 +156,7 @@
 func (m *Mesh) tick(now time.Time) {
 	m.mu.Lock()
 	var stale []*MeshLink
-	for l := range m.open {
+	for l := range m.openLinks {
 		l.mu.Lock()
 		if l.conn != nil && now.Sub(l.lastReceived) > m.cfg.IdleTimeout {
 			stale = append(stale, l)
--- a/internal/transport/mesh_link.go
+++ b/internal/transport/mesh_link.go
@@ -13,8 +13,8 @@
 
 const (
 	maxFrameBytes = 1 << 20
-	// frameHeadBytes is the length that precedes each frame, big endian.
-	frameHeadBytes = 4
+	// frameHeaderBytes is the length that precedes each frame, big endian.
+	frameHeaderBytes = 4
 )
 
 // MeshLink is one connection to another member. Frames arrive in the order in which they
@@ -48,8 +48,8 @@
 		return true
 	}
 	start := len(l.outbound)
-	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.outbound, make([]byte, frameHeadBytes)...), f)
-	size := len(out) - start - frameHeadBytes
+	out, err := proto.MarshalOptions{}.MarshalAppend(append(l.outbound, make([]byte, frameHeaderBytes)...), f)
+	size := len(out) - start - frameHeaderBytes
 	if err != nil || size > maxFrameBytes || len(out) > l.mesh.cfg.MaxBacklogBytes {
 		return false
 	}
@@ -107,7 +107,7 @@
 		}
 		if up {
 			frames = append(frames, f)
-		} else if up = l.acceptHello(c, f); !up {
+		} else if up = l.handleHello(c, f); !up {
 			action = gnet.Close
 		}
 	}
@@ -120,7 +120,7 @@
 // readFrame takes one frame off a connection, or none while it is incomplete. What can't
 // be a frame is not ok.
 func readFrame(c gnet.Conn) (f *meshpb.Frame, ok bool) {
-	head, err := c.Peek(frameHeadBytes)
+	head, err := c.Peek(frameHeaderBytes)
 	if err != nil {
 		return nil, true // fewer bytes than that so far
 	}
@@ -128,24 +128,24 @@
 	if size > maxFrameBytes {
 		return nil, false
 	}
-	if c.InboundBuffered() < frameHeadBytes+size {
+	if c.InboundBuffered() < frameHeaderBytes+size {
 		return nil, true
 	}
-	buf, err := c.Peek(frameHeadBytes + size)
+	buf, err := c.Peek(frameHeaderBytes + size)
 	if err != nil {
 		return nil, false
 	}
 	f = &meshpb.Frame{}
-	err = proto.Unmarshal(buf[frameHeadBytes:], f)
-	if _, discardErr := c.Discard(frameHeadBytes + size); err != nil || discardErr != nil {
+	err = proto.Unmarshal(buf[frameHeaderBytes:], f)
+	if _, discardErr := c.Discard(frameHeaderBytes + size); err != nil || discardErr != nil {
 		return nil, false
 	}
 	return f, true
 }
 
-// acceptHello takes the first frame of a link, which must be the hello of a peer: of the
+// handleHello takes the first frame of a link, which must be the hello of a peer: of the
 // one that was dialed, or of one that dials.
-func (l *MeshLink) acceptHello(c gnet.Conn, f *meshpb.Frame) bool {
+func (l *MeshLink) handleHello(c gnet.Conn, f *meshpb.Frame) bool {
 	m := l.mesh
 	hello := f.GetHello()
 	if hello == nil || !m.isPeer(hello.Member) {
@@ -153,10 +153,10 @@
 	}
 	incoming := l.member == ""
 	m.mu.Lock()
-	previous := m.links[hello.Member]
+	previous := m.linkByMember[hello.Member]
 	if incoming {
 		l.member = hello.Member
-		m.links[hello.Member] = l
+		m.linkByMember[hello.Member] = l
 	}
 	m.mu.Unlock()
 	if l.member != hello.Member {
@@ -172,7 +172,7 @@
 		if previous != nil && previous != l {
 			previous.retire()
 		}
-		l.Send(m.hello())
+		l.Send(m.helloFrame())
 		l.Flush()
 	}
 	m.events.MeshUp(l, hello.Member)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,9 +9,9 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// retryAfterOverloadS is after how many seconds a request may be repeated that was not
+// overloadRetryAfterS is after how many seconds a request may be repeated that was not
 // answered for lack of memory, or in time.
-const retryAfterOverloadS = 1
+const overloadRetryAfterS = 1
 
 // Request is what a handler gets.
 type Request struct {
@@ -34,7 +34,7 @@
 
 // Unavailable answers a request that was not carried out and may be repeated.
 func Unavailable() Response {
-	return Response{Status: http.StatusServiceUnavailable, RetryAfterS: retryAfterOverloadS}
+	return Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfterS}
 }
 
 // Handler takes one request and calls reply exactly once, from any goroutine. It runs on
@@ -43,24 +43,24 @@
 
 // ServerConfig bounds a server.
 type ServerConfig struct {
-	Addr         string // host:port
-	MaxConns     int
-	MaxHeldBytes int64         // of requests that wait for their answers
-	IdleTimeout  time.Duration // of a connection without a request
-	ReadTimeout  time.Duration // of a request that does not become complete
+	Addr                   string // host:port
+	MaxConns               int
+	MaxPendingRequestBytes int64         // of requests that wait for their answers
+	IdleTimeout            time.Duration // of a connection without a request
+	ReadTimeout            time.Duration // of a request that does not become complete
 }
 
 // Server answers HTTP requests on one address. The event loop that it is given to
 // (Loop.Run) drives it.
 type Server struct {
-	cfg       ServerConfig
-	loop      *Loop
-	handler   Handler
-	heldBytes atomic.Int64
+	cfg                 ServerConfig
+	loop                *Loop
+	handler             Handler
+	pendingRequestBytes atomic.Int64
 
-	mu     sync.Mutex // of conns and opened
-	conns  map[gnet.Conn]*serverConn
-	opened uint64 // connections so far
+	mu            sync.Mutex // of conns and opened
+	conns         map[gnet.Conn]*serverConn
+	acceptedConns uint64 // connections so far
 
 	outboxMu sync.Mutex
 	outbox   []queuedResponse // that the loop is to write
@@ -81,8 +81,8 @@
 	if len(s.conns) >= s.cfg.MaxConns {
 		return nil
 	}
-	s.opened++
-	conn := &serverConn{server: s, id: s.opened, lastActive: time.Now()}
+	s.acceptedConns++
+	conn := &serverConn{server: s, id: s.acceptedConns, lastActive: time.Now()}
 	s.conns[c] = conn
 	return conn
 }
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -18,14 +18,14 @@
 	id     uint64
 
 	// Known to the event loop alone.
-	closed       bool
-	continueSent bool // "100 Continue" was sent for the request that is arriving
-	discardLeft  int  // bytes of a request that is refused, still to come
+	closed         bool
+	continueSent   bool // "100 Continue" was sent for the request that is arriving
+	bytesToDiscard int  // bytes of a request that is refused, still to come
 
-	mu           sync.Mutex // of all below
-	busy         bool       // a request is with the handler
-	lastActive   time.Time
-	partialSince time.Time // when the request that is arriving began; zero: none is
+	mu                  sync.Mutex // of all below
+	busy                bool       // a request is with the handler
+	lastActive          time.Time
+	partialRequestSince time.Time // when the request that is arriving began; zero: none is
 }
 
 // isStale tells whether the connection sits idle or sends a request too slowly.
@@ -35,7 +35,7 @@
 	if sc.busy {
 		return false
 	}
-	slow := !sc.partialSince.IsZero() && now.Sub(sc.partialSince) > sc.server.cfg.ReadTimeout
+	slow := !sc.partialRequestSince.IsZero() && now.Sub(sc.partialRequestSince) > sc.server.cfg.ReadTimeout
 	return slow || now.Sub(sc.lastActive) > sc.server.cfg.IdleTimeout
 }
 
@@ -46,12 +46,12 @@
 	return sc.busy
 }
 
-// notePartial notes that part of a request has arrived.
-func (sc *serverConn) notePartial() {
+// recordPartialRequest notes that part of a request has arrived.
+func (sc *serverConn) recordPartialRequest() {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	if sc.partialSince.IsZero() {
-		sc.partialSince = time.Now()
+	if sc.partialRequestSince.IsZero() {
+		sc.partialRequestSince = time.Now()
 	}
 }
 
@@ -71,8 +71,8 @@
 		}
 		return gnet.None
 	}
-	if sc.discardLeft > 0 {
-		return sc.refuse(c, 0)
+	if sc.bytesToDiscard > 0 {
+		return sc.reject(c, 0)
 	}
 	buf, err := c.Peek(-1)
 	if err != nil || len(buf) == 0 {
@@ -81,11 +81,11 @@
 	m, err := parseMessage(buf, requestMessage, maxBodyBytes)
 	switch {
 	case errors.Is(err, errTooLarge) && m.size > 0 && m.size <= maxDiscardBytes && !m.expectContinue:
-		return sc.refuse(c, m.size)
+		return sc.reject(c, m.size)
 	case errors.Is(err, errIncomplete):
-		return sc.awaitRest(c, len(buf), m.expectContinue)
+		return sc.awaitRemainder(c, len(buf), m.expectContinue)
 	case err != nil:
-		return sc.refuse(c, len(buf))
+		return sc.reject(c, len(buf))
 	}
 	if _, err := c.Discard(m.size); err != nil {
 		return gnet.Close
@@ -94,8 +94,8 @@
 	return gnet.None
 }
 
-// awaitRest waits for the rest of a request of which so many bytes have arrived.
-func (sc *serverConn) awaitRest(c gnet.Conn, arrived int, expectsContinue bool) gnet.Action {
+// awaitRemainder waits for the rest of a request of which so many bytes have arrived.
+func (sc *serverConn) awaitRemainder(c gnet.Conn, arrived int, expectsContinue bool) gnet.Action {
 	if expectsContinue && !sc.continueSent {
 		sc.continueSent = true
 		if _, err := c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
@@ -105,7 +105,7 @@
 	if arrived > 2*maxBodyBytes+maxHeadBytes {
 		return gnet.Close
 	}
-	sc.notePartial()
+	sc.recordPartialRequest()
 	return gnet.None
 }
 
@@ -114,12 +114,12 @@
 func (sc *serverConn) serve(c gnet.Conn, m *message) {
 	sc.continueSent = false
 	sc.mu.Lock()
-	sc.busy, sc.lastActive, sc.partialSince = true, time.Now(), time.Time{}
+	sc.busy, sc.lastActive, sc.partialRequestSince = true, time.Now(), time.Time{}
 	sc.mu.Unlock()
 	request := &Request{Method: m.startLine[0], Path: m.startLine[1], Body: m.body, ConnID: sc.id}
 	size := requestOverheadBytes + int64(len(m.body))
-	reply := sc.server.replier(c, sc, size, m.close)
-	if sc.server.heldBytes.Add(size) > sc.server.cfg.MaxHeldBytes {
+	reply := sc.server.newReply(c, sc, size, m.close)
+	if sc.server.pendingRequestBytes.Add(size) > sc.server.cfg.MaxPendingRequestBytes {
 		reply(Unavailable())
 		return
 	}
@@ -129,14 +129,14 @@
 // refuse answers 400 and ends the connection, since the stream can't be read on from
 // here. What the peer has announced is read first: closing with unread bytes would reset
 // the connection and lose the answer.
-func (sc *serverConn) refuse(c gnet.Conn, size int) gnet.Action {
-	sc.discardLeft += size
-	n, err := c.Discard(min(sc.discardLeft, c.InboundBuffered()))
+func (sc *serverConn) reject(c gnet.Conn, size int) gnet.Action {
+	sc.bytesToDiscard += size
+	n, err := c.Discard(min(sc.bytesToDiscard, c.InboundBuffered()))
 	if err != nil {
 		return gnet.Close
 	}
-	if sc.discardLeft -= n; sc.discardLeft > 0 {
-		sc.notePartial()
+	if sc.bytesToDiscard -= n; sc.bytesToDiscard > 0 {
+		sc.recordPartialRequest()
 		return gnet.None
 	}
 	// The connection ends whether or not the answer can be written.
--- a/internal/transport/server_outbox.go
+++ b/internal/transport/server_outbox.go
@@ -10,18 +10,18 @@
 // queuedResponse is a response on its way to the event loop, which alone writes to
 // connections.
 type queuedResponse struct {
-	conn     gnet.Conn
-	state    *serverConn
-	response Response
+	netConn    gnet.Conn
+	serverConn *serverConn
+	response   Response
 }
 
 // replier returns what answers a request of that size: the first call does, further ones
 // do nothing.
-func (s *Server) replier(c gnet.Conn, conn *serverConn, size int64, closing bool) func(Response) {
+func (s *Server) newReply(c gnet.Conn, conn *serverConn, size int64, closing bool) func(Response) {
 	var once sync.Once
 	return func(r Response) {
 		once.Do(func() {
-			s.heldBytes.Add(-size)
+			s.pendingRequestBytes.Add(-size)
 			r.Close = r.Close || closing
 			s.outboxMu.Lock()
 			s.outbox = append(s.outbox, queuedResponse{c, conn, r})
@@ -51,7 +51,7 @@
 // write writes a response, or 503 in its place if it is late. The connection then takes
 // its next request.
 func (q *queuedResponse) write(now time.Time) {
-	if q.state.closed {
+	if q.serverConn.closed {
 		return
 	}
 	response := q.response
@@ -59,17 +59,17 @@
 		response = Unavailable()
 		response.Close = q.response.Close
 	}
-	q.state.mu.Lock()
-	q.state.busy, q.state.lastActive = false, now
-	q.state.mu.Unlock()
-	if _, err := q.conn.Write(appendResponse(make([]byte, 0, responseHeadBytes+len(response.Body)), &response)); err != nil {
+	q.serverConn.mu.Lock()
+	q.serverConn.busy, q.serverConn.lastActive = false, now
+	q.serverConn.mu.Unlock()
+	if _, err := q.netConn.Write(appendResponse(make([]byte, 0, responseHeadBytes+len(response.Body)), &response)); err != nil {
 		return // the connection is gone; the peer asks again
 	}
 	if response.Close {
 		// An error means that it is closed already.
-		_ = q.conn.Close()
-	} else if q.conn.InboundBuffered() > 0 {
+		_ = q.netConn.Close()
+	} else if q.netConn.InboundBuffered() > 0 {
 		// As above.
-		_ = q.conn.Wake(nil)
+		_ = q.netConn.Wake(nil)
 	}
 }
