--- a/internal/estimate/run_times.go
+++ b/internal/estimate/run_times.go
@@ -1,9 +1,9 @@
-// Package estimate learns how long tasks run.
+// Package estimate predicts how long tasks run.
 //
-// It owns, for each class of tasks, what was learnt from those that ended, and
-// promises an expectation for every task, also of a class of which nothing is
-// known. It is arithmetic only: it has no clock, reads no settings and never
-// changes what it is given.
+// It keeps statistics, for each class of tasks, of those that ended, and returns
+// an expected run time for every task, also of a class without statistics. It is
+// arithmetic only: it has no clock, reads no settings and never changes its
+// arguments.
 package estimate
 
 import (
@@ -11,39 +11,41 @@
 	"time"
 )
 
-// Unbounded stands for the run time of a service's task, which does not end by
-// itself.
+// Unbounded is the run time that is assumed for a task of a service, which does
+// not end by itself.
 const Unbounded = 24 * time.Hour
 
 const (
-	sampleDecay     = 0.998 // what each sample leaves of the weight of those before
-	minSampleWeight = 5     // weight below which a class's samples are not used
-	minLogVariance  = 1e-6  // of the estimates' logarithms, below which no slope is fitted
+	sampleDecay     = 0.998 // factor by which each new sample reduces the weight of earlier ones
+	minSampleWeight = 5     // total weight below which a class's samples are not used
+	minLogVariance  = 1e-6  // variance of the estimates' logarithms below which no slope is fitted
 )
 
-// Task is what the run time of a task is expected by.
+// Task describes a task as far as its expected run time depends on it.
 type Task struct {
 	Class     string
-	EstimateS float64 // the user's estimate in seconds; 0: none
+	EstimateS float64 // the user's estimate of the run time, in seconds; 0: none
 	Service   bool    // runs until it is cancelled
 }
 
-// RunTimes is what was learnt, by class. The zero value has learnt nothing.
+// RunTimes holds the run time statistics of all classes. The zero value is empty.
 type RunTimes struct {
 	classes map[string]*samples
 }
 
-// samples are the decayed sums of a class's samples. A sample is a pair of the
-// logarithms of the user's estimate, x, and of the time that the task took, y.
+// samples holds exponentially decayed sums over a class's samples. A sample has
+// two coordinates: x is the natural logarithm of the user's estimate, y that of the
+// run time, both in seconds.
 type samples struct {
 	weight, sumX, sumY, sumXX, sumXY float64
-	sumRunTimeS                      float64 // seconds
+	sumRunTimeS                      float64 // of the run times themselves, in seconds
 }
 
-// Expected is the expected run time of a task: its user's estimate, corrected by
-// a straight line through the logarithms of the estimates and run times of its
-// class. Where estimates are wild the line is flat, and the class's usual time
-// counts.
+// Expected returns the expected run time of a task: the user's estimate,
+// corrected by a linear regression of the logarithms of the run times of its class
+// on those of the estimates. If the estimates do not correlate with the run times,
+// the line is flat and yields the typical run time of the class. With too few samples
+// the estimate is returned as it is, and without an estimate 0.
 func (r *RunTimes) Expected(t Task) time.Duration {
 	if t.Service {
 		return Unbounded
@@ -55,8 +57,8 @@
 	return s.expected(t.EstimateS)
 }
 
-// Mean is how long a task of a class runs on average, or what is expected of the
-// given one while that is not known.
+// Mean returns the average run time of the tasks of t's class, or the expected
+// run time of t while the class has too few samples.
 func (r *RunTimes) Mean(t Task) time.Duration {
 	if t.Service {
 		return Unbounded
@@ -67,10 +69,10 @@
 	return r.Expected(t)
 }
 
-// Observe takes in how long a task ran that ended well. One without an estimate
-// is left out.
-func (r *RunTimes) Observe(t Task, took time.Duration) {
-	if t.EstimateS <= 0 || took <= 0 {
+// Observe records the run time of a task that ended successfully. A task without
+// an estimate is ignored.
+func (r *RunTimes) Observe(t Task, runTime time.Duration) {
+	if t.EstimateS <= 0 || runTime <= 0 {
 		return
 	}
 	s := r.classes[t.Class]
@@ -81,21 +83,22 @@
 		}
 		r.classes[t.Class] = s
 	}
-	s.add(t.EstimateS, took.Seconds())
+	s.add(t.EstimateS, runTime.Seconds())
 }
 
-func (s *samples) add(estimateS, tookS float64) {
-	x, y := math.Log(estimateS), math.Log(tookS)
+func (s *samples) add(estimateS, runTimeS float64) {
+	x, y := math.Log(estimateS), math.Log(runTimeS)
 	s.weight = s.weight*sampleDecay + 1
 	s.sumX = s.sumX*sampleDecay + x
 	s.sumY = s.sumY*sampleDecay + y
 	s.sumXX = s.sumXX*sampleDecay + x*x
 	s.sumXY = s.sumXY*sampleDecay + x*y
-	s.sumRunTimeS = s.sumRunTimeS*sampleDecay + tookS
+	s.sumRunTimeS = s.sumRunTimeS*sampleDecay + runTimeS
 }
 
-// expected fits the line and reads it at an estimate. Its slope stays between
-// 0, where estimates say nothing, and 1, where they are off by a factor.
+// expected fits the regression line and evaluates it at an estimate. The slope is
+// limited to the range from 0 (estimates do not predict run times) to 1 (estimates are
+// off by a constant factor).
 func (s *samples) expected(estimateS float64) time.Duration {
 	meanX, meanY := s.sumX/s.weight, s.sumY/s.weight
 	slope := 1.0
--- a/internal/estimate/run_times_test.go
+++ b/internal/estimate/run_times_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-const tolerance = 100 * time.Millisecond // later samples weigh a little more
+const tolerance = 100 * time.Millisecond // needed because later samples weigh slightly more
 
 func withinTolerance(got, want time.Duration) bool {
 	return got > want-tolerance && got < want+tolerance
 }
 
 type sample struct {
-	estimateS float64
+	estimateS float64 // seconds
 	took      time.Duration
 }
 
@@ -25,12 +25,12 @@
 }
 
 func TestExpectedRunTime(t *testing.T) {
-	var learnt RunTimes
-	observe(&learnt, "doubles", sample{10, 20 * time.Second}, sample{100, 200 * time.Second})
-	observe(&learnt, "wild", sample{10, 200 * time.Second}, sample{100, 20 * time.Second})
-	observe(&learnt, "constant", sample{30, 12 * time.Second})
-	learnt.Observe(Task{Class: "rare", EstimateS: 10}, time.Hour)
-	learnt.Observe(Task{Class: "unestimated"}, time.Hour)
+	var runTimes RunTimes
+	observe(&runTimes, "doubles", sample{10, 20 * time.Second}, sample{100, 200 * time.Second})
+	observe(&runTimes, "uncorrelated", sample{10, 200 * time.Second}, sample{100, 20 * time.Second})
+	observe(&runTimes, "constant", sample{30, 12 * time.Second})
+	runTimes.Observe(Task{Class: "rare", EstimateS: 10}, time.Hour)
+	runTimes.Observe(Task{Class: "unestimated"}, time.Hour)
 	for _, c := range []struct {
 		name       string
 		task       Task
@@ -45,30 +45,30 @@
 		{"estimates of one value", Task{Class: "constant", EstimateS: 30}, 12 * time.Second, 12 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := learnt.Expected(c.task); !withinTolerance(got, c.want) {
+			if got := runTimes.Expected(c.task); !withinTolerance(got, c.want) {
 				t.Errorf("expected %v, want %v", got, c.want)
 			}
-			if got := learnt.Mean(c.task); !withinTolerance(got, c.mean) {
+			if got := runTimes.Mean(c.task); !withinTolerance(got, c.mean) {
 				t.Errorf("mean %v, want %v", got, c.mean)
 			}
 		})
 	}
-	// Where estimates say nothing the line is flat.
-	if a, b := learnt.Expected(Task{Class: "wild", EstimateS: 10}), learnt.Expected(Task{Class: "wild", EstimateS: 100}); a != b {
-		t.Errorf("wild estimates are expected to take %v and %v", a, b)
+	// Where estimates do not correlate with run times, the regression line is flat.
+	if a, b := runTimes.Expected(Task{Class: "uncorrelated", EstimateS: 10}), runTimes.Expected(Task{Class: "uncorrelated", EstimateS: 100}); a != b {
+		t.Errorf("tasks with uncorrelated estimates are expected to run %v and %v, want equal times", a, b)
 	}
 }
 
 func TestLaterSamplesWeighMore(t *testing.T) {
-	var learnt RunTimes
+	var runTimes RunTimes
 	task := Task{Class: "c", EstimateS: 10}
 	for range 1000 {
-		learnt.Observe(task, 10*time.Second)
+		runTimes.Observe(task, 10*time.Second)
 	}
 	for range 1000 {
-		learnt.Observe(task, 30*time.Second)
+		runTimes.Observe(task, 30*time.Second)
 	}
-	if got := learnt.Mean(task); got < 25*time.Second || got > 29*time.Second {
+	if got := runTimes.Mean(task); got < 25*time.Second || got > 29*time.Second {
 		t.Errorf("mean %v, want between 25 s and 29 s", got)
 	}
 }
--- a/internal/eventcount/counter.go
+++ b/internal/eventcount/counter.go
@@ -1,7 +1,7 @@
-// Package eventcount counts events of a few kinds and logs them together, so that the
-// log grows neither with the fleet nor with the work. It owns nothing but the counts;
-// it promises at most one line a minute of each counter and none without events, and
-// never decides anything by them.
+// Package eventcount counts events of a few kinds and logs the counts together, so that
+// the size of the log depends neither on the number of machines nor on the amount of work.
+// It holds only the counts, and makes no decisions based on them. Each counter writes at
+// most one line a minute, and none if there were no events.
 package eventcount
 
 import (
@@ -10,28 +10,29 @@
 	"github.com/rs/zerolog"
 )
 
-// logInterval is the least time between two log lines of one counter.
+// logInterval is the minimum time between two log lines of one counter.
 const logInterval = time.Minute
 
 // Counter counts events by kind.
 type Counter struct {
 	message   string
-	logKeys   []string // log fields, by kind
-	counts    []uint64 // since the last line
-	nextLogAt time.Duration
+	logKeys   []string      // names of the log fields, indexed by kind
+	counts    []uint64      // since the last log line, indexed by kind
+	nextLogAt time.Duration // on the clock of Log's argument now
 }
 
-// New makes a counter of events whose kinds are the indices of keys. Its lines have the
-// message, with a field of each kind that has occurred.
+// New returns a counter of events whose kinds are the indices of keys. Its log lines have
+// the given message and one field, named by its key, for each kind that occurred.
 func New(message string, keys ...string) Counter {
 	return Counter{message: message, logKeys: keys, counts: make([]uint64, len(keys))}
 }
 
-// Add counts one event.
+// Add counts one event of a kind.
 func (c *Counter) Add(kind int) { c.counts[kind]++ }
 
-// Log writes one line with what was counted since the last one, if anything was and the
-// last one is long enough ago.
+// Log writes one line at info level with the events counted since the last line, if there
+// were any and the last line is at least logInterval ago. now is read from the same clock in
+// all calls.
 func (c *Counter) Log(now time.Duration, logger *zerolog.Logger) {
 	if now < c.nextLogAt {
 		return
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -9,7 +9,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/settings"
 )
 
-const observed = time.Hour // long enough for the whole window
+const observed = time.Hour // time for which arrivals have been recorded: longer than the window
 
 func arrivalAt(at time.Duration) forecast.Arrival {
 	return forecast.Arrival{At: at, MachineType: "m4", Machines: 2, FetchSeconds: 10, StartShare: 0.95,
@@ -27,19 +27,19 @@
 	var s forecast.JobArrivals
 	now := observe(&s, 4, time.Second)
 	if got := s.MachinesWanted(now, observed); len(got) != 0 {
-		t.Errorf("with 4 arrivals %v are wanted, want none", got)
+		t.Errorf("forecast after 4 arrivals is %v, want none", got)
 	}
 }
 
-// Fifteen arrivals in 150 s that hold two machines for 30 s each hold six on
-// average; their swings come on top.
+// 15 arrivals in 150 s that each use two machines for 30 s use six on average; the
+// margin for random variation is added.
 func TestSteadyArrivalsGiveMeanPlusMargin(t *testing.T) {
 	var s forecast.JobArrivals
 	now := observe(&s, 15, 10*time.Second)
 	got := s.MachinesWanted(now, observed)["m4"]
-	// The variance is 12, and 1.645 deviations cover 95%.
+	// The variance is 12, and 1.645 standard deviations cover 95% of the cases.
 	if want := 12; got != want {
-		t.Errorf("%d machines are wanted, want %d", got, want)
+		t.Errorf("forecast is %d machines, want %d", got, want)
 	}
 }
 
@@ -47,7 +47,7 @@
 	var s forecast.JobArrivals
 	now := observe(&s, 15, 10*time.Second)
 	if got := s.MachinesWanted(now+forecast.ArrivalWindow+time.Second, observed); len(got) != 0 {
-		t.Errorf("after the window %v are wanted, want none", got)
+		t.Errorf("forecast after the window is %v, want none", got)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 	a, b := steady.MachinesWanted(now, observed)["m4"], burst.MachinesWanted(now, observed)["m4"]
 	if b <= a {
-		t.Errorf("after a burst %d machines are wanted, after a steady stream %d", b, a)
+		t.Errorf("forecast after a burst is %d machines, want more than the %d after a steady stream", b, a)
 	}
 }
 
@@ -67,7 +67,7 @@
 	var s forecast.JobArrivals
 	for i := 0; !s.Full(); i++ {
 		if i > 1_000_000 {
-			t.Fatal("a million arrivals were taken")
+			t.Fatal("1,000,000 arrivals were recorded without reaching a bound")
 		}
 		s.Observe(arrivalAt(0))
 	}
@@ -86,8 +86,8 @@
 		now  time.Duration
 		want forecast.ServiceDemand
 	}{
-		{"within the window, what comes during a boot is added", 0, time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4 + 4 + 2*4}},
-		{"after it, only the largest counts", 0, forecast.ArrivalWindow + time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4}},
+		{"within the window, arrivals during a boot are added", 0, time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4 + 4 + 2*4}},
+		{"after the window, only the largest counts", 0, forecast.ArrivalWindow + time.Second, forecast.ServiceDemand{LargestReplicas: 4, RequiredReplicas: 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var s forecast.ServiceArrivals
@@ -103,14 +103,14 @@
 	var s forecast.ServiceArrivals
 	s.Observe(0, 1)
 	if !s.Expire(forecast.ServiceWindow) {
-		t.Error("none is left at the end of the window")
+		t.Error("no arrival is left at the end of the window, want 1")
 	}
 	if s.Expire(forecast.ServiceWindow + 1) {
-		t.Error("one is left after the window")
+		t.Error("an arrival is left after the window, want none")
 	}
 }
 
-// ExampleStartObjectiveOf shows that the objective with the least time counts.
+// ExampleStartObjectiveOf shows that the objective with the shortest time is used.
 func ExampleStartObjectiveOf() {
 	objectives := []settings.Objective{
 		{Kind: "wait", Class: "render", WithinS: 50, Share: 0.99},
--- a/internal/forecast/services.go
+++ b/internal/forecast/services.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// ServiceWindow is for how long a service's arrival counts for the largest of
-	// its like.
+	// ServiceWindow is how long the arrival of a service counts when the largest
+	// recent service of its kind is determined.
 	ServiceWindow = 10 * time.Minute
 
-	// slowBootFactor is how many times the usual boot time one may take.
+	// slowBootFactor is the ratio of a slow boot's duration to the usual boot time.
 	slowBootFactor = 1.5
 )
 
-// Services holds the recent arrivals of services that need the same of a machine.
+// ServiceArrivals holds the recent arrivals of services whose replicas need the same
+// resources of a machine.
 type ServiceArrivals struct {
 	arrivals []serviceArrival
 }
 
 type serviceArrival struct {
-	at       time.Duration
+	at       time.Duration // time of submission, on the clock of now in the methods
 	replicas int
 }
 
-// ServiceDemand is what services of one kind are expected to need.
+// ServiceDemand is the expected demand of services of one kind.
 type ServiceDemand struct {
-	LargestReplicas  float64 // replicas of the largest within ServiceWindow
-	RequiredReplicas float64 // that room should be free for
+	LargestReplicas  float64 // of the largest service within the last ServiceWindow
+	RequiredReplicas float64 // for which capacity should be free
 }
 
-// Observe takes in a service that was submitted at a time.
+// Observe records a service that was submitted at a time. Beyond maxArrivals recorded
+// arrivals it does nothing.
 func (s *ServiceArrivals) Observe(at time.Duration, replicas int) {
 	if len(s.arrivals) < maxArrivals {
 		s.arrivals = append(s.arrivals, serviceArrival{at, replicas})
 	}
 }
 
-// Expire drops the arrivals that are older than ServiceWindow and tells whether
+// Expire removes the arrivals that are older than ServiceWindow and reports whether
 // any are left.
 func (s *ServiceArrivals) Expire(now time.Duration) bool {
 	recent := s.arrivals[:0]
@@ -50,23 +52,23 @@
 	return len(recent) > 0
 }
 
-// Demand returns the replicas that should find room on machines that are there:
-// those of the largest service, and those that arrive while a machine boots,
-// with as much above their mean as chance may account for. observed is for how
-// long arrivals have been seen, bootSeconds the usual boot time.
+// Demand returns the replicas for which running machines should have free capacity:
+// those of the largest service, plus those expected to arrive while a machine boots
+// slowly, with a margin of randomDeviations standard deviations for random variation.
+// observed is how long arrivals have been recorded, bootSeconds the usual boot time.
 func (s *ServiceArrivals) Demand(now, observed time.Duration, bootSeconds float64) ServiceDemand {
 	largest, sum, squares := 0.0, 0.0, 0.0
 	for _, a := range s.arrivals {
-		n := float64(a.replicas)
-		largest = math.Max(largest, n)
+		count := float64(a.replicas)
+		largest = math.Max(largest, count)
 		if now-a.at <= ArrivalWindow {
-			sum += n
-			squares += n * n
+			sum += count
+			squares += count * count
 		}
 	}
-	boots := bootSeconds * slowBootFactor / spanSeconds(observed)
+	bootShare := bootSeconds * slowBootFactor / spanSeconds(observed)
 	return ServiceDemand{
 		LargestReplicas:  largest,
-		RequiredReplicas: largest + sum*boots + randomDeviations*math.Sqrt(squares*boots),
+		RequiredReplicas: largest + sum*bootShare + randomDeviations*math.Sqrt(squares*bootShare),
 	}
 }
--- a/internal/priority/priority_test.go
+++ b/internal/priority/priority_test.go
@@ -12,7 +12,8 @@
 
 const submitted = int64(1e12) // Unix time in milliseconds
 
-// Each pair differs in one criterion; the first comes first, and not the second.
+// Each pair is decided by one criterion: the first precedes the second, and the second
+// does not precede the first.
 func TestCriteriaInOrder(t *testing.T) {
 	type side struct {
 		key   priority.Key
@@ -23,25 +24,25 @@
 		name          string
 		first, second side
 	}{
-		{"overdue before urgent", side{overdue, 9}, side{priority.Key{Urgency: 3, LatestStart: 1}, 0}},
-		{"the older of two overdue, whatever their priority", side{priority.Key{Overdue: true, LatestStart: 4}, 9},
+		{"overdue before urgent, whatever the share", side{overdue, 9}, side{priority.Key{Urgency: 3, LatestStart: 1}, 0}},
+		{"the older of two overdue, whatever the priority and share", side{priority.Key{Overdue: true, LatestStart: 4}, 9},
 			side{priority.Key{Overdue: true, Urgency: 3, Priority: protocol.PriorityProduction, LatestStart: 5}, 0}},
 		{"urgent before others, whatever the share", side{priority.Key{Urgency: 2}, 9}, side{priority.Key{}, 0}},
-		{"the more urgent", side{priority.Key{Urgency: 3}, 9}, side{priority.Key{Urgency: 2}, 0}},
-		{"urgent within reach of its deadline", side{priority.Key{Urgency: 2, LatestStart: 9}, 9},
+		{"more urgent", side{priority.Key{Urgency: 3}, 9}, side{priority.Key{Urgency: 2}, 0}},
+		{"urgent that can meet its objectives", side{priority.Key{Urgency: 2, LatestStart: 9}, 9},
 			side{priority.Key{Urgency: 2, MissesObjectives: true}, 0}},
-		{"the smaller share", side{priority.Key{MissesObjectives: true, LatestStart: 9}, 0.1},
+		{"smaller share", side{priority.Key{MissesObjectives: true, LatestStart: 9}, 0.1},
 			side{priority.Key{Priority: protocol.PriorityStandard}, 0.2}},
-		{"the higher priority", side{priority.Key{Priority: protocol.PriorityStandard, MissesObjectives: true}, 0}, side{priority.Key{}, 0}},
-		{"within reach of its deadline", side{priority.Key{LatestStart: 9}, 0}, side{priority.Key{MissesObjectives: true}, 0}},
-		{"the sooner latest start", side{priority.Key{LatestStart: 1}, 0}, side{priority.Key{LatestStart: 2}, 0}},
+		{"higher priority", side{priority.Key{Priority: protocol.PriorityStandard, MissesObjectives: true}, 0}, side{priority.Key{}, 0}},
+		{"able to meet its objectives", side{priority.Key{LatestStart: 9}, 0}, side{priority.Key{MissesObjectives: true}, 0}},
+		{"earlier latest start", side{priority.Key{LatestStart: 1}, 0}, side{priority.Key{LatestStart: 2}, 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if !test.first.key.Before(test.first.share, test.second.key, test.second.share) {
-				t.Error("the first is not before the second")
+				t.Error("the first does not precede the second")
 			}
 			if test.second.key.Before(test.second.share, test.first.key, test.first.share) {
-				t.Error("the second is before the first")
+				t.Error("the second precedes the first")
 			}
 		})
 	}
@@ -50,7 +51,7 @@
 func TestEqualKeysPrecedeNeither(t *testing.T) {
 	k := priority.Key{Urgency: 2, Priority: protocol.PriorityUrgent, LatestStart: 7}
 	if k.Before(0.5, k, 0.5) {
-		t.Error("a key is before itself")
+		t.Error("a key precedes itself")
 	}
 }
 
@@ -71,14 +72,14 @@
 				t.Errorf("overdue %v, want %v", k.Overdue, test.want)
 			}
 			if k.Overdue && k.LatestStart != float64(submitted)/1000 {
-				t.Errorf("latest start %v, want that of the submission", k.LatestStart)
+				t.Errorf("latest start %v, want the time of the submission", k.LatestStart)
 			}
 		})
 	}
 }
 
-// ExampleKeyOf shows a job that has missed its deadline and is ordered by the
-// next objective of its class.
+// ExampleKeyOf shows a job that can't meet its deadline and is ordered by the next
+// objective of its class.
 func ExampleKeyOf() {
 	job := priority.Job{Class: "render", Started: true, SubmittedMs: submitted, DeadlineMs: submitted + 100_000, RunTime: 30 * time.Second}
 	objectives := []settings.Objective{{Kind: "deadline", Class: "render", DeadlineFactor: 1.5}}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -13,72 +13,72 @@
 )
 
 var (
-	// ErrNotSent says that a request certainly never left this process: it may be repeated.
+	// ErrNotSent means that a request is guaranteed not to have left this process, and may
+	// be retried.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrNoAnswer says that a request may have been executed, or may still be executed
+	// ErrNoAnswer means that a request may have been executed, or may still be executed
 	// later.
 	ErrNoAnswer = errors.New("request got no answer")
 )
 
-// HTTPResult is the outcome of a request: a response, or an error that wraps ErrNotSent
-// or ErrNoAnswer.
+// HTTPResult is the result of a request: a response, or an error that wraps ErrNotSent or
+// ErrNoAnswer.
 type HTTPResult struct {
 	Status      int
 	Body        []byte
-	RetryAfterS int // seconds; 0: the response has no Retry-After
+	RetryAfterS int // Retry-After header in seconds; 0: none
 	Err         error
 }
 
-// HTTPClient calls one address over a bounded set of kept connections. Any number of
-// goroutines may use it.
+// HTTPClient sends requests to one address over a limited number of persistent connections.
+// It is safe for concurrent use.
 type HTTPClient struct {
 	loop           *Loop
 	addr           string
 	maxConns       int
 	maxQueuedCalls int
 
-	mu           sync.Mutex // of all below, and of the connections and calls
+	mu           sync.Mutex // guards the fields below, and those of the connections and calls
 	idleConns    []*httpConn
-	openConns    int // connections
-	dialingConns int
-	queue        []*pendingCall // not sent yet
+	openConns    int            // number of open connections
+	dialingConns int            // number of connections being opened
+	queue        []*pendingCall // calls not sent yet, oldest first
 }
 
-// pendingCall is a request whose outcome has not been told yet.
+// pendingCall is a request whose result has not been reported yet.
 type pendingCall struct {
 	method, path string
 	body         []byte
 	onResult     func(HTTPResult)
 	deadline     time.Time
 	timer        *time.Timer // calls expire
-	conn         *httpConn   // that it was sent on; nil: it is in the queue
-	finished     bool
+	conn         *httpConn   // the connection it was sent on; nil: not sent
+	finished     bool        // the result was passed to onResult, or is about to be
 }
 
 // httpConn is one connection of a client. It carries one request at a time.
 type httpConn struct {
 	client      *HTTPClient
 	conn        gnet.Conn
-	currentCall *pendingCall // nil: it is idle
-	closed      bool         // it takes no further request
+	currentCall *pendingCall // nil: the connection is idle
+	closed      bool         // no further request is sent on it
 }
 
-// NewHTTPClient prepares a client for one address. It opens no more than maxConns
-// connections, each when it is needed, and holds no more than maxQueuedCalls requests that wait
-// for one.
-func NewHTTPClient(l *Loop, addr string, maxConns, maxQueue int) *HTTPClient {
-	return &HTTPClient{loop: l, addr: addr, maxConns: maxConns, maxQueuedCalls: maxQueue}
+// NewHTTPClient returns a client for one address. It opens at most maxConns connections,
+// each when it is needed, and queues at most maxQueuedCalls requests that wait for one.
+func NewHTTPClient(l *Loop, addr string, maxConns, maxQueuedCalls int) *HTTPClient {
+	return &HTTPClient{loop: l, addr: addr, maxConns: maxConns, maxQueuedCalls: maxQueuedCalls}
 }
 
-// Do sends one request. done is called exactly once, on another goroutine and within the
-// timeout, and must not block for long.
-func (h *HTTPClient) Do(method, path string, body []byte, timeout time.Duration, done func(HTTPResult)) {
-	call := &pendingCall{method: method, path: path, body: body, onResult: done, deadline: time.Now().Add(timeout)}
+// Do sends one request. onResult is called exactly once, on another goroutine and within
+// the timeout, and must not block for long.
+func (h *HTTPClient) Do(method, path string, body []byte, timeout time.Duration, onResult func(HTTPResult)) {
+	call := &pendingCall{method: method, path: path, body: body, onResult: onResult, deadline: time.Now().Add(timeout)}
 	h.mu.Lock()
 	if len(h.queue) >= h.maxQueuedCalls {
 		h.mu.Unlock()
-		// Ends with done, which nobody waits for.
-		go done(HTTPResult{Err: fmt.Errorf("queue of %d requests is full: %w", h.maxQueuedCalls, ErrNotSent)})
+		// The goroutine ends with onResult and is not waited for.
+		go onResult(HTTPResult{Err: fmt.Errorf("queue of %d requests is full: %w", h.maxQueuedCalls, ErrNotSent)})
 		return
 	}
 	call.timer = time.AfterFunc(timeout, func() { h.expire(call) })
@@ -87,8 +87,8 @@
 	h.mu.Unlock()
 }
 
-// dispatch hands queued calls to idle connections and dials for the rest. The lock is
-// held.
+// dispatch sends queued calls on idle connections and opens connections for the rest. The
+// caller holds the lock.
 func (h *HTTPClient) dispatch() {
 	h.failExpired()
 	for len(h.queue) > 0 && len(h.idleConns) > 0 {
@@ -104,32 +104,33 @@
 	}
 	for h.dialingConns < len(h.queue) && h.openConns+h.dialingConns < h.maxConns {
 		h.dialingConns++
-		// Ends within the dial timeout; its connection, or its failure, goes to the queue's
-		// calls. Nobody waits for it.
+		// The goroutine ends within dialTimeout and is not waited for. Its connection, or
+		// its failure, is passed to the queued calls.
 		go h.connect()
 	}
 }
 
-// failExpired drops calls whose time is up: after a standstill of the process their timers
-// may be later than the connection that they have waited for. The lock is held.
+// failExpired removes calls after their deadline from the queue and fails them with
+// ErrNotSent: after a pause of the process the connection that they wait for may become
+// available before their timers fire. The caller holds the lock.
 func (h *HTTPClient) failExpired() {
 	now := time.Now()
 	if len(h.queue) == 0 || !now.After(h.queue[0].deadline) {
 		return
 	}
-	kept := h.queue[:0]
+	remaining := h.queue[:0]
 	for _, call := range h.queue {
 		if now.After(call.deadline) {
 			go h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", ErrNotSent)})
 		} else {
-			kept = append(kept, call)
+			remaining = append(remaining, call)
 		}
 	}
-	clear(h.queue[len(kept):])
-	h.queue = kept
+	clear(h.queue[len(remaining):])
+	h.queue = remaining
 }
 
-// send writes a call's request to an idle connection. The lock is held.
+// send writes a call's request to an idle connection. The caller holds the lock.
 func (h *HTTPClient) send(call *pendingCall, conn *httpConn) {
 	conn.currentCall, call.conn = call, conn
 	out := appendRequest(make([]byte, 0, requestHeadBytes+len(call.body)), call.method, call.path, h.addr, call.body)
@@ -140,8 +141,8 @@
 	}
 }
 
-// connect opens a connection. If that fails, and there is none besides, the calls that
-// wait for one fail too.
+// connect opens a connection. If that fails and no other connection is open or being
+// opened, it fails all queued calls with ErrNotSent.
 func (h *HTTPClient) connect() {
 	conn := &httpConn{client: h}
 	c, err := h.loop.dial(h.addr, conn)
@@ -166,7 +167,7 @@
 	h.dispatch()
 }
 
-// finish tells a call's outcome, unless it was told already.
+// finish passes a call's result to onResult, unless that was done already.
 func (h *HTTPClient) finish(call *pendingCall, result HTTPResult) {
 	h.mu.Lock()
 	if call.finished {
@@ -179,8 +180,8 @@
 	call.onResult(result)
 }
 
-// expire ends a call at its deadline. A connection that it was sent on is closed, since
-// the answer may still come.
+// expire fails a call at its deadline. If it was sent on a connection, the connection is
+// closed, since the response may still arrive.
 func (h *HTTPClient) expire(call *pendingCall) {
 	h.mu.Lock()
 	cause := ErrNoAnswer
@@ -193,7 +194,7 @@
 	case conn != nil && !call.finished && conn.currentCall == call && !conn.closed:
 		conn.closed = true
 		h.openConns--
-		// An error means that it is closed already.
+		// An error means that it is already closed.
 		_ = conn.conn.Close()
 	}
 	h.dispatch()
@@ -201,7 +202,7 @@
 	h.finish(call, HTTPResult{Err: fmt.Errorf("timed out: %w", cause)})
 }
 
-// onTraffic takes a response, if all of it has arrived.
+// onTraffic implements connection. It reads a response, if it has arrived completely.
 func (hc *httpConn) onTraffic(c gnet.Conn) gnet.Action {
 	buf, err := c.Peek(-1)
 	if err != nil || len(buf) == 0 {
@@ -238,8 +239,9 @@
 	return gnet.None
 }
 
-// detachCurrentCall frees the connection from the call whose response has arrived. An answer
-// that nobody asked for ends the connection.
+// detachCurrentCall removes the call whose response has arrived from the connection, and
+// returns it. closing reports whether the connection must be closed: it must be after a
+// response without a request, and if lastResponse is set.
 func (hc *httpConn) detachCurrentCall(lastResponse bool) (call *pendingCall, closing bool) {
 	h := hc.client
 	h.mu.Lock()
@@ -258,7 +260,7 @@
 	return call, closing
 }
 
-// onClose fails the call that the connection carried.
+// onClose implements connection. It fails the connection's current call with ErrNoAnswer.
 func (hc *httpConn) onClose(gnet.Conn) {
 	h := hc.client
 	h.mu.Lock()
--- a/internal/transport/http_parser.go
+++ b/internal/transport/http_parser.go
@@ -12,12 +12,12 @@
 	maxHeadBytes         = 8 << 10
 	maxBodyBytes         = 64 << 10 // of a request
 	maxResponseBytes     = 4 << 20
-	maxDiscardBytes      = 4 << 20 // of a body above the limit that is read and thrown away
+	maxDiscardBytes      = 4 << 20 // of a request with a too long body, which is discarded
 	maxChunkHeadBytes    = 1 << 10
-	maxLeadingBreakBytes = 4 // bytes of line breaks before a message
+	maxLeadingBreakBytes = 4 // of line breaks before a message, which are skipped
 )
 
-// messageKind is the direction of an HTTP message.
+// messageKind distinguishes HTTP requests from responses.
 type messageKind bool
 
 const (
@@ -25,7 +25,7 @@
 	responseMessage messageKind = true
 )
 
-// Why a message can't be taken (yet).
+// Reasons why a message can't be parsed, or not yet.
 var (
 	errIncomplete = errors.New("message is incomplete")
 	errMalformed  = errors.New("malformed HTTP")
@@ -37,18 +37,18 @@
 
 // message is a parsed request or response.
 type message struct {
-	startLine      [3]string // its words
+	startLine      [3]string // method, path, version; or version, status, reason phrase
 	body           []byte
-	close          bool   // the connection ends after it
-	retryAfter     string // the header as it is
-	size           int    // bytes that it takes; known also of a body above the limit
-	expectContinue bool   // its sender waits for a "100 Continue"
+	close          bool   // the connection is closed after this message
+	retryAfter     string // value of the Retry-After header
+	size           int    // length in bytes; set also if only the body is above the limit
+	expectContinue bool   // the sender waits for "100 Continue" before it sends the body
 }
 
-// parseMessage reads one HTTP/1.1 message (RFC 9112) from the start of buf. Bodies are
-// framed by Content-Length or in chunks. It returns errIncomplete until the whole message
-// has arrived; the message then still tells whether the peer waits for a "100 Continue".
-// The body is a copy.
+// parseMessage parses one HTTP/1.1 message (RFC 9112) from the start of buf. Bodies are
+// delimited by Content-Length or chunked. It returns errIncomplete until the whole message
+// has arrived; expectContinue is then valid if the head has arrived. With errTooLarge, size
+// is set if the length of the message is known. The body is a copy.
 func parseMessage(buf []byte, kind messageKind, bodyLimit int) (message, error) {
 	var m message
 	head, size, err := cutHead(buf)
@@ -80,8 +80,8 @@
 	return m, nil
 }
 
-// cutHead returns a message's head, and the bytes that it takes with the line breaks
-// before it and after it.
+// cutHead returns a message's head (start line and headers), and its size in bytes
+// including the line breaks before and after it.
 func cutHead(buf []byte) (head string, size int, err error) {
 	start := 0
 	for start < len(buf) && start < maxLeadingBreakBytes && (buf[start] == '\r' || buf[start] == '\n') {
@@ -97,7 +97,8 @@
 	return string(buf[start : start+end]), start + end + len(lineBreak+lineBreak), nil
 }
 
-// readHead reads the first line and the headers, and tells how the body is sent.
+// readHead parses the start line and the headers, and returns how the body is delimited:
+// its length, or chunked.
 func (m *message) readHead(head string, kind messageKind) (length int, chunked bool, err error) {
 	lines := strings.Split(head, lineBreak)
 	if err := m.readStartLine(lines[0], kind); err != nil {
@@ -139,10 +140,10 @@
 	return length, chunked, nil
 }
 
-// readStartLine reads a request line, or the status line of a response.
+// readStartLine parses the request line of a request or the status line of a response.
 func (m *message) readStartLine(line string, kind messageKind) error {
 	words := strings.SplitN(line, " ", len(m.startLine))
-	// The reason phrase of a response may lack.
+	// The reason phrase of a response may be missing.
 	if len(words) < 2 || (len(words) == 2 && kind == requestMessage) {
 		return errMalformed
 	}
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// readConnection reads a Connection header.
+// readConnection parses the value of a Connection header.
 func (m *message) readConnection(value string) {
 	for _, option := range strings.Split(value, ",") {
 		switch strings.ToLower(strings.TrimSpace(option)) {
@@ -176,7 +177,7 @@
 	}
 }
 
-// readChunks decodes a chunked body and returns it with the bytes it took.
+// readChunks decodes a chunked body and returns it with its encoded size in bytes.
 func readChunks(b []byte, limit int) (body []byte, size int, err error) {
 	at := 0
 	for {
@@ -208,7 +209,7 @@
 	return body, at + trailers, nil
 }
 
-// readChunkHead reads the line with a chunk's length.
+// readChunkHead parses the line with a chunk's length. size is that of the line, in bytes.
 func readChunkHead(b []byte) (length, size int, err error) {
 	end := bytes.Index(b, []byte(lineBreak))
 	if end < 0 {
@@ -225,8 +226,8 @@
 	return int(n), end + len(lineBreak), nil
 }
 
-// readTrailers passes over a chunked body's trailers, up to the empty line, and returns
-// the bytes they took.
+// readTrailers skips the trailers of a chunked body, up to and including the empty line,
+// and returns their size in bytes.
 func readTrailers(b []byte) (size int, err error) {
 	for {
 		end := bytes.Index(b[size:], []byte(lineBreak))
@@ -243,7 +244,8 @@
 	}
 }
 
-// isToken tells whether s is a token of RFC 9110, 5.6.2, as methods and header names are.
+// isToken reports whether s is a token (RFC 9110, section 5.6.2), as methods and header
+// names must be.
 func isToken(s string) bool {
 	if s == "" {
 		return false
--- a/internal/transport/http_writer.go
+++ b/internal/transport/http_writer.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// responseHeadBytes and requestHeadBytes are what a head takes at the most, to write a
-	// message into one allocation.
+	// responseHeadBytes and requestHeadBytes are the maximum lengths of a message's head
+	// (start line and headers). They are reserved so that a message needs one allocation.
 	responseHeadBytes = 192
 	requestHeadBytes  = 160
 )
 
-// reasonPhrase is the text beside a status code. Clients of this server read the code.
+// reasonPhrase returns the text that follows the status code in a status line. It is
+// "Status" for codes that this server does not use; clients evaluate only the code.
 func reasonPhrase(status int) string {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed,
@@ -22,7 +23,7 @@
 	return "Status"
 }
 
-// appendResponse appends a response as it is sent.
+// appendResponse appends a response in HTTP/1.1 wire format.
 func appendResponse(b []byte, r *Response) []byte {
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.Status, reasonPhrase(r.Status), len(r.Body))
 	if len(r.Body) > 0 {
@@ -38,7 +39,7 @@
 	return append(b, r.Body...)
 }
 
-// appendRequest appends a request as it is sent.
+// appendRequest appends a request in HTTP/1.1 wire format.
 func appendRequest(b []byte, method, path, host string, body []byte) []byte {
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, path, host)
 	if len(body) > 0 || method == http.MethodPost {
--- a/internal/transport/logger.go
+++ b/internal/transport/logger.go
@@ -1,7 +1,7 @@
 package transport
 
-// discardLogger takes the place of gnet's logger: what matters comes back as errors,
-// and the process logs sparingly in one format.
+// discardLogger replaces gnet's logger. Relevant failures are returned as errors, and
+// the process writes few log lines, all in one format.
 type discardLogger struct{}
 
 // Debugf implements logging.Logger of gnet.
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -15,32 +15,32 @@
 const (
 	dialTimeout  = 1500 * time.Millisecond
 	tickInterval = 500 * time.Millisecond
-	// sameBatchWindow is how soon after one another the parts of what one wake-up brought are
-	// taken.
+	// sameBatchWindow is the time after a read, or after a connection was accepted, within
+	// which the next read is assumed to belong to the same wake-up of the loop.
 	sameBatchWindow = time.Millisecond
 	readBufferBytes = 32 << 10
 )
 
-// connection is what the loop drives: an HTTP connection of either side, or one of the
-// mesh. The loop's goroutine makes all calls.
+// connection handles the events of one network connection: of the HTTP server, of an HTTP
+// client, or of the mesh. All calls come from the loop's goroutine.
 type connection interface {
 	onTraffic(c gnet.Conn) gnet.Action
 	onClose(c gnet.Conn)
 }
 
-// service takes the connections that come in on an address.
+// service handles the connections that are accepted on an address.
 type service interface {
 	address() string
-	// accept returns the connection's handler, or nil to refuse it.
+	// accept returns the handler of a connection, or nil to close it.
 	accept(c gnet.Conn) connection
-	// tick is called twice a second or so.
+	// tick is called about twice a second (see tickInterval).
 	tick(now time.Time)
 }
 
-// Loop is the one event loop of a process. It drives all connections, so that what
-// arrives at about the same time is taken by one wake-up: on a machine with a small share
-// of a core that is what costs, not the requests. For the same reason it takes what has
-// arrived at most once in every interval; while little arrives nothing waits.
+// Loop is the single event loop of a process. It drives all connections, so that data that
+// arrives at about the same time is read in one wake-up (a batch): for a process with a small
+// share of a core the wake-ups are the main cost, not the requests. For the same reason it
+// starts at most one batch per batchInterval. While little arrives, nothing is delayed.
 type Loop struct {
 	gnet.BuiltinEventEngine
 	batchInterval time.Duration
@@ -49,23 +49,23 @@
 	ready         chan struct{} // closed once connections can be registered
 	readyOnce     sync.Once
 
-	registerMu sync.Mutex // of eventLoop, and of registering a connection
+	registerMu sync.Mutex // guards eventLoop, and serializes the registration of connections
 	eventLoop  gnet.EventLoop
 
-	// Known to the loop's goroutine alone.
-	lastBatchStart time.Time // when it last began to take what had arrived
-	lastTraffic    time.Time // when it last took something
-	lastAccept     time.Time // when a connection last came in
-	underLoad      bool      // it had little rest before the last turn
+	// Accessed only by the loop's goroutine.
+	lastBatchStart time.Time // start of the last batch
+	lastTraffic    time.Time // end of the last read from a connection
+	lastAccept     time.Time // time at which a connection was last accepted
+	underLoad      bool      // the last batch began less than two batchIntervals after the one before
 }
 
-// NewLoop prepares a loop that takes what arrives at most once in an interval.
+// NewLoop returns a loop that starts at most one batch of reads per interval.
 func NewLoop(interval time.Duration) *Loop {
 	return &Loop{batchInterval: interval, ready: make(chan struct{})}
 }
 
-// Run serves the services until Stop, and returns after all connections have closed. It
-// returns at once, with an error, if an address can't be served.
+// Run accepts connections for the services until Stop, and returns after all connections
+// have closed. It returns an error immediately if it can't listen on an address.
 func (l *Loop) Run(services ...service) error {
 	l.services = services
 	var addrs []string
@@ -75,7 +75,7 @@
 		}
 		addrs = append(addrs, "tcp://"+s.address())
 	}
-	// With reused ports a single loop accepts connections and drives them.
+	// With SO_REUSEPORT one event loop both accepts and drives the connections.
 	err := gnet.Rotate(l, addrs, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
 		gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReadBufferCap(readBufferBytes), gnet.WithLogger(discardLogger{}))
 	if err != nil {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// checkAddressFree tells whether nobody serves an address yet: a reused port would be
-// shared with another process without a word.
+// checkAddressFree returns an error if another process listens on an address: with
+// SO_REUSEPORT the two would share the port without an error.
 func (l *Loop) checkAddressFree(addr string) error {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Stop ends the loop and its connections, and waits for that as long as timeout, from the
-// moment that the loop is ready. It must not be called if Run has failed.
+// Stop waits until the loop is ready, then stops it, closes its connections and waits for
+// that at most for timeout. It must not be called if Run has failed.
 func (l *Loop) Stop(timeout time.Duration) error {
 	<-l.ready
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -109,16 +109,17 @@
 	return nil
 }
 
-// dial opens a connection and hands it to the loop, which then owns it. The standard
-// library's dialer is used because gnet's own can't be given up in time.
-func (l *Loop) dial(addr string, driven connection) (gnet.Conn, error) {
+// dial opens a connection and registers it with the loop, which then owns it and calls
+// handler. The standard library's dialer is used because a dial with gnet's can't be
+// ended in time.
+func (l *Loop) dial(addr string, handler connection) (gnet.Conn, error) {
 	<-l.ready
 	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("dialing: %w", err)
 	}
 	l.registerMu.Lock()
-	registered, err := l.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), driven), conn))
+	registered, err := l.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), handler), conn))
 	l.registerMu.Unlock()
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("registering connection to %s: %w", addr, err), conn.Close())
@@ -161,7 +162,8 @@
 	return nil, gnet.Close
 }
 
-// listensOn tells whether a connection to an address came in on a listener.
+// listensOn reports whether a connection to a local address was accepted by the listener
+// on the address listener (host:port).
 func listensOn(listener string, to net.Addr) bool {
 	own, err := net.ResolveTCPAddr("tcp4", listener)
 	addr, ok := to.(*net.TCPAddr)
@@ -170,19 +172,20 @@
 
 // OnTraffic implements gnet.EventHandler.
 func (l *Loop) OnTraffic(c gnet.Conn) gnet.Action {
-	driven, ok := c.Context().(connection)
+	handler, ok := c.Context().(connection)
 	if !ok {
 		return gnet.Close
 	}
 	l.coalesce()
-	action := driven.onTraffic(c)
+	action := handler.onTraffic(c)
 	l.lastTraffic = time.Now()
 	return action
 }
 
-// coalesce lets more arrive before the loop takes what has. While connections come in it
-// does not: gnet accepts one at each wake-up, so that thousands of workers that came back
-// at once were let in at fourteen a second.
+// coalesce delays the start of a batch, so that more data arrives before the loop reads.
+// It does not delay while connections are being accepted: gnet accepts one connection per
+// wake-up, so that thousands of machines that reconnect at the same time would be accepted
+// at only 14 a second.
 func (l *Loop) coalesce() {
 	now := time.Now()
 	if now.Sub(l.lastTraffic) < sameBatchWindow || now.Sub(l.lastAccept) < sameBatchWindow {
@@ -192,9 +195,10 @@
 	l.lastBatchStart = l.sleepUntilNextBatch(now)
 }
 
-// sleepUntilNextBatch sleeps until the next turn and returns when it is. The thread itself
-// sleeps, which costs one wake-up; a sleeping goroutine would cost the runtime's threads
-// several. That a signal may end it early does no harm.
+// sleepUntilNextBatch sleeps until batchInterval has passed since the last batch began, and
+// returns the time after it. It blocks the operating system thread, which costs one wake-up;
+// a sleeping goroutine would cost several wake-ups of the runtime's threads. If a signal
+// ends the sleep early, the batch only starts early.
 func (l *Loop) sleepUntilNextBatch(now time.Time) time.Time {
 	left := l.batchInterval - now.Sub(l.lastBatchStart)
 	if left <= 0 {
@@ -205,19 +209,21 @@
 	return time.Now()
 }
 
-// NotifyBatchHandled is called when all that the loop took has been dealt with. Under load the loop
-// then sleeps until its next turn, instead of being woken up only to do so. It returns at
-// once.
+// NotifyBatchHandled is called when everything that the loop has read was handled. Under
+// load the loop then sleeps until its next batch, instead of being woken up by new data only
+// to start that sleep. It returns immediately.
 func (l *Loop) NotifyBatchHandled() { l.execute(l.sleepIfUnderLoad) }
 
-// sleepIfUnderLoad runs on the loop's goroutine. It does not sleep while connections come in.
+// sleepIfUnderLoad runs on the loop's goroutine. It does not sleep if connections were
+// accepted since the last batch began.
 func (l *Loop) sleepIfUnderLoad() {
 	if l.underLoad && !l.lastAccept.After(l.lastBatchStart) {
 		l.sleepUntilNextBatch(time.Now())
 	}
 }
 
-// execute has the loop's goroutine call fn, once it has a connection.
+// execute schedules fn on the loop's goroutine. It does nothing if the loop has never had a
+// connection.
 func (l *Loop) execute(fn func()) {
 	l.registerMu.Lock()
 	eventLoop := l.eventLoop
@@ -225,7 +231,7 @@
 	if eventLoop == nil {
 		return
 	}
-	// An error means that the loop has ended.
+	// An error means that the loop has stopped.
 	_ = eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		fn()
 		return nil
@@ -234,14 +240,14 @@
 
 // OnClose implements gnet.EventHandler.
 func (l *Loop) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if driven, ok := c.Context().(connection); ok {
-		driven.onClose(c)
+	if handler, ok := c.Context().(connection); ok {
+		handler.onClose(c)
 	}
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. Before the first tick there may be no
-// loop yet that could take a connection.
+// OnTick implements gnet.EventHandler. The first tick closes ready: before it gnet's event
+// loop may not yet exist, so that no connection could be registered.
 func (l *Loop) OnTick() (time.Duration, gnet.Action) {
 	l.readyOnce.Do(func() { close(l.ready) })
 	now := time.Now()
--- a/internal/transport/loopback_test.go
+++ b/internal/transport/loopback_test.go
@@ -13,9 +13,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-const testTimeout = 20 * time.Second // for what takes milliseconds, on a busy machine
+const testTimeout = 20 * time.Second // for events that take milliseconds, on a busy machine
 
-// closeOrFail closes what a test has opened.
+// closeOrFail closes c and fails the test if that fails.
 func closeOrFail(t *testing.T, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
@@ -23,7 +23,7 @@
 	}
 }
 
-// freeAddr finds an address on the loopback that nothing listens on.
+// freeAddr returns an address of the loopback interface on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	return l.Addr().String()
 }
 
-// runLoop runs a loop for the services until the test ends.
+// runLoop runs a loop with the services until the test ends, and returns when it is ready.
 func runLoop(t *testing.T, l *Loop, services ...service) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -47,7 +47,7 @@
 	<-l.ready
 }
 
-// startServer serves h and returns the loop that does, and the address.
+// startServer starts a server with the handler h, and returns its loop and address.
 func startServer(t *testing.T, h Handler, maxHeld int64) (*Loop, string) {
 	t.Helper()
 	addr, l := freeAddr(t), NewLoop(0)
@@ -67,7 +67,7 @@
 	for range 20 {
 		r := <-results
 		if r.Err != nil || r.Status != 200 || !strings.HasPrefix(string(r.Body), "POST /x?y=1 bbb") || len(r.Body) != 50_012 {
-			t.Fatalf("got %d, %d bytes, %v", r.Status, len(r.Body), r.Err)
+			t.Fatalf("got status %d, %d bytes, error %v; want 200, the 50012 bytes of this request", r.Status, len(r.Body), r.Err)
 		}
 	}
 }
@@ -77,28 +77,28 @@
 	got := make(chan HTTPResult, 1)
 	NewHTTPClient(d, freeAddr(t), 2, 10).Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) {
-		t.Fatalf("nothing listens: got %v", r.Err)
+		t.Fatalf("nothing listens on the address: got %v, want ErrNotSent", r.Err)
 	}
 	NewHTTPClient(d, addr, 2, 10).Do("GET", "/", nil, 50*time.Millisecond, func(r HTTPResult) { got <- r })
 	if r := <-got; !errors.Is(r.Err, ErrNoAnswer) {
-		t.Fatalf("no answer: got %v", r.Err)
+		t.Fatalf("the server does not answer: got %v, want ErrNoAnswer", r.Err)
 	}
 }
 
-// A request that finds the queue full has not been sent, and is told so.
+// A request for which the queue has no room fails with ErrNotSent.
 func TestRequestBeyondFullQueueIsNotSent(t *testing.T) {
 	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200}) }, 1<<20)
 	got := make(chan HTTPResult, 1)
 	NewHTTPClient(l, addr, 1, 0).Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) || errors.Is(r.Err, ErrNoAnswer) {
-		t.Fatalf("got %d, %v, want %v", r.Status, r.Err, ErrNotSent)
+		t.Fatalf("got status %d, error %v, want %v", r.Status, r.Err, ErrNotSent)
 	}
 }
 
 func TestServerRejectsMalformedTooLargeAndExcessRequests(t *testing.T) {
-	hold := make(chan func(Response), 1)
-	_, addr := startServer(t, func(_ *Request, reply func(Response)) { hold <- reply }, requestOverheadBytes)
-	talk := func(text string) string {
+	replies := make(chan func(Response), 1)
+	_, addr := startServer(t, func(_ *Request, reply func(Response)) { replies <- reply }, requestOverheadBytes)
+	sendRaw := func(text string) string {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -118,19 +118,19 @@
 		line, _, _ := strings.Cut(string(buf[:n]), "\r\n")
 		return line
 	}
-	if got := talk("nonsense\r\n\r\n"); got != "HTTP/1.1 400 Bad Request" {
+	if got := sendRaw("nonsense\r\n\r\n"); got != "HTTP/1.1 400 Bad Request" {
 		t.Fatal(got)
 	}
-	if got := talk("POST / HTTP/1.1\r\nContent-Length: 3000000\r\n\r\n" + strings.Repeat("x", 3_000_000)); got != "HTTP/1.1 400 Bad Request" {
+	if got := sendRaw("POST / HTTP/1.1\r\nContent-Length: 3000000\r\n\r\n" + strings.Repeat("x", 3_000_000)); got != "HTTP/1.1 400 Bad Request" {
 		t.Fatal(got)
 	}
-	if got := talk("POST / HTTP/1.1\r\nContent-Length: 70000\r\nExpect: 100-continue\r\n\r\n"); got != "HTTP/1.1 400 Bad Request" {
+	if got := sendRaw("POST / HTTP/1.1\r\nContent-Length: 70000\r\nExpect: 100-continue\r\n\r\n"); got != "HTTP/1.1 400 Bad Request" {
 		t.Fatal(got)
 	}
 	first := make(chan string, 1)
-	go func() { first <- talk("GET / HTTP/1.1\r\nConnection: close\r\n\r\n") }()
-	reply := <-hold
-	if got := talk("GET / HTTP/1.1\r\n\r\n"); got != "HTTP/1.1 503 Service Unavailable" {
+	go func() { first <- sendRaw("GET / HTTP/1.1\r\nConnection: close\r\n\r\n") }()
+	reply := <-replies
+	if got := sendRaw("GET / HTTP/1.1\r\n\r\n"); got != "HTTP/1.1 503 Service Unavailable" {
 		t.Fatal(got)
 	}
 	reply(Response{Status: 200})
@@ -139,7 +139,7 @@
 	}
 }
 
-// A request that does not become complete must not hold its connection.
+// The server closes the connection of a request that is not complete within ReadTimeout.
 func TestServerClosesSlowRequests(t *testing.T) {
 	addr := freeAddr(t)
 	l := NewLoop(0)
@@ -156,12 +156,12 @@
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("read %d bytes, %v", n, err)
+		t.Fatalf("read %d bytes, error %v, want a closed connection", n, err)
 	}
 }
 
-// An answer that a standstill of the process has made late must not be sent: by
-// then others may have acted. Nor must a request.
+// After a pause of the process, a response must not be sent after its ValidUntil, since
+// other controllers may have acted in the meantime, nor a request after its deadline.
 func TestExpiredResponsesAndRequestsAreNotSent(t *testing.T) {
 	until := make(chan time.Time, 3)
 	l, addr := startServer(t, func(_ *Request, reply func(Response)) { reply(Response{Status: 200, ValidUntil: <-until}) }, 1<<20)
@@ -174,7 +174,7 @@
 		until <- test.until
 		c.Do("GET", "/", nil, testTimeout, func(r HTTPResult) { got <- r })
 		if r := <-got; r.Status != test.want || r.Err != nil {
-			t.Fatalf("until %v: got %d, %v", test.until, r.Status, r.Err)
+			t.Fatalf("valid until %v: got status %d, error %v, want no error and status 503 only after that time", test.until, r.Status, r.Err)
 		}
 	}
 	late := &pendingCall{method: "GET", path: "/", deadline: time.Now().Add(-time.Millisecond), timer: time.NewTimer(time.Hour), onResult: func(r HTTPResult) { got <- r }}
@@ -183,7 +183,7 @@
 	c.dispatch()
 	c.mu.Unlock()
 	if r := <-got; !errors.Is(r.Err, ErrNotSent) {
-		t.Fatalf("a late request: got %d, %v", r.Status, r.Err)
+		t.Fatalf("a request after its deadline: got status %d, error %v, want ErrNotSent", r.Status, r.Err)
 	}
 }
 
@@ -235,12 +235,12 @@
 	la.Flush()
 	for i := range 500 {
 		if f := <-b.frames; f.GetJobQuery().GetId() != uint64(i) {
-			t.Fatalf("frame %d came as number %d", f.GetJobQuery().GetId(), i)
+			t.Fatalf("got frame %d, want %d", f.GetJobQuery().GetId(), i)
 		}
 	}
 	lb.Close()
 	if <-a.down != la || <-b.down != lb {
-		t.Fatal("another link went down")
+		t.Fatal("a link other than the closed one went down")
 	}
 	la2, lb2 := <-a.up, <-b.up
 	lb2.Send(&meshpb.Frame{Body: &meshpb.Frame_MachineTerminated{MachineTerminated: &meshpb.MachineTerminated{Name: "m"}}})
@@ -250,10 +250,10 @@
 	}
 }
 
-// Connections that come in all at once are let in at once, each with its request,
-// although the loop rests whenever all that it took has been dealt with.
+// Connections that are opened at the same time, each with a request, are accepted without
+// waiting for a batch interval each, although the loop sleeps whenever a batch was handled.
 func TestSimultaneousConnectionsAreAcceptedPromptly(t *testing.T) {
-	const clients, within = 800, 8 * time.Second // at one in each turn it took 17 s
+	const clients, within = 800, 8 * time.Second // with one accepted per batch interval it took 17 s
 	addr, l := freeAddr(t), NewLoop(70*time.Millisecond)
 	runLoop(t, l, NewServer(ServerConfig{Addr: addr, MaxConns: 2 * clients, MaxPendingRequestBytes: 1 << 20, IdleTimeout: time.Minute, ReadTimeout: time.Minute}, l,
 		func(_ *Request, reply func(Response)) {
@@ -273,11 +273,11 @@
 		}
 	}
 	if took := time.Since(began); took > within {
-		t.Errorf("%d connections were served in %s", clients, took)
+		t.Errorf("%d connections were served in %s, which is too long", clients, took)
 	}
 }
 
-// sendRequest opens a connection and waits for the answer to one request.
+// sendRequest opens a connection, sends one request and waits for the response.
 func sendRequest(addr string) (err error) {
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -12,71 +12,73 @@
 )
 
 const (
-	// redialInterval is the least time between two attempts to connect to a member.
+	// redialInterval is the minimum time between two attempts to connect to a peer.
 	redialInterval = 400 * time.Millisecond
-	// Connections that may be open at once, for links that replace others and for those
-	// that have not said yet whose they are.
+	// maxConnsPerPeer and spareConns limit the open connections: maxConnsPerPeer for each
+	// peer, since a new link may open before the one it replaces has closed, plus
+	// spareConns in total, for connections whose hello has not arrived yet.
 	maxConnsPerPeer = 4
 	spareConns      = 16
 )
 
-// MeshEvents takes what happens on the mesh. Calls come from the event loop and must not
-// block for long. Of each link MeshUp comes first, and MeshDown last.
+// MeshEvents receives the events of the mesh. Its methods are called by the event loop and
+// must not block for long. For each link MeshUp is the first call and MeshDown the last.
 type MeshEvents interface {
 	MeshUp(l *MeshLink, member string)
 	MeshFrames(l *MeshLink, frames []*meshpb.Frame)
 	MeshDown(l *MeshLink)
 }
 
-// MeshPeer is another member with its address.
+// MeshPeer is the member name and address of a peer.
 type MeshPeer struct {
 	Member string
 	Addr   string // host:port
 }
 
-// MeshConfig describes this member's side.
+// MeshConfig holds the settings of one controller's mesh.
 type MeshConfig struct {
-	Self  string
-	Addr  string // host:port that other members dial
+	Self  string // this controller's member name
+	Addr  string // host:port on which peers connect
 	Peers []MeshPeer
-	// IdleTimeout is after how long without a byte from the other side a link is closed.
+	// IdleTimeout is the time without a byte from the peer after which a link is closed.
 	IdleTimeout time.Duration
-	// MaxBacklogBytes is how much may wait to be written on a link; one that can't keep up
-	// is closed.
+	// MaxBacklogBytes limits the unwritten bytes of a link; a link that exceeds it is
+	// closed.
 	MaxBacklogBytes int
 }
 
-// Mesh keeps one link to each other member. Of two members the one whose name sorts first
-// dials. The event loop that it is given to (Loop.Run) drives its links.
+// Mesh maintains one link to each peer. Of two members, the one whose name sorts first
+// dials. The event loop to whose Run method the mesh is passed drives its links.
 type Mesh struct {
 	cfg    MeshConfig
 	loop   *Loop
 	events MeshEvents
 
-	mu           sync.Mutex             // of all below
-	linkByMember map[string]*MeshLink   // the latest to each member, by its name
-	openLinks    map[*MeshLink]struct{} // all whose connections have not closed
+	mu           sync.Mutex             // guards the fields below
+	linkByMember map[string]*MeshLink   // the latest link to each peer, by member name
+	openLinks    map[*MeshLink]struct{} // links whose connections have not closed
 }
 
-// NewMesh prepares the mesh.
+// NewMesh returns a mesh, which listens once it is passed to Loop.Run and dials after Start.
 func NewMesh(cfg MeshConfig, l *Loop, events MeshEvents) *Mesh {
 	return &Mesh{cfg: cfg, loop: l, events: events, linkByMember: make(map[string]*MeshLink), openLinks: make(map[*MeshLink]struct{})}
 }
 
-// Start dials the members that are this one's to dial, and again after a link has closed,
-// until ctx ends. The event loop serves those that dial this one. Start returns at once.
+// Start begins to dial the peers whose names sort after this member's, and redials them
+// after their link has closed, until ctx is done. The event loop accepts connections from
+// the other peers. Start returns immediately.
 func (m *Mesh) Start(ctx context.Context) {
 	for _, peer := range m.cfg.Peers {
 		if m.cfg.Self < peer.Member {
-			// One goroutine a peer: it ends with ctx, after the attempt that it is in if
-			// any. Nobody waits for it, since it holds nothing but links, which end with
+			// One goroutine per peer. It ends when ctx is done, after an attempt in
+			// progress. It is not waited for, because it holds only links, which end with
 			// the event loop.
 			go m.keepDialing(ctx, peer)
 		}
 	}
 }
 
-// keepDialing dials a peer whenever there is no link to it.
+// keepDialing dials a peer whenever there is no link to it, until ctx is done.
 func (m *Mesh) keepDialing(ctx context.Context, peer MeshPeer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -93,7 +95,7 @@
 	}
 }
 
-// isLinked tells whether there is a link to a member, or one is being dialed.
+// isLinked reports whether a link to a member is open or being dialed.
 func (m *Mesh) isLinked(member string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +103,7 @@
 	return linked
 }
 
-// dial opens a link to a peer and sends the hello.
+// dial opens a link to a peer and sends the hello frame.
 func (m *Mesh) dial(peer MeshPeer) {
 	l := &MeshLink{mesh: m, member: peer.Member, lastReceived: time.Now()}
 	m.mu.Lock()
@@ -110,8 +112,8 @@
 	m.mu.Unlock()
 	conn, err := m.loop.dial(peer.Addr, l)
 	if err != nil {
-		// The next attempt follows after the pause; that the link is missing is what the
-		// controller sees.
+		// keepDialing retries after redialInterval. The error is not reported; the controller
+		// sees only that the link is missing.
 		m.removeLink(l)
 		return
 	}
@@ -122,12 +124,12 @@
 	l.Flush()
 }
 
-// hello is the first frame of a link.
+// helloFrame returns the first frame that is sent on a link, with this member's name.
 func (m *Mesh) helloFrame() *meshpb.Frame {
 	return &meshpb.Frame{Body: &meshpb.Frame_Hello{Hello: &meshpb.Hello{Member: m.cfg.Self}}}
 }
 
-// removeLink forgets a link whose connection has closed, or was never opened.
+// removeLink removes a link whose connection has closed or could not be opened.
 func (m *Mesh) removeLink(l *MeshLink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,7 +154,8 @@
 	return l
 }
 
-// tick closes links that have gone silent: a partition between zones shows no error.
+// tick closes links on which nothing was received for IdleTimeout, because a network
+// partition between zones causes no error on a connection.
 func (m *Mesh) tick(now time.Time) {
 	m.mu.Lock()
 	var stale []*MeshLink
@@ -169,7 +172,7 @@
 	}
 }
 
-// isPeer tells whether a member is one of the configured peers.
+// isPeer reports whether a member is one of the configured peers.
 func (m *Mesh) isPeer(member string) bool {
 	return slices.ContainsFunc(m.cfg.Peers, func(peer MeshPeer) bool { return peer.Member == member })
 }
--- a/internal/transport/mesh_link.go
+++ b/internal/transport/mesh_link.go
@@ -13,34 +13,35 @@
 
 const (
 	maxFrameBytes = 1 << 20
-	// frameHeaderBytes is the length that precedes each frame, big endian.
+	// frameHeaderBytes is the size of the header of each frame: the frame's length, a
+	// big-endian integer.
 	frameHeaderBytes = 4
 )
 
-// MeshLink is one connection to another member. Frames arrive in the order in which they
-// were sent, until the link is down; a new link is a new stream. Any number of goroutines
-// may use it.
+// MeshLink is one connection to a peer. Frames arrive in the order in which they were
+// sent, until the link is down; a new link is a new stream. It is safe for concurrent use.
 type MeshLink struct {
 	mesh   *Mesh
-	member string // empty: its hello has not come in yet
+	member string // the peer's; empty: its hello has not arrived yet
 
-	mu           sync.Mutex // of all below
-	conn         gnet.Conn  // nil: it is being dialed
-	up           bool       // its hello has come in
-	closed       bool
+	mu           sync.Mutex // guards the fields below
+	conn         gnet.Conn  // nil: the peer is being dialed
+	up           bool       // the peer's hello has arrived
+	closed       bool       // the link is down: replaced, or its connection has closed
 	lastReceived time.Time
-	outbound     []byte // framed, not yet written
+	outbound     []byte // queued frames with their headers, not written yet
 }
 
-// Send queues a frame until Flush. A link that can't take it is closed, so that no frame
-// is ever missing in the middle of a stream; that the link is down is told by MeshDown.
+// Send queues a frame until Flush. If the frame can't be queued, the link is closed, so that
+// no frame is ever missing in the middle of a stream. MeshDown reports that it is down.
 func (l *MeshLink) Send(f *meshpb.Frame) {
 	if !l.enqueue(f) {
 		l.Close()
 	}
 }
 
-// enqueue tells whether the link can go on: a link that is not open drops the frame.
+// enqueue appends a frame to outbound, or drops it if the link is not open. It returns false
+// if an open link can't queue the frame; the link must then be closed.
 func (l *MeshLink) enqueue(f *meshpb.Frame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +59,7 @@
 	return true
 }
 
-// Flush writes what has been queued in one go.
+// Flush writes all queued frames in one write.
 func (l *MeshLink) Flush() {
 	l.mu.Lock()
 	conn, out := l.conn, l.outbound
@@ -78,18 +79,19 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the link's connection, if it has one.
 func (l *MeshLink) Close() {
 	l.mu.Lock()
 	conn := l.conn
 	l.mu.Unlock()
 	if conn != nil {
-		// An error means that it is closed already.
+		// An error means that it is already closed.
 		_ = conn.Close()
 	}
 }
 
-// onTraffic takes the frames that have arrived in full, and tells of them in one event.
+// onTraffic implements connection. It reads the frames that have arrived completely, and
+// reports them in one call of MeshFrames.
 func (l *MeshLink) onTraffic(c gnet.Conn) gnet.Action {
 	l.mu.Lock()
 	l.lastReceived = time.Now()
@@ -117,12 +119,12 @@
 	return action
 }
 
-// readFrame takes one frame off a connection, or none while it is incomplete. What can't
-// be a frame is not ok.
+// readFrame reads one frame from a connection, or returns nil while it is incomplete. ok is
+// false if the bytes can't be a valid frame.
 func readFrame(c gnet.Conn) (f *meshpb.Frame, ok bool) {
 	head, err := c.Peek(frameHeaderBytes)
 	if err != nil {
-		return nil, true // fewer bytes than that so far
+		return nil, true // the header is incomplete
 	}
 	size := int(binary.BigEndian.Uint32(head))
 	if size > maxFrameBytes {
@@ -143,8 +145,8 @@
 	return f, true
 }
 
-// handleHello takes the first frame of a link, which must be the hello of a peer: of the
-// one that was dialed, or of one that dials.
+// handleHello handles the first frame of a link and reports whether it is valid: it must be
+// the hello of a configured peer and, on a link that this member dialed, of the dialed peer.
 func (l *MeshLink) handleHello(c gnet.Conn, f *meshpb.Frame) bool {
 	m := l.mesh
 	hello := f.GetHello()
@@ -179,8 +181,8 @@
 	return true
 }
 
-// retire ends a link that another replaces. It is reported as down before its connection
-// has closed, so that the streams never overlap.
+// retire closes a link that another replaces. It is reported as down before its connection
+// has closed, so that the streams of the two links don't overlap.
 func (l *MeshLink) retire() {
 	l.reportDown()
 	l.Close()
@@ -192,7 +194,7 @@
 	l.reportDown()
 }
 
-// reportDown reports the link as down, once, if it was up.
+// reportDown marks the link as closed. The first call reports it as down if it was up.
 func (l *MeshLink) reportDown() {
 	l.mu.Lock()
 	first := l.up && !l.closed
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,64 +9,65 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// overloadRetryAfterS is after how many seconds a request may be repeated that was not
-// answered for lack of memory, or in time.
+// overloadRetryAfterS is the Retry-After value, in seconds, of a request that was not
+// handled because too many were pending, or whose response was late.
 const overloadRetryAfterS = 1
 
-// Request is what a handler gets.
+// Request is an HTTP request as passed to a Handler.
 type Request struct {
 	Method string
 	Path   string
 	Body   []byte
-	ConnID uint64 // numbers the server's connections, from 1
+	ConnID uint64 // number of the connection it came on, counted from 1 per server
 }
 
-// Response is what a handler answers with.
+// Response is a Handler's answer to a request.
 type Response struct {
 	Status      int
-	Body        []byte // CBOR; empty: none
-	RetryAfterS int    // seconds, sent when above 0
-	Close       bool   // ends the connection
-	// ValidUntil is until when the response may be written; later the request is answered
-	// with 503. Zero: without limit.
+	Body        []byte // CBOR; empty: no body
+	RetryAfterS int    // Retry-After header in seconds, sent if above 0
+	Close       bool   // close the connection after the response
+	// ValidUntil is the latest time at which the response may be written; after it the
+	// request is answered with 503 instead. Zero: no limit.
 	ValidUntil time.Time
 }
 
-// Unavailable answers a request that was not carried out and may be repeated.
+// Unavailable returns the response (503) to a request that was not executed and may be
+// retried.
 func Unavailable() Response {
 	return Response{Status: http.StatusServiceUnavailable, RetryAfterS: overloadRetryAfterS}
 }
 
-// Handler takes one request and calls reply exactly once, from any goroutine. It runs on
-// the event loop and must not block.
+// Handler handles one request and calls reply exactly once, from any goroutine. It runs on
+// the event loop's goroutine and must not block.
 type Handler func(req *Request, reply func(Response))
 
-// ServerConfig bounds a server.
+// ServerConfig holds a server's address and limits.
 type ServerConfig struct {
 	Addr                   string // host:port
 	MaxConns               int
-	MaxPendingRequestBytes int64         // of requests that wait for their answers
-	IdleTimeout            time.Duration // of a connection without a request
-	ReadTimeout            time.Duration // of a request that does not become complete
+	MaxPendingRequestBytes int64         // total size of requests without an answer yet
+	IdleTimeout            time.Duration // after which a connection without a request is closed
+	ReadTimeout            time.Duration // after which an incomplete request is given up
 }
 
-// Server answers HTTP requests on one address. The event loop that it is given to
-// (Loop.Run) drives it.
+// Server answers HTTP requests on one address. The event loop to whose Run method it is
+// passed drives it.
 type Server struct {
 	cfg                 ServerConfig
 	loop                *Loop
 	handler             Handler
 	pendingRequestBytes atomic.Int64
 
-	mu            sync.Mutex // of conns and opened
+	mu            sync.Mutex // guards conns and acceptedConns
 	conns         map[gnet.Conn]*serverConn
-	acceptedConns uint64 // connections so far
+	acceptedConns uint64 // number of connections accepted so far
 
 	outboxMu sync.Mutex
-	outbox   []queuedResponse // that the loop is to write
+	outbox   []queuedResponse // responses for the event loop to write
 }
 
-// NewServer prepares a server.
+// NewServer returns a server, which listens once it is passed to Loop.Run.
 func NewServer(cfg ServerConfig, l *Loop, h Handler) *Server {
 	return &Server{cfg: cfg, loop: l, handler: h, conns: make(map[gnet.Conn]*serverConn)}
 }
@@ -87,7 +88,7 @@
 	return conn
 }
 
-// tick closes connections that sit idle or send a request too slowly.
+// tick closes connections that have been idle for too long or send a request too slowly.
 func (s *Server) tick(now time.Time) {
 	s.mu.Lock()
 	var stale []gnet.Conn
@@ -98,7 +99,7 @@
 	}
 	s.mu.Unlock()
 	for _, c := range stale {
-		// An error means that the connection is closed already.
+		// An error means that the connection is already closed.
 		_ = c.Close()
 	}
 }
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -9,26 +9,28 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// requestOverheadBytes is what a request is counted as besides its body.
+// requestOverheadBytes is added to the length of a request's body when its size is counted
+// against MaxPendingRequestBytes.
 const requestOverheadBytes = 1 << 10
 
-// serverConn is one connection of a server. It carries one request at a time.
+// serverConn is one connection of a server. It handles one request at a time.
 type serverConn struct {
 	server *Server
 	id     uint64
 
-	// Known to the event loop alone.
+	// Accessed only by the event loop's goroutine.
 	closed         bool
-	continueSent   bool // "100 Continue" was sent for the request that is arriving
-	bytesToDiscard int  // bytes of a request that is refused, still to come
+	continueSent   bool // "100 Continue" was sent for the incomplete request
+	bytesToDiscard int  // bytes of a rejected request that are still to be read
 
-	mu                  sync.Mutex // of all below
-	busy                bool       // a request is with the handler
+	mu                  sync.Mutex // guards the fields below
+	busy                bool       // the handler has not yet answered a request
 	lastActive          time.Time
-	partialRequestSince time.Time // when the request that is arriving began; zero: none is
+	partialRequestSince time.Time // arrival of the incomplete request's first part; zero: none
 }
 
-// isStale tells whether the connection sits idle or sends a request too slowly.
+// isStale reports whether the connection has been idle for too long or sends a request too
+// slowly.
 func (sc *serverConn) isStale(now time.Time) bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -39,14 +41,14 @@
 	return slow || now.Sub(sc.lastActive) > sc.server.cfg.IdleTimeout
 }
 
-// isBusy tells whether a request is with the handler.
+// isBusy reports whether the handler has not yet answered a request.
 func (sc *serverConn) isBusy() bool {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	return sc.busy
 }
 
-// recordPartialRequest notes that part of a request has arrived.
+// recordPartialRequest records that part of a request has arrived.
 func (sc *serverConn) recordPartialRequest() {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -55,7 +57,7 @@
 	}
 }
 
-// onClose implements connection. Responses that are queued are dropped.
+// onClose implements connection. Responses still queued are dropped.
 func (sc *serverConn) onClose(c gnet.Conn) {
 	sc.closed = true
 	sc.server.mu.Lock()
@@ -63,7 +65,8 @@
 	delete(sc.server.conns, c)
 }
 
-// onTraffic takes a request, if all of it has arrived and none is with the handler.
+// onTraffic implements connection. It reads a request, if it has arrived completely and the
+// previous one has been answered, and passes it to the handler.
 func (sc *serverConn) onTraffic(c gnet.Conn) gnet.Action {
 	if sc.isBusy() {
 		if c.InboundBuffered() > maxHeadBytes+maxBodyBytes {
@@ -94,7 +97,8 @@
 	return gnet.None
 }
 
-// awaitRemainder waits for the rest of a request of which so many bytes have arrived.
+// awaitRemainder leaves an incomplete request of which the given number of bytes has
+// arrived in the buffer until more arrives.
 func (sc *serverConn) awaitRemainder(c gnet.Conn, arrived int, expectsContinue bool) gnet.Action {
 	if expectsContinue && !sc.continueSent {
 		sc.continueSent = true
@@ -109,8 +113,8 @@
 	return gnet.None
 }
 
-// serve hands a request to the handler, unless too many bytes of requests wait for their
-// answers.
+// serve passes a request to the handler, or answers 503 if the requests without an answer
+// would exceed MaxPendingRequestBytes.
 func (sc *serverConn) serve(c gnet.Conn, m *message) {
 	sc.continueSent = false
 	sc.mu.Lock()
@@ -126,9 +130,10 @@
 	sc.server.handler(request, reply)
 }
 
-// refuse answers 400 and ends the connection, since the stream can't be read on from
-// here. What the peer has announced is read first: closing with unread bytes would reset
-// the connection and lose the answer.
+// reject answers 400 and closes the connection, because its stream can't be parsed any
+// further. The size bytes of the rejected request are read first: closing with unread
+// bytes would reset the connection, and the client would lose the answer. size is 0 in the
+// calls after the first, when more of the request has arrived.
 func (sc *serverConn) reject(c gnet.Conn, size int) gnet.Action {
 	sc.bytesToDiscard += size
 	n, err := c.Discard(min(sc.bytesToDiscard, c.InboundBuffered()))
@@ -139,7 +144,7 @@
 		sc.recordPartialRequest()
 		return gnet.None
 	}
-	// The connection ends whether or not the answer can be written.
+	// The connection is closed whether or not the answer can be written.
 	_, _ = c.Write(appendResponse(nil, &Response{Status: http.StatusBadRequest, Close: true}))
 	return gnet.Close
 }
--- a/internal/transport/server_outbox.go
+++ b/internal/transport/server_outbox.go
@@ -7,16 +7,16 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// queuedResponse is a response on its way to the event loop, which alone writes to
-// connections.
+// queuedResponse is a response that waits for the event loop. Only the event loop writes
+// to connections.
 type queuedResponse struct {
 	netConn    gnet.Conn
 	serverConn *serverConn
 	response   Response
 }
 
-// replier returns what answers a request of that size: the first call does, further ones
-// do nothing.
+// newReply returns the function that answers a request of the given size, in bytes. Only
+// its first call has an effect. closing is true if the connection ends with this request.
 func (s *Server) newReply(c gnet.Conn, conn *serverConn, size int64, closing bool) func(Response) {
 	var once sync.Once
 	return func(r Response) {
@@ -34,9 +34,9 @@
 	}
 }
 
-// writeOutbox writes the responses that have gathered. Whether each may still be sent is
-// decided here, at the last moment: the process may have stood still since it was made,
-// and what entitled it to the response may have ended.
+// writeOutbox writes the queued responses. ValidUntil is checked here, just before the
+// write: the process may have been paused since the response was created, and what
+// entitled it to give that response, such as a lease, may have expired.
 func (s *Server) writeOutbox() {
 	s.outboxMu.Lock()
 	outbox := s.outbox
@@ -48,8 +48,8 @@
 	}
 }
 
-// write writes a response, or 503 in its place if it is late. The connection then takes
-// its next request.
+// write writes the response, or 503 if it is no longer valid. The connection is then ready
+// for its next request.
 func (q *queuedResponse) write(now time.Time) {
 	if q.serverConn.closed {
 		return
@@ -63,13 +63,13 @@
 	q.serverConn.busy, q.serverConn.lastActive = false, now
 	q.serverConn.mu.Unlock()
 	if _, err := q.netConn.Write(appendResponse(make([]byte, 0, responseHeadBytes+len(response.Body)), &response)); err != nil {
-		return // the connection is gone; the peer asks again
+		return // the connection is closed; the client retries
 	}
 	if response.Close {
-		// An error means that it is closed already.
+		// An error means that it is already closed.
 		_ = q.netConn.Close()
 	} else if q.netConn.InboundBuffered() > 0 {
-		// As above.
+		// The next request has arrived already. An error means that the connection is closed.
 		_ = q.netConn.Wake(nil)
 	}
 }
