--- a/cmd/cobaltvale/adapters.go
+++ b/cmd/cobaltvale/adapters.go
@@ -20,7 +20,7 @@
 func (c monotonicClock) Now() time.Duration { return time.Since(c.start) }
 
 // at is the time of a moment on this clock.
-func (c monotonicClock) at(moment time.Duration) time.Time { return c.start.Add(moment) }
+func (c monotonicClock) timeAt(moment time.Duration) time.Time { return c.start.Add(moment) }
 
 // httpCaller calls an outside service for the controller.
 type httpCaller struct {
@@ -84,7 +84,7 @@
 func (a apiHandler) response(r coordination.Response) transport.Response {
 	out := transport.Response{Status: r.Status, Body: r.Body, RetryAfterS: r.RetryAfterS}
 	if r.ValidUntil > 0 {
-		out.ValidUntil = a.clock.at(r.ValidUntil)
+		out.ValidUntil = a.clock.timeAt(r.ValidUntil)
 	}
 	return out
 }
--- a/cmd/cobaltvale/audit.go
+++ b/cmd/cobaltvale/audit.go
@@ -23,7 +23,7 @@
 
 const (
 	defaultGuaranteeWait = 5 * time.Second
-	thousandths          = 1000 // of a CPU or GPU, see quota.Amount
+	thousandthsPerUnit   = 1000 // of a CPU or GPU, see quota.Amount
 )
 
 // runAudit is the command that replays histories. It returns the exit status.
@@ -108,7 +108,7 @@
 		if v >= quota.Unlimited {
 			return "any"
 		}
-		return strconv.FormatFloat(float64(v)/thousandths, 'f', -1, 64)
+		return strconv.FormatFloat(float64(v)/thousandthsPerUnit, 'f', -1, 64)
 	}
 	return part(a.CPUs) + " CPUs " + part(a.GPUs) + " GPUs"
 }
--- a/cmd/cobaltvale/audit_log.go
+++ b/cmd/cobaltvale/audit_log.go
@@ -10,19 +10,19 @@
 	"github.com/cobaltvale/cobaltvale/internal/audit"
 )
 
-// incarnationBase is the base in which a file's name has the process's incarnation.
-const incarnationBase = 36
+// incarnationRadix is the base in which a file's name has the process's incarnation.
+const incarnationRadix = 36
 
 // auditLog is the history that this process keeps. A nil auditLog keeps none.
 type auditLog struct{ writer *audit.Writer }
 
-// openAudit begins this process's history in the directory that quota.audit names, or
+// openAuditLog begins this process's history in the directory that quota.audit names, or
 // returns nil if it names none. The file belongs to the history, which close closes.
-func openAudit(p process) (*auditLog, error) {
+func openAuditLog(p processConfig) (*auditLog, error) {
 	if p.tuning.QuotaAudit == "" {
 		return nil, nil
 	}
-	incarnation := strconv.FormatUint(p.incarnation, incarnationBase)
+	incarnation := strconv.FormatUint(p.incarnation, incarnationRadix)
 	name := filepath.Join(p.tuning.QuotaAudit, p.file.Member+"-"+incarnation+".audit")
 	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -40,7 +40,7 @@
 }
 
 // appender returns what takes records, or nil.
-func (a *auditLog) appender() func(audit.Record) {
+func (a *auditLog) appendFunc() func(audit.Record) {
 	if a == nil {
 		return nil
 	}
--- a/cmd/cobaltvale/main.go
+++ b/cmd/cobaltvale/main.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return usageError(stderr, err)
 	}
-	boundMemory(file.Settings.Limits)
+	limitHeap(file.Settings.Limits)
 	ctx := context.Background()
 	if tuning.QuotaAudit != "" {
 		// The history has to end with its last segment. Without one, a signal ends the
@@ -124,7 +124,7 @@
 		ctx, stop = signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
 	}
-	err = serve(ctx, process{file: file, tuning: tuning, log: log, incarnation: rand.Uint64(), start: time.Now()})
+	err = serve(ctx, processConfig{file: file, tuning: tuning, log: log, incarnation: rand.Uint64(), start: time.Now()})
 	if err != nil {
 		log.Error().Err(err).Msg("controller failed")
 		return exitFailed
@@ -132,8 +132,8 @@
 	return exitOK
 }
 
-// boundMemory keeps the heap within the process's limit.
-func boundMemory(limits settings.Limits) {
+// limitHeap keeps the heap within the process's limit.
+func limitHeap(limits settings.Limits) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(limits.MemMB * float64(bytesPerMB) * heapShareNumerator / heapShareDenominator))
 }
--- a/cmd/cobaltvale/main_test.go
+++ b/cmd/cobaltvale/main_test.go
@@ -48,7 +48,7 @@
 
 // A state service whose answers take long must still be asked as often as its
 // rate allows; the connections for that stay a small part of the sockets.
-func TestStateConnectionsUseTheRateWithinTheSockets(t *testing.T) {
+func TestMaxStateConnsFollowsRateWithinSockets(t *testing.T) {
 	for _, c := range []struct {
 		rps     float64
 		sockets int
@@ -56,7 +56,7 @@
 	}{{180, 4134, 129}, {180, 40000, 216}, {2, 4134, 8}, {400, 100, 8}} {
 		var f settings.File
 		f.Settings.State.RPS, f.Settings.Limits.Sockets = c.rps, c.sockets
-		if got := stateConnections(&f, settings.DefaultTuning()); got != c.want {
+		if got := maxStateConns(&f, settings.DefaultTuning()); got != c.want {
 			t.Errorf("%v requests a second, %d sockets: %d connections, want %d", c.rps, c.sockets, got, c.want)
 		}
 	}
--- a/cmd/cobaltvale/quota_loopback_test.go
+++ b/cmd/cobaltvale/quota_loopback_test.go
@@ -20,34 +20,34 @@
 	"github.com/cobaltvale/cobaltvale/internal/standin"
 )
 
-// loopbackLimit is how long a test of real processes' parts may take.
-const loopbackLimit = 3 * time.Minute
+// loopbackTimeout is how long a test of real processes' parts may take.
+const loopbackTimeout = 3 * time.Minute
 
 // loopback is three controllers with their real transport in this process, and the
 // stand-ins around them.
-type loopback struct {
+type loopbackDeployment struct {
 	*standin.Deployment
-	t     *testing.T
-	ctx   context.Context
-	dir   string
-	stops map[string]func()
+	t         *testing.T
+	ctx       context.Context
+	auditDir  string
+	stopFuncs map[string]func()
 }
 
-func newLoopback(t *testing.T, machines int, teams []standin.Team) *loopback {
+func newLoopbackDeployment(t *testing.T, machines int, teams []standin.Team) *loopbackDeployment {
 	t.Helper()
 	d, err := standin.NewDeployment(machines, teams)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), loopbackLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), loopbackTimeout)
 	t.Cleanup(cancel)
-	l := &loopback{Deployment: d, t: t, ctx: ctx, dir: t.TempDir(), stops: make(map[string]func())}
+	l := &loopbackDeployment{Deployment: d, t: t, ctx: ctx, auditDir: t.TempDir(), stopFuncs: make(map[string]func())}
 	for _, m := range d.Members {
-		l.start(m)
+		l.startController(m)
 	}
-	t.Cleanup(l.stopAll)
-	l.wait("every controller is ready", func() bool {
+	t.Cleanup(l.stopAllControllers)
+	l.waitFor("every controller is ready", func() bool {
 		for _, m := range d.Members {
 			if !d.Ready(ctx, m) {
 				return false
@@ -59,7 +59,7 @@
 	return l
 }
 
-func (l *loopback) wait(what string, holds func() bool) {
+func (l *loopbackDeployment) waitFor(what string, holds func() bool) {
 	l.t.Helper()
 	if err := standin.WaitFor(l.ctx, what, holds); err != nil {
 		l.t.Fatal(err)
@@ -67,21 +67,21 @@
 }
 
 // start runs a controller until it is stopped.
-func (l *loopback) start(member string) {
+func (l *loopbackDeployment) startController(member string) {
 	l.t.Helper()
 	file, err := settings.Parse([]byte(l.Settings(member)))
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	tune := settings.DefaultTuning()
-	tune.QuotaEscrow, tune.QuotaAudit = true, l.dir
+	tune.QuotaEscrow, tune.QuotaAudit = true, l.auditDir
 	ctx, cancel := context.WithCancel(l.ctx)
 	done := make(chan error, 1)
 	go func() {
-		done <- serve(ctx, process{file: file, tuning: tune, log: zerolog.Nop(), incarnation: rand.Uint64(), start: time.Now()})
+		done <- serve(ctx, processConfig{file: file, tuning: tune, log: zerolog.Nop(), incarnation: rand.Uint64(), start: time.Now()})
 	}()
 	var once sync.Once
-	l.stops[member] = func() {
+	l.stopFuncs[member] = func() {
 		once.Do(func() {
 			cancel()
 			if err := <-done; err != nil {
@@ -91,14 +91,14 @@
 	}
 }
 
-func (l *loopback) stopAll() {
-	for _, stop := range l.stops {
+func (l *loopbackDeployment) stopAllControllers() {
+	for _, stop := range l.stopFuncs {
 		stop()
 	}
 }
 
 // submitAll hands jobs in at all controllers at the same time.
-func (l *loopback) submitAll(jobs []*standin.Job) {
+func (l *loopbackDeployment) submitAll(jobs []*standin.Job) {
 	l.t.Helper()
 	const atOnce = 150 // users at each controller
 	var users sync.WaitGroup
@@ -126,20 +126,20 @@
 }
 
 // files names the histories of all processes.
-func (l *loopback) files() []string {
-	names, err := filepath.Glob(filepath.Join(l.dir, "*.audit"))
+func (l *loopbackDeployment) auditFiles() []string {
+	names, err := filepath.Glob(filepath.Join(l.auditDir, "*.audit"))
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	return names
 }
 
-func loopbackJobs(n int, teams []standin.Team) ([]*standin.Job, map[string]int) {
+func newJobs(n int, teams []standin.Team) ([]*standin.Job, map[string]int) {
 	tasks := make(map[string]int)
 	var jobs []*standin.Job
 	for i := range n {
 		team := teams[[]int{0, 1, 0, 1, 0, 2}[i%6]].Name
-		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", i), Team: team, Tasks: 1 + i%7/6, CPUs: float64(1 + i%2), Runs: 600 * time.Millisecond}
+		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", i), Team: team, Tasks: 1 + i%7/6, CPUs: float64(1 + i%2), TaskDuration: 600 * time.Millisecond}
 		jobs = append(jobs, j)
 		tasks[team] += j.Tasks
 	}
@@ -150,16 +150,16 @@
 // their limits: the machines never see a team above its limit, and the audit of the
 // controllers, which knows nothing of the machines, finds no overshoot, no unmet
 // guarantee and no gap.
-func TestLimitsHoldOnLoopback(t *testing.T) {
+func TestTeamLimitsHoldOnLoopback(t *testing.T) {
 	teams := []standin.Team{{Name: "north", Guarantee: 60, Limit: 120}, {Name: "south", Guarantee: 40, Limit: 80}, {Name: "west", Limit: 40}}
-	l := newLoopback(t, 40, teams)
-	jobs, tasks := loopbackJobs(2400, teams)
+	l := newLoopbackDeployment(t, 40, teams)
+	jobs, tasks := newJobs(2400, teams)
 	l.submitAll(jobs)
-	l.wait("tasks run", func() bool { return l.History.Summary().Started["south"] >= 200 })
-	l.stops["c"]() // its shard is recovered by another, and goes back
-	l.start("c")
-	l.wait("every job is done", func() bool {
-		for team, n := range l.History.Summary().Started {
+	l.waitFor("tasks run", func() bool { return l.History.Summary().StartedTasks["south"] >= 200 })
+	l.stopFuncs["c"]() // its shard is recovered by another, and goes back
+	l.startController("c")
+	l.waitFor("every job is done", func() bool {
+		for team, n := range l.History.Summary().StartedTasks {
 			if n < tasks[team] {
 				return false
 			}
@@ -172,26 +172,26 @@
 		}
 		return true
 	})
-	l.stopAll()
+	l.stopAllControllers()
 	seen := l.History.Summary()
-	for _, p := range seen.Problems {
+	for _, p := range seen.Violations {
 		t.Error(p)
 	}
 	var out, errs bytes.Buffer
-	if code := run(append([]string{"audit", "verify"}, l.files()...), &out, &errs); code != auditClean {
+	if code := run(append([]string{"audit", "verify"}, l.auditFiles()...), &out, &errs); code != auditClean {
 		t.Fatalf("audit verify ends with %d: %s%s", code, out.String(), errs.String())
 	}
 	t.Log(out.String())
-	streams := l.streams()
-	l.triedLimits(streams, teams)
-	l.seesABrokenQuota(streams)
+	streams := l.readAuditStreams()
+	l.requireLimitsReached(streams, teams)
+	l.requireAuditDetectsOvershoot(streams)
 }
 
 // streams reads all histories.
-func (l *loopback) streams() []*audit.Stream {
+func (l *loopbackDeployment) readAuditStreams() []*audit.Stream {
 	l.t.Helper()
 	var streams []*audit.Stream
-	for _, name := range l.files() {
+	for _, name := range l.auditFiles() {
 		s, err := audit.ReadFile(name)
 		if err != nil {
 			l.t.Fatal(err)
@@ -201,10 +201,10 @@
 	return streams
 }
 
-// triedLimits looks whether each team was admitted up to the very limit: else the
+// requireLimitsReached looks whether each team was admitted up to the very limit: else the
 // test shows nothing. How much of that the machines hold at one instant depends on how
 // soon their heartbeats come.
-func (l *loopback) triedLimits(streams []*audit.Stream, teams []standin.Team) {
+func (l *loopbackDeployment) requireLimitsReached(streams []*audit.Stream, teams []standin.Team) {
 	l.t.Helper()
 	highest := make(map[string]int64)
 	for _, use := range audit.Verify(streams, defaultGuaranteeWait).Teams {
@@ -217,9 +217,9 @@
 	}
 }
 
-// seesABrokenQuota replays the same histories against lower limits, as if the
+// requireAuditDetectsOvershoot replays the same histories against lower limits, as if the
 // controllers had got them wrong: then the audit must find it.
-func (l *loopback) seesABrokenQuota(streams []*audit.Stream) {
+func (l *loopbackDeployment) requireAuditDetectsOvershoot(streams []*audit.Stream) {
 	l.t.Helper()
 	for _, s := range streams {
 		for i := range s.Records {
@@ -238,7 +238,7 @@
 }
 
 // A history that is cut short ends the command with a line that names file and place.
-func TestAuditOfATruncatedFile(t *testing.T) {
+func TestAuditVerifyReportsTruncatedFile(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "a.audit")
 	if err := os.WriteFile(name, []byte("CVAUDIT1\x00\x00"), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -15,7 +15,7 @@
 )
 
 // process is what a controller's process starts with.
-type process struct {
+type processConfig struct {
 	file        *settings.File
 	tuning      settings.Tuning
 	log         zerolog.Logger
@@ -24,13 +24,13 @@
 }
 
 // serve runs a controller until its connections' event loop ends, or ctx does.
-func serve(ctx context.Context, p process) (err error) {
-	history, err := openAudit(p)
+func serve(ctx context.Context, p processConfig) (err error) {
+	history, err := openAuditLog(p)
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, history.close()) }()
-	n, err := newNode(p, history.appender())
+	n, err := newControllerProcess(p, history.appendFunc())
 	if err != nil {
 		return err
 	}
@@ -39,8 +39,8 @@
 
 // node is a controller with its two event loops: that of the connections, and that of the
 // controller, which alone may call it.
-type node struct {
-	process
+type controllerProcess struct {
+	processConfig
 	connections *transport.Loop
 	events      *coordination.EventLoop
 	controller  *coordination.Controller
@@ -48,16 +48,16 @@
 	server      *transport.Server
 }
 
-// newNode wires the packages together.
-func newNode(p process, record func(audit.Record)) (*node, error) {
-	n := &node{process: p, connections: transport.NewLoop(loopInterval), events: coordination.NewEventLoop()}
+// newControllerProcess wires the packages together.
+func newControllerProcess(p processConfig, record func(audit.Record)) (*controllerProcess, error) {
+	n := &controllerProcess{processConfig: p, connections: transport.NewLoop(loopInterval), events: coordination.NewEventLoop()}
 	clock := monotonicClock{p.start}
 	controller, err := coordination.New(p.file, p.tuning, coordination.Env{
 		Clock: clock,
 		Wall:  time.Now,
 		Rand:  rand.New(rand.NewPCG(rand.Uint64(), p.incarnation)),
-		State: n.caller(p.file.External.State, stateConnections(p.file, p.tuning)),
-		Cloud: n.caller(p.file.External.Cloud, maxCloudConns),
+		State: n.newHTTPCaller(p.file.External.State, maxStateConns(p.file, p.tuning)),
+		Cloud: n.newHTTPCaller(p.file.External.Cloud, maxCloudConns),
 		Log:   p.log,
 		Audit: record,
 	}, p.incarnation)
@@ -68,8 +68,8 @@
 	n.mesh = transport.NewMesh(meshConfig(p.file), n.connections, meshEvents{controller, n.events})
 	n.server = transport.NewServer(transport.ServerConfig{
 		Addr:                   p.file.APIAddr,
-		MaxConns:               apiConnections(p.file, p.tuning),
-		MaxPendingRequestBytes: heldBytes(p.file),
+		MaxConns:               maxAPIConns(p.file, p.tuning),
+		MaxPendingRequestBytes: maxHeldRequestBytes(p.file),
 		IdleTimeout:            apiIdleTimeout,
 		ReadTimeout:            apiReadTimeout,
 	}, n.connections, apiHandler{controller, n.events, clock}.handle)
@@ -77,8 +77,8 @@
 }
 
 // caller calls an outside service.
-func (n *node) caller(addr string, maxConns int) httpCaller {
-	return httpCaller{transport.NewHTTPClient(n.connections, addr, maxConns, clientQueueLength), n.events}
+func (n *controllerProcess) newHTTPCaller(addr string, maxConns int) httpCaller {
+	return httpCaller{transport.NewHTTPClient(n.connections, addr, maxConns, maxQueuedClientRequests), n.events}
 }
 
 // meshConfig describes this member's side of the mesh.
@@ -89,13 +89,13 @@
 	}
 	return transport.MeshConfig{
 		Self: file.Member, Addr: file.MeshAddr, Peers: peers,
-		IdleTimeout: meshIdleTimeout, MaxBacklogBytes: meshBacklogBytes(file),
+		IdleTimeout: meshIdleTimeout, MaxBacklogBytes: maxMeshBacklogBytes(file),
 	}
 }
 
 // run serves until the connections' event loop ends, by itself or since ctx has ended.
 // The controller's event loop runs on the calling goroutine.
-func (n *node) run(ctx context.Context) error {
+func (n *controllerProcess) run(ctx context.Context) error {
 	// Dialing goes on until the event loops have ended, also while ctx ends them.
 	dialing, stopDialing := context.WithCancel(context.Background())
 	defer stopDialing()
--- a/cmd/quotabench/main.go
+++ b/cmd/quotabench/main.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	runLimit           = 3 * time.Minute
+	runTimeout         = 3 * time.Minute
 	usersPerController = 100 // at each controller
 	taskDuration       = 600 * time.Millisecond
-	moveRounds         = 10
+	demandMoves        = 10
 )
 
 // result is one run's figures.
 type result struct {
-	admissionsPerS float64
-	waits          []time.Duration
-	changesPerS    float64
-	transfersPerS  float64
-	guarantees     []time.Duration // from a move of demand to the guarantee met
-	peak           map[string]float64
-	problems       []string
+	admissionsPerS  float64
+	startDelays     []time.Duration
+	changesPerS     float64
+	transfersPerS   float64
+	guaranteeDelays []time.Duration // from a move of demand to the guarantee met
+	peakUsage       map[string]float64
+	violations      []string
 }
 
 func main() {
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	defer d.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), runLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "quotabench")
 	if err != nil {
@@ -93,11 +93,11 @@
 	if err := r.measureBurst(ctx, d, jobs); err != nil {
 		return nil, err
 	}
-	if err := r.measureMoves(ctx, d, jobs); err != nil {
+	if err := r.measureDemandMoves(ctx, d, jobs); err != nil {
 		return nil, err
 	}
 	s := d.History.Summary()
-	r.peak, r.problems = s.Highest, s.Problems
+	r.peakUsage, r.violations = s.PeakCPUs, s.Violations
 	return r, nil
 }
 
@@ -130,16 +130,16 @@
 	tasks := 0
 	for i := range jobs {
 		team := teams()[[]int{0, 1, 0, 1, 0, 1, 0, 2}[i%8]].Name
-		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", i), Team: team, Tasks: 1 + i%7/6, CPUs: 1, Runs: taskDuration}
+		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", i), Team: team, Tasks: 1 + i%7/6, CPUs: 1, TaskDuration: taskDuration}
 		tasks += j.Tasks
 		list = append(list, j)
 	}
-	if err := submit(ctx, d, list); err != nil {
+	if err := submitAll(ctx, d, list); err != nil {
 		return err
 	}
 	err := standin.WaitFor(ctx, "all tasks start", func() bool {
 		n := 0
-		for _, k := range d.History.Summary().Started {
+		for _, k := range d.History.Summary().StartedTasks {
 			n += k
 		}
 		return n >= tasks
@@ -150,13 +150,13 @@
 	took := time.Since(began).Seconds()
 	after, _ := d.State.Changes("")
 	moved, _ := d.State.Changes("m/quota/")
-	r.admissionsPerS, r.waits = float64(tasks)/took, d.History.Summary().Waits
+	r.admissionsPerS, r.startDelays = float64(tasks)/took, d.History.Summary().StartDelays
 	r.changesPerS, r.transfersPerS = float64(after-changes)/took, float64(moved-transfers)/took
 	return nil
 }
 
 // submit has users at each controller hand the jobs in, and waits for them.
-func submit(ctx context.Context, d *standin.Deployment, jobs []*standin.Job) error {
+func submitAll(ctx context.Context, d *standin.Deployment, jobs []*standin.Job) error {
 	work := make(chan int)
 	errs := make(chan error, len(jobs))
 	var users sync.WaitGroup
@@ -181,21 +181,21 @@
 	return <-errs
 }
 
-// measureMoves has the work of a team whose guarantee is its limit come at one controller
+// measureDemandMoves has the work of a team whose guarantee is its limit come at one controller
 // after the other, and measures until all of the guarantee runs there.
-func (r *result) measureMoves(ctx context.Context, d *standin.Deployment, first int) error {
+func (r *result) measureDemandMoves(ctx context.Context, d *standin.Deployment, first int) error {
 	time.Sleep(2 * time.Second) // the burst's last tasks end
-	for round := range moveRounds {
-		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", first+round), Team: "west", Tasks: 20, CPUs: 1, Runs: 2 * time.Second}
-		before := d.History.Summary().Started["west"]
+	for round := range demandMoves {
+		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", first+round), Team: "west", Tasks: 20, CPUs: 1, TaskDuration: 2 * time.Second}
+		before := d.History.Summary().StartedTasks["west"]
 		began := time.Now()
 		if err := d.Submit(ctx, d.Members[round%len(d.Members)], j); err != nil {
 			return err
 		}
-		if err := standin.WaitFor(ctx, "the guarantee is met", func() bool { return d.History.Summary().Started["west"] >= before+20 }); err != nil {
+		if err := standin.WaitFor(ctx, "the guarantee is met", func() bool { return d.History.Summary().StartedTasks["west"] >= before+20 }); err != nil {
 			return err
 		}
-		r.guarantees = append(r.guarantees, time.Since(began))
+		r.guaranteeDelays = append(r.guaranteeDelays, time.Since(began))
 		time.Sleep(4 * time.Second) // its tasks end and are proven gone
 	}
 	return nil
@@ -205,10 +205,10 @@
 func (r *result) print(escrow bool) {
 	fmt.Printf("quota.escrow = %v (loopback, three processes, stand-ins of this repository)\n", escrow)
 	fmt.Printf("  admissions: %.0f a second\n", r.admissionsPerS)
-	fmt.Printf("  submission to start, burst at the limits: %s\n", percentiles(r.waits))
+	fmt.Printf("  submission to start, burst at the limits: %s\n", percentiles(r.startDelays))
 	fmt.Printf("  state service: %.1f changes a second, %.1f of them transfers\n", r.changesPerS, r.transfersPerS)
-	fmt.Printf("  demand moves to a guarantee met: %s\n", percentiles(r.guarantees))
-	fmt.Printf("  highest use: %v; problems seen by the machines: %d %v\n", r.peak, len(r.problems), r.problems)
+	fmt.Printf("  demand moves to a guarantee met: %s\n", percentiles(r.guaranteeDelays))
+	fmt.Printf("  highest use: %v; problems seen by the machines: %d %v\n", r.peakUsage, len(r.violations), r.violations)
 }
 
 // percentiles is p50, p95 and the largest of some times.
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	machineType = "m8"
-	machineCPUs = 8
-	zone        = "z1"
-	heartbeatS  = 0.6
-	leaseS      = 8.0
+	machineType        = "m8"
+	machineCPUs        = 8
+	zone               = "z1"
+	heartbeatIntervalS = 0.6
+	machineLeaseS      = 8.0
 )
 
 // Team is a team of a deployment, in CPUs.
@@ -39,8 +39,8 @@
 	externalAddresses map[string]string // of the state service and the cloud
 	servers           []*http.Server
 	client            *http.Client
-	machines          int
-	cancel            context.CancelFunc
+	machineCount      int
+	stopWorkers       context.CancelFunc
 	workers           sync.WaitGroup
 }
 
@@ -55,7 +55,7 @@
 		limits[t.Name] = t.Limit
 	}
 	d := &Deployment{Members: []string{"a", "b", "c"}, State: NewState(codec), History: NewHistory(limits), codec: codec, teams: teams,
-		apiAddresses: make(map[string]string), meshAddresses: make(map[string]string), externalAddresses: make(map[string]string), machines: machines,
+		apiAddresses: make(map[string]string), meshAddresses: make(map[string]string), externalAddresses: make(map[string]string), machineCount: machines,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}, Timeout: 5 * time.Second}}
 	for _, m := range d.Members {
 		if d.apiAddresses[m], err = freeAddress(); err != nil {
@@ -102,7 +102,7 @@
 	for _, t := range d.teams {
 		fmt.Fprintf(&b, "[[settings.teams]]\nname = %q\ncpus = %v\ncpus_max = %v\n", t.Name, t.Guarantee, t.Limit)
 	}
-	fmt.Fprintf(&b, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = 20.0\n", heartbeatS, leaseS)
+	fmt.Fprintf(&b, "[settings.workers]\nreport_s = %v\nlease_s = %v\ncancel_s = 20.0\n", heartbeatIntervalS, machineLeaseS)
 	b.WriteString("[settings.state]\nrps = 3000.0\nwrite_rps = 1500.0\nvalue_kb = 8.0\ntxn_ops = 32\n")
 	b.WriteString("[settings.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[settings.limits]\ncores = 1.0\nmem_mb = 512.0\nsockets = 4000\n")
 	return b.String()
@@ -111,12 +111,12 @@
 // StartWorkers has all machines send heartbeats.
 func (d *Deployment) StartWorkers() {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.cancel = cancel
-	for i := range d.machines {
+	d.stopWorkers = cancel
+	for i := range d.machineCount {
 		// A machine stays on one connection: that shows that answers reach it.
 		own := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-		w := &worker{codec: d.codec, client: own, history: d.History, name: machineName(i), nodes: d.apiAddresses, order: d.Members, memberIndex: i,
-			interval: time.Duration(heartbeatS * float64(time.Second)), tasks: make(map[string]*workerTask)}
+		w := &worker{codec: d.codec, client: own, history: d.History, name: machineName(i), apiAddresses: d.apiAddresses, members: d.Members, memberIndex: i,
+			heartbeatInterval: time.Duration(heartbeatIntervalS * float64(time.Second)), tasks: make(map[string]*workerTask)}
 		d.workers.Add(1)
 		go func() {
 			defer d.workers.Done()
@@ -129,8 +129,8 @@
 
 // Close ends the workers and the servers.
 func (d *Deployment) Close() {
-	if d.cancel != nil {
-		d.cancel()
+	if d.stopWorkers != nil {
+		d.stopWorkers()
 		d.workers.Wait()
 	}
 	d.State.Close()
@@ -157,7 +157,7 @@
 func (d *Deployment) listMachines(w http.ResponseWriter, r *http.Request) {
 	const page = 500
 	out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-	for i := range d.machines {
+	for i := range d.machineCount {
 		if name := machineName(i); name > r.URL.Query().Get("from") {
 			if len(out.Machines) == page {
 				out.More = true
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -54,7 +54,7 @@
 }
 
 type lease struct {
-	ttl, expires time.Duration
+	ttl, expiresAt time.Duration
 }
 
 // New makes an empty store.
@@ -94,7 +94,7 @@
 			return http.StatusBadRequest, protocol.TransactionResponse{Error: "no such lease"}
 		}
 	}
-	if failed := s.failed(t.If); len(failed) > 0 {
+	if failed := s.failedKeys(t.If); len(failed) > 0 {
 		return http.StatusConflict, protocol.TransactionResponse{Failed: failed, Revision: s.Revision}
 	}
 	if len(t.Then) > 0 {
@@ -111,7 +111,7 @@
 }
 
 // failed names the keys that have not the version of their condition.
-func (s *Store) failed(conditions []protocol.Condition) []string {
+func (s *Store) failedKeys(conditions []protocol.Condition) []string {
 	var failed []string
 	for _, condition := range conditions {
 		version := uint64(0)
@@ -155,7 +155,7 @@
 // OpenLease opens a lease and returns its number.
 func (s *Store) OpenLease(ttl, now time.Duration) uint64 {
 	s.lastLease++
-	s.leases[s.lastLease] = &lease{ttl: ttl, expires: now + ttl}
+	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl}
 	return s.lastLease
 }
 
@@ -165,14 +165,14 @@
 	if l == nil {
 		return false
 	}
-	l.expires = now + l.ttl
+	l.expiresAt = now + l.ttl
 	return true
 }
 
 // RenewAll gives all leases their full time again, as after an outage.
 func (s *Store) RenewAll(now time.Duration) {
 	for _, l := range s.leases {
-		l.expires = now + l.ttl
+		l.expiresAt = now + l.ttl
 	}
 }
 
@@ -181,7 +181,7 @@
 func (s *Store) ExpireLeases(now time.Duration) bool {
 	ended := false
 	for id, l := range s.leases {
-		if now < l.expires {
+		if now < l.expiresAt {
 			continue
 		}
 		ended = true
--- a/internal/standin/kv/store_test.go
+++ b/internal/standin/kv/store_test.go
@@ -8,7 +8,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-func TestTransactionComparesBeforeItChanges(t *testing.T) {
+func TestTransactionChecksConditionsBeforeChanges(t *testing.T) {
 	s := New()
 	s.Put("a", []byte{1})
 	lease := s.OpenLease(time.Second, 0)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestLeaseEndsWithItsKeysAtItsTime(t *testing.T) {
+func TestLeaseExpiresOnTimeAndDeletesItsKeys(t *testing.T) {
 	s := New()
 	lease := s.OpenLease(time.Second, 0)
 	s.Transact(&protocol.Transaction{Then: []protocol.Change{{Put: "a", Value: []byte{1}, Lease: lease}, {Put: "b", Value: []byte{2}}}})
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxBody    = 1 << 20
-	sweepEvery = 50 * time.Millisecond
+	maxBodyBytes       = 1 << 20
+	leaseSweepInterval = 50 * time.Millisecond
 )
 
 // State is a state service in memory, without limits of its own.
 type State struct {
-	codec *protocol.Codec
-	stop  chan struct{}
-	began time.Time
+	codec     *protocol.Codec
+	stop      chan struct{}
+	startedAt time.Time
 
 	mu       sync.Mutex
 	store    *kv.Store
@@ -34,8 +34,8 @@
 
 // NewState makes an empty state service.
 func NewState(codec *protocol.Codec) *State {
-	s := &State{codec: codec, stop: make(chan struct{}), began: time.Now(), store: kv.New(), changed: make(chan struct{})}
-	go s.sweep()
+	s := &State{codec: codec, stop: make(chan struct{}), startedAt: time.Now(), store: kv.New(), changed: make(chan struct{})}
+	go s.expireLeases()
 	return s
 }
 
@@ -51,8 +51,8 @@
 }
 
 // sweep ends leases that were not renewed.
-func (s *State) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+func (s *State) expireLeases() {
+	ticker := time.NewTicker(leaseSweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -69,7 +69,7 @@
 }
 
 // now is the leases' clock.
-func (s *State) now() time.Duration { return time.Since(s.began) }
+func (s *State) now() time.Duration { return time.Since(s.startedAt) }
 
 func (s *State) notifyWatches() {
 	close(s.changed)
@@ -78,7 +78,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -9,15 +9,15 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-const retrySubmission = 200 * time.Millisecond
+const submissionRetryDelay = 200 * time.Millisecond
 
 // Submit hands a job in at a member until it is accepted.
 func (d *Deployment) Submit(ctx context.Context, member string, j *Job) error {
-	j.At = time.Now()
-	d.History.Submit(j)
+	j.SubmittedAt = time.Now()
+	d.History.AddJob(j)
 	body := d.codec.Encode(map[string]any{"nameId": j.ID, "desk": "d", "crew": j.Team, "form": "batch", "urgency": "standard", "pages": j.Tasks,
 		"vcpus": j.CPUs, "cards": 0.0, "ramGb": 0.5, "plate": "img", "imageGb": 0.1, "breeds": nil, "hall": nil,
-		"together": false, "apart": false, "loaners": true, "expectedS": j.Runs.Seconds(), "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
+		"together": false, "apart": false, "loaners": true, "expectedS": j.TaskDuration.Seconds(), "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
 	for {
 		switch status, answer := post(ctx, d.client, "http://"+d.apiAddresses[member]+"/submissions", body); status {
 		case 200, 201:
@@ -29,7 +29,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("standin: %s is not accepted: %w", j.ID, ctx.Err())
-		case <-time.After(retrySubmission):
+		case <-time.After(submissionRetryDelay):
 		}
 	}
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,42 +16,42 @@
 )
 
 const (
-	minimumInterval  = 500 * time.Millisecond // heartbeats of changes
-	retryHeartbeat   = time.Second
-	heartbeatTimeout = 4 * time.Second
-	taskTick         = 20 * time.Millisecond
+	minHeartbeatInterval = 500 * time.Millisecond // heartbeats of changes
+	heartbeatRetryDelay  = time.Second
+	heartbeatTimeout     = 4 * time.Second
+	taskCheckInterval    = 20 * time.Millisecond
 )
 
 // worker is one machine. It follows the protocol's rules for fencing tokens and commands;
 // its lease does not end by itself.
 type worker struct {
-	codec        *protocol.Codec
-	client       *http.Client
-	history      *History
-	name         string
-	nodes        map[string]string // addresses by member
-	order        []string
-	memberIndex  int // of the member that it sends heartbeats to
-	interval     time.Duration
-	sequence     uint64
-	fencingToken uint64
-	tasks        map[string]*workerTask
-	keys         []string
-	sentAt       time.Time
+	codec             *protocol.Codec
+	client            *http.Client
+	history           *History
+	name              string
+	apiAddresses      map[string]string // addresses by member
+	members           []string
+	memberIndex       int // of the member that it sends heartbeats to
+	heartbeatInterval time.Duration
+	sequence          uint64
+	fencingToken      uint64
+	tasks             map[string]*workerTask
+	taskKeys          []string
+	lastSentAt        time.Time
 }
 
 type workerTask struct {
-	job     *Job
-	name    string
-	replica uint64
-	state   string
-	cause   any
-	ends    time.Time
+	job        *Job
+	name       string
+	replica    uint64
+	state      string
+	exitReason any
+	endsAt     time.Time
 }
 
 // run sends heartbeats until ctx ends.
 func (w *worker) run(ctx context.Context) {
-	ticker := time.NewTicker(taskTick)
+	ticker := time.NewTicker(taskCheckInterval)
 	defer ticker.Stop()
 	next := time.Now()
 	for {
@@ -60,15 +60,15 @@
 			return
 		case now := <-ticker.C:
 			if w.endTasks(now) {
-				next = minTime(next, w.sentAt.Add(minimumInterval))
+				next = minTime(next, w.lastSentAt.Add(minHeartbeatInterval))
 			}
 			if now.Before(next) {
 				continue
 			}
 		}
-		w.sentAt = time.Now()
-		next = w.sentAt.Add(w.interval*3/4 + rand.N(w.interval/2))
-		if again := w.heartbeat(ctx); again > 0 {
+		w.lastSentAt = time.Now()
+		next = w.lastSentAt.Add(w.heartbeatInterval*3/4 + rand.N(w.heartbeatInterval/2))
+		if again := w.sendHeartbeat(ctx); again > 0 {
 			next = time.Now().Add(again)
 		}
 	}
@@ -85,41 +85,41 @@
 func (w *worker) endTasks(now time.Time) bool {
 	any := false
 	for _, t := range w.tasks {
-		if t.state == "running" && now.After(t.ends) {
-			t.state, t.cause, any = "ended", "done", true
-			w.history.end(t.job, t.name)
+		if t.state == "running" && now.After(t.endsAt) {
+			t.state, t.exitReason, any = "ended", "done", true
+			w.history.recordEnd(t.job, t.name)
 		}
 	}
 	return any
 }
 
-func (w *worker) heartbeatBody() []byte {
+func (w *worker) nextHeartbeatBody() []byte {
 	w.sequence++
 	pages := []any{}
-	for _, key := range w.keys {
+	for _, key := range w.taskKeys {
 		t := w.tasks[key]
-		pages = append(pages, map[string]any{"page": t.name, "try": t.replica, "status": t.state, "cause": t.cause})
+		pages = append(pages, map[string]any{"page": t.name, "try": t.replica, "status": t.state, "cause": t.exitReason})
 	}
 	return w.codec.Encode(map[string]any{"roost": w.name, "address": "127.0.0.1:1", "breed": machineType, "hall": zone, "loaners": false,
 		"perch": 1, "tick": w.sequence, "baton": w.fencingToken, "recallInS": nil, "pages": pages})
 }
 
 // heartbeat sends one heartbeat, and returns when the next is due sooner than usual.
-func (w *worker) heartbeat(ctx context.Context) time.Duration {
-	member := w.order[w.memberIndex%len(w.order)]
+func (w *worker) sendHeartbeat(ctx context.Context) time.Duration {
+	member := w.members[w.memberIndex%len(w.members)]
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	status, body := post(ctx, w.client, "http://"+w.nodes[member]+"/checkin", w.heartbeatBody())
+	status, body := post(ctx, w.client, "http://"+w.apiAddresses[member]+"/checkin", w.nextHeartbeatBody())
 	switch status {
 	case 200:
-		if before := w.fencingToken; w.execute(body) && w.fencingToken != before {
-			return minimumInterval
+		if before := w.fencingToken; w.applyResponse(body) && w.fencingToken != before {
+			return minHeartbeatInterval
 		}
 		return 0
 	case 421:
 		var to protocol.Redirect
-		if w.codec.Decode(body, &to) == nil && w.nodes[to.HeartbeatTo] != "" && to.HeartbeatTo != member {
-			for i, name := range w.order {
+		if w.codec.Decode(body, &to) == nil && w.apiAddresses[to.HeartbeatTo] != "" && to.HeartbeatTo != member {
+			for i, name := range w.members {
 				if name == to.HeartbeatTo {
 					w.memberIndex = i
 				}
@@ -128,11 +128,11 @@
 		}
 	}
 	w.memberIndex++
-	return retryHeartbeat
+	return heartbeatRetryDelay
 }
 
 // execute carries out an answer, unless its fencing token is old.
-func (w *worker) execute(body []byte) bool {
+func (w *worker) applyResponse(body []byte) bool {
 	var a protocol.HeartbeatResponse
 	if w.codec.Decode(body, &a) != nil || a.FencingToken < w.fencingToken {
 		return false
@@ -148,24 +148,24 @@
 			if j == nil {
 				continue
 			}
-			w.tasks[key] = &workerTask{job: j, name: c.Task, replica: c.Replica, state: "running", ends: time.Now().Add(j.Runs)}
-			w.keys = append(w.keys, key)
-			w.history.start(j, c.Task, w.name)
+			w.tasks[key] = &workerTask{job: j, name: c.Task, replica: c.Replica, state: "running", endsAt: time.Now().Add(j.TaskDuration)}
+			w.taskKeys = append(w.taskKeys, key)
+			w.history.recordStart(j, c.Task, w.name)
 		case c.Op == protocol.CommandStop && t != nil && t.state == "running":
-			t.state, t.cause = "ended", "halted"
-			w.history.end(t.job, t.name)
+			t.state, t.exitReason = "ended", "halted"
+			w.history.recordEnd(t.job, t.name)
 		case c.Op == protocol.CommandReap && t != nil && t.state == "ended":
-			w.forget(key)
+			w.removeTask(key)
 		}
 	}
 	return true
 }
 
-func (w *worker) forget(key string) {
+func (w *worker) removeTask(key string) {
 	delete(w.tasks, key)
-	for i, x := range w.keys {
+	for i, x := range w.taskKeys {
 		if x == key {
-			w.keys = append(w.keys[:i], w.keys[i+1:]...)
+			w.taskKeys = append(w.taskKeys[:i], w.taskKeys[i+1:]...)
 			return
 		}
 	}
@@ -191,6 +191,6 @@
 		return 0, nil, fmt.Errorf("standin: %w", err)
 	}
 	defer func() { err = errors.Join(err, resp.Body.Close()) }()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	return resp.StatusCode, body, err
 }
--- a/scripts/run_tests_test.go
+++ b/scripts/run_tests_test.go
@@ -11,7 +11,7 @@
 
 // The list of tests that are known to fail passes over just those, and can't
 // grow, outlive its reason or hide a misspelt name.
-func TestKnownRedPassesOverJustItsTests(t *testing.T) {
+func TestRunTestsSkipsOnlyListedTests(t *testing.T) {
 	script, err := filepath.Abs("run-tests")
 	if err != nil {
 		t.Fatal(err)
