--- a/cmd/cobaltvale/adapters.go
+++ b/cmd/cobaltvale/adapters.go
@@ -10,25 +10,25 @@
 	"github.com/cobaltvale/cobaltvale/internal/transport"
 )
 
-// Adapters bring what happens on the connections' event loop to the controller's, which
-// alone may call the controller.
+// The adapters pass what happens on the connections' event loop to the controller's event
+// loop, the only goroutine that may call the controller.
 
-// monotonicClock counts from the start of the process.
+// monotonicClock measures the time since the process started.
 type monotonicClock struct{ start time.Time }
 
 // Now implements storage.Clock.
 func (c monotonicClock) Now() time.Duration { return time.Since(c.start) }
 
-// at is the time of a moment on this clock.
-func (c monotonicClock) timeAt(moment time.Duration) time.Time { return c.start.Add(moment) }
+// timeAt returns the time.Time at which the clock shows the given reading.
+func (c monotonicClock) timeAt(reading time.Duration) time.Time { return c.start.Add(reading) }
 
-// httpCaller calls an outside service for the controller.
+// httpCaller sends the controller's requests to one external service.
 type httpCaller struct {
 	client *transport.HTTPClient
 	events *coordination.EventLoop
 }
 
-// Call implements storage.Caller.
+// Call implements storage.Caller. It calls done on the controller's event loop.
 func (c httpCaller) Call(method, path string, body []byte, timeout time.Duration, done func(storage.Response)) {
 	c.client.Do(method, path, body, timeout, func(r transport.HTTPResult) {
 		c.events.Post(func() {
@@ -37,39 +37,40 @@
 	})
 }
 
-// meshEvents brings the mesh's events to the controller, in their order.
+// meshEvents passes the mesh's events to the controller, in the order in which they occur.
 type meshEvents struct {
 	controller *coordination.Controller
 	events     *coordination.EventLoop
 }
 
 // MeshUp implements transport.MeshEvents.
-func (m meshEvents) MeshUp(l *transport.MeshLink, member string) {
-	m.events.Post(func() { m.controller.LinkUp(l, member) })
+func (m meshEvents) MeshUp(link *transport.MeshLink, member string) {
+	m.events.Post(func() { m.controller.LinkUp(link, member) })
 }
 
 // MeshFrames implements transport.MeshEvents.
-func (m meshEvents) MeshFrames(l *transport.MeshLink, frames []*meshpb.Frame) {
+func (m meshEvents) MeshFrames(link *transport.MeshLink, frames []*meshpb.Frame) {
 	m.events.Post(func() {
 		for _, f := range frames {
-			m.controller.LinkFrame(l, f)
+			m.controller.LinkFrame(link, f)
 		}
 	})
 }
 
 // MeshDown implements transport.MeshEvents.
-func (m meshEvents) MeshDown(l *transport.MeshLink) {
-	m.events.Post(func() { m.controller.LinkDown(l) })
+func (m meshEvents) MeshDown(link *transport.MeshLink) {
+	m.events.Post(func() { m.controller.LinkDown(link) })
 }
 
-// apiHandler brings requests of users, workers and health checks to the controller.
+// apiHandler passes the requests of users, workers and health checks to the controller.
 type apiHandler struct {
 	controller *coordination.Controller
 	events     *coordination.EventLoop
 	clock      monotonicClock
 }
 
-// handle is a transport.Handler. While the controller's queue is full it refuses.
+// handle is a transport.Handler. It answers 503 at once while the controller's queue for
+// the request's class is full.
 func (a apiHandler) handle(req *transport.Request, reply func(transport.Response)) {
 	request := &coordination.Request{Method: req.Method, Path: req.Path, Body: req.Body, Conn: req.ConnID, ReceivedAt: a.clock.Now()}
 	handle := func() {
@@ -80,7 +81,8 @@
 	}
 }
 
-// response is the controller's response with the time of day until which it may be sent.
+// response converts the controller's response. Its expiry, a reading of the controller's
+// clock, becomes a time.Time.
 func (a apiHandler) response(r coordination.Response) transport.Response {
 	out := transport.Response{Status: r.Status, Body: r.Body, RetryAfterS: r.RetryAfterS}
 	if r.ValidUntil > 0 {
--- a/cmd/cobaltvale/audit.go
+++ b/cmd/cobaltvale/audit.go
@@ -14,7 +14,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// Exit statuses of the audit command.
+// Exit statuses of cobaltvale audit verify. A wrong command line ends it with
+// auditUnreadable too.
 const (
 	auditClean      = 0
 	auditFindings   = 1
@@ -23,12 +24,13 @@
 
 const (
 	defaultGuaranteeWait = 5 * time.Second
-	thousandthsPerUnit   = 1000 // of a CPU or GPU, see quota.Amount
+	thousandthsPerUnit   = 1000 // the unit of quota.Amount is a thousandth of a CPU or GPU
 )
 
-// runAudit is the command that replays histories. It returns the exit status.
+// runAudit executes the audit command, which replays the audit logs of controllers. It
+// returns the exit status.
 func runAudit(args []string, stdout, stderr io.Writer) int {
-	names, wait, err := parseAuditOptions(args, stdout, stderr)
+	fileNames, guaranteeWait, err := parseAuditOptions(args, stdout, stderr)
 	if errors.Is(err, pflag.ErrHelp) {
 		return auditClean
 	}
@@ -36,14 +38,14 @@
 		return auditError(stderr, err)
 	}
 	var streams []*audit.Stream
-	for _, name := range names {
+	for _, name := range fileNames {
 		stream, err := audit.ReadFile(name)
 		if err != nil {
 			return auditError(stderr, err)
 		}
 		streams = append(streams, stream)
 	}
-	report := audit.Verify(streams, wait)
+	report := audit.Verify(streams, guaranteeWait)
 	printReport(stdout, streams, report)
 	if len(report.Findings) > 0 {
 		return auditFindings
@@ -51,15 +53,17 @@
 	return auditClean
 }
 
-// auditError tells in one line why no histories could be replayed.
+// auditError prints in one line why the audit logs could not be replayed, and returns the
+// exit status.
 func auditError(stderr io.Writer, err error) int {
 	fmt.Fprintln(stderr, "cobaltvale:", err)
 	return auditUnreadable
 }
 
-// parseAuditOptions returns the names of the histories, and how long a team within its
-// guarantee may be kept waiting. It returns pflag.ErrHelp after it has written the usage.
-func parseAuditOptions(args []string, stdout, stderr io.Writer) (names []string, guaranteeWait time.Duration, err error) {
+// parseAuditOptions returns the names of the audit logs, and how long limits may keep a
+// team waiting that is within its guarantee. It returns pflag.ErrHelp after it has printed
+// the usage.
+func parseAuditOptions(args []string, stdout, stderr io.Writer) (fileNames []string, guaranteeWait time.Duration, err error) {
 	flags := pflag.NewFlagSet("cobaltvale audit verify", pflag.ContinueOnError)
 	flags.SetOutput(stderr)
 	wait := flags.Duration("guarantee-wait", defaultGuaranteeWait, "how long a team within its guarantee may be kept waiting by limits")
@@ -75,7 +79,8 @@
 	return flags.Args()[1:], *wait, nil
 }
 
-// printReport writes what the histories show as tables, then the findings.
+// printReport prints a table of the controllers' processes, a table of the teams' usage,
+// and the findings.
 func printReport(out io.Writer, streams []*audit.Stream, report *audit.Report) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "controller\tprocess\tstarted\trecords")
@@ -86,7 +91,7 @@
 	for _, team := range report.Teams {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\n", team.Team, formatAmount(team.Limit), formatAmount(team.Peak), formatTime(team.PeakAtMs), team.Admissions, team.Releases)
 	}
-	// An error means that the terminal or the pipe is gone, and nobody is left to tell.
+	// An error means that the terminal or pipe was closed, so it can't be reported there.
 	_ = table.Flush()
 	for _, finding := range report.Findings {
 		fmt.Fprintf(out, "%s: %s %s: %s\n", finding.Kind, finding.Team, formatTime(finding.TimeMs), finding.Text)
@@ -94,7 +99,7 @@
 	fmt.Fprintf(out, "%d findings\n", len(report.Findings))
 }
 
-// formatTime writes milliseconds since 1970 as a time of day; 0 is none.
+// formatTime formats milliseconds since 1970 as a UTC time; 0 means that there is no time.
 func formatTime(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -102,13 +107,13 @@
 	return time.UnixMilli(ms).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-// formatAmount writes an amount in whole CPUs and GPUs.
+// formatAmount formats an amount as numbers of CPUs and GPUs.
 func formatAmount(a quota.Amount) string {
-	part := func(v int64) string {
+	formatPart := func(v int64) string {
 		if v >= quota.Unlimited {
 			return "any"
 		}
 		return strconv.FormatFloat(float64(v)/thousandthsPerUnit, 'f', -1, 64)
 	}
-	return part(a.CPUs) + " CPUs " + part(a.GPUs) + " GPUs"
+	return formatPart(a.CPUs) + " CPUs " + formatPart(a.GPUs) + " GPUs"
 }
--- a/cmd/cobaltvale/limits.go
+++ b/cmd/cobaltvale/limits.go
@@ -8,67 +8,72 @@
 )
 
 const (
-	// minStateConns is how many connections to the state service may be open in any case.
+	// minStateConns is the least value of maxStateConns.
 	minStateConns = 8
-	// stateConnsDivisor is which part of the sockets may go to the state service at the most.
+	// stateConnsDivisor limits connections to the state service to this fraction of the
+	// sockets (1/32).
 	stateConnsDivisor       = 32
 	maxCloudConns           = 3
 	maxQueuedClientRequests = 1024
 
-	// meshConnsPerPeer leaves sockets to links that replace others.
+	// meshConnsPerPeer is above 1 because a new link is opened while those that it replaces
+	// are not closed yet.
 	meshConnsPerPeer = 4
-	// Sockets for listeners, files and what the runtime opens.
+	// reservedSockets are left to listeners, files and the Go runtime, but at most a quarter
+	// of all sockets.
 	reservedSockets, reservedSocketsDivisor = 32, 4
 
 	meshIdleTimeout = 4 * time.Second
-	// meshMemoryDivisor is which part of the memory may wait to be written to the other
-	// controllers.
+	// meshMemoryDivisor is the fraction (1/8) of the memory that data waiting to be written
+	// to all other controllers may take.
 	meshMemoryDivisor        = 8
 	minMeshBacklogLimitBytes = 4 << 20
 
-	// heldRequestMemoryDivisor is which part of the memory requests may take that wait for their
-	// answers.
+	// heldRequestMemoryDivisor is the fraction (1/4) of the memory that requests waiting for
+	// their responses may take.
 	heldRequestMemoryDivisor = 4
-	apiIdleTimeout           = 2 * time.Minute
-	apiReadTimeout           = 15 * time.Second
 
-	// loopInterval is the least time between two turns of the event loop that drives the
-	// connections, see transport.Loop.
+	apiIdleTimeout = 2 * time.Minute
+	apiReadTimeout = 15 * time.Second
+
+	// loopInterval is the least time between two turns of the connections' event loop, see
+	// transport.Loop.
 	loopInterval = 70 * time.Millisecond
 	stopTimeout  = 5 * time.Second
 )
 
-// memoryLimitBytes is how much memory the process may take.
+// memoryLimitBytes is how much memory the process may use.
 func memoryLimitBytes(file *settings.File) float64 {
 	return file.Settings.Limits.MemMB * float64(bytesPerMB)
 }
 
-// maxStateConns is how many connections to the state service may be open at once:
-// enough to use its rate while every answer takes as long as one may. With a few for a
-// service that is quick, one that got slow was asked so seldom that users were refused;
-// they are opened only when needed.
+// maxStateConns is how many connections to the state service may be open at once: enough
+// to use its request rate while every request takes as long as its timeout. With only as
+// many as a fast service needs, a service that became slow got so few requests that
+// requests of users were rejected. Connections are opened only when needed.
 func maxStateConns(file *settings.File, tuning settings.Tuning) int {
 	needed := int(math.Ceil(file.Settings.State.RPS * tuning.StateRateShare * tuning.RequestTimeout.Seconds()))
 	return max(minStateConns, min(needed, file.Settings.Limits.Sockets/stateConnsDivisor))
 }
 
-// maxAPIConns is how many connections users, workers and health checks may open: the
-// sockets that all others leave.
+// maxAPIConns is how many connections users, workers and health checks may open: all
+// sockets that are not needed elsewhere.
 func maxAPIConns(file *settings.File, tuning settings.Tuning) int {
 	sockets := file.Settings.Limits.Sockets
 	reserved := min(reservedSockets, sockets/reservedSocketsDivisor)
 	return sockets - maxStateConns(file, tuning) - maxCloudConns - meshConnsPerPeer*len(file.Peers) - reserved
 }
 
-// maxHeldRequestBytes is how many bytes of requests may wait for their answers.
+// maxHeldRequestBytes is how many bytes of requests may wait for their responses.
 func maxHeldRequestBytes(file *settings.File) int64 {
 	return int64(memoryLimitBytes(file)) / heldRequestMemoryDivisor
 }
 
-// maxMeshBacklogBytes is how many bytes may wait to be written to another controller. What a
-// leader tells a holder that registers its shard, or passes on when all workers report at
-// once, grows with the fleet.
+// maxMeshBacklogBytes is how many bytes may wait to be written to one other controller. The
+// need grows with the number of machines: with what a leader sends to an owner that
+// registers its shard, and with the heartbeats that are forwarded when all workers send
+// theirs at once.
 func maxMeshBacklogBytes(file *settings.File) int {
-	share := memoryLimitBytes(file) / meshMemoryDivisor
-	return max(minMeshBacklogLimitBytes, int(share)/max(1, len(file.Peers)))
+	allPeersBytes := memoryLimitBytes(file) / meshMemoryDivisor
+	return max(minMeshBacklogLimitBytes, int(allPeersBytes)/max(1, len(file.Peers)))
 }
--- a/cmd/cobaltvale/logging.go
+++ b/cmd/cobaltvale/logging.go
@@ -7,11 +7,11 @@
 	"github.com/rs/zerolog"
 )
 
-// newLogger makes the process's log: one JSON object a line, from the level that
-// LOG_LEVEL names.
-func newLogger(w io.Writer, name string) (zerolog.Logger, error) {
+// newLogger returns the process's logger, which writes one JSON object per line. levelName
+// is the value of LOG_LEVEL, the lowest level that is written; empty means info.
+func newLogger(w io.Writer, levelName string) (zerolog.Logger, error) {
 	var level zerolog.Level
-	switch name {
+	switch levelName {
 	case "", "info":
 		level = zerolog.InfoLevel
 	case "error":
@@ -19,7 +19,7 @@
 	case "debug":
 		level = zerolog.DebugLevel
 	default:
-		return zerolog.Nop(), fmt.Errorf("LOG_LEVEL %q is not error, info or debug", name)
+		return zerolog.Nop(), fmt.Errorf("LOG_LEVEL %q is not error, info or debug", levelName)
 	}
 	return zerolog.New(w).Level(level).With().Timestamp().Logger(), nil
 }
--- a/cmd/cobaltvale/main.go
+++ b/cmd/cobaltvale/main.go
@@ -1,6 +1,6 @@
-// Command cobaltvale is a controller of a cluster of rented machines. It owns the
-// process: the command line, the settings, the log, the wiring of the packages, and the
-// way down. What the controller decides is in package coordination.
+// Command cobaltvale is a controller of a cluster of rented machines. It handles what
+// concerns the process: the command line, the settings, the log, the wiring of the packages
+// and the shutdown. The controller's decisions are made in package coordination.
 package main
 
 import (
@@ -26,13 +26,13 @@
 const (
 	exitOK     = 0
 	exitFailed = 1
-	exitUsage  = 2 // of the command line or the settings
+	exitUsage  = 2 // wrong command line or settings
 )
 
 const (
-	// gcPercent makes collections rare: the heap stays far below its limit.
+	// gcPercent makes garbage collections rare; the heap is far below its limit.
 	gcPercent = 400
-	// Of the process's memory the heap may take two thirds; the rest is left to stacks, the
+	// The heap may take two thirds of the process's memory; the rest is left to stacks, the
 	// runtime and the program itself.
 	heapShareNumerator, heapShareDenominator = 2, 3
 
@@ -43,7 +43,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// options is the command line.
+// options are the values of the command line.
 type options struct {
 	config     string
 	properties string
@@ -69,13 +69,14 @@
 	return runController(opts, stdout, stderr)
 }
 
-// usageError tells what is wrong in one line.
+// usageError prints an error of the command line or the settings in one line, and returns
+// the exit status.
 func usageError(stderr io.Writer, err error) int {
 	fmt.Fprintln(stderr, "cobaltvale:", err)
 	return exitUsage
 }
 
-// parseOptions reads the command line. It returns pflag.ErrHelp after it has written the
+// parseOptions reads the command line. It returns pflag.ErrHelp after it has printed the
 // usage.
 func parseOptions(args []string, stdout, stderr io.Writer) (options, error) {
 	var opts options
@@ -101,7 +102,8 @@
 	return opts, nil
 }
 
-// runController checks the settings and serves until the process ends.
+// runController loads the settings and, unless they are only to be checked, runs the
+// controller. It returns the exit status.
 func runController(opts options, stdout, stderr io.Writer) int {
 	file, tuning, err := loadSettings(opts)
 	if err != nil {
@@ -118,8 +120,9 @@
 	limitHeap(file.Settings.Limits)
 	ctx := context.Background()
 	if tuning.QuotaAudit != "" {
-		// The history has to end with its last segment. Without one, a signal ends the
-		// process at once.
+		// A signal must not end the process before the audit log has its last segment.
+		// Without an audit log there is nothing to finish, and a signal ends the process at
+		// once.
 		var stop context.CancelFunc
 		ctx, stop = signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 		defer stop()
@@ -132,13 +135,14 @@
 	return exitOK
 }
 
-// limitHeap keeps the heap within the process's limit.
+// limitHeap keeps the heap within its share of the process's memory limit.
 func limitHeap(limits settings.Limits) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(limits.MemMB * float64(bytesPerMB) * heapShareNumerator / heapShareDenominator))
 }
 
-// loadSettings reads the platform's file, and the operators' properties if there are any.
+// loadSettings reads the platform's settings file, and the operators' properties if the
+// command line names a file of them.
 func loadSettings(opts options) (*settings.File, settings.Tuning, error) {
 	file, err := settings.Load(opts.config)
 	if err != nil {
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -14,31 +14,32 @@
 	"github.com/cobaltvale/cobaltvale/internal/transport"
 )
 
-// process is what a controller's process starts with.
+// processConfig is what a controller's process is started with.
 type processConfig struct {
 	file        *settings.File
 	tuning      settings.Tuning
 	log         zerolog.Logger
-	incarnation uint64 // tells this process from others of the same member
+	incarnation uint64 // random; distinguishes this process from others of the same member
 	start       time.Time
 }
 
-// serve runs a controller until its connections' event loop ends, or ctx does.
-func serve(ctx context.Context, p processConfig) (err error) {
-	history, err := openAuditLog(p)
+// serve runs a controller until its connections' event loop ends or ctx is done. Its audit
+// log, if any, is closed last.
+func serve(ctx context.Context, config processConfig) (err error) {
+	recorder, err := openAuditLog(config)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, history.close()) }()
-	n, err := newControllerProcess(p, history.appendFunc())
+	defer func() { err = errors.Join(err, recorder.close()) }()
+	process, err := newControllerProcess(config, recorder.appendFunc())
 	if err != nil {
 		return err
 	}
-	return n.run(ctx)
+	return process.run(ctx)
 }
 
-// node is a controller with its two event loops: that of the connections, and that of the
-// controller, which alone may call it.
+// controllerProcess is a controller with its two event loops: connections drives all
+// connections, events calls the controller, which is not safe for concurrent use.
 type controllerProcess struct {
 	processConfig
 	connections *transport.Loop
@@ -48,40 +49,41 @@
 	server      *transport.Server
 }
 
-// newControllerProcess wires the packages together.
-func newControllerProcess(p processConfig, record func(audit.Record)) (*controllerProcess, error) {
-	n := &controllerProcess{processConfig: p, connections: transport.NewLoop(loopInterval), events: coordination.NewEventLoop()}
-	clock := monotonicClock{p.start}
-	controller, err := coordination.New(p.file, p.tuning, coordination.Env{
+// newControllerProcess wires the packages together. record receives the records of the
+// audit log; nil: there is none.
+func newControllerProcess(config processConfig, record func(audit.Record)) (*controllerProcess, error) {
+	p := &controllerProcess{processConfig: config, connections: transport.NewLoop(loopInterval), events: coordination.NewEventLoop()}
+	clock := monotonicClock{config.start}
+	controller, err := coordination.New(config.file, config.tuning, coordination.Env{
 		Clock: clock,
 		Wall:  time.Now,
-		Rand:  rand.New(rand.NewPCG(rand.Uint64(), p.incarnation)),
-		State: n.newHTTPCaller(p.file.External.State, maxStateConns(p.file, p.tuning)),
-		Cloud: n.newHTTPCaller(p.file.External.Cloud, maxCloudConns),
-		Log:   p.log,
+		Rand:  rand.New(rand.NewPCG(rand.Uint64(), config.incarnation)),
+		State: p.newHTTPCaller(config.file.External.State, maxStateConns(config.file, config.tuning)),
+		Cloud: p.newHTTPCaller(config.file.External.Cloud, maxCloudConns),
+		Log:   config.log,
 		Audit: record,
-	}, p.incarnation)
+	}, config.incarnation)
 	if err != nil {
 		return nil, err
 	}
-	n.controller = controller
-	n.mesh = transport.NewMesh(meshConfig(p.file), n.connections, meshEvents{controller, n.events})
-	n.server = transport.NewServer(transport.ServerConfig{
-		Addr:                   p.file.APIAddr,
-		MaxConns:               maxAPIConns(p.file, p.tuning),
-		MaxPendingRequestBytes: maxHeldRequestBytes(p.file),
+	p.controller = controller
+	p.mesh = transport.NewMesh(meshConfig(config.file), p.connections, meshEvents{controller, p.events})
+	p.server = transport.NewServer(transport.ServerConfig{
+		Addr:                   config.file.APIAddr,
+		MaxConns:               maxAPIConns(config.file, config.tuning),
+		MaxPendingRequestBytes: maxHeldRequestBytes(config.file),
 		IdleTimeout:            apiIdleTimeout,
 		ReadTimeout:            apiReadTimeout,
-	}, n.connections, apiHandler{controller, n.events, clock}.handle)
-	return n, nil
+	}, p.connections, apiHandler{controller, p.events, clock}.handle)
+	return p, nil
 }
 
-// caller calls an outside service.
-func (n *controllerProcess) newHTTPCaller(addr string, maxConns int) httpCaller {
-	return httpCaller{transport.NewHTTPClient(n.connections, addr, maxConns, maxQueuedClientRequests), n.events}
+// newHTTPCaller returns the caller of the external service at addr.
+func (p *controllerProcess) newHTTPCaller(addr string, maxConns int) httpCaller {
+	return httpCaller{transport.NewHTTPClient(p.connections, addr, maxConns, maxQueuedClientRequests), p.events}
 }
 
-// meshConfig describes this member's side of the mesh.
+// meshConfig returns this member's configuration of the mesh.
 func meshConfig(file *settings.File) transport.MeshConfig {
 	peers := make([]transport.MeshPeer, 0, len(file.Peers))
 	for _, peer := range file.Peers {
@@ -93,32 +95,33 @@
 	}
 }
 
-// run serves until the connections' event loop ends, by itself or since ctx has ended.
-// The controller's event loop runs on the calling goroutine.
-func (n *controllerProcess) run(ctx context.Context) error {
-	// Dialing goes on until the event loops have ended, also while ctx ends them.
-	dialing, stopDialing := context.WithCancel(context.Background())
+// run serves until the connections' event loop ends, by itself or because ctx is done. The
+// controller's event loop runs on the calling goroutine.
+func (p *controllerProcess) run(ctx context.Context) error {
+	// Peers are dialed until the event loops have ended, also while they shut down.
+	dialCtx, stopDialing := context.WithCancel(context.Background())
 	defer stopDialing()
-	n.mesh.Start(dialing)
-	ended := make(chan error, 1)
-	// Ends with the connections' event loop; n.events.Run below waits for it.
+	p.mesh.Start(dialCtx)
+	connectionsDone := make(chan error, 1)
+	// This goroutine ends with the connections' event loop; p.events.Run below returns when
+	// it stops the controller's.
 	go func() {
-		ended <- n.connections.Run(n.server, n.mesh)
-		n.events.Stop()
+		connectionsDone <- p.connections.Run(p.server, p.mesh)
+		p.events.Stop()
 	}()
-	// Ends within stopTimeout; if the connections' event loop has not ended by then,
-	// nobody waits for it any longer.
+	// This function ends within stopTimeout. If the connections' event loop has not ended by
+	// then, the controller's is stopped without waiting for it any longer.
 	stop := context.AfterFunc(ctx, func() {
-		if err := n.connections.Stop(stopTimeout); err != nil {
-			n.log.Error().Err(err).Msg("connections not closed in time")
-			n.events.Stop()
+		if err := p.connections.Stop(stopTimeout); err != nil {
+			p.log.Error().Err(err).Msg("connections not closed in time")
+			p.events.Stop()
 		}
 	})
 	defer stop()
-	n.log.Info().Str("member", n.file.Member).Msg("controller started")
-	n.events.Run(n.controller, n.connections.NotifyBatchHandled)
+	p.log.Info().Str("member", p.file.Member).Msg("controller started")
+	p.events.Run(p.controller, p.connections.NotifyBatchHandled)
 	select {
-	case err := <-ended:
+	case err := <-connectionsDone:
 		return err
 	default:
 		return nil
--- a/cmd/quotabench/main.go
+++ b/cmd/quotabench/main.go
@@ -1,6 +1,6 @@
-// Command quotabench measures what dividing team limits among the shards costs and
-// brings: three controllers run as processes on loopback against the stand-ins of
-// this repository, once without quota.escrow and once with it.
+// Command quotabench measures the costs and benefits of dividing team limits among the
+// shards. It runs three controllers as processes on loopback against the stand-ins of
+// package standin, once without quota.escrow and once with it.
 //
 //	go build -ldflags=-linkmode=external -o target/cobaltvale ./cmd/cobaltvale
 //	go run ./cmd/quotabench --program target/cobaltvale
@@ -24,19 +24,19 @@
 
 const (
 	runTimeout         = 3 * time.Minute
-	usersPerController = 100 // at each controller
+	usersPerController = 100 // that submit at the same time
 	taskDuration       = 600 * time.Millisecond
 	demandMoves        = 10
 )
 
-// result is one run's figures.
+// result has the figures of one run.
 type result struct {
 	admissionsPerS  float64
-	startDelays     []time.Duration
-	changesPerS     float64
-	transfersPerS   float64
-	guaranteeDelays []time.Duration // from a move of demand to the guarantee met
-	peakUsage       map[string]float64
+	startDelays     []time.Duration    // from a job's submission to each of its tasks' starts
+	changesPerS     float64            // of keys of the state service, in the burst
+	transfersPerS   float64            // those among them that change allocations of the limits
+	guaranteeDelays []time.Duration    // from a move of demand until the guarantee is met
+	peakUsage       map[string]float64 // CPUs by team
 	violations      []string
 }
 
@@ -55,12 +55,13 @@
 	}
 }
 
-// teams are the teams that share the machines. The guarantee of west is its limit.
+// teams returns the teams that share the machines, with amounts in CPUs. The guarantee of
+// west equals its limit.
 func teams() []standin.Team {
 	return []standin.Team{{Name: "north", Guarantee: 60, Limit: 120}, {Name: "south", Guarantee: 40, Limit: 80}, {Name: "west", Guarantee: 20, Limit: 20}}
 }
 
-// measure runs the controllers once.
+// measure runs the controllers once and returns the figures of that run.
 func measure(program string, jobs, machines int, escrow bool) (r *result, err error) {
 	d, err := standin.NewDeployment(machines, teams())
 	if err != nil {
@@ -88,7 +89,7 @@
 		return nil, err
 	}
 	d.StartWorkers()
-	time.Sleep(3 * time.Second) // machines send heartbeats, shards are reconciled
+	time.Sleep(3 * time.Second) // until all machines have sent heartbeats and shards are reconciled
 	r = &result{}
 	if err := r.measureBurst(ctx, d, jobs); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	return r, nil
 }
 
-// startController starts one process. It ends with stop, which waits for it.
+// startController starts a member's process. stop kills it and waits for its end.
 func startController(ctx context.Context, program, dir, member, settings string, escrow bool) (stop func(), err error) {
 	config, props := filepath.Join(dir, member+".toml"), filepath.Join(dir, "p.properties")
 	err = errors.Join(os.WriteFile(config, []byte(settings), 0o600), os.WriteFile(props, fmt.Appendf(nil, "quota.escrow = %v\n", escrow), 0o600))
@@ -115,57 +116,58 @@
 		return nil, fmt.Errorf("quotabench: %w", err)
 	}
 	return func() {
-		// It is ended on purpose; how it ends says nothing.
+		// The errors are ignored: the process is killed on purpose.
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	}, nil
 }
 
-// measureBurst hands all jobs in at once and waits until all tasks have started.
+// measureBurst submits all jobs at once and waits until all their tasks have started.
 func (r *result) measureBurst(ctx context.Context, d *standin.Deployment, jobs int) error {
 	changes, _ := d.State.Changes("")
 	transfers, _ := d.State.Changes("m/quota/")
-	began := time.Now()
-	var list []*standin.Job
-	tasks := 0
+	start := time.Now()
+	var batch []*standin.Job
+	taskCount := 0
 	for i := range jobs {
 		team := teams()[[]int{0, 1, 0, 1, 0, 1, 0, 2}[i%8]].Name
 		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", i), Team: team, Tasks: 1 + i%7/6, CPUs: 1, TaskDuration: taskDuration}
-		tasks += j.Tasks
-		list = append(list, j)
+		taskCount += j.Tasks
+		batch = append(batch, j)
 	}
-	if err := submitAll(ctx, d, list); err != nil {
+	if err := submitAll(ctx, d, batch); err != nil {
 		return err
 	}
 	err := standin.WaitFor(ctx, "all tasks start", func() bool {
-		n := 0
-		for _, k := range d.History.Summary().StartedTasks {
-			n += k
+		started := 0
+		for _, count := range d.History.Summary().StartedTasks {
+			started += count
 		}
-		return n >= tasks
+		return started >= taskCount
 	})
 	if err != nil {
 		return err
 	}
-	took := time.Since(began).Seconds()
-	after, _ := d.State.Changes("")
-	moved, _ := d.State.Changes("m/quota/")
-	r.admissionsPerS, r.startDelays = float64(tasks)/took, d.History.Summary().StartDelays
-	r.changesPerS, r.transfersPerS = float64(after-changes)/took, float64(moved-transfers)/took
+	elapsedS := time.Since(start).Seconds()
+	changesAfter, _ := d.State.Changes("")
+	transfersAfter, _ := d.State.Changes("m/quota/")
+	r.admissionsPerS, r.startDelays = float64(taskCount)/elapsedS, d.History.Summary().StartDelays
+	r.changesPerS, r.transfersPerS = float64(changesAfter-changes)/elapsedS, float64(transfersAfter-transfers)/elapsedS
 	return nil
 }
 
-// submit has users at each controller hand the jobs in, and waits for them.
+// submitAll has concurrent users submit the jobs to all controllers, and waits until all
+// jobs are accepted. It returns the first error, if any.
 func submitAll(ctx context.Context, d *standin.Deployment, jobs []*standin.Job) error {
-	work := make(chan int)
+	indexes := make(chan int) // of the jobs
 	errs := make(chan error, len(jobs))
 	var users sync.WaitGroup
 	for range usersPerController * len(d.Members) {
 		users.Add(1)
-		// Ends when the work does; users.Wait waits for it.
+		// This goroutine ends when indexes is closed; users.Wait waits for it.
 		go func() {
 			defer users.Done()
-			for i := range work {
+			for i := range indexes {
 				if err := d.Submit(ctx, d.Members[i%len(d.Members)], jobs[i]); err != nil {
 					errs <- err
 				}
@@ -173,35 +175,36 @@
 		}()
 	}
 	for i := range jobs {
-		work <- i
+		indexes <- i
 	}
-	close(work)
+	close(indexes)
 	users.Wait()
 	close(errs)
 	return <-errs
 }
 
-// measureDemandMoves has the work of a team whose guarantee is its limit come at one controller
-// after the other, and measures until all of the guarantee runs there.
-func (r *result) measureDemandMoves(ctx context.Context, d *standin.Deployment, first int) error {
-	time.Sleep(2 * time.Second) // the burst's last tasks end
+// measureDemandMoves submits the jobs of a team whose guarantee equals its limit to one
+// controller after the other, and measures each time how long it takes until as many tasks
+// have started as the guarantee allows. The jobs' IDs are numbered from firstJob.
+func (r *result) measureDemandMoves(ctx context.Context, d *standin.Deployment, firstJob int) error {
+	time.Sleep(2 * time.Second) // until the last tasks of the burst have ended
 	for round := range demandMoves {
-		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", first+round), Team: "west", Tasks: 20, CPUs: 1, TaskDuration: 2 * time.Second}
-		before := d.History.Summary().StartedTasks["west"]
-		began := time.Now()
+		j := &standin.Job{ID: fmt.Sprintf("wk-%06d", firstJob+round), Team: "west", Tasks: 20, CPUs: 1, TaskDuration: 2 * time.Second}
+		startedBefore := d.History.Summary().StartedTasks["west"]
+		start := time.Now()
 		if err := d.Submit(ctx, d.Members[round%len(d.Members)], j); err != nil {
 			return err
 		}
-		if err := standin.WaitFor(ctx, "the guarantee is met", func() bool { return d.History.Summary().StartedTasks["west"] >= before+20 }); err != nil {
+		if err := standin.WaitFor(ctx, "the guarantee is met", func() bool { return d.History.Summary().StartedTasks["west"] >= startedBefore+20 }); err != nil {
 			return err
 		}
-		r.guaranteeDelays = append(r.guaranteeDelays, time.Since(began))
-		time.Sleep(4 * time.Second) // its tasks end and are proven gone
+		r.guaranteeDelays = append(r.guaranteeDelays, time.Since(start))
+		time.Sleep(4 * time.Second) // until its tasks have ended and the controllers know it
 	}
 	return nil
 }
 
-// print writes a run's figures.
+// print prints the figures of a run.
 func (r *result) print(escrow bool) {
 	fmt.Printf("quota.escrow = %v (loopback, three processes, stand-ins of this repository)\n", escrow)
 	fmt.Printf("  admissions: %.0f a second\n", r.admissionsPerS)
@@ -211,12 +214,12 @@
 	fmt.Printf("  highest use: %v; problems seen by the machines: %d %v\n", r.peakUsage, len(r.violations), r.violations)
 }
 
-// percentiles is p50, p95 and the largest of some times.
-func percentiles(times []time.Duration) string {
-	if len(times) == 0 {
+// percentiles formats the median, the 95th percentile and the maximum of some durations.
+func percentiles(durations []time.Duration) string {
+	if len(durations) == 0 {
 		return "none"
 	}
-	sorted := slices.Sorted(slices.Values(times))
+	sorted := slices.Sorted(slices.Values(durations))
 	at := func(share float64) time.Duration {
 		return sorted[min(len(sorted)-1, int(share*float64(len(sorted))))].Round(time.Millisecond)
 	}
--- a/internal/standin/deployment.go
+++ b/internal/standin/deployment.go
@@ -20,23 +20,25 @@
 	machineLeaseS      = 8.0
 )
 
-// Team is a team of a deployment, in CPUs.
+// Team is a team of a deployment.
 type Team struct {
 	Name             string
-	Guarantee, Limit float64
+	Guarantee, Limit float64 // CPUs
 }
 
-// Deployment is what surrounds three controllers on loopback.
+// Deployment is the environment of three controllers on loopback: a state service, a cloud
+// with a fixed number of machines, the workers on these machines, and users. It does not
+// run the controllers.
 type Deployment struct {
-	Members []string
+	Members []string // the controllers' names
 	State   *State
 	History *History
 
 	codec             *protocol.Codec
 	teams             []Team
-	apiAddresses      map[string]string // addresses by member
-	meshAddresses     map[string]string
-	externalAddresses map[string]string // of the state service and the cloud
+	apiAddresses      map[string]string // by member
+	meshAddresses     map[string]string // by member
+	externalAddresses map[string]string // of the services "state" and "cloud"
 	servers           []*http.Server
 	client            *http.Client
 	machineCount      int
@@ -44,8 +46,9 @@
 	workers           sync.WaitGroup
 }
 
-// NewDeployment serves a state service and a cloud that has a number of machines.
-func NewDeployment(machines int, teams []Team) (*Deployment, error) {
+// NewDeployment starts a state service and a cloud with the given number of machines. The
+// machines send no heartbeats until StartWorkers.
+func NewDeployment(machineCount int, teams []Team) (*Deployment, error) {
 	codec, err := protocol.NewCodec()
 	if err != nil {
 		return nil, err
@@ -55,7 +58,7 @@
 		limits[t.Name] = t.Limit
 	}
 	d := &Deployment{Members: []string{"a", "b", "c"}, State: NewState(codec), History: NewHistory(limits), codec: codec, teams: teams,
-		apiAddresses: make(map[string]string), meshAddresses: make(map[string]string), externalAddresses: make(map[string]string), machineCount: machines,
+		apiAddresses: make(map[string]string), meshAddresses: make(map[string]string), externalAddresses: make(map[string]string), machineCount: machineCount,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}, Timeout: 5 * time.Second}}
 	for _, m := range d.Members {
 		if d.apiAddresses[m], err = freeAddress(); err != nil {
@@ -73,7 +76,7 @@
 		d.externalAddresses[name] = ln.Addr().String()
 		server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 		d.servers = append(d.servers, server)
-		go func() { _ = server.Serve(ln) }() // it returns when the deployment is closed
+		go func() { _ = server.Serve(ln) }() // returns when Close closes the server
 	}
 	return d, nil
 }
@@ -89,7 +92,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Settings is the settings file of a member.
+// Settings returns the text of a member's settings file.
 func (d *Deployment) Settings(member string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "member = %q\nsite = %q\napi_addr = %q\nmesh_addr = %q\n", member, zone, d.apiAddresses[member], d.meshAddresses[member])
@@ -108,14 +111,15 @@
 	return b.String()
 }
 
-// StartWorkers has all machines send heartbeats.
+// StartWorkers starts the workers of all machines, which send heartbeats until Close.
 func (d *Deployment) StartWorkers() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stopWorkers = cancel
 	for i := range d.machineCount {
-		// A machine stays on one connection: that shows that answers reach it.
-		own := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
-		w := &worker{codec: d.codec, client: own, history: d.History, name: machineName(i), apiAddresses: d.apiAddresses, members: d.Members, memberIndex: i,
+		// Each worker has a single connection: a heartbeat on the connection of the previous
+		// response proves to the controller that the response arrived.
+		workerClient := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
+		w := &worker{codec: d.codec, client: workerClient, history: d.History, name: machineName(i), apiAddresses: d.apiAddresses, members: d.Members, memberIndex: i,
 			heartbeatInterval: time.Duration(heartbeatIntervalS * float64(time.Second)), tasks: make(map[string]*workerTask)}
 		d.workers.Add(1)
 		go func() {
@@ -127,7 +131,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// Close ends the workers and the servers.
+// Close stops the workers and the servers, and waits for the workers.
 func (d *Deployment) Close() {
 	if d.stopWorkers != nil {
 		d.stopWorkers()
@@ -135,18 +139,19 @@
 	}
 	d.State.Close()
 	for _, s := range d.servers {
-		_ = s.Close() // whatever it still serves ends with the deployment
+		_ = s.Close() // requests in progress are cut off, so an error is of no interest
 	}
 }
 
-// serveCloud has one type of machine, all of which are rented already.
+// serveCloud serves the cloud's API. The cloud has one machine type; all its machines are
+// already rented, no more can be rented, and none can be returned.
 func (d *Deployment) serveCloud(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/catalog":
 		reply(w, d.codec, 200, protocol.Catalog{Types: []protocol.MachineType{{Name: machineType, CPUs: machineCPUs, MemoryGB: 64, CacheGB: 50,
 			FetchRate: 10, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{zone}}}})
 	case r.URL.Path == "/hosts/release":
-		reply(w, d.codec, 503, protocol.ErrorBody{Error: "trouble"}) // nothing is returned
+		reply(w, d.codec, 503, protocol.ErrorBody{Error: "trouble"})
 	case r.Method == http.MethodPost:
 		reply(w, d.codec, 503, protocol.ErrorBody{Error: "no capacity"})
 	default:
@@ -155,16 +160,16 @@
 }
 
 func (d *Deployment) listMachines(w http.ResponseWriter, r *http.Request) {
-	const page = 500
-	out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
+	const pageSize = 500
+	list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 	for i := range d.machineCount {
 		if name := machineName(i); name > r.URL.Query().Get("from") {
-			if len(out.Machines) == page {
-				out.More = true
+			if len(list.Machines) == pageSize {
+				list.More = true
 				break
 			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: name, Addr: "127.0.0.1:1", Type: machineType, Zone: zone, Status: "running", AgeS: 1000})
+			list.Machines = append(list.Machines, protocol.ListedMachine{ID: name, Addr: "127.0.0.1:1", Type: machineType, Zone: zone, Status: "running", AgeS: 1000})
 		}
 	}
-	reply(w, d.codec, 200, out)
+	reply(w, d.codec, 200, list)
 }
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -6,37 +6,40 @@
 	"time"
 )
 
-// Job is what the stand-ins know of a job that a user submits.
+// Job is a batch job that a user submits.
 type Job struct {
 	ID, Team     string
-	Tasks        int
-	CPUs         float64
-	TaskDuration time.Duration // each task
-	SubmittedAt  time.Time     // when it was first sent
+	Tasks        int           // number of tasks
+	CPUs         float64       // of each task
+	TaskDuration time.Duration // run time of each task
+	SubmittedAt  time.Time     // when Submit was called, before the first attempt
 }
 
-// History is what happens on the machines, independent of what controllers say of it.
+// History records what happens on the machines, independent of what the controllers report,
+// and finds violations: a team above its limit, or a task that runs twice at a time. It is
+// safe for concurrent use.
 type History struct {
-	limits map[string]float64
+	limits map[string]float64 // CPUs by team; 0: none
 
-	mu            sync.Mutex
-	jobs          map[string]*Job
-	cpusInUse     map[string]float64
-	peakCPUs      map[string]float64
-	machineByTask map[string]string // machine by task
-	startedTasks  map[string]int
-	startDelays   []time.Duration // from a job's submission to each of its tasks' starts
-	firstStarts   map[string]time.Time
+	mu            sync.Mutex         // guards all fields below
+	jobs          map[string]*Job    // by ID
+	cpusInUse     map[string]float64 // by team
+	peakCPUs      map[string]float64 // by team
+	machineByTask map[string]string
+	startedTasks  map[string]int       // by team
+	startDelays   []time.Duration      // from a job's submission to each of its tasks' starts
+	firstStarts   map[string]time.Time // of any task, by job ID
 	violations    []string
 }
 
-// NewHistory makes one that knows the teams' limits in CPUs.
+// NewHistory returns an empty history for teams with the given limits in CPUs.
 func NewHistory(limits map[string]float64) *History {
 	return &History{limits: limits, jobs: make(map[string]*Job), cpusInUse: make(map[string]float64), peakCPUs: make(map[string]float64),
 		machineByTask: make(map[string]string), startedTasks: make(map[string]int), firstStarts: make(map[string]time.Time)}
 }
 
-// Submit makes a job known.
+// AddJob adds a job, so that its tasks can be started. It must be called before the job is
+// submitted.
 func (h *History) AddJob(j *Job) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,12 +52,12 @@
 	return h.jobs[id]
 }
 
-// start notes that a task starts on a machine.
+// recordStart records that a task starts on a machine, and the violations that this makes.
 func (h *History) recordStart(j *Job, task, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if on := h.machineByTask[task]; on != "" {
-		h.addViolation("%s starts on %s while it runs on %s", task, machine, on)
+	if previous := h.machineByTask[task]; previous != "" {
+		h.addViolation("%s starts on %s while it runs on %s", task, machine, previous)
 	}
 	h.machineByTask[task] = machine
 	h.cpusInUse[j.Team] += j.CPUs
@@ -78,36 +81,38 @@
 
 const maxViolations = 20
 
+// addViolation adds a violation unless there are maxViolations already. It must be called
+// with mu held.
 func (h *History) addViolation(format string, args ...any) {
 	if len(h.violations) < maxViolations {
 		h.violations = append(h.violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// Summary is what the machines have seen so far.
+// Summary is a copy of what happened on the machines so far.
 type Summary struct {
-	StartedTasks map[string]int
-	PeakCPUs     map[string]float64
-	StartDelays  []time.Duration
-	FirstStarts  map[string]time.Time
-	Violations   []string
+	StartedTasks map[string]int       // by team
+	PeakCPUs     map[string]float64   // by team
+	StartDelays  []time.Duration      // from a job's submission to each of its tasks' starts
+	FirstStarts  map[string]time.Time // by job ID
+	Violations   []string             // at most maxViolations, for reading
 }
 
-// Summary returns it.
+// Summary returns a copy of the present state.
 func (h *History) Summary() Summary {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := Summary{StartedTasks: make(map[string]int), PeakCPUs: make(map[string]float64), FirstStarts: make(map[string]time.Time)}
-	for team, n := range h.startedTasks {
-		out.StartedTasks[team] = n
+	summary := Summary{StartedTasks: make(map[string]int), PeakCPUs: make(map[string]float64), FirstStarts: make(map[string]time.Time)}
+	for team, count := range h.startedTasks {
+		summary.StartedTasks[team] = count
 	}
-	for team, v := range h.peakCPUs {
-		out.PeakCPUs[team] = v
+	for team, cpus := range h.peakCPUs {
+		summary.PeakCPUs[team] = cpus
 	}
-	for id, at := range h.firstStarts {
-		out.FirstStarts[id] = at
+	for id, start := range h.firstStarts {
+		summary.FirstStarts[id] = start
 	}
-	out.StartDelays = append(out.StartDelays, h.startDelays...)
-	out.Violations = append(out.Violations, h.violations...)
-	return out
+	summary.StartDelays = append(summary.StartDelays, h.startDelays...)
+	summary.Violations = append(summary.Violations, h.violations...)
+	return summary
 }
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -1,7 +1,7 @@
-// Package kv is the data of a state service in memory: keys with versions, leases, and
-// the changes in their order, by the protocol's rules for it. It owns what is stored and
-// which leases have ended. It has no clock, no limits and no faults of its own, is not
-// safe for concurrent use and never calls back: whoever serves it adds those.
+// Package kv is the in-memory data of a state service: keys with versions, leases, and the
+// history of changes, by the rules of the protocol. It decides what is stored and which
+// leases have expired. It has no clock, no limits and no simulated faults, is not safe for
+// concurrent use and never calls back; the server built on it adds these.
 package kv
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Entry is what is stored of a key.
+// Entry is the stored value of a key.
 type Entry struct {
 	Value   []byte
-	Version uint64 // the revision of its last change
-	Lease   uint64 // 0: none
+	Version uint64 // the revision of the last write
+	Lease   uint64 // the lease that the key is deleted with; 0: none
 }
 
-// Event is a change as a watch tells it: a write, or a deletion.
+// Event is one change that a watch returns: a write (Put) or a deletion (Delete).
 type Event struct {
 	Put     string          `cbor:"write,omitempty"`
 	Value   cbor.RawMessage `cbor:"v,omitempty"`
@@ -37,32 +37,33 @@
 	return e.Delete
 }
 
-// WatchResponse answers a watch.
+// WatchResponse answers a watch with the changes up to a revision.
 type WatchResponse struct {
 	Revision uint64  `cbor:"edition"`
 	Events   []Event `cbor:"events"`
 }
 
-// Store is what a state service holds. Times are those of any steady clock.
+// Store is the data of one state service. All times that its methods take are readings of
+// one monotonic clock of the caller's choice.
 type Store struct {
-	Revision uint64 // counts the changes
+	Revision uint64 // incremented by each transaction with changes, other write and lease expiry
 	Keys     map[string]*Entry
 
 	leases    map[uint64]*lease
 	lastLease uint64
-	events    []Event
+	events    []Event // all since the start, in the order of their versions
 }
 
 type lease struct {
-	ttl, expiresAt time.Duration
+	ttl, expiresAt time.Duration // expiresAt is on the caller's clock
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Store {
 	return &Store{Keys: make(map[string]*Entry), leases: make(map[uint64]*lease)}
 }
 
-// KeyValue is what is stored of a key, or nil.
+// KeyValue returns a key with its value, version and lease, or nil if it does not exist.
 func (s *Store) KeyValue(key string) *protocol.KeyValue {
 	entry := s.Keys[key]
 	if entry == nil {
@@ -71,7 +72,7 @@
 	return &protocol.KeyValue{Key: key, Value: entry.Value, Version: entry.Version, Lease: entry.Lease}
 }
 
-// Page lists the keys with a prefix that come after one, limit of them at the most.
+// Page lists at most limit keys that have a prefix and sort after the key after, in order.
 func (s *Store) Page(prefix, after string, limit int) protocol.KeyValuePage {
 	var names []string
 	for name := range s.Keys {
@@ -87,7 +88,8 @@
 	return page
 }
 
-// Transact carries out a transaction, and returns the status code and the response.
+// Transact applies a transaction if all its conditions hold, and returns the HTTP status and
+// the response. All its changes have the same revision.
 func (s *Store) Transact(t *protocol.Transaction) (int, protocol.TransactionResponse) {
 	for _, change := range t.Then {
 		if change.Put != "" && change.Lease != 0 && s.leases[change.Lease] == nil {
@@ -110,7 +112,7 @@
 	return http.StatusOK, protocol.TransactionResponse{Revision: s.Revision}
 }
 
-// failed names the keys that have not the version of their condition.
+// failedKeys returns the keys whose version differs from that of their condition.
 func (s *Store) failedKeys(conditions []protocol.Condition) []string {
 	var failed []string
 	for _, condition := range conditions {
@@ -125,7 +127,7 @@
 	return failed
 }
 
-// Put writes a key without conditions or a lease.
+// Put writes a key without conditions and without a lease.
 func (s *Store) Put(key string, value []byte) {
 	s.Revision++
 	s.put(key, value, 0)
@@ -136,14 +138,14 @@
 	s.events = append(s.events, Event{Put: key, Value: slices.Clone(value), Version: s.Revision})
 }
 
-// Announce makes an event of a write that does not take place, for tests of what a
-// watch alone brings about.
+// Announce adds the event of a write without writing the key, for tests of the effects of
+// watch events alone.
 func (s *Store) Announce(key string, value []byte) {
 	s.Revision++
 	s.events = append(s.events, Event{Put: key, Value: slices.Clone(value), Version: s.Revision})
 }
 
-// DeleteKey removes a key, if there is one, as of the present revision.
+// DeleteKey deletes a key, if it exists, at the current revision.
 func (s *Store) DeleteKey(key string) {
 	if s.Keys[key] == nil {
 		return
@@ -152,14 +154,14 @@
 	s.events = append(s.events, Event{Delete: key, Version: s.Revision})
 }
 
-// OpenLease opens a lease and returns its number.
+// OpenLease opens a lease and returns its ID.
 func (s *Store) OpenLease(ttl, now time.Duration) uint64 {
 	s.lastLease++
 	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: now + ttl}
 	return s.lastLease
 }
 
-// RenewLease gives a lease its full time again, and tells whether there is one.
+// RenewLease extends a lease to its full TTL from now, and reports whether it exists.
 func (s *Store) RenewLease(id uint64, now time.Duration) bool {
 	l := s.leases[id]
 	if l == nil {
@@ -169,22 +171,23 @@
 	return true
 }
 
-// RenewAll gives all leases their full time again, as after an outage.
+// RenewAll extends all leases to their full TTL from now, as a state service does after an
+// outage.
 func (s *Store) RenewAll(now time.Duration) {
 	for _, l := range s.leases {
 		l.expiresAt = now + l.ttl
 	}
 }
 
-// ExpireLeases ends the leases whose time is over, each as a change that removes its
-// keys, and tells whether any has ended.
+// ExpireLeases ends the leases whose TTL has passed and reports whether there were any. Each
+// makes a revision of its own, at which its keys are deleted.
 func (s *Store) ExpireLeases(now time.Duration) bool {
-	ended := false
+	anyExpired := false
 	for id, l := range s.leases {
 		if now < l.expiresAt {
 			continue
 		}
-		ended = true
+		anyExpired = true
 		delete(s.leases, id)
 		s.Revision++
 		for key, entry := range s.Keys {
@@ -193,10 +196,10 @@
 			}
 		}
 	}
-	return ended
+	return anyExpired
 }
 
-// EventsSince returns the changes of keys with a prefix after a revision.
+// EventsSince returns the events of keys with a prefix after a revision.
 func (s *Store) EventsSince(prefix string, revision uint64) []Event {
 	first, _ := slices.BinarySearchFunc(s.events, revision, func(e Event, revision uint64) int {
 		if e.Version <= revision {
@@ -204,16 +207,16 @@
 		}
 		return 1
 	})
-	out := []Event{}
+	matching := []Event{}
 	for _, e := range s.events[first:] {
 		if strings.HasPrefix(e.key(), prefix) {
-			out = append(out, e)
+			matching = append(matching, e)
 		}
 	}
-	return out
+	return matching
 }
 
-// ChangeCount is how many changes keys with a prefix have had.
+// ChangeCount returns how many changes the keys with a prefix have had.
 func (s *Store) ChangeCount(prefix string) int {
 	return len(s.EventsSince(prefix, 0))
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,6 +1,6 @@
-// Package standin has small stand-ins for what surrounds the controllers, served on
-// loopback: a state service, a cloud with a fixed fleet, workers and users. Tests and
-// measuring tools run real controllers against them.
+// Package standin has stand-ins for the controllers' environment, served on loopback: a
+// state service, a cloud with a fixed set of machines, workers and users. Tests and
+// benchmarks run real controllers against them.
 package standin
 
 import (
@@ -20,30 +20,30 @@
 	leaseSweepInterval = 50 * time.Millisecond
 )
 
-// State is a state service in memory, without limits of its own.
+// State is an in-memory state service without limits on rates or sizes.
 type State struct {
 	codec     *protocol.Codec
 	stop      chan struct{}
 	startedAt time.Time
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all fields below
 	store    *kv.Store
-	changed  chan struct{} // closed at the next change
+	changed  chan struct{} // closed and replaced at the next change
 	requests int
 }
 
-// NewState makes an empty state service.
+// NewState returns an empty state service, which expires leases until Close.
 func NewState(codec *protocol.Codec) *State {
 	s := &State{codec: codec, stop: make(chan struct{}), startedAt: time.Now(), store: kv.New(), changed: make(chan struct{})}
 	go s.expireLeases()
 	return s
 }
 
-// Close ends the leases' clock and all watches.
+// Close stops the expiry of leases and cuts off all watches. It must be called only once.
 func (s *State) Close() { close(s.stop) }
 
-// Changes is how many changes keys with a prefix have had, and how many requests
-// there were in all.
+// Changes returns how many changes the keys with a prefix have had, and how many requests
+// of any kind the service has received.
 func (s *State) Changes(prefix string) (changes, requests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,9 +68,10 @@
 	}
 }
 
-// now is the leases' clock.
+// now is the time on the leases' clock, which starts at 0 with the service.
 func (s *State) now() time.Duration { return time.Since(s.startedAt) }
 
+// notifyWatches wakes up all watches. It must be called with mu held.
 func (s *State) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -97,12 +98,12 @@
 		}
 		s.transact(w, &t)
 	case path == "/leases":
-		var q protocol.LeaseRequest
-		if s.codec.Decode(body, &q) != nil {
+		var request protocol.LeaseRequest
+		if s.codec.Decode(body, &request) != nil {
 			reply(w, s.codec, 400, protocol.ErrorBody{Error: "malformed"})
 			return
 		}
-		s.openLease(w, time.Duration(q.TTLMs)*time.Millisecond)
+		s.openLease(w, time.Duration(request.TTLMs)*time.Millisecond)
 	case strings.HasPrefix(path, "/leases/"):
 		s.renewLease(w, path)
 	case path == "/kv":
@@ -114,7 +115,7 @@
 
 func reply(w http.ResponseWriter, codec *protocol.Codec, status int, v any) {
 	w.WriteHeader(status)
-	// A client that has gone away is not told.
+	// A write error means that the client has closed the connection.
 	_, _ = w.Write(codec.Encode(v))
 }
 
@@ -147,14 +148,14 @@
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	limit, err := strconv.Atoi(q.Get("limit"))
+	query := r.URL.Query()
+	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil {
 		limit = 1000
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reply(w, s.codec, 200, s.store.Page(q.Get("under"), q.Get("from"), limit))
+	reply(w, s.codec, 200, s.store.Page(query.Get("under"), query.Get("from"), limit))
 }
 
 func (s *State) transact(w http.ResponseWriter, t *protocol.Transaction) {
@@ -167,30 +168,31 @@
 	reply(w, s.codec, status, response)
 }
 
-// watch answers once something under a prefix has changed after a revision.
+// watch answers with the changes under a prefix after a revision: as soon as there is one,
+// or with none when the request's holding time is over.
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
-	hold, herr := strconv.Atoi(q.Get("holdMs"))
-	if err != nil || herr != nil {
+	query := r.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	holdMs, holdErr := strconv.Atoi(query.Get("holdMs"))
+	if err != nil || holdErr != nil {
 		reply(w, s.codec, 400, protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	timeout := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	timeout := time.NewTimer(time.Duration(holdMs) * time.Millisecond)
 	defer timeout.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
-		out := kv.WatchResponse{Revision: s.store.Revision, Events: s.store.EventsSince(q.Get("under"), from)}
+		response := kv.WatchResponse{Revision: s.store.Revision, Events: s.store.EventsSince(query.Get("under"), from)}
 		changed := s.changed
 		s.mu.Unlock()
-		if len(out.Events) > 0 || over {
-			reply(w, s.codec, 200, out)
+		if len(response.Events) > 0 || timedOut {
+			reply(w, s.codec, 200, response)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		case <-s.stop:
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -11,7 +11,8 @@
 
 const submissionRetryDelay = 200 * time.Millisecond
 
-// Submit hands a job in at a member until it is accepted.
+// Submit submits a job to a member, and retries until the job is accepted. Without a
+// response (status 0) and after 429, 503 and 504 it retries; any other status is an error.
 func (d *Deployment) Submit(ctx context.Context, member string, j *Job) error {
 	j.SubmittedAt = time.Now()
 	d.History.AddJob(j)
@@ -19,12 +20,12 @@
 		"vcpus": j.CPUs, "cards": 0.0, "ramGb": 0.5, "plate": "img", "imageGb": 0.1, "breeds": nil, "hall": nil,
 		"together": false, "apart": false, "loaners": true, "expectedS": j.TaskDuration.Seconds(), "proofEveryS": 0.0, "proofS": 0.0, "pressByS": nil})
 	for {
-		switch status, answer := post(ctx, d.client, "http://"+d.apiAddresses[member]+"/submissions", body); status {
+		switch status, response := post(ctx, d.client, "http://"+d.apiAddresses[member]+"/submissions", body); status {
 		case 200, 201:
 			return nil
 		case 0, 429, 503, 504:
 		default:
-			return fmt.Errorf("standin: %s is answered %d: %q", j.ID, status, answer)
+			return fmt.Errorf("standin: %s is answered %d: %q", j.ID, status, response)
 		}
 		select {
 		case <-ctx.Done():
@@ -34,20 +35,21 @@
 	}
 }
 
-// Status asks a member about a job.
+// Status returns a job's status as a member reports it, or "" without a valid response.
 func (d *Deployment) Status(ctx context.Context, member, id string) string {
-	var s protocol.JobStatus
-	if b := d.get(ctx, "http://"+d.apiAddresses[member]+"/submissions/"+id); b != nil && d.codec.Decode(b, &s) == nil {
-		return s.Status
+	var response protocol.JobStatus
+	if b := d.get(ctx, "http://"+d.apiAddresses[member]+"/submissions/"+id); b != nil && d.codec.Decode(b, &response) == nil {
+		return response.Status
 	}
 	return ""
 }
 
-// Ready tells whether a member takes requests.
+// Ready reports whether a member's readiness check succeeds.
 func (d *Deployment) Ready(ctx context.Context, member string) bool {
 	return d.get(ctx, "http://"+d.apiAddresses[member]+"/ready") != nil
 }
 
+// get returns the body of a response with status 200, or nil.
 func (d *Deployment) get(ctx context.Context, url string) []byte {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -63,14 +65,15 @@
 	return b
 }
 
-// WaitFor waits until something holds.
-func WaitFor(ctx context.Context, what string, holds func() bool) error {
+// WaitFor checks a condition every 50 ms until it holds. If ctx is done before that, it
+// returns an error with the condition's description.
+func WaitFor(ctx context.Context, description string, condition func() bool) error {
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("standin: %s: %w", what, ctx.Err())
+			return fmt.Errorf("standin: %s: %w", description, ctx.Err())
 		case <-ticker.C:
 		}
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,40 +16,41 @@
 )
 
 const (
-	minHeartbeatInterval = 500 * time.Millisecond // heartbeats of changes
+	minHeartbeatInterval = 500 * time.Millisecond // after the end of a task or a new fencing token
 	heartbeatRetryDelay  = time.Second
 	heartbeatTimeout     = 4 * time.Second
 	taskCheckInterval    = 20 * time.Millisecond
 )
 
-// worker is one machine. It follows the protocol's rules for fencing tokens and commands;
-// its lease does not end by itself.
+// worker runs the tasks of one machine and sends its heartbeats. It follows the protocol's
+// rules for fencing tokens and commands, but does not stop its tasks when its lease expires.
 type worker struct {
 	codec             *protocol.Codec
 	client            *http.Client
 	history           *History
-	name              string
-	apiAddresses      map[string]string // addresses by member
+	name              string            // of the machine
+	apiAddresses      map[string]string // by member
 	members           []string
-	memberIndex       int // of the member that it sends heartbeats to
+	memberIndex       int // modulo len(members): the controller that heartbeats are sent to
 	heartbeatInterval time.Duration
-	sequence          uint64
-	fencingToken      uint64
-	tasks             map[string]*workerTask
-	taskKeys          []string
+	sequence          uint64                 // of the last heartbeat
+	fencingToken      uint64                 // the highest that a response had
+	tasks             map[string]*workerTask // by TASK#REPLICA; ended ones stay until a reap command
+	taskKeys          []string               // of tasks, in the order of their starts
 	lastSentAt        time.Time
 }
 
+// workerTask is one replica of a task.
 type workerTask struct {
 	job        *Job
-	name       string
+	name       string // of the task
 	replica    uint64
-	state      string
-	exitReason any
+	state      string // "running" or "ended"
+	exitReason any    // nil while the task runs
 	endsAt     time.Time
 }
 
-// run sends heartbeats until ctx ends.
+// run ends tasks and sends heartbeats until ctx is done.
 func (w *worker) run(ctx context.Context) {
 	ticker := time.NewTicker(taskCheckInterval)
 	defer ticker.Stop()
@@ -68,8 +69,8 @@
 		}
 		w.lastSentAt = time.Now()
 		next = w.lastSentAt.Add(w.heartbeatInterval*3/4 + rand.N(w.heartbeatInterval/2))
-		if again := w.sendHeartbeat(ctx); again > 0 {
-			next = time.Now().Add(again)
+		if delay := w.sendHeartbeat(ctx); delay > 0 {
+			next = time.Now().Add(delay)
 		}
 	}
 }
@@ -81,30 +82,32 @@
 	return b
 }
 
-// endTasks ends the tasks whose time is over.
+// endTasks ends the tasks whose run time is over, and reports whether there were any.
 func (w *worker) endTasks(now time.Time) bool {
-	any := false
+	anyEnded := false
 	for _, t := range w.tasks {
 		if t.state == "running" && now.After(t.endsAt) {
-			t.state, t.exitReason, any = "ended", "done", true
+			t.state, t.exitReason, anyEnded = "ended", "done", true
 			w.history.recordEnd(t.job, t.name)
 		}
 	}
-	return any
+	return anyEnded
 }
 
+// nextHeartbeatBody encodes a heartbeat under the next sequence number.
 func (w *worker) nextHeartbeatBody() []byte {
 	w.sequence++
-	pages := []any{}
+	statuses := []any{}
 	for _, key := range w.taskKeys {
 		t := w.tasks[key]
-		pages = append(pages, map[string]any{"page": t.name, "try": t.replica, "status": t.state, "cause": t.exitReason})
+		statuses = append(statuses, map[string]any{"page": t.name, "try": t.replica, "status": t.state, "cause": t.exitReason})
 	}
 	return w.codec.Encode(map[string]any{"roost": w.name, "address": "127.0.0.1:1", "breed": machineType, "hall": zone, "loaners": false,
-		"perch": 1, "tick": w.sequence, "baton": w.fencingToken, "recallInS": nil, "pages": pages})
+		"perch": 1, "tick": w.sequence, "baton": w.fencingToken, "recallInS": nil, "pages": statuses})
 }
 
-// heartbeat sends one heartbeat, and returns when the next is due sooner than usual.
+// sendHeartbeat sends one heartbeat and handles the response. It returns the delay until the
+// next heartbeat, or 0 for the usual interval.
 func (w *worker) sendHeartbeat(ctx context.Context) time.Duration {
 	member := w.members[w.memberIndex%len(w.members)]
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -112,15 +115,15 @@
 	status, body := post(ctx, w.client, "http://"+w.apiAddresses[member]+"/checkin", w.nextHeartbeatBody())
 	switch status {
 	case 200:
-		if before := w.fencingToken; w.applyResponse(body) && w.fencingToken != before {
+		if previousToken := w.fencingToken; w.applyResponse(body) && w.fencingToken != previousToken {
 			return minHeartbeatInterval
 		}
 		return 0
 	case 421:
-		var to protocol.Redirect
-		if w.codec.Decode(body, &to) == nil && w.apiAddresses[to.HeartbeatTo] != "" && to.HeartbeatTo != member {
+		var redirect protocol.Redirect
+		if w.codec.Decode(body, &redirect) == nil && w.apiAddresses[redirect.HeartbeatTo] != "" && redirect.HeartbeatTo != member {
 			for i, name := range w.members {
-				if name == to.HeartbeatTo {
+				if name == redirect.HeartbeatTo {
 					w.memberIndex = i
 				}
 			}
@@ -131,20 +134,21 @@
 	return heartbeatRetryDelay
 }
 
-// execute carries out an answer, unless its fencing token is old.
+// applyResponse executes the commands of a response and reports whether it did: a response
+// with a fencing token below the highest seen so far is rejected.
 func (w *worker) applyResponse(body []byte) bool {
-	var a protocol.HeartbeatResponse
-	if w.codec.Decode(body, &a) != nil || a.FencingToken < w.fencingToken {
+	var response protocol.HeartbeatResponse
+	if w.codec.Decode(body, &response) != nil || response.FencingToken < w.fencingToken {
 		return false
 	}
-	w.fencingToken = a.FencingToken
-	for _, c := range a.Commands {
+	w.fencingToken = response.FencingToken
+	for _, c := range response.Commands {
 		key := c.Task + "#" + strconv.FormatUint(c.Replica, 10)
 		t := w.tasks[key]
 		switch {
 		case c.Op == protocol.CommandStart && t == nil:
-			id, _, _ := strings.Cut(c.Task, "/")
-			j := w.history.job(id)
+			jobID, _, _ := strings.Cut(c.Task, "/")
+			j := w.history.job(jobID)
 			if j == nil {
 				continue
 			}
@@ -163,15 +167,15 @@
 
 func (w *worker) removeTask(key string) {
 	delete(w.tasks, key)
-	for i, x := range w.taskKeys {
-		if x == key {
+	for i, taskKey := range w.taskKeys {
+		if taskKey == key {
 			w.taskKeys = append(w.taskKeys[:i], w.taskKeys[i+1:]...)
 			return
 		}
 	}
 }
 
-// post sends a request and returns the answer, or a status of 0.
+// post sends a request and returns the response's status and body; 0 means no response.
 func post(ctx context.Context, client *http.Client, url string, body []byte) (int, []byte) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -184,7 +188,7 @@
 	return status, b
 }
 
-// do sends a request and reads the whole response.
+// do sends a request and reads the response, up to maxBodyBytes of its body.
 func do(client *http.Client, req *http.Request) (status int, body []byte, err error) {
 	resp, err := client.Do(req)
 	if err != nil {
