--- a/internal/shard/lease_expiry.go
+++ b/internal/shard/lease_expiry.go
@@ -11,7 +11,7 @@
 // time, so a machine whose last heartbeat on this stream is more than a lease older has
 // lost its lease.
 func (o *Owner) ExpireLeases(clockUs int64) {
-	timeout := o.config.WorkerLeaseTimeout.Microseconds()
+	timeout := o.config.MachineLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
 	for machine, refs := range o.tasksByMachine {
 		lastHeartbeatUs := o.machines.entry(machine).lastHeartbeatUs
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -52,12 +52,12 @@
 
 // Config has the settings and dependencies of an Owner.
 type Config struct {
-	Member             string        // the member of this process; its own shard takes new jobs
-	ProcessNonce       string        // of this process; prefix of the nonces of its jobs
-	MemoryLimit        int64         // bytes that unfinished jobs may use before new ones are rejected
-	WorkerLeaseTimeout time.Duration // from a heartbeat's arrival until its machine's lease is guaranteed to have ended
-	MachineTTL         time.Duration // how long machines are kept that only earlier leaders reported
-	MaxMachines        uint32        // upper bound of a leader's machine indices, exclusive
+	Member              string        // the member of this process; its own shard takes new jobs
+	ProcessNonce        string        // of this process; prefix of the nonces of its jobs
+	MemoryLimit         int64         // bytes that unfinished jobs may use before new ones are rejected
+	MachineLeaseTimeout time.Duration // from a heartbeat's arrival until its machine's lease is guaranteed to have ended
+	MachineTTL          time.Duration // how long machines are kept that only earlier leaders reported
+	MaxMachines         uint32        // upper bound of a leader's machine indices, exclusive
 
 	Clock         storage.Clock
 	Log           zerolog.Logger
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	f.records = &memoryRecords{version: fencingToken, jobs: jobs}
-	f.Owner = NewOwner(Config{Member: "a", ProcessNonce: "n", MemoryLimit: 1 << 20, WorkerLeaseTimeout: leaseTimeout,
+	f.Owner = NewOwner(Config{Member: "a", ProcessNonce: "n", MemoryLimit: 1 << 20, MachineLeaseTimeout: leaseTimeout,
 		MachineTTL: time.Hour, MaxMachines: 100, Clock: f, Log: zerolog.Nop(), Leader: f, FinalStatuses: f, Admission: control,
 		OpenRecords: func(string, uint64, uint64, func()) Records { return f.records }})
 	f.AcquireShard("a", 1, fencingToken)
@@ -180,7 +180,7 @@
 
 // A lost replica is replaced by one with a higher number. A late status of the lost replica
 // causes a command to remove it, and changes nothing else.
-func TestLostReplicaIsReplacedAndCleared(t *testing.T) {
+func TestLostReplicaIsReplacedAndCleanedUp(t *testing.T) {
 	f := newFixture(t, 1)
 	job := f.submit(1)
 	lost := f.bindOffered(1, 1)[0]
