--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -29,7 +29,7 @@
 	stepClaimHeldKey              // an earlier process of this member holds the shard
 	stepClaimFreeKey              // the shard has no holder
 	stepRequestHandover           // another member holds this member's own shard
-	stepRequestReleases           // own shard without holder; a member may still act by an extension
+	stepRequestReleases           // own shard without holder; a member may still act for it by an extension
 )
 
 func (s claimStep) String() string {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -73,7 +73,7 @@
 	lastLeaderContactAt   time.Duration   // last time at which inContactWithLeader was true
 }
 
-// retryInterval is the pause after a request that the state service did not answer.
+// retryInterval is the pause after an unsuccessful request to the state service.
 const retryInterval = 400 * time.Millisecond
 
 // New returns the Election of a process that has just started. New itself sends
@@ -116,8 +116,9 @@
 	e.campaign(now)
 }
 
-// readyToClaim reports whether a claim could succeed (this process is registered
-// and its lease is valid) and the view of the keys that it is based on is loaded.
+// readyToClaim reports whether this process may claim keys: it is registered and its
+// lease is valid, as claims would otherwise fail, and the view of the keys on which
+// claims are based is loaded.
 func (e *Election) readyToClaim(now time.Duration) bool {
 	return e.Registered() && e.view.loaded && e.LeaseValid(now)
 }
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -19,8 +19,8 @@
 // Whether it may act as leader is decided by MayAct.
 func (e *Election) Leading() bool { return e.fencingToken != 0 }
 
-// Abstain prevents this process from campaigning for leadership before the time
-// until, on Environment.Clock. It does not end a leadership.
+// Abstain prevents this process from campaigning for leadership before until, a time
+// on Environment.Clock. It does not end a leadership.
 func (e *Election) Abstain(until time.Duration) { e.abstainUntil = until }
 
 // campaign claims the leader key, after a random delay, if the key has no holder.
--- a/internal/election/lease_extension.go
+++ b/internal/election/lease_extension.go
@@ -24,7 +24,8 @@
 	// that granted it.
 	ExtensionDuration = 2 * time.Second
 
-	// extensionClockDrift is more than two clocks drift apart in ExtensionDuration.
+	// extensionClockDrift is an upper bound of how far two clocks drift apart in
+	// ExtensionDuration.
 	extensionClockDrift = 5 * time.Millisecond
 	// extensionRequestInterval is the time between two rounds of requests.
 	extensionRequestInterval = 400 * time.Millisecond
@@ -162,8 +163,9 @@
 // registered, its view is loaded, the request names at least one key, and for each
 // key this process has neither observed that the other member no longer holds it
 // nor a claim or release of its own pending. A granted extension blocks the claims
-// of this member for ExtensionDuration. A leader key in the request is also recorded
-// as a report of leadership, see ObserveLeader.
+// of this member for ExtensionDuration. A leader key in the request, unless the
+// request was already rejected for one of these reasons, is also recorded as a report
+// of leadership, see ObserveLeader.
 func (e *Election) HandleExtensionRequest(from string, request *meshpb.LeaseExtensionRequest) *meshpb.LeaseExtension {
 	granted := e.view.loaded && e.Registered() && len(request.Keys) > 0
 	for _, key := range request.Keys {
@@ -190,9 +192,9 @@
 		return false
 	}
 	// A version newer than the one observed was written after the observation,
-	// which may be long ago if the state service refuses this member's requests.
+	// which may be long ago if the state service rejects this member's requests.
 	// This member knows of no later claim, and a member that made one rejects the
-	// request itself.
+	// holder's request, too.
 	return key.Version > known.version || known.heldBy(from)
 }
 
@@ -201,8 +203,8 @@
 // that is no longer retained.
 func (e *Election) HandleExtension(from string, answer *meshpb.LeaseExtension) {
 	peer := e.peers[from]
-	requestedAt, remembered := e.extensions.roundSentAt[answer.Round]
-	if peer == nil || !remembered || !answer.Granted {
+	requestedAt, retained := e.extensions.roundSentAt[answer.Round]
+	if peer == nil || !retained || !answer.Granted {
 		return
 	}
 	peer.everExtended = true
--- a/internal/election/registration.go
+++ b/internal/election/registration.go
@@ -27,7 +27,8 @@
 			e.retryRegistration()
 		case current.Found && e.namesThisProcess(current.KeyValue.Value):
 			// An earlier write of this process was applied without an answer.
-			// Its other writes have the same condition and can no longer succeed.
+			// Other writes of the key by this process have the same condition and
+			// can no longer succeed.
 			e.recordRegistration(current.KeyValue.Version)
 		default:
 			e.writeProcessKey(key, current.KeyValue.Version, current.Found)
--- a/internal/shard/admission.go
+++ b/internal/shard/admission.go
@@ -29,7 +29,7 @@
 }
 
 // AllocationsChanged implements admission.ShardOwner. It marks for publishing each job whose
-// number of tasks that may start differs from the number that the leader was last told.
+// number of tasks that may start differs from the number last sent to the leader.
 func (o *Owner) AllocationsChanged() {
 	for _, job := range o.jobs {
 		if o.admission.Limited(&job.claim) && job.publishedPending != o.admissibleTasks(job) {
--- a/internal/shard/bindings.go
+++ b/internal/shard/bindings.go
@@ -20,7 +20,8 @@
 }
 
 // bindTasks binds up to limit pending tasks of a job to an offered machine and appends
-// their bindings. It binds none before the leader was told of the job's shard.
+// their bindings. It binds none before the registration of the job's shard was sent to the
+// leader.
 func (o *Owner) bindTasks(bindings []*meshpb.Binding, job *Job, limit int, offer *meshpb.Offer, machine int32) []*meshpb.Binding {
 	if !job.shard.registration.sent {
 		return bindings
--- a/internal/shard/circuit_breaker.go
+++ b/internal/shard/circuit_breaker.go
@@ -108,7 +108,7 @@
 
 // update lets a job whose breaker is open start one task once the pause is over, and closes
 // the breaker once tasks of the job have run for longer than the required runtime. That
-// runtime doubles with each closing, in case the job fails again all the same.
+// runtime doubles with each closing, in case the job fails again.
 func (b *circuitBreaker) update(running int, now time.Duration) breakerChange {
 	if !b.open {
 		return breakerUnchanged
--- a/internal/shard/circuit_breaker_test.go
+++ b/internal/shard/circuit_breaker_test.go
@@ -51,10 +51,10 @@
 		t.Errorf("%d tasks may start during the pause, want 0", n)
 	}
 	if change := b.update(0, b.retryAt-1); change != breakerUnchanged {
-		t.Errorf("an update during the pause returned %d", change)
+		t.Errorf("an update during the pause returned %d, want %d", change, breakerUnchanged)
 	}
 	if change := b.update(0, b.retryAt); change != breakerTrialAllowed {
-		t.Errorf("the update after the pause returned %d", change)
+		t.Errorf("the update after the pause returned %d, want %d", change, breakerTrialAllowed)
 	}
 	if n := b.allowedStarts(10, 0); n != 1 {
 		t.Errorf("%d tasks may start after the pause, want 1", n)
@@ -92,7 +92,7 @@
 	b := openBreaker(t)
 	b.recordSuccess()
 	if b.open || b.consecutiveFailures != 0 || len(b.failedMachines) != 0 {
-		t.Errorf("after a success: %+v", b)
+		t.Errorf("after a success: %+v, want a closed breaker without failures", b)
 	}
 }
 
@@ -101,12 +101,12 @@
 	for failures := range 40 {
 		pause := failureBackOff(failures)
 		if pause < previous || pause > maxFailureBackOffSeconds*time.Second {
-			t.Errorf("the pause after %d failures is %v, after one less %v", failures, pause, previous)
+			t.Errorf("the pause after %d failures is %v, want %v to %d s", failures, pause, previous, maxFailureBackOffSeconds)
 		}
 		previous = pause
 	}
 	if previous != maxFailureBackOffSeconds*time.Second {
-		t.Errorf("the longest pause is %v", previous)
+		t.Errorf("the longest pause is %v, want %d s", previous, maxFailureBackOffSeconds)
 	}
 	var b circuitBreaker
 	for range 40 {
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -155,8 +155,8 @@
 	return 0, false
 }
 
-// startableTasks returns how many tasks of the job may start now, apart from its team's
-// limit.
+// startableTasks returns how many tasks of the job may start now, regardless of its
+// team's limit.
 func (job *Job) startableTasks() int {
 	if job.Ending() {
 		return 0
@@ -167,8 +167,8 @@
 // Ending reports whether the job's end is being written or is durable.
 func (job *Job) Ending() bool { return job.finalStatus != "" }
 
-// notifyEnd passes the job's final status, or the error why it is unknown, to those who
-// wait for its end.
+// notifyEnd passes the job's final status, or an error if it is unknown, to those who wait
+// for the job's end.
 func (job *Job) notifyEnd(status string, err error) {
 	for _, fn := range job.onEnd {
 		fn(status, err)
--- a/internal/shard/job_summary.go
+++ b/internal/shard/job_summary.go
@@ -54,7 +54,7 @@
 	for _, job := range o.unpublished {
 		job.unpublished = false
 		if o.shards[job.shard.name] != job.shard {
-			continue // removed within this batch of events: the shard's next holder continues the job
+			continue // the shard was removed within this batch of events: its next holder continues the job
 		}
 		if job.shard.registration.sent {
 			summaries[job.shard] = append(summaries[job.shard], o.nextSummary(job))
--- a/internal/shard/job_test.go
+++ b/internal/shard/job_test.go
@@ -36,17 +36,17 @@
 		seen[s.String()] = true
 	}
 	if len(seen) != int(TaskDurable)+1 {
-		t.Errorf("%d distinct names of %d states", len(seen), TaskDurable+1)
+		t.Errorf("%d distinct names of %d states, want one each", len(seen), TaskDurable+1)
 	}
 	clear(seen)
 	for r := lossLeaseExpired; r < notLost; r++ {
 		seen[r.String()] = true
 	}
 	if len(seen) != int(notLost) {
-		t.Errorf("%d distinct names of %d reasons", len(seen), int(notLost))
+		t.Errorf("%d distinct names of %d reasons, want one each", len(seen), int(notLost))
 	}
 	if got := TaskState(200).String(); got != "TaskState(200)" {
-		t.Error(got)
+		t.Errorf("an unknown state is named %q, want TaskState(200)", got)
 	}
 }
 
--- a/internal/shard/lease_expiry.go
+++ b/internal/shard/lease_expiry.go
@@ -8,8 +8,8 @@
 
 // ExpireLeases determines lost replicas as of clockUs, in microseconds on the leader's
 // clock. The leader has already passed on every heartbeat that it answered before that
-// time, so a machine whose last heartbeat on this stream is more than a lease older has
-// lost its lease.
+// time, so a machine whose last heartbeat on this stream is older by more than
+// Config.MachineLeaseTimeout has lost its lease.
 func (o *Owner) ExpireLeases(clockUs int64) {
 	timeout := o.config.MachineLeaseTimeout.Microseconds()
 	machines, tasks := 0, 0
@@ -46,7 +46,7 @@
 	return r.confirmed() && clockUs-max(lastHeartbeatUs, r.registeredAtUs) > timeoutUs
 }
 
-// HandleMachineTerminated handles the leader's message that a machine has ended for good.
+// HandleMachineTerminated handles the leader's message that a machine was terminated.
 func (o *Owner) HandleMachineTerminated(name string) {
 	machine, known := o.machines.byName(name)
 	if !known {
@@ -59,8 +59,8 @@
 	o.machines.remove(name, machine)
 }
 
-// removeStaleMachines removes machines that only earlier leaders reported, once MachineTTL
-// has passed and unless they may hold replicas.
+// removeStaleMachines removes machines that only earlier leaders reported, once
+// Config.MachineTTL has passed since their last status, unless they may hold replicas.
 func (o *Owner) removeStaleMachines() {
 	now := o.now()
 	if now < o.nextMachineSweepAt {
--- a/internal/shard/loss_proof.go
+++ b/internal/shard/loss_proof.go
@@ -41,10 +41,11 @@
 }
 
 // completeFor reports whether the status lists every replica of a shard that the machine
-// holds. A leader of a version that does not say so omits tasks of jobs that it did not
-// know when the machine sent the status. It knows the jobs of a shard once the shard is
-// registered, so its status is complete if the machine has sent one since; the first status
-// that it passes on after the registration may have been sent before it.
+// holds. A leader of an older version does not say so, and omits the tasks of jobs that it
+// did not know when the machine sent the status. It knows the jobs of a shard once the shard
+// is registered, so the status is complete if the machine has sent a heartbeat since then.
+// The first status that the leader passes on after the registration may have been sent
+// before the registration.
 func (o *machineObservation) completeFor(r *registration) bool {
 	if !r.confirmed() {
 		return false
@@ -67,9 +68,9 @@
 	return absenceProvesEnd
 }
 
-// proveLoss returns for which reason the status proves that the replica of an assigned or
-// placed task, which it does not list, is lost. It returns notLost or lossUnproven if there
-// is no proof.
+// proveLoss returns the reason for which an assigned or placed task's replica, which the
+// status does not list, is proven lost. It returns notLost or lossUnproven if there is no
+// proof.
 func (o *machineObservation) proveLoss(t *supervisedTask, r *registration) lossReason {
 	status := o.status
 	if status.Epoch > t.epoch {
@@ -84,7 +85,7 @@
 		}
 		return lossUnproven
 	}
-	// About a start in flight, only a status that was sent after it proves anything.
+	// A status proves nothing about a start in flight unless it was sent after the start.
 	sentBefore := status.Epoch < t.epoch || status.Seq <= t.sequence
 	if t.state == TaskPlaced || !sentBefore {
 		return lossNotListed
--- a/internal/shard/machine_statuses.go
+++ b/internal/shard/machine_statuses.go
@@ -19,9 +19,10 @@
 }
 
 // handleMachineStatus handles the status of a machine that the leader passes on. Only a
-// current status shows what is on the machine, as its agent follows the present leader;
-// machineObservation determines what the absence of a replica from it proves. A status of a
-// later epoch, however old, proves that everything that the machine held before is gone.
+// current status shows what is on the machine, as it was sent by an agent that follows the
+// present leader; machineObservation determines what the absence of a replica from it
+// proves. A status of a later epoch, however old, proves that everything that the machine
+// held before is gone.
 func (o *Owner) handleMachineStatus(machine int32, status *meshpb.MachineStatus) {
 	var listed map[taskRef]bool
 	if status.Current && !status.Unchanged && len(status.Tasks) > 0 {
@@ -50,8 +51,8 @@
 	}
 }
 
-// handleTaskStatuses handles the tasks that a machine lists, and adds those to listed whose
-// current replica it lists.
+// handleTaskStatuses handles the tasks that a machine lists, and adds to listed the tasks
+// whose current replica the machine lists.
 func (o *Owner) handleTaskStatuses(machine int32, status *meshpb.MachineStatus, listed map[taskRef]bool) {
 	for _, s := range status.Tasks {
 		job := o.jobs[s.Job]
--- a/internal/shard/observed_machines.go
+++ b/internal/shard/observed_machines.go
@@ -16,7 +16,7 @@
 	leaderIndex         uint32 // valid if hasLeaderIndex is set
 	zone                string
 	lastHeartbeatUs     int64         // time of the last heartbeat on this stream, on the leader's clock; 0: none
-	previousHeartbeatUs int64         // the last value of lastHeartbeatUs that was earlier; 0: none
+	previousHeartbeatUs int64         // value of lastHeartbeatUs before it last changed; 0: none
 	lastSeenAt          time.Duration // of the last status, on this process's clock
 	images              []*meshpb.CachedImage
 }
--- a/internal/shard/orphaned_replicas.go
+++ b/internal/shard/orphaned_replicas.go
@@ -74,8 +74,8 @@
 func (o *orphans) mayExistOn(machine int32) bool { return len(o.byMachine[machine]) > 0 }
 
 // markAllUnknownToLeader records that the stream from the leader has ended. The next leader
-// may not know the jobs, and then does not report their replicas; it reports when none is
-// left.
+// may not know the jobs, and then does not report their replicas; it only reports when no
+// replica is left, see handleNoUnknownReplicas.
 func (o *orphans) markAllUnknownToLeader() {
 	for _, list := range o.byMachine {
 		for _, orphan := range list {
@@ -107,8 +107,8 @@
 	}
 }
 
-// handleMachineStatus determines by a machine's status which orphaned replicas on it are
-// lost.
+// handleMachineStatus determines from a machine's status which orphaned replicas on the
+// machine are lost.
 func (o *orphans) handleMachineStatus(observation *machineObservation) {
 	if !o.mayExistOn(observation.machine) {
 		return
@@ -162,7 +162,7 @@
 	return proof == absenceProvesEnd
 }
 
-// releaseTerminated releases what was on a machine that has ended for good.
+// releaseTerminated releases what was on a machine that was terminated.
 func (o *orphans) releaseTerminated(machine int32) {
 	o.releaseWhere(machine, func(*orphanedReplica) bool { return true })
 }
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -17,9 +17,10 @@
 type Records interface {
 	// Recover reads the shard's unfinished jobs, and retries until that succeeds.
 	Recover(done func([]storage.RecoveredJob))
-	// RecoveryReads returns how many times Recover has read, failures included.
+	// RecoveryAttempts returns how many times Recover has requested the records, including
+	// failed attempts.
 	RecoveryAttempts() int
-	// Unreadable returns the keys of the records that Recover could not read.
+	// UnreadableKeys returns the keys of the records that Recover could not read.
 	UnreadableKeys() []string
 	// Version returns the present version of the shard's key, which fences all writes.
 	Version() uint64
@@ -36,7 +37,7 @@
 // LeaderStream sends an owner's messages to the leader. Without a leader it drops them: the
 // next leader receives the whole state when the shards are registered.
 type LeaderStream interface {
-	// RegisterShards registers the shards that the present leader was not told of.
+	// RegisterShards sends the present leader the registrations that were not sent to it yet.
 	RegisterShards()
 	// RegisterShard registers a shard, possibly once more.
 	RegisterShard(shard *Shard)
@@ -64,9 +65,9 @@
 	Leader        LeaderStream
 	FinalStatuses FinalStatuses
 	Admission     *admission.Control
-	// OpenRecords opens the records of a shard whose key was just written under the lease,
-	// with the version. onLost is called once when the key turns out to belong to another
-	// process.
+	// OpenRecords opens the records of a shard whose key this process has just written, at
+	// version and attached to the lease. onLost is called once when the key turns out to
+	// belong to another process.
 	OpenRecords func(shard string, leaseID, version uint64, onLost func()) Records
 }
 
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -20,7 +20,7 @@
 	machineIndex = 4 // the leader's index of the machine
 )
 
-// fixture is an owner of the shard "a". The test plays its clock, its leader, its records
+// fixture is an owner of the shard "a". It simulates the owner's clock, leader and records,
 // and one machine.
 type fixture struct {
 	*Owner
@@ -52,7 +52,7 @@
 // Ended implements FinalStatuses.
 func (f *fixture) Ended(job string) bool { return f.ended[job] != "" }
 
-// Remember implements FinalStatuses.
+// AddFinal implements FinalStatuses.
 func (f *fixture) AddFinal(job, status string, _ int) { f.ended[job] = status }
 
 // memoryRecords are records in memory that become durable when flushed.
@@ -174,7 +174,7 @@
 	}
 	f.Tick(f.now)
 	if f.ended["wk-1"] != protocol.StatusDone || f.Job("wk-1") != nil {
-		t.Errorf("the job ended as %q", f.ended["wk-1"])
+		t.Errorf("the job ended as %q, want %q; still known: %v", f.ended["wk-1"], protocol.StatusDone, f.Job("wk-1") != nil)
 	}
 }
 
@@ -222,7 +222,7 @@
 	f.ExpireLeases(time.Hour.Microseconds())
 	f.checkState("without an answer", job, TaskPlaced)
 	if bindings := f.bindOffered(1, 4); bindings != nil {
-		t.Errorf("bindings %v without a registration", bindings)
+		t.Errorf("bindings %v without a registration, want none", bindings)
 	}
 }
 
@@ -239,10 +239,10 @@
 	f.ExpireLeases(time.Hour.Microseconds())
 	f.checkState("before the reconciliation", job, TaskUnreconciled)
 	if bindings := f.bindOffered(1, 3); len(bindings) > 0 {
-		t.Errorf("bindings %v before the reconciliation", bindings)
+		t.Errorf("bindings %v before the reconciliation, want none", bindings)
 	}
 	f.HandleReconciled(&meshpb.Reconciled{Shard: "a"})
-	f.checkState("after it", job, TaskPending)
+	f.checkState("after the reconciliation", job, TaskPending)
 }
 
 // A replica that an earlier holder started becomes the current replica of its task,
@@ -311,7 +311,7 @@
 	maxTasks := (1<<20 - bytesPerJob) / bytesPerTask
 	for tasks, want := range map[int]bool{maxTasks: false, maxTasks + 1: true} {
 		if got := f.MemoryFull(&protocol.Job{Tasks: tasks}); got != want {
-			t.Errorf("%d tasks: memory full is %v", tasks, got)
+			t.Errorf("%d tasks: memory full is %v, want %v", tasks, got, want)
 		}
 	}
 }
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -3,8 +3,8 @@
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
 // HandleReconciled handles the leader's message that no machine holds a replica of a
-// shard's recovered tasks that it has not reported. With NoUnknownReplicas set, no machine
-// holds any replica of the shard that this process does not know of.
+// shard's recovered tasks that the leader has not reported. With NoUnknownReplicas set, no
+// machine holds any replica of the shard that this process does not know of.
 func (o *Owner) HandleReconciled(message *meshpb.Reconciled) {
 	shard := o.shards[message.Shard]
 	if shard == nil || !shard.registration.confirmed() {
@@ -34,10 +34,10 @@
 	o.admission.MarkReconciled(shard.name)
 }
 
-// reconcileForOlderLeader reconciles the shards that a leader has reported as reconciled
-// without saying which statuses are complete. A leader of such a version reports that too
-// early, so this waits until every machine has sent a heartbeat since the shard was
-// registered.
+// reconcileForOlderLeader reconciles the shards that a leader of an older version, which
+// does not say which statuses are complete, has reported as reconciled. Such a leader
+// reports that too early, so this waits until every machine has sent a heartbeat since the
+// shard was registered or has lost its lease.
 func (o *Owner) reconcileForOlderLeader(clockUs, timeoutUs int64) {
 	for _, shard := range o.shards {
 		if shard.registration.reconciledByOlderLeader && !shard.reconciled && o.allMachinesReportedSinceRegistration(clockUs, timeoutUs) {
--- a/internal/shard/registration.go
+++ b/internal/shard/registration.go
@@ -12,7 +12,7 @@
 
 // registration is the state of a shard's registration with the present leader.
 type registration struct {
-	sent           bool   // the leader was told of the shard and its jobs
+	sent           bool   // the shard and its jobs were sent to the leader
 	registeredAtUs int64  // on the leader's clock; 0: not requested; see also registrationRequested
 	shardNumber    uint32 // in the leader's statuses, see MachineStatus.complete_for_shards; 0: the leader gave none
 	// reconciledByOlderLeader is set once a leader that does not say which statuses are
@@ -20,7 +20,7 @@
 	reconciledByOlderLeader bool
 }
 
-// confirmed reports whether the leader has answered.
+// confirmed reports whether the leader has answered, which confirms the registration.
 func (r *registration) confirmed() bool { return r.registeredAtUs > 0 }
 
 // markRequested resets the registration to requested.
@@ -28,7 +28,8 @@
 	*r = registration{sent: true, registeredAtUs: registrationRequested}
 }
 
-// UnregisteredShards yields the recovered shards that the present leader was not told of.
+// UnregisteredShards yields the recovered shards whose registration was not sent to the
+// present leader.
 func (o *Owner) UnregisteredShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
@@ -61,8 +62,8 @@
 }
 
 // ResetStream handles the end of the leader's stream. It discards the registrations, the
-// times on the leader's clock and the queued commands, because the next stream starts all
-// of its clocks again.
+// times on the leader's clock and the queued commands, because every clock starts again
+// with the next stream.
 func (o *Owner) ResetStream() {
 	o.lastRegisteredAtUs = 0
 	o.commands = nil
--- a/internal/shard/replicas.go
+++ b/internal/shard/replicas.go
@@ -60,7 +60,7 @@
 	o.MarkChanged(job)
 }
 
-// recordReplicaLost makes a task pending again whose replica is proven lost. If an earlier
+// recordReplicaLost makes a task whose replica is proven lost pending again. If an earlier
 // holder of the shard started that replica, a newer one may exist on some machine until
 // every machine is reconciled, so until then the task becomes unreconciled instead.
 func (o *Owner) recordReplicaLost(job *Job, task int32, reason lossReason) {
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -6,9 +6,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// replicaBits is the number of bits of the replica numbers that a holder of a shard has.
-// The numbers of each holder begin at its fencing token, shifted by replicaBits, so they
-// increase from holder to holder.
+// replicaBits is the number of low bits of a replica number in which a holder of a shard
+// counts its replicas. The numbers of each holder begin at its fencing token, shifted left
+// by replicaBits, so they increase from holder to holder.
 const replicaBits = 20
 
 // Shard is a shard that this process holds.
@@ -41,7 +41,7 @@
 // Recovered reports whether the shard's unfinished jobs were read.
 func (shard *Shard) Recovered() bool { return shard.recovered }
 
-// Registered reports whether the present leader was told of the shard.
+// Registered reports whether the shard's registration was sent to the present leader.
 func (shard *Shard) Registered() bool { return shard.registration.sent }
 
 // RegistrationConfirmed reports whether the present leader has confirmed the registration
@@ -51,8 +51,8 @@
 // Reconciled reports whether no unknown replica of earlier holders is left.
 func (shard *Shard) Reconciled() bool { return shard.reconciled }
 
-// AcquireShard adds a shard whose key this process has just written under the lease, with
-// the version, and reads its unfinished jobs.
+// AcquireShard adds a shard whose key this process has just written, at version and
+// attached to the lease, and reads its unfinished jobs.
 func (o *Owner) AcquireShard(name string, leaseID, version uint64) {
 	o.RemoveShard(name)
 	acquiredAt := o.now()
--- a/internal/shard/task_state.go
+++ b/internal/shard/task_state.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TaskState is the state of a task as its owner knows it: its location (the paper's OnNode
-// and InTransition, section 4.2), and the states before and after.
+// TaskState is the state of a task as its owner knows it: where its replica is (the paper's
+// OnNode and InTransition, section 4.2), and the states before and after that.
 type TaskState uint8
 
 // The states of a task.
 const (
 	TaskPending      TaskState = iota // no replica exists
 	TaskUnreconciled                  // recovered: a replica may be on any machine
-	TaskAssigned                      // a start was handed to a machine's heartbeat response
-	TaskPlaced                        // the machine's status lists it
+	TaskAssigned                      // its start was added to a machine's heartbeat response
+	TaskPlaced                        // the machine's status lists its replica
 	TaskBackingOff                    // failed; waits for its back-off to end
 	TaskFinished                      // succeeded, but its result is not yet written
 	TaskDurable                       // its end is durable
--- a/internal/shard/task_status.go
+++ b/internal/shard/task_status.go
@@ -100,8 +100,8 @@
 func (o *Owner) identifyUnreconciledReplica(listed *listedTask) bool {
 	job, task := listed.ref.job, listed.ref.task
 	// Either a newer replica was already proven lost, or this replica ended without
-	// success, which says nothing of a newer one: that may run on a machine that has not
-	// been heard from yet.
+	// success. Its end proves nothing about a newer replica, which may run on a machine that
+	// has not been heard from yet.
 	if listed.status.Replica < job.tasks[task].replica || (listed.exited() && listed.exitReason() != protocol.ExitReasonDone) {
 		o.queueCleanup(listed)
 		return false
@@ -169,9 +169,9 @@
 const minHealthyServiceRuntime = 20 * time.Second
 
 // handleServiceTaskExit runs a service's task again although it ended by itself. A task
-// that ran for longer than minHealthyServiceRuntime becomes pending at once. One that keeps
-// ending earlier backs off as a failed task does, and its job tries one task at a time, see
-// circuitBreaker.
+// that ran for longer than minHealthyServiceRuntime becomes pending at once. One that ended
+// earlier backs off as a failed task does; if that repeats, its job starts one task at a
+// time, see circuitBreaker.
 func (o *Owner) handleServiceTaskExit(job *Job, task, machine int32) {
 	t := &job.tasks[task]
 	healthy := t.running && o.now()-t.readyOrRunningAt > minHealthyServiceRuntime
