--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -27,7 +27,7 @@
 // time, and only while no other writes are queued.
 func (w *jobWriter) compact() {
 	now := w.client.Now()
-	if w.inFlight != nil || len(w.queue) > 0 || now < w.nextCompaction || !w.client.idle() {
+	if w.inFlight != nil || len(w.queue) > 0 || now < w.nextCompactionAt || !w.client.idle() {
 		return
 	}
 	b := &batch{}
@@ -35,7 +35,7 @@
 	if p == nil {
 		return
 	}
-	w.nextCompaction = now + compactionInterval
+	w.nextCompactionAt = now + compactionInterval
 	b.drafts = append(b.drafts, p.newDraft())
 	w.send(b)
 }
--- a/internal/storage/job_writer.go
+++ b/internal/storage/job_writer.go
@@ -82,10 +82,10 @@
 	inFlight    *batch      // the batch that is being written, or nil
 	lastBatchAt time.Duration
 
-	descriptions   map[string]*description // of the unfinished jobs on pages, by job ID
-	pages          []*descriptionPage
-	lastPage       int // highest page number in use
-	nextCompaction time.Duration
+	descriptions     map[string]*description // of the unfinished jobs on pages, by job ID
+	pages            []*descriptionPage
+	lastPage         int // highest page number in use
+	nextCompactionAt time.Duration
 }
 
 // newJobWriter returns a writer for a shard without jobs; load adds those that a former holder
