--- a/internal/admission/audit_records.go
+++ b/internal/admission/audit_records.go
@@ -5,8 +5,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/quota"
 )
 
-// newAuditRecord returns the audit record of a change of what a claim's team has spent. It is
-// called before the change is made, as it takes the amount spent before.
+// newAuditRecord returns the audit record of a change of what a claim's team has spent. It must
+// be called before the change is made, as the record includes the amount spent before it.
 func (c *Control) newAuditRecord(claim *Claim, kind audit.Kind, task int32, replica uint64) audit.Record {
 	return audit.Record{Kind: kind, Shard: claim.Shard, FencingToken: claim.FencingToken, Team: claim.Team, Job: claim.Job,
 		Task: uint32(task), Replica: replica, Amount: c.manager.LimitedPart(claim.Team, claim.Amount),
@@ -25,7 +25,7 @@
 	}
 	r.TimeMs = c.config.Wall().UnixMilli()
 	r.Allocation, r.Limit, r.Revision = c.manager.Allocation(r.Shard, r.Team)
-	r.Revision = max(r.Revision, r.FencingToken) // the previous holder's records come before the shard's acquisition
+	r.Revision = max(r.Revision, r.FencingToken) // the previous holder's records precede the shard's acquisition
 	r.Guarantee = c.guarantees[r.Team]
 	c.config.Audit(r)
 }
@@ -39,7 +39,7 @@
 }
 
 // recordBlocked appends an audit record when a team starts to wait for an allocation, and when
-// it no longer waits.
+// it no longer waits. smallest is the amount of the team's smallest pending task.
 func (c *Control) recordBlocked(key accountKey, smallest quota.Amount) {
 	blocked := c.manager.Blocked(key.shard, key.team)
 	if blocked == c.recordedBlocked[key] {
--- a/internal/admission/control.go
+++ b/internal/admission/control.go
@@ -59,13 +59,13 @@
 	RecordStore      RecordStore
 	Codec            *protocol.Codec
 	Clock            storage.Clock
-	Wall             func() time.Time
+	Wall             func() time.Time // wall clock, for audit records
 	Log              zerolog.Logger
 	Audit            func(audit.Record)         // receives audit records and must not block; nil: none are kept
 	BroadcastDemands func(*meshpb.QuotaDemands) // sends demands to all other members
 }
 
-// Control admits replicas of the tasks of one process's shards.
+// Control admits replicas of the tasks of one process's shards. Its times are on Config.Clock.
 type Control struct {
 	config     Config
 	manager    *quota.Manager          // nil without quota.escrow
@@ -218,7 +218,7 @@
 	return true
 }
 
-// Release subtracts what a replica used that is proven lost or has ended.
+// Release refunds the claim's amount for a replica that is proven lost or has ended.
 func (c *Control) Release(claim *Claim, task int32, replica uint64) {
 	if !c.Limited(claim) {
 		return
@@ -228,8 +228,8 @@
 	c.appendAuditRecord(r)
 }
 
-// ChargeInherited charges the claim for tasks of which a replica may run that an earlier holder
-// admitted.
+// ChargeInherited charges the claim for tasks that may have a running replica which an earlier
+// holder admitted.
 func (c *Control) ChargeInherited(claim *Claim, tasks int) {
 	if !c.Limited(claim) || tasks == 0 {
 		return
@@ -239,8 +239,8 @@
 	c.appendAuditRecord(r)
 }
 
-// RecordReplicaFound appends the audit record of a replica, now known, of a task that
-// ChargeInherited has charged.
+// RecordReplicaFound appends an audit record when the replica of a task that ChargeInherited has
+// charged becomes known.
 func (c *Control) RecordReplicaFound(claim *Claim, task int32, replica uint64) {
 	if c.Limited(claim) {
 		c.appendAuditRecord(c.newAuditRecord(claim, audit.ReplicaFound, task, replica))
--- a/internal/admission/control_test.go
+++ b/internal/admission/control_test.go
@@ -38,13 +38,13 @@
 // Now implements storage.Clock.
 func (f *fixture) Now() time.Duration { return f.now }
 
-// QuotaRecords implements Records.
+// QuotaRecords implements RecordStore.
 func (f *fixture) QuotaRecords(done func([]protocol.KeyValue, error)) {
 	f.reads++
 	done(f.stored, f.readError)
 }
 
-// TransferQuota implements Records: every transfer is applied.
+// TransferQuota implements RecordStore. It applies every transfer.
 func (f *fixture) TransferQuota(transfer *quota.Transfer, done func(storage.TxnResult)) {
 	f.writes++
 	f.revision++
@@ -55,22 +55,22 @@
 	done(storage.TxnResult{Outcome: storage.Applied, Revision: f.revision})
 }
 
-// StartableTasks implements Shards.
+// StartableTasks implements ShardOwner.
 func (f *fixture) StartableTasks(visit func(claim *Claim, tasks int)) {
 	if f.pendingTasks > 0 {
 		visit(claim(), f.pendingTasks)
 	}
 }
 
-// KeyVersions implements Shards.
+// KeyVersions implements ShardOwner.
 func (f *fixture) KeyVersions() iter.Seq2[string, uint64] {
 	return func(yield func(string, uint64) bool) { yield("a", 1) }
 }
 
-// AllocationsChanged implements Shards.
+// AllocationsChanged implements ShardOwner.
 func (f *fixture) AllocationsChanged() {}
 
-// claim returns the claim of a job of the team whose tasks use one CPU each.
+// claim returns the team's claim for a job whose tasks use one CPU each.
 func claim() *Claim {
 	return &Claim{Shard: "a", FencingToken: 1, Team: team, Job: "wk-1", Amount: quota.AmountOf(1, 0)}
 }
@@ -136,7 +136,7 @@
 	}
 	for i, want := range []bool{true, true, false} {
 		if got := f.Admit(claim(), int32(i), uint64(i)); got != want {
-			t.Errorf("task %d is admitted: %v", i, got)
+			t.Errorf("task %d is admitted: %v, want the opposite", i, got)
 		}
 	}
 	f.Release(claim(), 0, 0)
@@ -192,7 +192,7 @@
 		f.Tick(f.now, TickConditions{AllMembersDivideLimits: true, MayAct: true})
 	}
 	if f.writes != 0 {
-		t.Errorf("%d transfers without a valid lease", f.writes)
+		t.Errorf("%d transfers without a valid lease, want none", f.writes)
 	}
 	f.Tick(f.now, TickConditions{MayAct: true})
 	if !f.Admit(claim(), 0, 1) {
--- a/internal/admission/demands.go
+++ b/internal/admission/demands.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	demandInterval     = 400 * time.Millisecond // between messages with demands
+	demandInterval     = 400 * time.Millisecond // between two messages with demands
 	droppedLogInterval = 10 * time.Second
 )
 
@@ -20,8 +20,8 @@
 	LeaseValid             bool // the lease of this process is guaranteed not to have ended
 }
 
-// Tick reads the records if that is due, updates what is pending, sends demands and starts
-// transfers. It is called about 10 times per second.
+// Tick reads the records if that is due, updates the pending amounts, and sends demands and
+// starts transfers as far as the conditions allow. It is called about 10 times per second.
 func (c *Control) Tick(now time.Duration, conditions TickConditions) {
 	if c.manager == nil {
 		return
@@ -38,7 +38,8 @@
 	}
 }
 
-// setEnforced bounds admission by allocations while every member divides limits.
+// setEnforced sets whether allocations bound admission, which they do while every member divides
+// limits.
 func (c *Control) setEnforced(enforced bool) {
 	if enforced != c.manager.Enforced() {
 		c.config.Log.Info().Bool("enforced", enforced).Msg("enforcement of team limits changed")
@@ -46,11 +47,12 @@
 	c.manager.SetEnforced(enforced)
 }
 
-// pendingAmounts are the amounts of a team's tasks that could start.
+// pendingAmounts are the sum of what a team's tasks that could start use, and the smallest CPUs and
+// the smallest GPUs among them.
 type pendingAmounts struct{ total, smallest quota.Amount }
 
 // updatePending passes the pending amounts of all teams at held shards to the manager, and has
-// the shard owner check for changes that the leader has to know.
+// the shard owner publish to the leader how many tasks may start if that has changed.
 func (c *Control) updatePending(now time.Duration) {
 	pending := make(map[accountKey]*pendingAmounts)
 	c.shardOwner.StartableTasks(func(claim *Claim, tasks int) {
@@ -108,14 +110,15 @@
 // Sender is the member that sent a message with demands.
 type Sender struct {
 	Member string
-	// LastSequence is the sequence number of the last such message on this stream.
+	// LastSequence is the sequence number of the last such message on the same stream.
 	LastSequence uint64
 	// HoldsShard reports whether the member holds a shard, as observed by this process.
 	HoldsShard func(shard string) bool
 }
 
 // HandleDemands records the demands of another member, and returns the sequence number of the
-// latest message. Only demands for shards that the member holds are recorded.
+// latest message, which is the LastSequence of the next. Only demands for shards that the member
+// holds are recorded.
 func (c *Control) HandleDemands(from Sender, message *meshpb.QuotaDemands) (lastSequence uint64) {
 	if c.manager == nil {
 		return from.LastSequence
--- a/internal/admission/records.go
+++ b/internal/admission/records.go
@@ -17,7 +17,7 @@
 	case c.manager == nil || !c.manager.HasLimit(team):
 		return
 	case !present:
-		// No controller deletes records. If an operator deleted one, it has to be written again.
+		// No controller deletes records. An operator who deleted one has to write it again.
 		c.manager.ObserveUnreadableRecord(team, version)
 		c.drop(dropRecordDeleted, storage.QuotaKey(team))
 		return
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -68,7 +68,8 @@
 	}
 	s := newStream(t, records...)
 	if len(s.Records) != len(records) || !s.HasLastSegment || s.Dropped != 0 || s.Header.Member != "a" {
-		t.Fatalf("%d records, ended %v, dropped %d, header %+v", len(s.Records), s.HasLastSegment, s.Dropped, s.Header)
+		t.Fatalf("%d records, last segment %v, dropped %d, header %+v; want 3 full segments of records, a last segment, none dropped, member a",
+			len(s.Records), s.HasLastSegment, s.Dropped, s.Header)
 	}
 	for i := range s.Records {
 		records[i].Seq = uint64(i + 1)
@@ -115,8 +116,8 @@
 	return lengthBytes + hashBytes + (int(b[offset])<<24 | int(b[offset+1])<<16 | int(b[offset+2])<<8 | int(b[offset+3]))
 }
 
-// If the sink is slower than records arrive, Append does not wait, and the stream has the number
-// of dropped records.
+// If the sink is slower than records arrive, Append does not wait, and the stream states how many
+// records were dropped.
 func TestSlowSinkDropsAreCounted(t *testing.T) {
 	sink := &memorySink{}
 	w, err := NewWriter(sink, Header{Member: "a"}, func(err error) { t.Error(err) })
@@ -128,7 +129,7 @@
 		w.Append(admittedRecord("wk-1", i, 2))
 	}
 	if w.Dropped() == 0 {
-		t.Fatal("nothing was dropped")
+		t.Fatal("no record was dropped although the sink was blocked")
 	}
 	close(sink.unblock)
 	if err := w.Close(); err != nil {
@@ -228,6 +229,6 @@
 	r := Verify([]*Stream{s}, time.Second)
 	requireFinding(t, r, "no last segment", Gap)
 	if got := fmt.Sprint(r.Teams[0].Peak, r.Teams[0].Admissions); got != "{8000 0} 4" {
-		t.Errorf("highest use and admissions: %s", got)
+		t.Errorf("highest use and admissions are %s, want {8000 0} 4", got)
 	}
 }
--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -4,8 +4,7 @@
 // streams of all controllers together and reports whether any limit was exceeded, any guarantee
 // unmet, or any part of the history is missing.
 //
-// Changed, truncated and incomplete streams are always told from complete ones, and Append never
-// waits for the disk: records for which the queue has no room are dropped and counted. The
-// package never decides on an admission, and nothing that it reads has an effect on a running
-// controller.
+// Read and Verify detect every changed, truncated or incomplete stream. Append never waits for
+// the disk: records for which the queue has no room are dropped and counted. The package never
+// decides on an admission, and nothing that it reads has an effect on a running controller.
 package audit
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -38,7 +38,8 @@
 		t.Fatal(err)
 	}
 	if s.Header != header || !s.HasLastSegment || s.Dropped != 0 || len(s.Records) != len(goldenRecords()) {
-		t.Fatalf("got %d records, header %+v, last segment %v, dropped %d", len(s.Records), s.Header, s.HasLastSegment, s.Dropped)
+		t.Fatalf("got %d records, header %+v, last segment %v, dropped %d; want 9 records with the header of ctl-0, a last segment, none dropped",
+			len(s.Records), s.Header, s.HasLastSegment, s.Dropped)
 	}
 	sink := &memorySink{}
 	w, err := newWriter(sink, header, nil)
--- a/internal/audit/reader.go
+++ b/internal/audit/reader.go
@@ -25,7 +25,7 @@
 	ErrMisplaced = errors.New("a segment is not in its place")
 	// ErrTrailingData means that data follows the last segment.
 	ErrTrailingData = errors.New("more follows after the last segment")
-	// ErrSegmentTooLong means that a segment is longer than a Writer makes them.
+	// ErrSegmentTooLong means that a segment is longer than any that a Writer writes.
 	ErrSegmentTooLong = errors.New("a segment is too long")
 )
 
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -21,12 +21,12 @@
 	JobRecovered
 	// ReplicaFound means that a machine lists a replica that an earlier holder admitted.
 	ReplicaFound
-	// ShardReconciled means that everything the earlier holder admitted that is unknown to this
-	// one is proven lost.
+	// ShardReconciled means that every replica that an earlier holder admitted and that is unknown
+	// to this one is proven lost.
 	ShardReconciled
 	// Blocked means that tasks are pending and none fits the allocation.
 	Blocked
-	// Unblocked means that this is no longer so.
+	// Unblocked means that the state recorded by Blocked has ended.
 	Unblocked
 )
 
--- a/internal/audit/replay.go
+++ b/internal/audit/replay.go
@@ -48,7 +48,7 @@
 type blockedState struct {
 	smallestPending, guarantee quota.Amount
 	withinGuaranteeSinceMs     int64 // since when its smallest pending task has fit its guarantee; 0: it does not
-	reported                   bool  // there is a finding already
+	reported                   bool  // a finding was added for this state
 }
 
 // newReplay returns a replay that starts with no running replicas.
@@ -206,7 +206,8 @@
 	}
 }
 
-// finish checks the guarantees a last time and adds the numbers of findings that were left out.
+// finish checks the guarantees a last time, and adds a finding with the number of those left out
+// for each kind.
 func (r *replay) finish() {
 	r.checkGuarantees(historyEvent{Record: &Record{TimeMs: r.lastTimeMs, Limit: r.usage.Limit}})
 	for kind, n := range r.findingCounts {
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -27,7 +27,7 @@
 type Finding struct {
 	Kind   FindingKind
 	Team   string // empty if the finding is about a whole stream
-	TimeMs int64
+	TimeMs int64  // wall clock of a controller, in ms since 1970
 	Text   string
 }
 
@@ -36,7 +36,7 @@
 	Team       string
 	Limit      quota.Amount // the lowest that was in force
 	Peak       quota.Amount // the highest use of each part
-	PeakAtMs   int64        // time of the peak of CPUs
+	PeakAtMs   int64        // time of the peak of CPUs, in ms since 1970
 	Admissions int
 	Releases   int
 }
--- a/internal/audit/writer.go
+++ b/internal/audit/writer.go
@@ -19,7 +19,7 @@
 )
 
 // Writer writes a stream. Append never waits: while the sink is slower than records arrive,
-// records are dropped, and the stream has their number. It is safe for concurrent use.
+// records are dropped and the stream states how many. It is safe for concurrent use.
 type Writer struct {
 	sink     io.WriteCloser
 	encoder  *zstd.Encoder
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// unmetDemands returns the valid demands for a team that its record does not meet, the longest
-// pending first.
+// unmetDemands returns the unexpired demands for a team that its record does not meet, the one
+// that has been pending for longest first.
 func (m *Manager) unmetDemands(t *teamState, record Record, now time.Duration) []Demand {
 	var out []Demand
 	for _, shard := range m.config.Shards {
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -39,8 +39,8 @@
 	up                  bool
 	paused              bool
 	undeliveredRecords  []func()     // notifications of record changes that have not arrived
-	undeliveredReleases []accountKey // ends of tasks that it has not been told of, with releaseAmounts
-	releaseAmounts      []Amount
+	undeliveredReleases []accountKey // tasks that ended, of which it has not been notified
+	releaseAmounts      []Amount     // of undeliveredReleases, by index
 	pending             map[accountKey]Amount
 }
 
@@ -276,7 +276,7 @@
 	}
 }
 
-// endTasks ends some tasks; their holders are told later.
+// endTasks ends some tasks; their holders are notified later.
 func (m *model) endTasks() {
 	for _, shard := range modelShards {
 		for _, team := range modelTeams {
--- a/internal/quota/plan.go
+++ b/internal/quota/plan.go
@@ -61,7 +61,7 @@
 }
 
 // registerShare adds a held shard's share to the record, or updates its limit. The initial
-// allocation is what the shard has spent, as far as that is unallocated. While not all members
+// allocation is what the shard has spent, as far as the limit has that much unallocated. While not all members
 // divide limits the share is removed, so that each holder starts from what it has spent by the
 // time when all of them do.
 func (p *plan) registerShare(shard string, h *heldShard) {
--- a/internal/quota/sharing_test.go
+++ b/internal/quota/sharing_test.go
@@ -112,13 +112,13 @@
 	s.pendingTasks["a"] = 16
 	s.advance(4 * time.Second)
 	if got := s.runningTasks("a"); got != 16 {
-		t.Fatalf("%d tasks run at a, want the whole limit", got)
+		t.Fatalf("%d tasks run at a, want 16, the whole limit", got)
 	}
 	s.advance(20 * time.Second)
 	s.pendingTasks["b"] = 16
 	s.advance(3 * time.Second)
 	if got := s.runningTasks("b"); got != 16 {
-		t.Fatalf("%d tasks run at b 3 s after tasks became pending there, want the whole limit", got)
+		t.Fatalf("%d tasks run at b 3 s after tasks became pending there, want 16, the whole limit", got)
 	}
 }
 
@@ -129,13 +129,13 @@
 	s.pendingTasks["a"] = 10000
 	s.advance(5 * time.Second)
 	if got := s.runningTasks("a"); got != 24 {
-		t.Fatalf("%d tasks run at a, want the whole limit", got)
+		t.Fatalf("%d tasks run at a, want 24, the whole limit", got)
 	}
 	s.pendingTasks["b"], s.pendingTasks["c"] = 10000, 10000
 	s.advance(10 * time.Second)
 	for _, name := range modelShards {
 		if got := s.runningTasks(name); got < 7 || got > 9 {
-			t.Fatalf("%d tasks run at %s, want a third of the limit", got, name)
+			t.Fatalf("%d tasks run at %s, want 7 to 9, a third of the limit", got, name)
 		}
 	}
 	before := s.transfers
@@ -144,7 +144,7 @@
 		t.Errorf("%d transfers in 30 s, want at most 30: all controllers have their fair share", got)
 	}
 	if got := s.totalRunningTasks(); got < 23 {
-		t.Errorf("%d tasks run, the limit allows 24", got)
+		t.Errorf("%d tasks run, want at least 23: the limit allows 24", got)
 	}
 }
 
@@ -157,11 +157,11 @@
 	s.advance(2 * time.Minute)
 	for _, name := range modelShards {
 		if s.startedTasks[name] < 8 {
-			t.Errorf("%d tasks were started at %s in two minutes: %v", s.startedTasks[name], name, s.startedTasks)
+			t.Errorf("%d tasks were started at %s in two minutes, want at least 8: %v", s.startedTasks[name], name, s.startedTasks)
 		}
 	}
 	if s.transfers > 600 {
-		t.Errorf("%d transfers in two minutes", s.transfers)
+		t.Errorf("%d transfers in two minutes, want at most 600", s.transfers)
 	}
 }
 
@@ -176,7 +176,7 @@
 	s.advance(50 * time.Second)
 	started = s.startedTasks["a"] + s.startedTasks["b"] + s.startedTasks["c"] - started
 	if started < 32 { // 4 at a time of 5 s each are 40 in 50 s, less the time that transfers take
-		t.Errorf("%d tasks were started in 50 s, room for 40: %v", started, s.startedTasks)
+		t.Errorf("%d tasks were started in 50 s, want at least 32 of the 40 that there is room for: %v", started, s.startedTasks)
 	}
 }
 
@@ -210,7 +210,7 @@
 	}
 	for _, name := range []string{"a", "b"} { // the limit is raised only after all settings have the higher one
 		if got := s.records[sharedTeam].record.LimitInForce(LimitOf(32, 0)); got.CPUs != 12000 {
-			t.Errorf("limit in force %v with the settings of %s as before", got, name)
+			t.Errorf("the limit in force is %v, want 12 CPUs while the settings of %s still have 32", got, name)
 		}
 	}
 }
@@ -227,10 +227,10 @@
 	s.pendingTasks["b"] = 10
 	s.advance(3 * time.Second)
 	if s.runningTasks("b") != 10 {
-		t.Fatalf("%d tasks run at b, want all", s.runningTasks("b"))
+		t.Fatalf("%d tasks run at b, want all 10", s.runningTasks("b"))
 	}
 	if n := len(s.records[sharedTeam].record.Shares); n != 0 {
-		t.Fatalf("%d shares are left", n)
+		t.Fatalf("the record has %d shares, want none", n)
 	}
 	for _, m := range s.managers {
 		m.SetEnforced(true)
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -147,7 +147,7 @@
 
 // TransferOutcomeUnknown records that the transfer in flight failed its conditions or got no
 // answer, and returns the teams whose records have to be read again. What the transfer may have
-// taken is not spent until a newer version of the record shows its outcome.
+// taken from held shards can't be spent until a newer version of the record shows the outcome.
 func (m *Manager) TransferOutcomeUnknown() []string {
 	var names []string
 	for _, transferred := range m.inFlight.Teams {
--- a/internal/storage/client.go
+++ b/internal/storage/client.go
@@ -14,7 +14,7 @@
 // listTimeoutFactor is the timeout of one page of a listing, as a multiple of Limits.Timeout.
 const listTimeoutFactor = 3
 
-// client is the client of the state service that this process uses. Transactions are in
+// client is this process's client of the state service. Transactions are in
 // transactions.go, leases in leases.go.
 type client struct {
 	scheduler
--- a/internal/storage/compaction.go
+++ b/internal/storage/compaction.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// compactionThreshold is the number of stale descriptions from which on a page is rewritten
-	// with the next batch.
+	// compactionThreshold is the number of stale descriptions at which a page is rewritten with
+	// the next batch.
 	compactionThreshold = 8
 	// compactionInterval is the minimum time between two page rewrites that run while no other
 	// writes are queued.
--- a/internal/storage/fence.go
+++ b/internal/storage/fence.go
@@ -17,7 +17,7 @@
 	client  *client
 	key     string // of the shard
 	holder  Holder // this process, as named in the key
-	lease   uint64 // state lease of the key
+	lease   uint64 // lease of the state service to which the key is bound
 	version uint64 // version of the key that fences the writes
 	onLost  func()
 
--- a/internal/storage/finished_tasks_test.go
+++ b/internal/storage/finished_tasks_test.go
@@ -53,7 +53,7 @@
 	}
 	for i, done := range got[0].FinishedTasks {
 		if done != (i%3 == 0) {
-			t.Fatalf("task %d is recovered as finished=%v", i, done)
+			t.Fatalf("task %d is recovered as finished=%v, want true for every third task only", i, done)
 		}
 	}
 	ended := false
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -67,7 +67,7 @@
 		Priority: protocol.PriorityProduction, Image: "img-05", AnyType: true, Service: true}
 	checkCreated := func(c CreateResult) {
 		if c != Created {
-			t.Fatalf("creating a job: %v", c)
+			t.Fatalf("creating a job returned %v, want created", c)
 		}
 	}
 	shard.CreateJob(first, 1000, "c1", 0, checkCreated)
--- a/internal/storage/job_batch.go
+++ b/internal/storage/job_batch.go
@@ -155,9 +155,9 @@
 	alreadyApplied bool            // one of the records was written by the batch itself
 }
 
-// resolveConflict determines whether the records that conflict with a batch are its own,
-// written by an earlier transaction of it that got no answer. A single such record proves that
-// the whole batch is written, since a transaction is atomic.
+// resolveConflict determines whether the records that conflict with a batch are its own, written
+// by an earlier transaction of the same batch that got no answer. A single such record proves
+// that the whole batch is written, since a transaction is atomic.
 func (w *jobWriter) resolveConflict(b *batch, r TxnResult) {
 	c := &conflictResolution{writer: w, batch: b, existing: make(map[string]bool)}
 	c.pendingReads = 1 // held until all reads have been started
@@ -170,7 +170,7 @@
 	c.finishRead()
 }
 
-// handleExisting handles the record that exists in place of an operation's.
+// handleExisting handles the existing record of a job that an operation was to create.
 func (c *conflictResolution) handleExisting(op *operation, record JobRecord) {
 	if record.Shard == c.writer.shard && record.Nonce == op.record.Nonce {
 		c.alreadyApplied = true
@@ -208,7 +208,8 @@
 	w.flush()
 }
 
-// readJobRecord reads the record of a job that is known to have one, until it succeeds.
+// readJobRecord reads the record of a job that is known to have one. It repeats the read until it
+// succeeds.
 func (w *jobWriter) readJobRecord(id string, done func(JobRecord)) {
 	if w.fence.lost {
 		return
--- a/internal/storage/job_writer.go
+++ b/internal/storage/job_writer.go
@@ -208,7 +208,7 @@
 
 // addDescription puts a new job on a page: on a draft that the batch has already, otherwise on
 // the page with the most room, which loses its ended jobs with this write, otherwise on a new
-// page.
+// page. It reports false if the batch has no room for the page.
 func (w *jobWriter) addDescription(b *batch, job *description, pagesLeft int) bool {
 	id := job.record.Job.ID
 	if draft := b.draftWithRoom(job.maxSize, w.client.maxSharedRecordSize()); draft != nil {
@@ -226,7 +226,8 @@
 
 // removeDescription takes an ended job off its page if the batch writes that page anyway;
 // otherwise it lists the job's ID as ended on a page that the batch writes. If there is
-// neither, the batch writes the job's page in addition.
+// neither, the batch writes the job's page in addition. It reports false if the batch has no room
+// for that.
 func (w *jobWriter) removeDescription(b *batch, id string, pagesLeft int) bool {
 	job := w.descriptions[id]
 	if job == nil {
--- a/internal/storage/job_writer_test.go
+++ b/internal/storage/job_writer_test.go
@@ -27,7 +27,7 @@
 			jobs++
 			shard.CreateJob(smallJob(i), 0, fmt.Sprint("c", i), s.now+3*time.Second, func(r CreateResult) {
 				if r != Created {
-					t.Fatalf("job %d: creation returned %d", i, r)
+					t.Fatalf("job %d: creation returned %v, want created", i, r)
 				}
 				slowest = max(slowest, s.now-at)
 				running[i] = s.now + time.Duration(20+i%9)*time.Second
@@ -43,7 +43,8 @@
 		shard.FlushFinishedTasks()
 	}
 	if slowest > time.Second || jobs-ended-len(running) > 6 {
-		t.Fatalf("the slowest creation took %v; of %d jobs %d have ended, %d are running", slowest, jobs, ended, len(running))
+		t.Fatalf("the slowest creation took %v, want at most 1s; of %d jobs %d have ended and %d are running, want at most 6 others",
+			slowest, jobs, ended, len(running))
 	}
 	if limit := 10*100 + 10; s.totalChanges > limit {
 		t.Fatalf("%d changes in 100 s, the rate allows 1010", s.totalChanges)
--- a/internal/storage/leases.go
+++ b/internal/storage/leases.go
@@ -8,7 +8,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// OpenLease requests a state lease. done receives 0 if none was granted or no answer came.
+// OpenLease requests a lease of the state service. done receives 0 if none was granted or no answer
+// came.
 func (c *client) OpenLease(ttl time.Duration, done func(lease uint64)) {
 	body := c.codec.Encode(protocol.LeaseRequest{TTLMs: ttl.Milliseconds()})
 	c.enqueue(request{class: Urgent, method: http.MethodPost, path: "/leases", body: body, done: func(r Response) {
--- a/internal/storage/oversized_records_test.go
+++ b/internal/storage/oversized_records_test.go
@@ -11,12 +11,12 @@
 )
 
 // A shard whose records the previous version wrote under larger limits is recovered under lower
-// ones: every write stays within the lower limits, whatever jobs are created, ended and have
-// finished tasks; no write gets stuck; and after each write both versions recover the same.
+// ones. Whichever jobs are created, ended or have finished tasks, every write stays within the
+// lower limits and no write gets stuck, and after each write both versions recover the same.
 func TestOversizedRecordsUnderLowerLimits(t *testing.T) {
 	for _, c := range []struct {
-		bytes, ops int
-		large      bool // the finished tasks of the job with 30,000 tasks fit the limits
+		bytes, ops   int
+		largeJobFits bool // finished tasks of the job with 30,000 tasks can be written under the limits
 	}{{2048, 5, true}, {2048, 2, true}, {1024, 3, false}} {
 		t.Run(fmt.Sprintf("%d bytes, %d operations", c.bytes, c.ops), func(t *testing.T) {
 			s, store := newFakeStateService(t)
@@ -62,7 +62,7 @@
 			}
 			recorded, written := 0, 0
 			for _, j := range unfinished {
-				if j.Job.Tasks > 8192 && !c.large {
+				if j.Job.Tasks > 8192 && !c.largeJobFits {
 					continue
 				}
 				for i, done := range j.FinishedTasks {
--- a/internal/storage/rate_limit.go
+++ b/internal/storage/rate_limit.go
@@ -19,7 +19,7 @@
 // tokenBucket is a token bucket. Its capacity is the burst that the service allows to all
 // controllers together, since usually only one of them needs it at a time.
 type tokenBucket struct {
-	rate, burst, tokens float64
+	rate, burst, tokens float64 // rate is in tokens per second
 	refilledAt          time.Duration
 }
 
--- a/internal/storage/record_sizes_test.go
+++ b/internal/storage/record_sizes_test.go
@@ -32,7 +32,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			store.limits.ValueBytes = c.valueBytes
 			if got := store.Fits(&c.job); got != c.fits {
-				t.Errorf("limit of %d bytes, class %.30s, %d tasks: Fits returned %v", c.valueBytes, c.job.Class, c.job.Tasks, got)
+				t.Errorf("limit of %d bytes, class %.30s, %d tasks: Fits returned %v, want the opposite", c.valueBytes, c.job.Class, c.job.Tasks, got)
 			}
 		})
 	}
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -38,7 +38,7 @@
 // descriptionPageRecord is the value of a description page.
 type descriptionPageRecord struct {
 	Jobs     []DescriptionRecord `cbor:"j"`
-	EndedIDs []string            `cbor:"o"` // jobs that have ended, whatever other pages say
+	EndedIDs []string            `cbor:"o"` // jobs that have ended, even if other pages describe them
 }
 
 // valid reports whether every job of the record has a valid number of tasks.
--- a/internal/storage/recovery_test.go
+++ b/internal/storage/recovery_test.go
@@ -93,7 +93,7 @@
 					recordEnded = rec.Status != ""
 				}
 				if recovered[id] == recordEnded {
-					t.Fatalf("seed %d step %d: %s recovered: %v, ended: %v", seed, step, id, recovered[id], recordEnded)
+					t.Fatalf("seed %d step %d: %s recovered: %v, ended: %v; want either one or the other", seed, step, id, recovered[id], recordEnded)
 				}
 				if ended[id] && !recordEnded || recordEnded && !ending[id] {
 					t.Fatalf("seed %d step %d: the record of %s says ended: %v, which contradicts the acknowledgements", seed, step, id, recordEnded)
@@ -176,6 +176,6 @@
 		}
 	}
 	if s.keys["own/n/5"] == nil || s.keys["done/n/6"] == nil {
-		t.Fatal("the new pages are missing")
+		t.Fatal("the new pages own/n/5 and done/n/6 are missing")
 	}
 }
--- a/internal/storage/scheduler.go
+++ b/internal/storage/scheduler.go
@@ -8,7 +8,7 @@
 
 const (
 	maxQueueLength            = 512                    // requests of each class
-	rateLimitPause            = 250 * time.Millisecond // after a request rejected because of its rate
+	rateLimitPause            = 250 * time.Millisecond // after the service rejected a request because of the rate
 	backgroundReserveFraction = 0.5                    // of the write burst, left by Background to others
 	maxBackgroundWait         = 2 * time.Second        // after which Background leaves nothing to others
 )
--- a/internal/storage/scheduler_test.go
+++ b/internal/storage/scheduler_test.go
@@ -20,7 +20,7 @@
 		})
 	}
 	if len(client.queues[Foreground]) > maxQueueLength || rejected < 1000 {
-		t.Fatalf("%d requests are queued, %d were rejected", len(client.queues[Foreground]), rejected)
+		t.Fatalf("%d requests are queued, want at most 512; %d were rejected, want at least 1000", len(client.queues[Foreground]), rejected)
 	}
 }
 
@@ -79,7 +79,7 @@
 	checkTimeout := func(when string, least, most time.Duration) {
 		t.Helper()
 		if s.lastTimeout < least || s.lastTimeout > most {
-			t.Fatalf("%s: the timeout is %v, which is outside the expected range", when, s.lastTimeout)
+			t.Fatalf("%s: the timeout is %v, which is outside the range that the failed call expects", when, s.lastTimeout)
 		}
 	}
 	s.latency = 5 * time.Millisecond
