--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -102,7 +102,7 @@
 	if len(l.env.cloud.Catalog()) == 0 {
 		return
 	}
-	l.updateOnlyMachineTypes(now)
+	l.observeExclusiveNeeds(now)
 	l.scheduler.queue.markDirty()
 	l.scheduler.rebuildQueue(now)
 	in := &autoscalerInput{
@@ -129,8 +129,8 @@
 	l.scaler.SendScaleOuts(now)
 }
 
-// updateOnlyMachineTypes records which jobs fit on a single type of machine.
-func (l *leader) updateOnlyMachineTypes(now time.Duration) {
+// observeExclusiveNeeds records which jobs fit on a single type of machine.
+func (l *leader) observeExclusiveNeeds(now time.Duration) {
 	for job := range l.unfinishedJobs {
 		if job.spec == nil || job.pending+job.placed == 0 {
 			continue
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -79,9 +79,9 @@
 // serviceShape is the key under which the arrivals of services with equal requirements are
 // counted together.
 type serviceShape struct {
-	class, zone        string
-	spot               bool
-	cpus, gpus, memory float64
+	class, zone          string
+	spot                 bool
+	cpus, gpus, memoryGB float64
 }
 
 func shapeOf(spec *meshpb.JobSummary) serviceShape {
