--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -7,22 +7,22 @@
 	"github.com/cobaltvale/cobaltvale/internal/forecast"
 )
 
-// observeArrival reports a job that has just become known to the forecasts: services to
-// the warm pool, and of the other jobs those that should start sooner than a machine boots
-// to the forecast of machines.
-func (l *leader) observeArrival(j *trackedJob, now time.Duration) {
-	l.warmPool.recordClass(j.spec.Class)
-	age := time.Duration(l.wallMs()-j.spec.SubmittedMs) * time.Millisecond
+// observeArrival updates the forecasts when a job becomes known. A service counts in the warm
+// pool's forecast; another job counts in the forecast of machines if it should start sooner
+// than a machine boots.
+func (l *leader) observeArrival(job *trackedJob, now time.Duration) {
+	l.warmPool.recordClass(job.spec.Class)
+	age := time.Duration(l.wallMs()-job.spec.SubmittedMs) * time.Millisecond
 	submitted := now - max(0, age)
-	if j.spec.Service {
-		l.warmPool.observeService(j, submitted)
+	if job.spec.Service {
+		l.warmPool.observeService(job, submitted)
 		return
 	}
-	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, j.spec.Class)
+	objective := forecast.StartObjectiveOf(l.env.settings.Objectives, job.spec.Class)
 	if objective.Share == 0 || l.forecast.Full() {
 		return
 	}
-	kind, ok := l.kinds.bestKind(kindQuery{job: j, now: now})
+	kind, ok := l.kinds.bestKind(kindQuery{job: job, now: now})
 	if !ok {
 		return
 	}
@@ -30,12 +30,12 @@
 	if machineType.BootS <= objective.WithinS {
 		return
 	}
-	spec := j.spec
+	spec := job.spec
 	l.forecast.Observe(forecast.Arrival{
 		At:           submitted,
 		MachineType:  kind.typeName,
 		Machines:     math.Ceil(float64(spec.Tasks) / math.Max(1, tasksPerMachine(machineType, spec))),
-		FetchSeconds: fetchTime(j.image, machineType).Seconds(),
+		FetchSeconds: fetchTime(job.image, machineType).Seconds(),
 		StartShare:   objective.Share,
 		MeanRunTime:  func() time.Duration { return l.runTimes.Mean(estimateTaskOf(spec)) },
 	})
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -33,8 +33,8 @@
 // which to release.
 //
 // It owns the counts, and the marks neededByPendingTasks and terminating of machines. It
-// makes no calls to the cloud: it returns a scaleOutPlan's machines and the names of
-// machines to release, which a cloud.Scaler requests and releases.
+// makes no calls to the cloud: it returns how many machines of each kind to request and the
+// names of the machines to release, and a cloud.Scaler sends the requests.
 type autoscaler struct {
 	settings         *settings.Settings
 	tuning           *settings.Tuning
@@ -54,13 +54,13 @@
 
 // autoscalerInput is the input of one pass of the autoscaler.
 type autoscalerInput struct {
-	now               time.Duration              // on this process's steady clock
+	now               time.Duration              // on this process's monotonic clock
 	wallMs            int64                      // Unix time in milliseconds
 	actingSince       time.Duration              // see leader.actingSince
 	pendingJobs       []*trackedJob              // in the scheduling order
 	requestedMachines iter.Seq2[cloud.Kind, int] // counts of requests that the cloud has not answered
 	forecastMachines  map[string]int             // by type: the least number of machines to have
-	machinesKnown     bool                       // see machineRecorder.machinesKnown
+	machinesKnown     bool                       // every machine that may hold a task is known
 }
 
 // recordCreationTimes sets the creation times of machines from the ages in the cloud's list.
@@ -73,9 +73,9 @@
 }
 
 // knowsFleet reports whether a new leader knows the fleet well enough to request machines:
-// it has waited for fleetObservationTime, or no machine is left that could send a heartbeat:
-// the machine records and a machine list were read since the election, and all machines
-// known from them are terminated.
+// it has waited for fleetObservationTime, or no machine is left that could send a heartbeat.
+// The latter holds if the machine records and a machine list were read since the election and
+// all machines known from them are terminated.
 func (a *autoscaler) knowsFleet(in *autoscalerInput) bool {
 	if in.now-a.electedAt >= fleetObservationTime {
 		return true
--- a/internal/coordination/fleet_counts.go
+++ b/internal/coordination/fleet_counts.go
@@ -17,8 +17,8 @@
 	reportedCPUs     float64             // CPUs of the reported machines
 }
 
-// partitionDivisor: a zone counts as partitioned if more than one of its machines and more
-// than this part of its reported machines is silent.
+// A zone counts as partitioned if more than one of its machines is silent, and more of them
+// than the number of its reported machines divided by partitionDivisor.
 const partitionDivisor = 8
 
 // countMachines recomputes the counts.
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// longFetchThreshold is the fetch time above which a machine starts no other fetch at
-	// the same time that is not short, because it would slow down the first.
+	// longFetchThreshold is the fetch time above which a fetch counts as long. While a machine
+	// makes a long fetch, only short ones are worth starting on it: two would slow each other
+	// down.
 	longFetchThreshold = 10 * time.Second
 	// fetchPayoffFactor is how many times its own duration a fetch must save in waiting.
 	fetchPayoffFactor = 1.0
@@ -31,7 +32,7 @@
 	// Owned by imageTable.
 	hasPending                                bool      // some pending task needs it
 	machineCPUs, machineMemoryGB              float64   // shares of the machines that have it, see addMachine
-	pendingCPUSeconds, pendingMemoryGBSeconds float64   // of the pending tasks, over their run times
+	pendingCPUSeconds, pendingMemoryGBSeconds float64   // requests of the pending tasks times their run times
 	spotFree                                  resources // free on spot machines that have it
 
 	// Owned by preemptor, as parts of the shortage.
@@ -172,11 +173,11 @@
 }
 
 // worthFetching reports whether a machine without a job's image should fetch it. A short
-// fetch, or one for an overdue job, is always worth it. A fetch occupies the resources of
-// the tasks that wait for it, so a longer one has to pay off: the expected wait for the
-// image must exceed that of the work whose images the machine has already, which urgent
-// jobs disregard, by fetchPayoffFactor times the fetch time. While a machine makes a long
-// fetch it starts no such fetch of another image: they would slow each other down.
+// fetch, or one for an overdue job, is always worth it. A longer one occupies the resources
+// of the tasks that wait for it, so it has to pay off: the expected wait for the image must be
+// longer, by fetchPayoffFactor times the fetch time, than the longest expected wait for the
+// images that the machine has already, which counts as 0 for an urgent job. It is never worth
+// it while the machine makes a long fetch of another image: they would slow each other down.
 func worthFetching(job *trackedJob, m *machine, machineType *protocol.MachineType, runTime time.Duration) bool {
 	fetch := fetchTime(job.image, machineType)
 	if fetchIsShort(fetch, runTime) || job.orderKey.Overdue {
--- a/internal/coordination/job_table.go
+++ b/internal/coordination/job_table.go
@@ -31,7 +31,7 @@
 func (t *jobTable) get(id string) *trackedJob { return t.byID[id] }
 
 // apply applies a summary of a job. A job that has ended stays ended whatever a late
-// message says, except as described for endedByOmission.
+// message says, unless it ended by omission and the summary has its spec.
 func (t *jobTable) apply(shard *shardState, summary *meshpb.JobSummary, now time.Duration) {
 	job := t.byID[summary.Job]
 	if job == nil {
@@ -41,9 +41,9 @@
 	}
 	job.shard = shard
 	if job.endedByOmission && summary.HasSpec && !summary.Ended {
-		// The job was being created: this leader had already read its record when the
-		// owner registered, which had no response to the write yet and did not list the
-		// job. If it stayed ended it would never run.
+		// The job was being created when its owner registered: the owner had no response to
+		// the write of its record yet and did not list the job, while this leader had already
+		// read that record. If the job stayed ended it would never run.
 		job.ended, job.endedByOmission = false, false
 	}
 	if summary.HasSpec && !job.ended {
@@ -86,7 +86,7 @@
 
 // setSpec replaces a job's spec, and updates the use of its team.
 func (t *jobTable) setSpec(job *trackedJob, summary *meshpb.JobSummary) {
-	t.usage.remove(job) // it was counted with the old size
+	t.usage.remove(job) // it was counted with the old spec
 	job.spec, job.team, job.priority = summary, t.usage.teams[summary.Team], protocol.Priority(summary.Priority)
 	job.image = t.images.get(summary.Image, summary.ImageGb)
 	job.onlyMachineType = t.onlyFittingType(summary)
@@ -111,7 +111,7 @@
 	t.usage.update(job)
 }
 
-// endOmittedJobs marks the jobs of a shard as ended that its new owner does not list.
+// endOmittedJobs marks as ended the jobs of a shard that its new owner does not list.
 func (t *jobTable) endOmittedJobs(shard *shardState, now time.Duration) {
 	for id, job := range shard.jobs {
 		if shard.registrationJobs[id] == nil {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -10,7 +10,7 @@
 )
 
 // leader holds the state and the components of one term in which this process leads. All
-// times are on this process's steady clock.
+// times are on this process's monotonic clock.
 type leader struct {
 	env              leaderEnvironment
 	ended            bool // the term has ended
@@ -152,10 +152,10 @@
 	}
 }
 
-// reachesMachines reports whether responses of this process still reach machines, or no
-// machine has run long enough to show that they don't. A leader whose responses do not
-// arrive must resign: the other members refer the machines to it, so these would keep
-// trying in vain.
+// reachesMachines reports whether responses of this process still reach machines. It also
+// returns true if no machine has run long enough to show that they don't, or if no other
+// member could lead. A leader whose responses do not arrive must resign: the other members
+// refer the machines to it, so the machines would keep trying in vain.
 func (l *leader) reachesMachines(now time.Duration) bool {
 	timeout := max(seconds(deliveryTimeoutIntervals*l.env.settings.Workers.HeartbeatIntervalS), minDeliveryTimeout)
 	if l.deliveries.sinceLastProof(now) < timeout || l.env.memberCount == 1 {
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -14,8 +14,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// authority provides the time until which a leader may act, and lets it resign. Times are on
-// this process's steady clock.
+// authority reports whether and until when a leader may act, and lets it resign. Times are on
+// this process's monotonic clock.
 type authority interface {
 	MayAct(now time.Duration) bool
 	MayActUntil() time.Duration
@@ -34,8 +34,8 @@
 	settings     *settings.Settings
 	tuning       *settings.Tuning
 	memberCount  int           // of the deployment
-	leaseTimeout time.Duration // guaranteed to outlast a machine's lease, from its heartbeat's arrival
-	silenceLimit time.Duration // see leader.schedulable
+	leaseTimeout time.Duration // from a heartbeat's arrival to the guaranteed end of the machine's lease
+	silenceLimit time.Duration // silence after which a machine gets no more offers; see leader.schedulable
 
 	clock     storage.Clock
 	wallClock func() time.Time
@@ -79,7 +79,7 @@
 	return int(e.settings.State.Effective().ValueKB * 1024)
 }
 
-// now returns the time on this process's steady clock.
+// now returns the time on this process's monotonic clock.
 func (l *leader) now() time.Duration { return l.env.clock.Now() }
 
 // wallMs returns the Unix time in milliseconds.
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -129,7 +129,8 @@
 	l.scaler.SendScaleOuts(now)
 }
 
-// observeExclusiveNeeds records which jobs fit on a single type of machine.
+// observeExclusiveNeeds determines which jobs fit on a single type of machine and records the
+// need for that type.
 func (l *leader) observeExclusiveNeeds(now time.Duration) {
 	for job := range l.unfinishedJobs {
 		if job.spec == nil || job.pending+job.placed == 0 {
@@ -142,8 +143,7 @@
 	}
 }
 
-// unfinishedJobs yields the jobs of all shards that have not ended, in no particular
-// order.
+// unfinishedJobs yields the unfinished jobs of all shards, in no particular order.
 func (l *leader) unfinishedJobs(yield func(*trackedJob) bool) {
 	for _, shard := range l.shards.byName {
 		for _, job := range shard.jobs {
--- a/internal/coordination/pending_queue.go
+++ b/internal/coordination/pending_queue.go
@@ -39,7 +39,7 @@
 	dirty            bool // a task became pending since the last rebuild
 	rebuiltAt        time.Duration
 	byKind           map[machineKind]*machineKindQueue
-	jobs             []*trackedJob   // with pending tasks, ordered as if all teams had the same share
+	jobs             []*trackedJob   // with unoffered tasks, ordered as if all teams had the same share
 	exclusiveTypes   map[string]bool // types that a pending job needs because it fits on no other
 	entriesInspected uint64          // jobs and queue heads that were examined for heartbeats
 }
@@ -129,11 +129,11 @@
 			q.add(job, !reserved)
 		}
 	}
-	for _, images := range q.images {
-		fetch := fetchTime(images.image, t)
-		short := fetchIsShort(fetch, p.runTime(images.teams[0].jobs[0].spec))
-		paysOff := images.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoffFactor)
-		images.mayFetch = images.mayFetch || short || paysOff
+	for _, forImage := range q.images {
+		fetch := fetchTime(forImage.image, t)
+		short := fetchIsShort(fetch, p.runTime(forImage.teams[0].jobs[0].spec))
+		paysOff := forImage.image.expectedWait() > time.Duration(float64(fetch)*fetchPayoffFactor)
+		forImage.mayFetch = forImage.mayFetch || short || paysOff
 	}
 	return q
 }
@@ -144,13 +144,13 @@
 	q.smallestTask.cpus = min(q.smallestTask.cpus, job.spec.Cpus)
 	q.smallestTask.gpus = min(q.smallestTask.gpus, job.spec.Gpus)
 	q.smallestTask.memoryGB = min(q.smallestTask.memoryGB, job.spec.MemoryGb)
-	images := q.byImage[job.image]
-	if images == nil {
-		images = &imageQueue{image: job.image}
-		q.byImage[job.image] = images
-		q.images = append(q.images, images)
+	forImage := q.byImage[job.image]
+	if forImage == nil {
+		forImage = &imageQueue{image: job.image}
+		q.byImage[job.image] = forImage
+		q.images = append(q.images, forImage)
 	}
-	images.add(job, mayPreempt)
+	forImage.add(job, mayPreempt)
 }
 
 func (q *imageQueue) add(job *trackedJob, mayPreempt bool) {
@@ -181,20 +181,20 @@
 func (q *machineKindQueue) candidateQueues(m *machine) []*teamQueue {
 	var queues []*teamQueue
 	for i := range m.images {
-		if images := q.byImage[m.images[i].image]; images != nil {
-			queues = append(queues, images.teams...)
+		if forImage := q.byImage[m.images[i].image]; forImage != nil {
+			queues = append(queues, forImage.teams...)
 		}
 	}
 	fetches := 0
-	for _, images := range q.images {
+	for _, forImage := range q.images {
 		if fetches == maxFetchCandidates {
 			break
 		}
-		if !images.mayFetch || m.hasImage(images.image) {
+		if !forImage.mayFetch || m.hasImage(forImage.image) {
 			continue
 		}
 		fetches++
-		queues = append(queues, images.teams...)
+		queues = append(queues, forImage.teams...)
 	}
 	return queues
 }
--- a/internal/coordination/preemption.go
+++ b/internal/coordination/preemption.go
@@ -124,9 +124,9 @@
 	return team != nil && team.cpus-team.stoppingCPUs-r.job.spec.Cpus >= team.cfg.CPUs
 }
 
-// chooseCheapest chooses and marks the tasks on a machine that lose the least work until
-// enough CPUs become free, but none that loses more than costLimit, the most that has to
-// be lost on any machine. It returns them and the CPUs that become free.
+// chooseCheapest chooses and marks the tasks on a machine that lose the least work, until
+// enough CPUs become free. It chooses none that loses more than costLimit: more doesn't have
+// to be lost on any machine. It returns the tasks and the CPUs that become free.
 func (p *preemptor) chooseCheapest(m *machine, neededCPUs float64, costLimit, now time.Duration, eligible victimFilter) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
 	cpus := 0.0
@@ -166,22 +166,22 @@
 // the tasks that fit.
 func (p *preemptor) chooseBestEffort(m *machine, job *trackedJob, neededCPUs float64, now time.Duration) ([]*replicaOnMachine, float64) {
 	var victims []*replicaOnMachine
-	free, idle := p.bestEffortTasks(m, job, now)
+	free, tasks := p.bestEffortTasks(m, job, now)
 	cpus := 0.0
 	for cpus < neededCPUs {
 		room, n := free, 0
-		for ; n < len(idle) && !room.fits(job.spec); n++ {
-			room.add(idle[n].job.spec)
+		for ; n < len(tasks) && !room.fits(job.spec); n++ {
+			room.add(tasks[n].job.spec)
 		}
 		if !room.fits(job.spec) {
 			break
 		}
-		for _, replica := range idle[:n] {
+		for _, replica := range tasks[:n] {
 			replica.stopRequested = true
 			replica.job.preemptions++
 		}
-		victims = append(victims, idle[:n]...)
-		idle, free = idle[n:], room
+		victims = append(victims, tasks[:n]...)
+		tasks, free = tasks[n:], room
 		free.subtract(job.spec)
 		cpus += job.spec.Cpus
 	}
@@ -193,7 +193,7 @@
 // by the work that they would lose, least first.
 func (p *preemptor) bestEffortTasks(m *machine, job *trackedJob, now time.Duration) (resources, []*replicaOnMachine) {
 	free := m.free
-	var idle []*replicaOnMachine
+	var tasks []*replicaOnMachine
 	for i := range m.tasks {
 		replica := &m.tasks[i]
 		if replica.requirementsKnown() && replica.stopRequested && replica.state != protocol.TaskExited {
@@ -201,18 +201,18 @@
 			continue
 		}
 		if p.preemptible(m, replica, now) && replica.yieldsTo(job) && preemptionCost(m, replica, now) <= p.shortage.standardCostLimit {
-			idle = append(idle, replica)
+			tasks = append(tasks, replica)
 		}
 	}
-	sort.SliceStable(idle, func(i, k int) bool { return preemptionCost(m, idle[i], now) < preemptionCost(m, idle[k], now) })
-	return free, idle
+	sort.SliceStable(tasks, func(i, k int) bool { return preemptionCost(m, tasks[i], now) < preemptionCost(m, tasks[k], now) })
+	return free, tasks
 }
 
 // preemptible reports whether a task can be stopped to make room. Two groups are exempt:
-// tasks marked preemptionExempt, which were started out of turn since their jobs had
-// waited too long or, best-effort ones, had not started; and tasks of jobs that were
-// preempted as often as they have tasks and write no checkpoints, since these jobs could
-// otherwise be preempted forever.
+// tasks marked preemptionExempt, which are those started out of turn because their jobs were
+// overdue, and of each best-effort job the first task that this leader started; and tasks of
+// jobs that were preempted as often as they have tasks and write no checkpoints, since these
+// jobs could otherwise be preempted forever.
 func (p *preemptor) preemptible(m *machine, r *replicaOnMachine, now time.Duration) bool {
 	if r.stopRequested || !r.requirementsKnown() || r.job.ended || m.ownerCommands[r.key] != nil || r.preemptionExempt {
 		return false
@@ -224,8 +224,8 @@
 }
 
 // endsSoon reports whether a running task is expected to end within
-// nearlyFinishedWindow. A task that is overdue by half of that window or more does not
-// count, since it may run for long.
+// nearlyFinishedWindow. A task whose expected end passed half of that window ago or earlier
+// does not count, since it may run for long.
 func (p *preemptor) endsSoon(r *replicaOnMachine, now time.Duration) bool {
 	if r.state != protocol.TaskRunning || !r.requirementsKnown() {
 		return false
--- a/internal/coordination/quarantine.go
+++ b/internal/coordination/quarantine.go
@@ -12,8 +12,8 @@
 // quarantine decides which machines get no more tasks because tasks fail there: machines
 // on which tasks of several jobs fail, or on which tasks of jobs that succeed elsewhere
 // fail repeatedly. A job that fails everywhere does not count against any machine, nor
-// does one that has failed on most machines of a small fleet. Once a job turns out to be
-// such a job, the machines that were quarantined because of it are used again.
+// does one that has failed on most machines of a small fleet. Once a job has failed on so
+// many machines, those that were quarantined because of it are used again.
 //
 // It owns machine.failuresByJob and quarantined, and trackedJob.failedMachines and
 // taskSucceeded.
@@ -29,8 +29,8 @@
 	job.failedMachines = nil
 }
 
-// recordServiceEnd records that a service's task has ended by itself on a machine. The
-// machine keeps the result, so the task would end at once if it were started there again.
+// recordServiceEnd records that a service's task has exited on a machine without being stopped.
+// The machine keeps the result, so the task would end at once if it were started there again.
 func (q *quarantine) recordServiceEnd(m *machine, job *trackedJob) { job.recordFailedMachine(m) }
 
 // recordFailure records that a task has failed on a machine; reportedMachines is how many
@@ -41,12 +41,12 @@
 		m.failuresByJob = make(map[string]int)
 	}
 	m.failuresByJob[job.id]++
-	known := job.failedMachines[m.name]
+	failedBefore := job.failedMachines[m.name]
 	job.recordFailedMachine(m)
-	before := m.quarantined
+	wasQuarantined := m.quarantined
 	failures = q.update(m, reportedMachines)
-	quarantined = m.quarantined && !before
-	if !known && !job.taskSucceeded && job.failsEverywhere(reportedMachines) {
+	quarantined = m.quarantined && !wasQuarantined
+	if !failedBefore && !job.taskSucceeded && job.failsEverywhere(reportedMachines) {
 		q.reconsider(job, reportedMachines)
 	}
 	return failures, quarantined
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -11,13 +11,13 @@
 	Method, Path string
 	Body         []byte
 	Conn         uint64        // the connection on which it arrived; 0: not known
-	ReceivedAt   time.Duration // when it arrived, on Env.Clock; 0: just now
+	ReceivedAt   time.Duration // when it arrived, on Env.Clock; 0: treated as just arrived
 }
 
 // heartbeatPath is the path to which the agents on machines send their heartbeats.
 const heartbeatPath = "/checkin"
 
-// RequestClass is the class of a request. Each class has its own queue in the event loop.
+// RequestClass determines in which queue of the event loop a request waits.
 type RequestClass uint8
 
 // The classes of requests.
--- a/internal/coordination/reservations.go
+++ b/internal/coordination/reservations.go
@@ -29,8 +29,9 @@
 	runTime     func(*meshpb.JobSummary) time.Duration
 }
 
-// renew replaces all reservations: it reserves for each overdue job, up to the limits
-// above, the machine that is expected to have room for one of its tasks first.
+// renew replaces all reservations: it reserves for each overdue job, as far as the
+// limit of reserved machines allows, the machine that is expected to have room for one of the
+// job's tasks first.
 func (r *reservations) renew(overdue iter.Seq[*trackedJob], now time.Duration) {
 	for m := range r.machines.all {
 		m.reservedFor = nil
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -11,8 +11,8 @@
 const (
 	// minChargedTime is the least time for which the cloud charges a machine.
 	minChargedTime = 60 * time.Second
-	// listLagFactor is the most by which the age of a machine list may exceed the lag that
-	// the cloud states, as a factor.
+	// listLagFactor times the lag that the cloud states for its machine lists is the lag that
+	// they are assumed to have at most.
 	listLagFactor = 4.0
 	// endedJobLimitDivisor limits how long a machine may run a task of an ended job: the time
 	// within which a cancelled job has to be stopped, divided by this.
@@ -46,8 +46,8 @@
 	return names
 }
 
-// shouldRelease reports whether a machine should be released now. If it is idle, it is
-// taken off the count of its type.
+// shouldRelease reports whether a machine should be released now. If that is because the
+// machine is idle, the machine no longer counts in machinesByType.
 func (a *autoscaler) shouldRelease(m *machine, in *autoscalerInput) bool {
 	t := a.inventory.Type(m.typeName)
 	switch {
@@ -102,8 +102,9 @@
 	return false
 }
 
-// silenceBeyondLimit returns by how much the time in which no heartbeat has shown that
-// responses reach a machine exceeds the silence limit. Negative: it is below the limit.
+// silenceBeyondLimit returns a machine's silence less the silence limit. The silence is the
+// time since a heartbeat last showed that responses reach the machine, or since actingSince
+// if that is later. The result is negative while the silence is below the limit.
 func (a *autoscaler) silenceBeyondLimit(m *machine, in *autoscalerInput) time.Duration {
 	return in.now - max(m.lastReachable, in.actingSince) - a.silenceLimit
 }
--- a/internal/coordination/scale_outcomes.go
+++ b/internal/coordination/scale_outcomes.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// KindRefused marks a kind as unavailable until a time, so that it is not requested.
-func (o *scaleOutcomes) KindRejected(kind cloud.Kind, why cloud.RejectReason, until time.Duration) {
+// KindRejected marks a kind as unavailable until a time, so that it is not requested.
+func (o *scaleOutcomes) KindRejected(kind cloud.Kind, reason cloud.RejectReason, until time.Duration) {
 	o.kinds.markKindUnavailable(machineKindOf(kind), until)
-	if why == cloud.MalformedRequest {
+	if reason == cloud.MalformedRequest {
 		o.log.Error().Str("machine_type", kind.Type).Str("zone", kind.Zone).Msg("scale-out request rejected")
 	}
 }
--- a/internal/coordination/shortage.go
+++ b/internal/coordination/shortage.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// findGuaranteeShortage computes how many CPUs are lacking to teams that have pending tasks,
-// use less than their guarantee and can obtain no more machines.
+// findGuaranteeShortage computes the shortage of teams that have pending tasks, use less than
+// their guarantee and can obtain no more machines.
 func (p *preemptor) findGuaranteeShortage(now time.Duration) {
 	s := &p.shortage
 	s.guaranteeCPUs = p.sumBelowGuarantee(now)
--- a/internal/coordination/supply.go
+++ b/internal/coordination/supply.go
@@ -160,8 +160,8 @@
 }
 
 // freeWithinBootTime returns the resources that are expected to be free on a machine within
-// the boot time of a new one. A task that is overdue by more than the boot time does not
-// count as ending, since it may run for long.
+// the boot time of a new one. A task whose expected end passed longer ago than the boot time
+// does not count as ending, since it may run for long.
 func (a *autoscaler) freeWithinBootTime(m *machine, t *protocol.MachineType, now time.Duration) resources {
 	free := m.free
 	boot := seconds(t.BootS)
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -30,7 +30,7 @@
 type usageAccounting struct {
 	leases       machineLeases
 	teams        map[string]*teamUsage
-	unreconciled resources
+	unreconciled resources // sum of machine.unreconciled
 }
 
 // teamUsage is a team and what it uses: tasks of its jobs that owners have placed, tasks
@@ -117,8 +117,8 @@
 	}
 }
 
-// uncountReplicas subtracts them again: before the machine's list changes, or when the
-// machine's lease is guaranteed to have expired.
+// uncountReplicas subtracts the live replicas of a machine again: before the machine's list
+// changes, or once the machine is terminated or its lease is guaranteed to have expired.
 func (u *usageAccounting) uncountReplicas(m *machine) {
 	if m.replicasCounted {
 		m.replicasCounted = false
@@ -144,8 +144,8 @@
 }
 
 // updateUnreconciled records how much may run on a machine that no owner accounts for:
-// its whole capacity if it lists replicas of unknown jobs, or if an earlier leader may
-// have given it tasks and it has not responded to this leader yet.
+// its whole capacity if it lists replicas of unknown jobs, or if an earlier leader may have
+// started tasks on it and it has sent no heartbeat with this leader's fencing token yet.
 func (u *usageAccounting) updateUnreconciled(m *machine, catalog cloud.Catalog, now time.Duration) {
 	mayRun := resources{}
 	if !m.terminated && !u.leases.expired(m, now) {
--- a/internal/coordination/tracked_job.go
+++ b/internal/coordination/tracked_job.go
@@ -19,15 +19,15 @@
 	onlyMachineType string // the only machine type that its tasks fit on; "": none or several
 
 	// From its owner's summaries.
-	pending         int
-	placed          int
+	pending         int  // tasks that wait for a machine
+	placed          int  // tasks that are, may be or are about to be on a machine
 	cancelling      bool // its user has cancelled it: no task is started, running ones are stopped
 	started         bool // a task of it has been placed
 	ended           bool
 	endedAt         time.Duration
 	endedByOmission bool // its shard's owner did not list it; a summary with its spec undoes this
 
-	// Owned by the scheduler and the preemptor.
+	// Changed when tasks are offered, started or preempted.
 	offered             int  // tasks in offers that are not closed yet
 	startSent           bool // this leader has sent a start command for it
 	unsentOverdueStarts int  // tasks offered out of turn because the job was overdue, and not sent yet
--- a/internal/coordination/warm_pool.go
+++ b/internal/coordination/warm_pool.go
@@ -14,19 +14,19 @@
 	// maxPoolSizeAge is the age beyond which the size of the warm pool is recomputed before
 	// a machine is offered.
 	maxPoolSizeAge = time.Second
-	// maxServiceShapes is the number of shapes for which headroom is kept, at most.
+	// maxServiceShapes is the largest number of shapes for which headroom is kept.
 	maxServiceShapes = 64
-	// maxCountedReplicas is the number of replicas counted on one machine, at most.
+	// maxCountedReplicas is the largest number of replicas counted on one machine.
 	maxCountedReplicas = 1000
-	// promptStartDivisor limits the CPUs that are kept free for prompt starts: those of the
-	// fleet, divided by this.
+	// promptStartDivisor limits the CPUs that are kept free for prompt starts: to the CPUs of
+	// the reported machines, divided by this.
 	promptStartDivisor = 20
-	// initialPoolDivisor sets the number of machines that are kept free for services before
-	// any was observed: that of the reported machines, divided by this, within the bounds of
+	// initialPoolDivisor sets how many machines are kept free for services of unseen classes:
+	// the number of reported machines, divided by this, within the bounds of
 	// sizeForUnseenClasses.
 	initialPoolDivisor = 50
 	// minSpreadMachines is the least number of machines over which headroom is spread, so
-	// that the next heartbeat of one of them comes soon.
+	// that one of them soon sends its next heartbeat.
 	minSpreadMachines = 4
 )
 
@@ -52,7 +52,7 @@
 	schedulable func(*machine, time.Duration) bool
 
 	loadByShape      map[serviceShape]*serviceLoad
-	unseenClasses    map[string]bool          // classes with an objective, without a job so far
+	unseenClasses    map[string]bool          // classes with objectiveWait or objectiveUp of which no job has arrived
 	targetHeadroom   map[machineKind]headroom // to be kept
 	reservedHeadroom map[machineKind]headroom // provided by poolMachines
 	sizedAt          time.Duration            // when targetHeadroom was computed
@@ -111,7 +111,7 @@
 func (p *warmPool) recordClass(class string) { delete(p.unseenClasses, class) }
 
 // observeService records the arrival of a service that was submitted at a time on this
-// process's steady clock.
+// process's monotonic clock.
 func (p *warmPool) observeService(job *trackedJob, submitted time.Duration) {
 	shape := shapeOf(job.spec)
 	load := p.loadByShape[shape]
@@ -303,7 +303,7 @@
 
 // machinesForPromptStart returns how many machines need room for a service's tasks, one on
 // each, so that the last task is offered to a machine within half of the class's start
-// objective: the heartbeats of n machines come an n-th of their interval apart.
+// objective: the heartbeats of n machines arrive an n-th of the heartbeat interval apart.
 func (p *warmPool) machinesForPromptStart(class string, tasks float64) int {
 	within := p.startObjectiveS(class)
 	if within <= 0 {
