--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -21,7 +21,7 @@
 		Authority: apiAuthority{c},
 		Records:   c.store,
 		Members:   apiMembers{c},
-		Catalog:   apiCatalogue{c},
+		Catalog:   apiCatalog{c},
 		Statuses:  c.statuses,
 	})
 }
@@ -63,13 +63,13 @@
 	return reachability
 }
 
-// apiCatalogue implements api.Catalog: the teams and machine types that submissions are
+// apiCatalog implements api.Catalog: the teams and machine types that submissions are
 // checked against.
-type apiCatalogue struct{ controller *Controller }
+type apiCatalog struct{ controller *Controller }
 
-func (c apiCatalogue) Team(name string) *settings.Team { return c.controller.team(name) }
+func (c apiCatalog) Team(name string) *settings.Team { return c.controller.team(name) }
 
-func (c apiCatalogue) MachineTypes() map[string]*protocol.MachineType {
+func (c apiCatalog) MachineTypes() map[string]*protocol.MachineType {
 	return c.controller.cloud.Catalog()
 }
 
--- a/internal/coordination/job_summaries.go
+++ b/internal/coordination/job_summaries.go
@@ -54,5 +54,5 @@
 
 // withinTeamLimit reports whether a job's team stays within its limit with one more task.
 func (l *leader) withinTeamLimit(job *trackedJob) bool {
-	return !job.hasTeamLimit() || l.usage.withinLimit(job, l.knowledge())
+	return !job.hasTeamLimit() || l.usage.withinLimit(job, l.recoveryProgress())
 }
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -93,7 +93,7 @@
 
 // reconcileShards tells owners which of their shards have become reconciled.
 func (l *leader) reconcileShards(now time.Duration) {
-	for _, decision := range l.reconciler.updateReconciled(&l.shards, l.knowledge(), now) {
+	for _, decision := range l.reconciler.updateReconciled(&l.shards, l.recoveryProgress(), now) {
 		shard := decision.shard
 		if !decision.noUnknownReplicas {
 			l.logReconciled(decision, now)
@@ -114,6 +114,6 @@
 }
 
 // knowledge returns which work that earlier leaders may have left is known.
-func (l *leader) knowledge() recoveryProgress {
+func (l *leader) recoveryProgress() recoveryProgress {
 	return recoveryProgress{jobsKnown: l.shards.allJobsKnown(), machinesKnown: l.records.machinesKnown()}
 }
