--- a/internal/coordination/admission_wiring.go
+++ b/internal/coordination/admission_wiring.go
@@ -9,9 +9,9 @@
 )
 
 // newAdmission returns the admission control, which admits tasks within their teams'
-// limits. With quota.escrow it sets the record format in this process's identity, which
-// tells other members through the keys that it holds that this process divides limits
-// among shards.
+// limits. With quota.escrow it sets the record format in this process's identity. Other
+// members read the identity in the keys that this process holds and so know that it
+// divides limits among shards.
 func (c *Controller) newAdmission() (*admission.Control, error) {
 	if c.tuning.QuotaEscrow {
 		c.identity.RecordFormat = storage.QuotaRecordFormat
--- a/internal/coordination/api_wiring.go
+++ b/internal/coordination/api_wiring.go
@@ -73,12 +73,12 @@
 	return c.controller.cloud.Catalog()
 }
 
-// handleJobQuery answers a member's query, unless the stream that it came on has ended
-// by then.
+// handleJobQuery answers a member's query, unless the stream on which the query arrived
+// has ended meanwhile.
 func (c *Controller) handleJobQuery(from *peer, query *meshpb.JobQuery) {
 	link := from.link
 	c.userAPI.HandleJobQuery(query, func(result *meshpb.JobQueryResult) {
-		if from.link == link { // on another stream the same id may be that of another query
+		if from.link == link { // on another stream the same id may belong to another query
 			result.Id = query.Id
 			from.send(&meshpb.Frame{Body: &meshpb.Frame_JobQueryResult{JobQueryResult: result}})
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// runLater defers a function: it is called before the present batch ends, but not
-// within the caller of runLater.
+// runLater defers a function: it is called before the present batch ends, but only
+// after the caller of runLater has returned.
 func (c *Controller) runLater(fn func()) { c.deferredCalls = append(c.deferredCalls, fn) }
 
 func (c *Controller) now() time.Duration { return c.env.Clock.Now() }
--- a/internal/coordination/draining.go
+++ b/internal/coordination/draining.go
@@ -11,8 +11,8 @@
 	// forcedStopLead is the time before a machine is reclaimed at which replicas of services
 	// are stopped even if no other machine has room for them.
 	forcedStopLead = 4 * time.Second
-	// reclaimMargin is the time before a machine is reclaimed by which a task must be
-	// expected to end, or else it is stopped.
+	// reclaimMargin is how long before the reclaim of its machine a task must be expected to
+	// end; otherwise it is stopped.
 	reclaimMargin = time.Second
 )
 
@@ -66,9 +66,9 @@
 	return r.job.pending > 0 || m.isStoppingTaskOf(r.job) || !d.warmPool.hasRoomElsewhere(r.job, m, now)
 }
 
-// isStoppingTaskOf reports whether a machine still lists a task of a job that was told to stop.
-// A machine lists an exited task until the owner knows of the exit and has the task started
-// elsewhere.
+// isStoppingTaskOf reports whether a machine still lists a task of a job with stopRequested
+// set. A machine lists an exited task until the owner knows of the exit and has the task
+// started elsewhere.
 func (m *machine) isStoppingTaskOf(job *trackedJob) bool {
 	for i := range m.tasks {
 		if replica := &m.tasks[i]; replica.job == job && replica.stopRequested {
--- a/internal/coordination/election_adapters.go
+++ b/internal/coordination/election_adapters.go
@@ -67,7 +67,7 @@
 
 func (s electionShards) RemoveAll() { s.owner.RemoveAllShards() }
 
-// electionRegistrations implements election.Registrations: it reports which shards are
+// electionRegistrations implements election.Registrations: it reports whether shards are
 // registered with a leader.
 type electionRegistrations struct{ controller *Controller }
 
@@ -115,7 +115,7 @@
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_UptimeRequest{UptimeRequest: &meshpb.UptimeRequest{}}})
 }
 
-// RequestLeaseExtension asks the peer for an extension, for the time of which it does not
+// RequestLeaseExtension asks the peer for a lease extension, during which the peer does not
 // claim this process's keys.
 func (p *peer) RequestLeaseExtension(request *meshpb.LeaseExtensionRequest) {
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_LeaseExtensionRequest{LeaseExtensionRequest: request}})
--- a/internal/coordination/heartbeat_balancing.go
+++ b/internal/coordination/heartbeat_balancing.go
@@ -14,7 +14,8 @@
 	// minLoadToRedirect is the load, in heartbeats a second, up to which no machines are
 	// redirected.
 	minLoadToRedirect = 20.0
-	// redirectedLoadShare is the share of the difference in load that is redirected each second.
+	// redirectedLoadShare times the difference in load, in heartbeats a second, is the number of
+	// machines that are redirected each second.
 	redirectedLoadShare = 0.1
 	// initialRedirectDelay is the time between the first two machines that are redirected to a
 	// peer that receives no heartbeats. It doubles with each one, up to maxRedirectDelay.
@@ -29,7 +30,7 @@
 	receiveRate        float64 // heartbeats a second, exponentially smoothed
 	rebalancedAt       time.Duration
 	redirectBudget     float64           // machines that may still be redirected until the next rebalance
-	redirectPeer       *peer             // that they are redirected to; nil: none
+	redirectPeer       *peer             // the peer that they are redirected to; nil: none
 	peerLoad           map[*peer]float64 // as the peers reported it
 	redirectBackoffs   map[*peer]*redirectBackoff
 }
@@ -75,7 +76,7 @@
 	const smoothing = 0.3 // weight of the newest interval
 	b.receiveRate += smoothing * (float64(b.receivedHeartbeats)/span - b.receiveRate)
 	if b.receivedHeartbeats == 0 {
-		b.receiveRate = 0 // peers back off from a member with load 0, see mayRedirect
+		b.receiveRate = 0 // at once, as peers back off only from a member with load 0; see mayRedirect
 	}
 	b.receivedHeartbeats, b.rebalancedAt = 0, now
 	b.redirectPeer, b.redirectBudget = nil, 0
--- a/internal/coordination/heartbeat_forwarding.go
+++ b/internal/coordination/heartbeat_forwarding.go
@@ -63,8 +63,8 @@
 	forwarder.failPending(func(forwarded forwardedHeartbeat) bool { return now-forwarded.sentAt > forwardTimeout }, "the leader does not answer")
 }
 
-// failPending responds 503, with a reason, to the selected heartbeats, whose response from
-// the leader is no longer awaited.
+// failPending responds 503, with a reason, to the selected heartbeats and no longer awaits the
+// leader's responses to them.
 func (forwarder *heartbeatForwarder) failPending(selected func(forwardedHeartbeat) bool, reason string) {
 	for id, forwarded := range forwarder.pending {
 		if selected(forwarded) {
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -40,7 +40,7 @@
 // apply updates the machine's state from a heartbeat and publishes its status. A heartbeat
 // without this leader's fencing token may be a copy delayed for any length of time, or the
 // machine's first to this leader, so it shows only that the machine may exist. The machine
-// sends its next one, whose tasks count, half a second after it receives the token.
+// sends its next heartbeat, whose tasks count, half a second after it receives the token.
 // apply reports whether the heartbeat shows that responses reach the machine.
 func (h *heartbeatIntake) apply(m *machine, heartbeat *protocol.Heartbeat, connection uint64, now time.Duration) (reachable bool) {
 	newEpoch := m.lastCurrentHeartbeat == 0 || heartbeat.Epoch != m.epoch
@@ -48,7 +48,7 @@
 	h.applyHeader(m, heartbeat, now)
 	if heartbeat.FencingToken != h.fencingToken {
 		if m.createdAt != 0 {
-			// So that the response to its next heartbeat, half a second later, may carry starts.
+			// The response to its next heartbeat, half a second later, may then carry starts.
 			h.records.requestRecord(m)
 		}
 		h.usage.updateUnreconciled(m, h.catalog.Catalog(), now)
@@ -72,7 +72,7 @@
 	return reachable
 }
 
-// applyHeader applies the fields of a heartbeat that count whatever fencing token it carries.
+// applyHeader applies the fields of a heartbeat that are used whatever fencing token it carries.
 func (h *heartbeatIntake) applyHeader(m *machine, heartbeat *protocol.Heartbeat, now time.Duration) {
 	if kind := (machineKind{heartbeat.Type, heartbeat.Zone, heartbeat.Spot}); m.machineKind != kind {
 		m.machineKind = kind
@@ -90,7 +90,7 @@
 	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
 }
 
-// inheritImages adds the images that were observed on a machine under the previous leader.
+// inheritImages adds the images that were observed on a machine under an earlier leader.
 func (h *heartbeatIntake) inheritImages(m *machine) {
 	machineType := h.catalog.Type(m.typeName)
 	if machineType == nil {
@@ -124,7 +124,7 @@
 	h.usage.countReplicas(m)
 }
 
-// applyTaskStatuses replaces the machine's tasks by a changed list and handles the replicas
+// applyTaskStatuses replaces the machine's tasks with a changed list and handles the replicas
 // that have exited.
 func (h *heartbeatIntake) applyTaskStatuses(m *machine, statuses []protocol.TaskStatus, now time.Duration) {
 	before := m.tasks
@@ -205,15 +205,15 @@
 	return true
 }
 
-// matches reports whether a status adds nothing to what is known of a replica whose job is
-// known.
+// matches reports whether a replica's job is known and the status is the one that the replica
+// already has.
 func (r *replicaOnMachine) matches(status *protocol.TaskStatus) bool {
 	return r.job != nil && r.key.job == status.Job && r.key.task == uint32(status.Task) && r.key.replica == status.Replica &&
 		r.state == status.State && r.exitReason == status.ExitReason
 }
 
-// inheritFrom copies the marks of the same replica's entry in the last list, and the start
-// of its state if the state is unchanged.
+// inheritFrom copies stopRequested and preemptionExempt from the same replica's previous
+// entry, and stateSince if the state is unchanged.
 func (r *replicaOnMachine) inheritFrom(last *replicaOnMachine) {
 	r.stopRequested, r.preemptionExempt = last.stopRequested, last.preemptionExempt
 	if last.state == r.state {
--- a/internal/coordination/heartbeat_routing.go
+++ b/internal/coordination/heartbeat_routing.go
@@ -5,8 +5,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-// handleForwardedHeartbeats handles, as the leader, the heartbeats that a peer forwards. The
-// responses go back only on the stream that the heartbeats came on.
+// handleForwardedHeartbeats handles, as the leader, the heartbeats that a peer forwards. It
+// sends the responses only on the stream on which the heartbeats arrived.
 func (c *Controller) handleForwardedHeartbeats(p *peer, f *meshpb.ForwardedHeartbeats) {
 	link := p.link
 	for _, forwarded := range f.Heartbeats {
@@ -68,8 +68,8 @@
 }
 
 // handleHeartbeatAsLeader handles a heartbeat, direct or forwarded, as the leader. It rejects
-// one if this controller does not lead, or if the heartbeat carries the fencing token of a
-// later leader.
+// the heartbeat if this controller does not lead or may not act, or if the heartbeat carries
+// the fencing token of a later leader.
 func (c *Controller) handleHeartbeatAsLeader(body []byte, conn uint64, reply func(Response)) {
 	var wire protocol.WireHeartbeat
 	if err := c.codec.Decode(body, &wire); err != nil {
--- a/internal/coordination/listed_machines.go
+++ b/internal/coordination/listed_machines.go
@@ -35,8 +35,8 @@
 // missingFromCloud reports whether a machine known only from an earlier leader's record seems
 // to be gone: it has sent no heartbeat within the time in which every running machine has,
 // and a list read since the election lacks it. Most likely it was terminated before the last
-// leader's term ended. Terminating it once more proves that; until then the tasks of
-// recovered shards wait for it.
+// leader's term ended. Terminating it once more proves that it is gone; until then the tasks
+// of recovered shards wait for it.
 func (l *leader) missingFromCloud(m *machine, now time.Duration) bool {
 	if m.heartbeatSeen || !m.recordedByEarlierLeader || l.env.cloud.ListedAt() <= l.electedAt {
 		return false
--- a/internal/coordination/machine.go
+++ b/internal/coordination/machine.go
@@ -36,7 +36,7 @@
 }
 
 // machine is the leader's state of one machine. Its fields are grouped by the component that
-// changes them. Times are on this process's steady clock.
+// changes them. Times are on this process's monotonic clock.
 type machine struct {
 	name  string
 	index uint32 // in the machine table, and on this leader's streams
@@ -45,22 +45,22 @@
 	machineKind
 	epoch, sequence      uint64
 	heartbeatSeen        bool          // by this leader, with any fencing token
-	lastHeartbeat        time.Duration // its arrival; for a terminated machine, when that was observed
+	lastHeartbeat        time.Duration // its arrival; for a terminated machine, when the termination was observed
 	lastCurrentHeartbeat time.Duration // arrival of the last one with this leader's fencing token; 0: none
 	reclaimAt            time.Duration // when the cloud reclaims the machine; 0: no notice
 	tasks                []replicaOnMachine
 	idleSince            time.Duration // since it last ran a replica or was sent a start
 
 	// From the last response.
-	responseConnection uint64                                // on which the heartbeat that it answered arrived
-	sentStarts         []replicaOnMachine                    // that no heartbeat has confirmed or disproved yet
+	responseConnection uint64                                // that the heartbeat last responded to arrived on; 0: unknown
+	sentStarts         []replicaOnMachine                    // starts that no heartbeat has confirmed or disproved yet
 	pendingResponse    *pendingResponse                      // waiting for bindings; nil: none
-	free               resources                             // capacity less that of tasks and sentStarts
-	ownerCommands      map[replicaKey]*meshpb.MachineCommand // repeated until the lists show them done
+	free               resources                             // capacity less what tasks and sentStarts take
+	ownerCommands      map[replicaKey]*meshpb.MachineCommand // stops and reaps, repeated until the machine's list shows them done
 
 	// See deliveryTracker.
 	lastReachable        time.Duration // last heartbeat that showed the arrival of a response
-	reachabilityPresumed bool          // only the delay of that heartbeat showed it
+	reachabilityPresumed bool          // only the delay of that heartbeat showed the arrival
 
 	// See usageAccounting.
 	replicasCounted bool      // its replicas are included in their jobs' liveReplicas
@@ -78,7 +78,7 @@
 
 	// See imageTable.
 	images                 []cachedImage
-	imagesWithPendingTasks int // number of images that pending tasks need
+	imagesWithPendingTasks int // how many of these images pending tasks need
 
 	// See quarantine.
 	failuresByJob map[string]int // by job id, since the last success on the machine
@@ -88,14 +88,14 @@
 	createdAt            time.Duration    // 0: unknown
 	terminating          bool             // to be released to the cloud, so it gets no more offers
 	terminateInFlight    bool             // a release request awaits the cloud's answer
-	terminated           bool             // the cloud says so, which proves its tasks lost
+	terminated           bool             // as reported by the cloud, which proves its tasks lost
 	neededByPendingTasks bool             // pending tasks can use it
 	inWarmPool           bool             // its free resources are kept for services
 	reservedFor          *trackedJob      // its resources are kept free for this job as they become free
 	offeringResponse     *pendingResponse // the response for which offers are being made at present; nil: none
 }
 
-// listsReplica reports whether a machine's last list has a replica, exited or not.
+// listsReplica reports whether a machine's last list contains a replica, exited or not.
 func (m *machine) listsReplica(key replicaKey) bool {
 	for i := range m.tasks {
 		if m.tasks[i].key == key {
@@ -165,9 +165,9 @@
 }
 
 // endEpoch removes what a machine listed or was sent in an epoch that has ended: all of it is
-// proven lost. It must not be published any more: a member that acquires a shard would take a
-// lost replica for its task's current one and the replica that runs for superseded, and the
-// task would run twice (rule ran_twice).
+// proven lost. It must not be published any more: a member that acquires a shard would consider
+// a lost replica its task's current one and the running replica superseded, and the task would
+// run twice (rule ran_twice).
 func (m *machine) endEpoch(machineType *protocol.MachineType) {
 	m.tasks, m.sentStarts, m.ownerCommands = nil, nil, nil
 	m.updateFree(machineType)
--- a/internal/coordination/machine_commands.go
+++ b/internal/coordination/machine_commands.go
@@ -43,8 +43,8 @@
 
 // cleanupCommands returns the stop and reap commands for the replicas on the machine that are
 // not to run or to be kept any more: those of ended, cancelled or unknown jobs, and those that
-// owners asked for. Jobs count as unknown only while every shard is registered. The commands
-// are repeated until the machine's list shows them done.
+// owners named in commands. Replicas of unknown jobs are included only while every shard is
+// registered. The commands are repeated until the machine's list shows them done.
 func (m *machine) cleanupCommands(shards *shardRegistry) []protocol.Command {
 	if len(m.tasks) == 0 {
 		return nil
--- a/internal/coordination/machine_leases.go
+++ b/internal/coordination/machine_leases.go
@@ -3,8 +3,8 @@
 import "time"
 
 // machineLeases determines when machines' leases are guaranteed to have expired. A machine's
-// lease is renewed by the response to a heartbeat, whichever controller sent it. A leader
-// does not know when that happened before its election, so it counts from the election.
+// lease is renewed by the response to a heartbeat, whichever controller sent it. A leader does
+// not know when leases were renewed before its election, so it counts from the election.
 type machineLeases struct {
 	electedAt time.Duration
 	timeout   time.Duration // from a heartbeat's arrival to the guaranteed end of the lease
--- a/internal/coordination/machine_records.go
+++ b/internal/coordination/machine_records.go
@@ -38,7 +38,7 @@
 	unrecorded     []*machine
 	nextWrite      time.Duration
 	writing        bool
-	recordsWritten int // number of records written so far; numbers the next one
+	recordsWritten int // writes of new records so far, including failed ones; numbers the records
 	rewriting      bool
 	loadAttempts   int  // reads of the earlier leaders' records
 	loaded         bool // see machinesKnown
--- a/internal/coordination/machine_table.go
+++ b/internal/coordination/machine_table.go
@@ -27,8 +27,8 @@
 	return t.byIndex[index]
 }
 
-// add returns the machine of a name, adding it if it is missing; nil if there are maxMachines
-// already.
+// add returns the machine with a name, adding it if it is missing. It returns nil if the table
+// already holds maxMachines others.
 func (t *machineTable) add(name string) *machine {
 	if m := t.byName[name]; m != nil {
 		return m
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -39,7 +39,7 @@
 	forwardedHeartbeats []*meshpb.ForwardedHeartbeat
 	heartbeatResponses  []*meshpb.HeartbeatResponse
 
-	stateServiceReachable bool   // by its last heartbeat
+	stateServiceReachable bool   // as reported in its last heartbeat
 	lastQuotaSequence     uint64 // sequence number of its last quota demands on this stream
 }
 
@@ -52,7 +52,7 @@
 }
 
 // statusBatch returns the queued frame of machine statuses, for the caller to add one.
-// It sets the frame's clock to now, so the clock of a frame is that of its last status.
+// It sets the frame's clock to now, so a frame carries the time of its last status.
 func (p *peer) statusBatch(now time.Duration) *meshpb.MachineStatuses {
 	if p.machineStatuses == nil {
 		p.machineStatuses = &meshpb.MachineStatuses{}
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// machineProof is the reason why a shard's owner need no longer wait for a machine before it
-// relies on what it was told of its recovered tasks.
+// machineProof is the reason why a machine can hold no replica of a shard's recovered tasks
+// that the shard's owner was not told of, so that the owner need not wait for the machine.
 type machineProof int
 
 const (
@@ -15,7 +15,7 @@
 	provenTerminated                     // the cloud has terminated it
 	provenLeaseExpired                   // its lease has expired, so it runs nothing
 	provenByHeartbeat                    // it has sent a current heartbeat since the shard was registered
-	provenByPublishedStatus              // the owner has its last status, and no start of the shard was sent since
+	provenByPublishedStatus              // the owner has its last status, and no start of the shard was sent to it since
 	provenEmpty                          // no earlier leader can have started tasks on it
 	machineProofCount
 )
@@ -98,13 +98,13 @@
 	return proofs, true
 }
 
-// proofFor returns the proof that a shard's present owner was told all that may be on a
-// machine: by a heartbeat since the registration, or by the last one before it if no start
-// of the shard was sent to the machine after that. A machine that no earlier leader
-// recorded, and that has not received this leader's fencing token, holds nothing. If the
-// reconciler waited for such machines, a shard might never be reconciled, because new
-// machines boot all the time. Which machines those are is known only once the records of
-// earlier leaders have been read.
+// proofFor returns the proof that a shard's present owner was told of every replica that may be
+// on a machine: by a heartbeat since the registration, or by the last one before the
+// registration if no start of the shard was sent to the machine after that heartbeat. A machine
+// that no earlier leader recorded, and that has not sent this leader's fencing token yet, holds
+// no replica. If the reconciler waited for such machines, a shard might never be reconciled,
+// because new machines boot all the time. Which machines earlier leaders recorded is known only
+// once their records have been read.
 func (r *reconciler) proofFor(m *machine, shard *shardState, known recoveryProgress, now time.Duration) machineProof {
 	switch {
 	case m.terminated:
@@ -133,8 +133,8 @@
 }
 
 // anyUnknownReplica reports whether a machine may hold a replica of a shard that its owner
-// does not know: replicas of jobs that had ended before the owner acquired the shard count
-// as used by their team until they are gone.
+// does not know. Replicas of jobs that had ended before the owner acquired the shard count
+// towards their team's use until they are gone.
 func (r *reconciler) anyUnknownReplica(shard *shardState, now time.Duration) bool {
 	for m := range r.machines.all {
 		if m.terminated || r.leases.expired(m, now) {
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// registerShard makes a member the owner of a shard, confirms it, and then publishes to it
-// what every machine last listed.
+// registerShard makes a member the owner of a shard, sends it the confirmation, and then
+// publishes to it what every machine last listed.
 func (l *leader) registerShard(p *peer, shard *shardState, version uint64) {
 	now, jobsKnown := l.now(), shard.jobsKnown
 	l.withdrawOffers(shard)
@@ -60,8 +60,8 @@
 }
 
 // setShardOwner records the member that has registered a shard; nil: none. Owners are changed
-// only here, because every status published from then on must name the shards for which it
-// is complete accordingly.
+// only here, because every status published after a change must name the shards that its
+// receiver then owns.
 func (l *leader) setShardOwner(shard *shardState, p *peer) {
 	l.shards.setOwner(shard, p)
 	l.publisher.setCompleteForShards(l.shards.numbersOwnedBy)
@@ -113,7 +113,7 @@
 	event.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
 }
 
-// knowledge returns which work that earlier leaders may have left is known.
+// recoveryProgress returns how much is known of the work that earlier leaders may have left.
 func (l *leader) recoveryProgress() recoveryProgress {
 	return recoveryProgress{jobsKnown: l.shards.allJobsKnown(), machinesKnown: l.records.machinesKnown()}
 }
--- a/internal/coordination/shard_registry.go
+++ b/internal/coordination/shard_registry.go
@@ -15,7 +15,7 @@
 	link              Link   // the owner's stream at the registration
 	version           uint64 // of the shard's key, as the owner reported it
 	registeredAt      time.Duration
-	reconciled        bool                          // its owner was told all replicas left of its recovered tasks
+	reconciled        bool                          // its owner was told of all replicas left of its recovered tasks
 	noUnknownReplicas bool                          // its owner was told that no unknown replica is left
 	jobsKnown         bool                          // its unfinished jobs are known, from its owner or a read
 	readAttempts      int                           // reads of its unfinished jobs from the state service
--- a/internal/coordination/subscribers.go
+++ b/internal/coordination/subscribers.go
@@ -50,7 +50,7 @@
 // subscriptionSummary counts what a new subscriber was sent.
 type subscriptionSummary struct {
 	machines        int
-	unknownReplicas int // of jobs that the leader did not know when they were listed
+	unknownReplicas int // whose jobs the leader did not know when the machine listed them
 }
 
 // publish writes a machine's status to every subscriber. It must be called before the
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -37,8 +37,8 @@
 }
 
 // subscription is the owner's end of the leader's ordered stream of frames. It decides
-// which member's frames are accepted, and nothing else. It ends with its link and
-// with its leader's fencing token.
+// which member's frames are accepted, and nothing else. It ends when its link goes down
+// or the leader or its fencing token changes.
 type subscription struct {
 	controller   *Controller
 	leader       *peer
@@ -134,17 +134,17 @@
 // handlePeerHeartbeat expires the leases of machines by the leader's clock. Frames are in
 // order, so every machine heartbeat that the leader answered before it sent this peer
 // heartbeat has already been passed on to this process.
-func (s *subscription) handlePeerHeartbeat(p *peer, b *meshpb.PeerHeartbeat) {
-	if p != s.leader || b.FencingToken != s.fencingToken {
+func (s *subscription) handlePeerHeartbeat(p *peer, heartbeat *meshpb.PeerHeartbeat) {
+	if p != s.leader || heartbeat.FencingToken != s.fencingToken {
 		return
 	}
 	for held := range s.controller.owner.UnconfirmedShards() {
 		// The first registration arrived before the leader knew of its own election,
 		// or its answer is still on the way. In the latter case registering twice is
-		// harmless: it only moves the start of the clock for losses to a later time.
+		// harmless: lease timeouts of the shard's replicas then count from a later time.
 		s.registerShard(held)
 	}
-	s.controller.owner.ExpireLeases(b.ClockUs)
+	s.controller.owner.ExpireLeases(heartbeat.ClockUs)
 }
 
 func (s *subscription) handleMachineTerminated(p *peer, f *meshpb.MachineTerminated) {
@@ -167,13 +167,13 @@
 
 // handleOffer answers an offer with the tasks that the owner binds to the machine. An
 // owner that may not act binds none.
-func (s *subscription) handleOffer(p *peer, f *meshpb.Offer) {
+func (s *subscription) handleOffer(p *peer, offer *meshpb.Offer) {
 	if p != s.leader {
 		return
 	}
-	bindings := &meshpb.Bindings{OfferId: f.Id}
+	bindings := &meshpb.Bindings{OfferId: offer.Id}
 	if s.controller.election.MayAct(s.controller.now()) {
-		s.controller.owner.Bind(f, bindings)
+		s.controller.owner.Bind(offer, bindings)
 	}
 	p.send(&meshpb.Frame{Body: &meshpb.Frame_Bindings{Bindings: bindings}})
 }
