--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// playOutageAfterCancellation makes the state service unavailable to all members for longer
+// runOutageAfterCancellation makes the state service unavailable to all members for longer
 // than cancel_s. The cancelled job's tasks must be gone by then.
-func (scenario *faultScenario) playOutageAfterCancellation(id string) {
+func (scenario *faultScenario) runOutageAfterCancellation(id string) {
 	scenario.T.Helper()
 	if scenario.knownStatus[id] != protocol.StatusCancelled {
 		scenario.T.Fatalf("the cancellation was not confirmed: %q", scenario.knownStatus[id])
@@ -121,7 +121,7 @@
 	scenario.DeliverAll()
 	scenario.query(scenario.Leader(), "ABORT", id) // reads the written record
 	scenario.DeliverAll()
-	scenario.playOutageAfterCancellation(id)
+	scenario.runOutageAfterCancellation(id)
 }
 
 // An owner confirms a cancellation and crashes before the leader is told. It restarts before
@@ -145,7 +145,7 @@
 	scenario.Start(owner.Name)
 	scenario.Advance(300 * time.Millisecond)
 	requireEqual(t, "the owner's next process is known", controllerOf(owner).election.Registered(), true)
-	scenario.playOutageAfterCancellation(id)
+	scenario.runOutageAfterCancellation(id)
 }
 
 // An owner's watch reports nothing, so it does not see that another member leads now, and it
@@ -168,5 +168,5 @@
 	scenario.State.Unavailable[""] = true
 	scenario.runScript(50, func(int) {})
 	requireEqual(t, "running tasks, tasks started in the outage", fmt.Sprint(scenario.runningTasks(), " ", scenario.startedTasks-started), "6 0")
-	scenario.playOutageAfterCancellation(id)
+	scenario.runOutageAfterCancellation(id)
 }
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -173,7 +173,7 @@
 
 // A machine whose heartbeats arrive but which gets no responses is sent no starts, does not delay
 // pending tasks, and is returned if that lasts.
-func TestMachineWithoutResponsesIsReturned(t *testing.T) {
+func TestMachineWithoutResponsesIsReleased(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	unreachable, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
 	sim.Run(3 * time.Second)
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -150,7 +150,7 @@
 
 // A machine whose boot never ends is charged until it is released, so it has to be
 // released and replaced.
-func TestFailedBootsAreReturnedAndReplaced(t *testing.T) {
+func TestFailedBootsAreReleasedAndReplaced(t *testing.T) {
 	sim := newSimulation(t, "a")
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
 	sim.Advance(3 * time.Minute)
@@ -209,7 +209,7 @@
 
 // A team releases what it has borrowed beyond its guarantee, and no more than that, when
 // another team uses less than its own guarantee and no machine can be created.
-func TestBorrowedCapacityIsReturned(t *testing.T) {
+func TestBorrowedCapacityIsReleased(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Cloud.RejectsScaleOut = true
 	sim.AddMachine("vm-1", "z1")
