--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -27,8 +27,8 @@
 	return sim
 }
 
-// newEscrowScenario returns a scenario in such a deployment. Besides the invariants of every
-// scenario, each tick checks the allocations and the use on the machines.
+// newEscrowScenario returns a scenario in a deployment of newEscrowSimulation. Besides the
+// invariants of every scenario, each tick checks the allocations and the use on the machines.
 func newEscrowScenario(t *testing.T, seed uint64, machines int) *faultScenario {
 	t.Helper()
 	return withAllocationChecks(newFaultScenarioIn(t, newEscrowSimulation(t), seed, machines))
@@ -128,12 +128,12 @@
 	sim.T.Helper()
 	for i, name := range sim.Members {
 		if got := sim.Nodes[name].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", i), tasks).With("crew", "red")).Status; got != 201 {
-			sim.T.Fatalf("submission at %s is answered %d", name, got)
+			sim.T.Fatalf("submission at %s is answered %d, want 201", name, got)
 		}
 	}
 }
 
-// redCPUsInUse returns what the running tasks use if all are red's: 2 CPUs each.
+// redCPUsInUse returns the CPUs that the running tasks use: 2 each. All tasks must be red's.
 func (sim *simulation) redCPUsInUse() float64 {
 	return float64(sim.runningTasks()) * 2
 }
@@ -169,7 +169,7 @@
 				scenario.recoverAndCheck()
 				scenario.checkAudit()
 				if len(scenario.knownStatus) < scenario.submittedJobs/3 || scenario.startedTasks < 30 {
-					t.Fatalf("%d of %d jobs were accepted, %d tasks started", len(scenario.knownStatus), scenario.submittedJobs, scenario.startedTasks)
+					t.Fatalf("%d of %d jobs were accepted, %d tasks started, want at least a third and 30", len(scenario.knownStatus), scenario.submittedJobs, scenario.startedTasks)
 				}
 			}
 		})
@@ -437,7 +437,7 @@
 	sim.Run(longerThanAnyLease)
 	starts := 0
 	sim.OnStart = func(*simtest.Agent, *simtest.AgentTask) { starts++ }
-	requireEqual(t, "running on", sim.runningTasks(), 16)
+	requireEqual(t, "running after the restarts", sim.runningTasks(), 16)
 	for round := range 10 {
 		sim.finishRunningTask(sim.anyRunningTask())
 		sim.Run(4 * time.Second)
@@ -447,7 +447,7 @@
 	}
 	requireEqual(t, "CPUs in use at the lower limit", sim.redCPUsInUse(), 16.0)
 	if starts == 0 {
-		t.Error("no task starts below the lower limit")
+		t.Error("no task was started after use had fallen below the lower limit")
 	}
 }
 
@@ -529,8 +529,8 @@
 	requireEqual(t, "running", fmt.Sprint(controllerOf(sim.Nodes["a"]).owner.Job("wk-1").Running(), controllerOf(sim.Nodes["a"]).owner.Job("wk-2").Running()), "0 2")
 }
 
-// A team's name may be too long for a key of the state service. The controller must then not
-// start, and say so in one line.
+// A team's name may be too long for a key of the state service. The controller must then refuse
+// to start, with an error of one line.
 func TestTeamNameTooLongForAKey(t *testing.T) {
 	sim := prepareSimulation(t, "", nil, "a")
 	sim.Tuning.QuotaEscrow = true
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -51,8 +51,8 @@
 	scenario.recoverAndCheck()
 }
 
-// The sequence described above: for several durations of the refusal, each owner of the job,
-// disconnected members, jobs and services.
+// The sequence described above, for several durations of the refusal, with each member as the
+// job's owner, with and without a broken stream between members, and for arrays and services.
 func TestCancellationBetweenLeaderRefusalAndOutage(t *testing.T) {
 	for _, refused := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
 		for _, owns := range []string{"leader", "confirming", "third"} {
@@ -124,8 +124,8 @@
 	scenario.runOutageAfterCancellation(id)
 }
 
-// An owner confirms a cancellation and crashes before the leader is told. It restarts before
-// the outage but can't acquire its shard. Its new process grants lease extensions like any
+// An owner confirms a cancellation and crashes before it can report that to the leader. It restarts
+// before the outage but can't acquire its shard. Its new process grants lease extensions like any
 // other member, and no running process knows of the cancellation.
 func TestCancellationSurvivesOwnerCrash(t *testing.T) {
 	scenario, lead, owner, id := newLongJobScenario(t, 2)
--- a/internal/coordination/concurrent_faults_test.go
+++ b/internal/coordination/concurrent_faults_test.go
@@ -84,7 +84,7 @@
 				scenario.runScript(45, script(scenario))
 				scenario.recoverAndCheck()
 				if scenario.submittedJobs == 0 || len(scenario.knownStatus) < scenario.submittedJobs/3 {
-					t.Fatalf("%d of %d jobs were accepted", len(scenario.knownStatus), scenario.submittedJobs)
+					t.Fatalf("%d of %d jobs were accepted, want at least a third", len(scenario.knownStatus), scenario.submittedJobs)
 				}
 			}
 		})
@@ -138,7 +138,7 @@
 				}
 			}, func() { clear(scenario.State.Unavailable) }
 		},
-		func() (func(), func()) { // and the leader is disconnected from the other controllers
+		func() (func(), func()) { // as above, and the leader is also disconnected from its peers
 			return func() {
 				if leader = scenario.actingLeader(); leader == nil {
 					return
--- a/internal/coordination/failing_jobs_test.go
+++ b/internal/coordination/failing_jobs_test.go
@@ -55,7 +55,7 @@
 			rented := len(sim.Cloud.ScaleOutRequests)
 			seconds(60)
 			if fails > 3*12 {
-				t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute", machines, fails)
+				t.Fatalf("%d machines: %d tasks of jobs that fail everywhere were started in a minute, want at most 36", machines, fails)
 			}
 			requireEqual(t, "scale-out requests", len(sim.Cloud.ScaleOutRequests)-rented, 0)
 			sim.Crash(sim.Leader().Name)
@@ -63,13 +63,13 @@
 			fails = 0
 			seconds(60)
 			if fails > 3*30 {
-				t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader", machines, fails)
+				t.Fatalf("%d machines: %d tasks were started in a minute after a change of leader, want at most 90", machines, fails)
 			}
 			requireEqual(t, "machines that remain", len(sim.Agents), machines)
 			requireEqual(t, "good tasks that still run", sim.runningTasks(), machines)
 			for _, id := range bad {
 				code, _ := sim.Follower().Cancel(id)
-				requireEqual(t, "abort", code, 200)
+				requireEqual(t, "cancellation", code, 200)
 			}
 			sim.Run(5 * time.Second)
 			requireEqual(t, "good job after the failing ones", sim.Leader().Submit(simtest.BatchJob("wk-8", machines)).Status, 201)
--- a/internal/coordination/fault_pairs_test.go
+++ b/internal/coordination/fault_pairs_test.go
@@ -57,7 +57,7 @@
 			sim.Run(15 * time.Second)
 			next := sim.Leader()
 			if code, s := next.Status("wk-1"); code != 200 || s.Status == "done" {
-				t.Fatalf("status %d %q while a task runs", code, s.Status)
+				t.Fatalf("status %d %q while a task runs, want 200 and not done", code, s.Status)
 			}
 			requireEqual(t, "starts", sim.startCount(), 3)
 			sim.Start(leader.Name)
@@ -139,7 +139,7 @@
 				t.Fatal("a cancellation was confirmed during the outage")
 			}
 			if query.Status != 200 && query.Status != 503 {
-				t.Fatalf("a query of a running job was answered %d", query.Status)
+				t.Fatalf("a query of a running job was answered %d, want 200 or 503", query.Status)
 			}
 			answered[fmt.Sprint(query.Status, i >= 40)] = true
 		}
@@ -325,7 +325,7 @@
 					t.Fatalf("%s %d: no transaction was delayed", kind, variant)
 				}
 				if len(accepted) < 15 {
-					t.Fatalf("%s %d: %d of 40 jobs were accepted", kind, variant, len(accepted))
+					t.Fatalf("%s %d: %d of 40 jobs were accepted, want at least 15", kind, variant, len(accepted))
 				}
 				for id := range accepted {
 					finalStatus := "done"
--- a/internal/coordination/fault_scenario_test.go
+++ b/internal/coordination/fault_scenario_test.go
@@ -74,7 +74,7 @@
 			t.Fatalf("%s starts %s after its cancellation was confirmed", task.Name, scenario.Now()-scenario.knownStatusSince[id])
 		}
 		if zone := scenario.jobs[id]["hall"]; zone != nil && zone != agent.Zone {
-			t.Fatalf("%s starts in %s", task.Name, agent.Zone)
+			t.Fatalf("%s starts in %s, not in the zone that its job requires", task.Name, agent.Zone)
 		}
 	}
 	for i := range machines {
@@ -162,7 +162,8 @@
 }
 
 // checkResponse checks a response about a job whose known status was before when the request
-// was sent, and records the status that it shows.
+// was sent, and records the status that it shows. A failure message begins with the name of the
+// rule that is broken.
 func (scenario *faultScenario) checkResponse(n *simtest.Node, operation, id, before string, r Response) {
 	fail := func(violation string) {
 		scenario.T.Helper()
@@ -171,7 +172,7 @@
 	switch r.Status {
 	case 404, 400, 422:
 		if before != "" {
-			fail("an accepted job is unknown (forgotten)")
+			fail("forgotten: an accepted job is unknown")
 		}
 		return
 	case 200, 201:
@@ -186,15 +187,15 @@
 	final := s.Status == protocol.StatusDone || s.Status == protocol.StatusCancelled
 	switch {
 	case scenario.jobs[id] == nil:
-		fail("a job is known that was never submitted (invented)")
+		fail("invented: a job is known that was never submitted")
 	case before != "" && before != statusAccepted && s.Status != before:
-		fail("a final status changed to " + s.Status + " (went_back)")
+		fail("went_back: a final status changed to " + s.Status)
 	case s.Status == protocol.StatusCancelled && !scenario.cancelRequested[id]:
-		fail("a job is withdrawn whose cancellation was not requested (went_back)")
+		fail("went_back: a job is withdrawn whose cancellation was not requested")
 	case s.Status == protocol.StatusDone:
 		for i := range scenario.jobs[id]["pages"].(int) {
 			if !scenario.completedTasks[fmt.Sprintf("%s/%d", id, i)] {
-				fail("a job is done before all its tasks have completed (not_done)")
+				fail("not_done: a job is done before all its tasks have completed")
 			}
 		}
 	}
@@ -330,7 +331,7 @@
 	scenario.Run(3 * time.Second)
 	for id := range scenario.knownStatus {
 		if scenario.lastAnsweredAt[id] < recoveredAt {
-			scenario.T.Fatalf("no request about %s was answered for 75 s after the last fault (forgotten)", id)
+			scenario.T.Fatalf("forgotten: no request about %s was answered for 75 s after the last fault", id)
 		}
 	}
 	scenario.runScript(45, queryUnfinished)
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -97,7 +97,7 @@
 
 // A fleet of 6,000 machines works: all are requested and send heartbeats, their tasks survive
 // the loss of the leader and then the replacement of all controllers, and at the end every
-// machine is released. It guards against a machine list of more than six pages that is never
+// machine is released. The test guards against a machine list of more than six pages that is never
 // read whole, because its pages are requested faster than the cloud's limit allows.
 func TestFleetOfSixThousandMachines(t *testing.T) {
 	sim := newLargeSimulation(t)
--- a/internal/coordination/heartbeat_forwarding_test.go
+++ b/internal/coordination/heartbeat_forwarding_test.go
@@ -63,7 +63,7 @@
 	requireEqual(t, "heartbeat while the leader leads", agent.HeartbeatTo(follower).Status, 200)
 	controllerOf(lead).election.Abstain(sim.Now() + time.Minute)
 	controllerOf(lead).endLeadership()
-	requireEqual(t, "heartbeat after its term has ended", agent.HeartbeatTo(follower).Status, 503)
+	requireEqual(t, "heartbeat after the leader's term has ended", agent.HeartbeatTo(follower).Status, 503)
 }
 
 // Machines that all send to one member are redirected to the others, a few at a time.
@@ -163,7 +163,7 @@
 			}
 			if to.HeartbeatTo == unreachable.Name {
 				redirected++
-				continue // it can't reach that member and comes back
+				continue // the machine can't reach that member and keeps the one that serves it
 			}
 			serving[agent] = sim.Nodes[to.HeartbeatTo]
 		}
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -89,7 +89,7 @@
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 0, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now, preemptionExempt: true}}
 	f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskFetching, 0))
 	requireEqual(t, "sent starts after the list", len(f.machine.sentStarts), 0)
-	requireEqual(t, "start of its state, when it was sent", f.machine.tasks[0].stateSince, now)
+	requireEqual(t, "time since which the task is fetching: when its start was sent", f.machine.tasks[0].stateSince, now)
 	requireEqual(t, "exempt from preemption as when sent", f.machine.tasks[0].preemptionExempt, true)
 	f.machine.sentStarts = []replicaOnMachine{{key: replicaKey{"wk-1", 1, 1}, job: f.job, state: protocol.TaskFetching, stateSince: now}}
 	f.heartbeat(intakeFencingToken, 1, now+2*time.Second, taskStatus(protocol.TaskFetching, 0))
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -143,25 +143,25 @@
 func TestTasksOfTheSecondShardToRegister(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	lead := sim.Leader()
-	var gone string
+	var crashed string
 	for _, name := range sim.Members {
 		if name != lead.Name {
-			gone = name
+			crashed = name
 		}
 	}
 	first, second, idle := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1"), sim.AddMachine("vm-3", "z1")
 	sim.Run(2 * time.Second)
 	requireEqual(t, "submit", lead.Submit(simtest.BatchJob("wk-1", 4)).Status, 201)
-	requireEqual(t, "submit", sim.Nodes[gone].Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
+	requireEqual(t, "submit", sim.Nodes[crashed].Submit(simtest.BatchJob("wk-2", 4)).Status, 201)
 	sim.Run(3 * time.Second)
 	requireEqual(t, "running", sim.runningTasks(), 8)
-	sim.Crash(gone)
+	sim.Crash(crashed)
 	sim.Run(25 * time.Second)
 	requireEqual(t, "shards of the leader", len(slices.Collect(controllerOf(lead).owner.Shards())), 2)
 	started := first.Starts + second.Starts + idle.Starts
 	var next string
 	for _, name := range sim.Members {
-		if name != lead.Name && name != gone {
+		if name != lead.Name && name != crashed {
 			next = name
 		}
 	}
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -68,7 +68,7 @@
 		requireEqual(t, "late retry", sim.Nodes[name].Submit(simtest.BatchJob("wk-1", 6)).Status, 200)
 	}
 	code, _ := sim.Nodes["a"].Status("wk-999")
-	requireEqual(t, "a job nobody submitted", code, 404)
+	requireEqual(t, "a job that was never submitted", code, 404)
 }
 
 // A transaction that got no answer may have been applied or not. Its outcome is resolved
@@ -90,7 +90,7 @@
 				return true
 			}
 			requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-1", 2)).Status, 201)
-			requireEqual(t, "elsewhere", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
+			requireEqual(t, "submit at another member", sim.Nodes["b"].Submit(simtest.BatchJob("wk-1", 2)).Status, 200)
 			agent := sim.AddMachine("vm-1", "z1")
 			sim.Run(4 * time.Second)
 			requireEqual(t, "running", len(agent.Running()), 2)
@@ -125,18 +125,18 @@
 	sim.Run(3 * time.Second)
 	requireEqual(t, "running", len(agent.Running()), 4)
 	code, status := sim.Leader().Cancel("wk-1")
-	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "cancellation", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	for _, name := range sim.Members {
 		sim.requireStatus(sim.Nodes[name], "wk-1", 200, "withdrawn")
 		code, status = sim.Nodes[name].Cancel("wk-1")
-		requireEqual(t, "again", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+		requireEqual(t, "repeated cancellation", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	}
 	starts := agent.Starts
 	sim.Run(4 * time.Second)
-	requireEqual(t, "left on the machine", len(agent.Tasks), 0)
-	requireEqual(t, "starts after", agent.Starts, starts)
+	requireEqual(t, "tasks left on the machine after the cancellation", len(agent.Tasks), 0)
+	requireEqual(t, "starts before and after the cancellation", agent.Starts, starts)
 	code, _ = follower.Cancel("wk-77")
-	requireEqual(t, "abort of an unknown job", code, 404)
+	requireEqual(t, "cancellation of an unknown job", code, 404)
 }
 
 // While the write of a job's end has no answer yet, another node may already report the end.
@@ -155,12 +155,12 @@
 		return false
 	}
 	r := sim.Nodes["a"].Call("POST", "/submissions/wk-1/abort", nil)
-	requireEqual(t, "abort", r.Status, 0)
+	requireEqual(t, "cancellation", r.Status, 0)
 	sim.requireStatus(sim.Nodes["b"], "wk-1", 200, "withdrawn")
 	sim.requireStatus(sim.Nodes["a"], "wk-1", 200, "withdrawn")
 	answer()
 	sim.DeliverAll()
-	requireEqual(t, "abort", r.Status, 200)
+	requireEqual(t, "cancellation", r.Status, 200)
 }
 
 // A machine is told to remove its finished tasks only after they are written to the state
@@ -232,9 +232,9 @@
 	sim := newSimulation(t, "a")
 	n := sim.Nodes["a"]
 	for _, c := range []struct {
-		why    string
-		f      simtest.JobRequest
-		status int
+		name    string
+		request simtest.JobRequest
+		status  int
 	}{
 		{"id", simtest.BatchJob("job-1", 1), 400},
 		{"no id", simtest.BatchJob("wk-1", 1).With("nameId", nil), 400},
@@ -252,10 +252,10 @@
 		{"no type", simtest.BatchJob("wk-1", 1).With("breeds", []string{"x"}), 422},
 		{"zone", simtest.BatchJob("wk-1", 1).With("hall", "z9"), 422},
 		{"whole numbers for amounts", simtest.BatchJob("wk-2", 1).With("vcpus", 2), 201},
-		{"a known job comes first", simtest.BatchJob("wk-2", 1).With("crew", "green"), 200},
-		{"empty page", simtest.BatchJob("wk-1", 1).With("unknown", "field"), 201},
+		{"a known job, although the team is unknown", simtest.BatchJob("wk-2", 1).With("crew", "green"), 200},
+		{"unknown field", simtest.BatchJob("wk-1", 1).With("unknown", "field"), 201},
 	} {
-		requireEqual(t, c.why, n.Submit(c.f).Status, c.status)
+		requireEqual(t, c.name, n.Submit(c.request).Status, c.status)
 	}
 	for _, body := range [][]byte{nil, {0x01}, []byte("{}"), {0xa1}, {0xbf, 0xff}, {0x5f}} {
 		requireEqual(t, fmt.Sprintf("body %x", body), n.Call("POST", "/submissions", body).Status, 400)
@@ -301,11 +301,11 @@
 	requireEqual(t, "accepted", accepted, 3)
 	requireEqual(t, "a known job", n.Submit(simtest.BatchJob("wk-0", 100_000)).Status, 200)
 	code, _ := n.Cancel("wk-0")
-	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "cancellation", code, 200)
 	requireEqual(t, "submit after the cancellation freed memory", n.Submit(simtest.BatchJob("wk-11", 100_000)).Status, 201)
 }
 
-// A machine that stops sending heartbeats with a cancelled task on it is returned before the
+// A machine that stops sending heartbeats with a cancelled task on it is released before the
 // cancellation's time limit, however many other machines are silent too.
 func TestCancelledTaskOnSilentMachineEnds(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -319,7 +319,7 @@
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
 	code, _ := follower.Cancel("wk-1")
-	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "cancellation", code, 200)
 	sim.AddMachine("vm-x", "z2")
 	sim.Run(18 * time.Second)
 	requireEqual(t, "still running", sim.runningTasks(), 0)
@@ -336,7 +336,7 @@
 	sim.Run(3 * time.Second)
 	requireEqual(t, "running", len(agent.Running()), 2)
 	code, _ := follower.Cancel("wk-1")
-	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "cancellation", code, 200)
 	job := controllerOf(sim.Leader()).leader.jobs.get("wk-1")
 	job.ended = false
 	sim.Run(fullStatusInterval + 3*time.Second)
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -32,7 +32,7 @@
 	if next == lead || controllerOf(next).leader.fencingToken <= old {
 		t.Fatalf("fencing token %d does not follow %d", controllerOf(next).leader.fencingToken, old)
 	}
-	requireEqual(t, "running on", sim.runningTasks(), 8)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 8)
 	agent1.FinishTasks("done")
 	agent2.FinishTasks("done")
 	sim.Run(20 * time.Second)
@@ -58,7 +58,7 @@
 	if controllerOf(sim.Leader()).owner.Shard(follower.Name) != nil || controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not return to the restarted member")
 	}
-	requireEqual(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 2)
 }
 
 // A leader restarts before its lease expires: the new process acquires the shard and the
@@ -96,7 +96,7 @@
 	sim.Run(10 * time.Second)
 	requireEqual(t, "late transaction", late().Status, 409)
 	code, _ := sim.Leader().Status("wk-1")
-	requireEqual(t, "poll", code, 404)
+	requireEqual(t, "status query", code, 404)
 }
 
 // The state service refuses a single member's requests. That member must stop acting before
@@ -122,8 +122,8 @@
 	if sim.Leader() == lead {
 		t.Fatal("the member that the state service refuses still leads")
 	}
-	// The member knows the next leader and forwards heartbeats to it. It answers none
-	// by itself.
+	// The member knows the next leader and forwards heartbeats to it. It must not answer
+	// them itself.
 	agent.FencingToken = 0
 	if r := agent.HeartbeatTo(lead); r.Status == 200 {
 		requireEqual(t, "fencing token of the answer", agent.FencingToken, controllerOf(sim.Leader()).leader.fencingToken)
@@ -157,8 +157,8 @@
 	sim.Connect(lead.Name, sim.Follower().Name)
 	sim.State.Unavailable[""] = false
 	sim.Run(8 * time.Second)
-	requireEqual(t, "machines returned for the outage", len(sim.Cloud.ReleasedMachines), 0)
-	requireEqual(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "machines released because of the outage", len(sim.Cloud.ReleasedMachines), 0)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 2)
 }
 
 // The state service first refuses only the leader, and then all members. The second leader
@@ -280,7 +280,7 @@
 	sim.Run(2 * time.Second)
 	token := controllerOf(sim.Leader()).leader.fencingToken
 	agent := sim.Agents["vm-1"]
-	requireEqual(t, "more", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 6)).Status, 201)
+	requireEqual(t, "second submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 6)).Status, 201)
 	sim.Run(2 * time.Second)
 	sim.State.Unavailable[""] = true
 	sim.Run(12 * time.Second)
@@ -298,9 +298,9 @@
 	sim.State.Unavailable[""] = false
 	sim.Run(4 * time.Second)
 	requireEqual(t, "fencing token", controllerOf(sim.Leader()).leader.fencingToken, token)
-	requireEqual(t, "running on", sim.runningTasks(), 4)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 4)
 	requireEqual(t, "results written and cleared", len(agent.Tasks), 4)
-	requireEqual(t, "submit after", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "submit after the outage", sim.Nodes["b"].Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 }
 
 // A leader that receives no heartbeats must resign. Otherwise the other members' responses
@@ -335,17 +335,17 @@
 	if len(slices.Collect(controllerOf(follower).owner.Shards())) != 0 || controllerOf(lead).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not move to the leader")
 	}
-	requireEqual(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 2)
 	sim.Connect(follower.Name, lead.Name)
 	sim.Run(8 * time.Second)
 	if controllerOf(follower).owner.Shard(follower.Name) == nil {
 		t.Fatal("the shard did not return to the reconnected member")
 	}
-	requireEqual(t, "running on", sim.runningTasks(), 2)
+	requireEqual(t, "tasks that still run", sim.runningTasks(), 2)
 }
 
 // A shard that is acquired again under the same leader must be registered again. Otherwise
-// its jobs would stay pending for ever, and their ends would not reach the leader.
+// its jobs would stay pending forever, and their ends would not reach the leader.
 func TestReacquiredShardRegistersAgain(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -360,7 +360,7 @@
 		t.Fatal("the reacquired shard is not registered")
 	}
 	code, status := follower.Cancel("wk-1")
-	requireEqual(t, "abort", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
+	requireEqual(t, "cancellation", fmt.Sprintf("%d %s", code, status), "200 withdrawn")
 	sim.Run(4 * time.Second)
 	requireEqual(t, "running", len(agent.Running()), 0)
 	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -153,7 +153,7 @@
 		for _, id := range accepted {
 			for _, name := range sim.Members {
 				if code, _ := sim.Nodes[name].Status(id); code != 200 {
-					t.Fatalf("seed %d: %s answers a query of %s with %d", seed, name, id, code)
+					t.Fatalf("seed %d: %s answers a query of %s with %d, want 200", seed, name, id, code)
 				}
 			}
 		}
@@ -164,7 +164,7 @@
 		for _, id := range accepted {
 			for _, name := range sim.Members {
 				if code, s := sim.Nodes[name].Status(id); code != 200 || s.Status != "done" {
-					t.Fatalf("seed %d: %s answers %d %q for %s", seed, name, code, s.Status, id)
+					t.Fatalf("seed %d: %s answers %d %q for %s, want 200 and done", seed, name, code, s.Status, id)
 				}
 			}
 		}
@@ -172,7 +172,7 @@
 }
 
 // A machine whose heartbeats arrive but which gets no responses is sent no starts, does not delay
-// pending tasks, and is returned if that lasts.
+// pending tasks, and is released if that lasts.
 func TestMachineWithoutResponsesIsReleased(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	unreachable, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z1")
@@ -185,7 +185,7 @@
 
 	unreachable.LosesResponses = true
 	unreachable.Heartbeat() // the response is lost; the agent closes the connection
-	requireEqual(t, "more", leader.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
+	requireEqual(t, "second submit", leader.Submit(simtest.BatchJob("wk-2", 2)).Status, 201)
 	m := controllerOf(leader).leader.machines.get("vm-1")
 	for range 3 {
 		unreachable.Heartbeat()
@@ -206,7 +206,7 @@
 		other.Heartbeat()
 		sim.Advance(time.Second)
 	}
-	requireEqual(t, "returned machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
+	requireEqual(t, "released machines", fmt.Sprint(sim.Cloud.ReleasedMachines), "[vm-1]")
 }
 
 // As above with a new leader, whose fencing token never reaches the machine. The machine's new
@@ -255,7 +255,7 @@
 		controllerOf(leader).balancer.redirectBudget = 0 // no machine is redirected
 		r := sim.Agents[name].Heartbeat()
 		if r.Status != 200 || len(r.Body) > 64<<10 {
-			t.Fatalf("answered %d with %d bytes", r.Status, len(r.Body))
+			t.Fatalf("answered %d with %d bytes, want 200 with at most 64 KiB", r.Status, len(r.Body))
 		}
 	}
 	for _, r := range responses {
@@ -275,7 +275,7 @@
 			sim := newSimulation(t, "a", "b", "c")
 			sim.Cloud.RejectsScaleOut = true
 			for _, name := range sim.Members {
-				tuning := &controllerOf(sim.Nodes[name]).tuning // a silent machine is not returned
+				tuning := &controllerOf(sim.Nodes[name]).tuning // so that silent machines are not released
 				tuning.MaxMissedHeartbeats, tuning.IdleBeforeScaleIn = 20, time.Hour
 			}
 			agent, other := sim.AddMachine("vm-1", "z1"), sim.AddMachine("vm-2", "z2")
@@ -300,11 +300,11 @@
 				agent.HeartbeatTo(n)
 				sim.Advance(time.Second)
 			}
-			agent.LosesResponses = true // and pauses again: starts that were lost once are not repeated
+			agent.LosesResponses = true // and it is silent again: starts that were lost once are not sent again
 			sentStarts := func() int { return len(controllerOf(n).leader.machines.get("vm-1").sentStarts) }
 			agent.ConnectedTo = nil
 			pause(8 * time.Second)
-			requireEqual(t, "more", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
+			requireEqual(t, "second submit", n.Submit(simtest.BatchJob("wk-2", 2).With("hall", "z1")).Status, 201)
 			agent.HeartbeatTo(n)
 			first := sentStarts()
 			for range 2 { // the first heartbeat shows that the starts were lost
@@ -333,8 +333,8 @@
 }
 
 // A machine that sends each heartbeat on a new connection, as an agent does while it tries one
-// controller after another, keeps its tasks until its lease expires. Returned at once, it would
-// lose them although it recovers soon after.
+// controller after another, keeps its tasks until its lease expires. If it were released at once,
+// it would lose them although it recovers soon after.
 func TestMachineThatTriesOtherControllersKeepsTasks(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -349,7 +349,7 @@
 	sim.Run(14 * time.Second)
 	agent.LosesResponses = false
 	sim.Run(10 * time.Second)
-	requireEqual(t, "returned machines", len(sim.Cloud.ReleasedMachines), 0)
+	requireEqual(t, "released machines", len(sim.Cloud.ReleasedMachines), 0)
 	requireEqual(t, "running", len(agent.Running()), 4)
 }
 
@@ -440,7 +440,7 @@
 	sim.Advance(8 * time.Second)
 	third := sim.Leader()
 	third.Call("POST", "/checkin", newest)
-	requireEqual(t, "more", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
+	requireEqual(t, "second submit", third.Submit(simtest.BatchJob("wk-2", 8)).Status, 201)
 	for range 4 {
 		third.Call("POST", "/checkin", newest)
 		sim.Run(time.Second)
@@ -482,7 +482,7 @@
 	}
 	requireEqual(t, "ready", leader.Call("GET", "/ready", nil).Status, 503)
 	if r := agent.HeartbeatTo(leader); r.Status != 503 {
-		t.Fatalf("a heartbeat is answered %d", r.Status)
+		t.Fatalf("a heartbeat is answered %d, want 503", r.Status)
 	}
 	requireEqual(t, "submission", leader.Submit(simtest.BatchJob("wk-2", 1)).Status, 503)
 	next := sim.Leader()
@@ -510,7 +510,7 @@
 	requireEqual(t, "running", strings.Join(agent.Running(), " "), "wk-3/0 wk-3/1")
 }
 
-// Hundreds of machines are rented and returned in requests within the cloud's limits, even if it
+// Hundreds of machines are rented and released in requests within the cloud's limits, even if it
 // fills requests only in part. A list of machines that is older than the previous one neither
 // removes a machine nor adds one that is gone.
 func TestScaleOutAndScaleInOfHundredsOfMachines(t *testing.T) {
@@ -524,7 +524,7 @@
 	requireEqual(t, "machines rented", len(sim.Cloud.Machines), 480)
 	for _, request := range sim.Cloud.ScaleOutRequests {
 		if request.Count > cloud.MaxMachinesPerScaleOut {
-			t.Fatalf("a request for %d machines", request.Count)
+			t.Fatalf("a request for %d machines, more than cloud.MaxMachinesPerScaleOut", request.Count)
 		}
 	}
 	sim.Advance(6 * time.Second)
@@ -540,10 +540,10 @@
 	requireEqual(t, "machines known after an older list", len(controllerOf(n).leader.machines.byName), known)
 	sim.Cloud.StaleList = nil
 	sim.Run(90 * time.Second)
-	requireEqual(t, "machines returned", len(sim.Cloud.ReleasedMachines), 480)
+	requireEqual(t, "machines released", len(sim.Cloud.ReleasedMachines), 480)
 	for _, size := range sim.Cloud.ReleaseSizes {
 		if size > cloud.MaxMachinesPerScaleIn {
-			t.Fatalf("a release of %d machines", size)
+			t.Fatalf("a release of %d machines, more than cloud.MaxMachinesPerScaleIn", size)
 		}
 	}
 	sim.Cloud.StaleList = oldList
--- a/internal/coordination/placement_test.go
+++ b/internal/coordination/placement_test.go
@@ -64,7 +64,7 @@
 	sim.Run(5 * time.Second)
 	for z, n := range zones("wk-2") {
 		if n > 3 {
-			t.Fatalf("%d of 5 tasks are in %s", n, z)
+			t.Fatalf("%d of 5 tasks are in %s, want at most 3", n, z)
 		}
 	}
 	requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob("wk-3", 1).With("hall", "z2").With("urgency", "production")).Status, 201)
@@ -104,10 +104,10 @@
 		starts += agent.Starts
 	}
 	if starts > 60 {
-		t.Fatalf("a job that fails everywhere was started %d times in 40 s", starts)
+		t.Fatalf("a job that fails everywhere was started %d times in 40 s, want at most 60", starts)
 	}
 	code, _ := sim.Nodes["a"].Cancel("wk-1")
-	requireEqual(t, "abort", code, 200)
+	requireEqual(t, "cancellation", code, 200)
 	sim.Run(3 * time.Second)
 	for i := range 8 {
 		requireEqual(t, "submit", sim.Nodes["a"].Submit(simtest.BatchJob(fmt.Sprintf("wk-%d", 10+i), 2)).Status, 201)
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -96,7 +96,7 @@
 	running.job.spec.CheckpointIntervalS, running.job.spec.CheckpointDurationS = 60, 3
 	requireEqual(t, "its checkpoint and the margin", preemptionCost(m, running, now), 4*time.Second)
 	other.state = protocol.TaskFetching
-	requireEqual(t, "a fetch for it alone", preemptionCost(m, other, now), 20*time.Second)
+	requireEqual(t, "a fetch for this task alone", preemptionCost(m, other, now), 20*time.Second)
 	running.state, running.job.image = protocol.TaskFetching, other.job.image
 	requireEqual(t, "a fetch that another task also waits for", preemptionCost(m, other, now), time.Duration(0))
 }
--- a/internal/coordination/recovery_test.go
+++ b/internal/coordination/recovery_test.go
@@ -151,7 +151,7 @@
 
 func TestSilentMachineIsLostOnlyAfterItsLease(t *testing.T) {
 	sim := newSimulation(t, "a")
-	for i := range 9 { // as many machines silent at once are taken for a partition, and none is released
+	for i := range 9 { // so many that fall silent at once are taken for a partition, so none is released
 		sim.AddMachine(fmt.Sprintf("vm-%d", i), "z1")
 	}
 	sim.Run(2 * time.Second)
@@ -185,7 +185,7 @@
 	for i := range 9 {
 		sim.Agents[fmt.Sprintf("vm-%d", i)].Silent = true
 	}
-	alive := sim.AddMachine("vm-x", "z2") // without it the leader would take itself for cut off
+	alive := sim.AddMachine("vm-x", "z2") // without it the leader would consider itself cut off from the machines
 	alive.DropsStarts = true
 	advance := func(d time.Duration) {
 		for end := sim.Now() + d; sim.Now() < end; {
--- a/internal/coordination/service_faults_test.go
+++ b/internal/coordination/service_faults_test.go
@@ -19,11 +19,11 @@
 			agent.LosesResponses, agent.DropsStarts = on, on
 		},
 	} {
-		for _, lasts := range []int{6, 30} {
+		for _, faultSeconds := range []int{6, 30} {
 			for _, leaderRestarts := range []bool{false, true} {
-				t.Run(fmt.Sprint(name, " for ", lasts, " s, leader restarts ", leaderRestarts), func(t *testing.T) {
+				t.Run(fmt.Sprint(name, " for ", faultSeconds, " s, leader restarts ", leaderRestarts), func(t *testing.T) {
 					t.Parallel()
-					scenario := newFaultScenario(t, uint64(lasts), 6)
+					scenario := newFaultScenario(t, uint64(faultSeconds), 6)
 					id := scenario.submitService(scenario.Follower(), 6)
 					other := scenario.submitService(scenario.Leader(), 2)
 					scenario.runScript(5, func(int) {})
@@ -33,7 +33,7 @@
 						fault(agent, true)
 					}
 					scenario.query(scenario.Follower(), "ABORT", id)
-					scenario.runScript(lasts, func(s int) {
+					scenario.runScript(faultSeconds, func(s int) {
 						if s == 2 && leaderRestarts {
 							scenario.restart(scenario.Leader().Name)
 						}
@@ -51,11 +51,11 @@
 	}
 }
 
-// A replica of a service ends by itself at the same time as another event: its service is
+// A replica of a service exits on its own at the same time as another event: its service is
 // cancelled, its owner, the leader or all controllers restart, its machine is about to be
 // preempted, or a response to its machine is lost.
 func TestReplicaEndsDuringOtherFaults(t *testing.T) {
-	for _, why := range []string{"done", "error"} {
+	for _, cause := range []string{"done", "error"} {
 		for name, event := range map[string]func(scenario *faultScenario, owner *simtest.Node, id string, on *simtest.Agent){
 			"cancelled": func(scenario *faultScenario, owner *simtest.Node, id string, _ *simtest.Agent) {
 				scenario.query(owner, "ABORT", id)
@@ -78,7 +78,7 @@
 			"responses are lost":       func(_ *faultScenario, _ *simtest.Node, _ string, on *simtest.Agent) { on.LosesResponses = true },
 		} {
 			for _, reportedBefore := range []bool{false, true} {
-				t.Run(fmt.Sprint(why, ", ", name, ", reported before ", reportedBefore), func(t *testing.T) {
+				t.Run(fmt.Sprint(cause, ", ", name, ", reported before ", reportedBefore), func(t *testing.T) {
 					t.Parallel()
 					scenario := newFaultScenario(t, 5, 6)
 					owner := scenario.Follower()
@@ -88,7 +88,7 @@
 					on := scenario.Agents[scenario.machinesByTask(id)[id+"/0"]]
 					for _, task := range on.Tasks {
 						if task.Name == id+"/0" {
-							task.State, task.Cause = "ended", why
+							task.State, task.Cause = "ended", cause
 						}
 					}
 					if reportedBefore {
--- a/internal/coordination/stale_state_test.go
+++ b/internal/coordination/stale_state_test.go
@@ -19,7 +19,7 @@
 // A machine whose lease has expired stays in the leader's table, with the list that it last
 // sent, until the cloud has released it. If that list is published to a member that acquires
 // a shard meanwhile, the member takes the lost replica for the current one, has the live one
-// stopped, and starts the task again while it still runs. That broke the rule ran_twice 17
+// stopped, and starts the task again while the live one still runs. That broke the rule ran_twice 17
 // times within one day with 2,767 machines.
 func TestStatusOfLostMachineIsNotForwarded(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -180,9 +180,9 @@
 	sim.requireStatus(old, "wk-2", 200, "done")
 }
 
-// An owner that was paused finds offers among its frames that were made before the pause. It
-// must not bind tasks to them. Its answers to status queries come after those of the shard's
-// new owner, so they must not report an older state.
+// An owner that was paused finds, among its queued frames, offers that were made before the pause.
+// It must not bind tasks to them. Its answers to status queries come after those of the shard's new
+// owner, so they must not report an older state.
 func TestPausedOwnerDoesNotAct(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent1 := sim.AddMachine("vm-1", "z1")
@@ -252,18 +252,18 @@
 	r := agent.HeartbeatTo(follower)
 	requireEqual(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil < startedAt || r.ValidUntil > startedAt+responseLifetime {
-		t.Fatalf("a follower's response is valid for %v", r.ValidUntil-startedAt)
+		t.Fatalf("a follower's response is valid for %v, want at most responseLifetime", r.ValidUntil-startedAt)
 	}
 	r = agent.HeartbeatTo(lead)
 	requireEqual(t, "heartbeat", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(lead).tuning.StateLease {
-		t.Fatalf("a leader's response is valid for %v", r.ValidUntil-sim.Now())
+		t.Fatalf("a leader's response is valid for %v, want at most the state lease", r.ValidUntil-sim.Now())
 	}
 	requireEqual(t, "submit", follower.Submit(simtest.BatchJob("wk-1", 1)).Status, 201)
 	r = follower.Call("GET", "/submissions/wk-1", nil)
-	requireEqual(t, "poll", r.Status, 200)
+	requireEqual(t, "status query", r.Status, 200)
 	if r.ValidUntil <= sim.Now() || r.ValidUntil > sim.Now()+controllerOf(follower).tuning.StateLease {
-		t.Fatalf("an owner's response is valid for %v", r.ValidUntil-sim.Now())
+		t.Fatalf("an owner's response is valid for %v, want at most the state lease", r.ValidUntil-sim.Now())
 	}
 }
 
@@ -389,7 +389,7 @@
 	sim.Advance(time.Second)
 	made := sim.State.Writes - before
 	if most := 150 + 240*22/10; made < most*8/10 || made > most+1 {
-		t.Fatalf("%d changes were made within 2.2 s", made)
+		t.Fatalf("%d changes were made within 2.2 s, want 542 to 679", made)
 	}
 	if accepted < 500 { // with four changes a job only 340 would fit
 		t.Fatalf("%d jobs were accepted within 2.2 s, want at least 500", accepted)
@@ -461,7 +461,7 @@
 	}{{50, 70, false}, {72, 70, false}, {73, 120, false}, {122, 120, false}, {123, 170, false}, {173, 70, true}} {
 		key := l.scheduler.orderKeyOf(job, submitted+test.after*1000)
 		if key.LatestStart-float64(submitted)/1000 != test.start || key.MissesObjectives != test.late {
-			t.Fatalf("after %d s: latest start %v, misses deadline %v", test.after, key.LatestStart-float64(submitted)/1000, key.MissesObjectives)
+			t.Fatalf("after %d s: latest start %v, misses all objectives %v", test.after, key.LatestStart-float64(submitted)/1000, key.MissesObjectives)
 		}
 	}
 }
--- a/internal/coordination/starvation_test.go
+++ b/internal/coordination/starvation_test.go
@@ -126,7 +126,7 @@
 	requireEqual(t, "submit", n.Submit(simtest.BatchJob("wk-1", 4).With("vcpus", 4.0)).Status, 201)
 	sim.Run(3 * time.Second)
 	for s := range 240 {
-		if s%30 == 0 { // too short a time for the job: without the bound it would always be preempted
+		if s%30 == 0 { // the time between two urgent jobs is too short for wk-1: it ends only with the bound
 			n.Submit(simtest.BatchJob(fmt.Sprintf("wk-9%d", s), 4).With("vcpus", 4.0).With("urgency", "urgent"))
 		}
 		sim.Run(time.Second)
--- a/internal/coordination/status_query_load_test.go
+++ b/internal/coordination/status_query_load_test.go
@@ -44,7 +44,7 @@
 			requireEqual(t, what, r.Status, status)
 		}
 		if n := sim.State.Requests - before; n > maxRequests {
-			t.Fatalf("%d polls about %s took %d requests, want at most %d", len(got), what, n, maxRequests)
+			t.Fatalf("%d queries of %s took %d requests to the state service, more than the maximum", len(got), what, n)
 		}
 	}
 	queryAll("jobs that were never submitted", 1000, 404, 20)
@@ -55,7 +55,7 @@
 	sim.Run(10 * time.Second)
 	for i := range jobs {
 		code, _ := follower.Cancel(fmt.Sprint("wk-", i+1))
-		requireEqual(t, "abort", code, 200)
+		requireEqual(t, "cancellation", code, 200)
 		sim.Advance(tickInterval)
 	}
 	queryAll("jobs that have ended", 1, 200, 20)
--- a/internal/coordination/takeover_scenarios_test.go
+++ b/internal/coordination/takeover_scenarios_test.go
@@ -126,7 +126,7 @@
 		scenario.disconnectLink()
 	case 7:
 		if scenario.rand.IntN(3) == 0 {
-			if leader := scenario.actingLeader(); leader != nil { // its process goes on and keeps its shards
+			if leader := scenario.actingLeader(); leader != nil { // its process keeps running and keeps its shards
 				controllerOf(leader).election.Resign(election.MachinesUnreachable)
 			}
 			return
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -94,7 +94,7 @@
 			scenario.loseTransactions(0, true)
 		case 26: // the last member of the previous version stops, so that one of this version leads
 			scenario.Crash(order[2])
-		case 32: // it returns among members of this version, and from 36 to 42 it is the only one up
+		case 32: // it returns among members of this version, and from second 36 to 42 it is the only one up
 			scenario.Start(order[2])
 		case 36:
 			scenario.Crash(order[0])
--- a/internal/coordination/warm_pool_test.go
+++ b/internal/coordination/warm_pool_test.go
@@ -11,9 +11,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/simtest"
 )
 
-// The warm pool keeps headroom for future services: on-demand machines in both zones, which
-// array jobs may not use. A new service starts promptly while an array job fills the rest of
-// the fleet, and stops none of the array's tasks.
+// The warm pool keeps on-demand machines ready for future services, in every zone over which a
+// service is spread. Array jobs may not use these machines. A new service starts promptly while an
+// array job fills the rest of the fleet, and stops none of the array's tasks.
 func TestWarmPoolForServices(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	for i := range 2 {
@@ -109,7 +109,7 @@
 // due sooner than the image could be fetched, and not otherwise.
 func TestReplicaWaitsForMachineWithItsImage(t *testing.T) {
 	for since, wantMachine := range map[time.Duration]string{1800 * time.Millisecond: "vm-0", 200 * time.Millisecond: "vm-1"} {
-		t.Run(fmt.Sprintf("last heartbeat %s ago", since), func(t *testing.T) {
+		t.Run(fmt.Sprint("time since the last heartbeat: ", since), func(t *testing.T) {
 			sim := newSimulation(t, "a", "b", "c")
 			first := sim.AddMachine("vm-0", "z1")
 			sim.Run(2 * time.Second)
@@ -124,7 +124,7 @@
 			requireEqual(t, "second service", n.Submit(simtest.ServiceJob("wk-2", 1)).Status, 201)
 			second.Heartbeat()
 			first.Heartbeat()
-			requireEqual(t, fmt.Sprintf("machine of the replica, with the last heartbeat %s ago", since), sim.machinesByTask("wk-2")["wk-2/0"], wantMachine)
+			requireEqual(t, fmt.Sprint("machine of the replica, by the time since the last heartbeat, ", since), sim.machinesByTask("wk-2")["wk-2/0"], wantMachine)
 		})
 	}
 }
@@ -202,7 +202,7 @@
 }
 
 // No machines are kept for prompt starts while the cloud has too few of their type for jobs
-// that fit on no other: such jobs would miss their deadlines, as on two recorded days.
+// that fit on no other type: on two recorded days such jobs missed their deadlines otherwise.
 func TestWarmPoolLeavesScarceTypeToOtherJobs(t *testing.T) {
 	sim := newSimulation(t, "a")
 	sim.Run(60 * time.Second)
--- a/internal/simtest/agent.go
+++ b/internal/simtest/agent.go
@@ -22,11 +22,11 @@
 	Sequence         uint64
 	FencingToken     uint64
 	Tasks            map[string]*AgentTask // by task name and replica, as in wk-1/0#2
-	PreemptionNotice any                   // seconds until the machine is taken back; nil: no notice
+	PreemptionNotice any                   // seconds until the cloud reclaims the machine; nil: no notice
 	Silent           bool                  // sends no heartbeats
 	Starts           int                   // replicas that it has started
 	LastHeartbeat    []byte                // body of the last heartbeat
-	DropsStarts      bool                  // ignores start commands
+	DropsStarts      bool                  // ignores start commands, as if they were lost
 	LosesResponses   bool                  // receives no responses, though its heartbeats arrive
 	TaskDuration     time.Duration         // tasks complete after this time; 0: never
 	DurationSpread   time.Duration         // added once per replica number modulo 7, so at most six times
--- a/internal/simtest/jobs.go
+++ b/internal/simtest/jobs.go
@@ -3,7 +3,7 @@
 // JobRequest is the body of a submission, as a user sends it.
 type JobRequest map[string]any
 
-// BatchJob returns the submission of a batch job of the team blue.
+// BatchJob returns the submission of an array job (form "batch") of the team blue.
 func BatchJob(id string, taskCount int) JobRequest {
 	return JobRequest{"nameId": id, "desk": "d", "crew": "blue", "form": "batch", "urgency": "standard", "pages": taskCount,
 		"vcpus": 2.0, "cards": 0.0, "ramGb": 4.0, "plate": "img", "imageGb": 1.0, "breeds": nil, "hall": nil,
--- a/internal/simtest/network.go
+++ b/internal/simtest/network.go
@@ -28,8 +28,8 @@
 	d.DeliverAll()
 }
 
-// Reconnect replaces all streams of a process that was paused, without reporting the end of
-// the old ones to its peers, which Pause has done.
+// Reconnect replaces all streams of a process that was paused. It doesn't report the end of the
+// old ones to the peers, as Pause has done that.
 func (d *Deployment) Reconnect(name string) {
 	node := d.Nodes[name]
 	for _, other := range d.Members {
