--- a/cmd/cobaltvale/limits.go
+++ b/cmd/cobaltvale/limits.go
@@ -29,9 +29,9 @@
 	meshMemoryDivisor        = 8
 	minMeshBacklogLimitBytes = 4 << 20
 
-	// heldRequestMemoryDivisor is the fraction (1/4) of the memory that requests waiting for
+	// pendingRequestMemoryDivisor is the fraction (1/4) of the memory that requests waiting for
 	// their responses may take.
-	heldRequestMemoryDivisor = 4
+	pendingRequestMemoryDivisor = 4
 
 	apiIdleTimeout = 2 * time.Minute
 	apiReadTimeout = 15 * time.Second
@@ -64,9 +64,9 @@
 	return sockets - maxStateConns(file, tuning) - maxCloudConns - meshConnsPerPeer*len(file.Peers) - reserved
 }
 
-// maxHeldRequestBytes is how many bytes of requests may wait for their responses.
-func maxHeldRequestBytes(file *settings.File) int64 {
-	return int64(memoryLimitBytes(file)) / heldRequestMemoryDivisor
+// maxPendingRequestBytes is how many bytes of requests may wait for their responses.
+func maxPendingRequestBytes(file *settings.File) int64 {
+	return int64(memoryLimitBytes(file)) / pendingRequestMemoryDivisor
 }
 
 // maxMeshBacklogBytes is how many bytes may wait to be written to one other controller. The
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -71,7 +71,7 @@
 	p.server = transport.NewServer(transport.ServerConfig{
 		Addr:                   config.file.APIAddr,
 		MaxConns:               maxAPIConns(config.file, config.tuning),
-		MaxPendingRequestBytes: maxHeldRequestBytes(config.file),
+		MaxPendingRequestBytes: maxPendingRequestBytes(config.file),
 		IdleTimeout:            apiIdleTimeout,
 		ReadTimeout:            apiReadTimeout,
 	}, p.connections, apiHandler{controller, p.events, clock}.handle)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -24,7 +24,7 @@
 // Each frame between controllers, with all of its fields set, has the bytes that it
 // had when testdata/golden/mesh.json was written: fields may get other names, but
 // keep their numbers and types.
-func TestMeshBytesStayAsTheyAre(t *testing.T) {
+func TestMeshEncodingMatchesGolden(t *testing.T) {
 	got := make(map[string]string)
 	body := (&meshpb.Frame{}).ProtoReflect().Descriptor().Oneofs().Get(0).Fields()
 	for i := range body.Len() {
@@ -81,7 +81,7 @@
 
 // Every message to and from users, workers, the cloud and the state service has the
 // bytes that it had when testdata/golden/cbor.json was written.
-func TestCBORBytesStayAsTheyAre(t *testing.T) {
+func TestCBOREncodingMatchesGolden(t *testing.T) {
 	codec, err := NewCodec()
 	if err != nil {
 		t.Fatal(err)
