--- a/cmd/cobaltvale/adapters.go
+++ b/cmd/cobaltvale/adapters.go
@@ -62,7 +62,7 @@
 	m.events.Post(func() { m.controller.LinkDown(link) })
 }
 
-// apiHandler passes the requests of users, workers and health checks to the controller.
+// apiHandler passes the requests of users, machines and health checks to the controller.
 type apiHandler struct {
 	controller *coordination.Controller
 	events     *coordination.EventLoop
--- a/cmd/cobaltvale/limits.go
+++ b/cmd/cobaltvale/limits.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minStateConns is the least value of maxStateConns.
+	// minStateConns is the smallest result of maxStateConns.
 	minStateConns = 8
 	// stateConnsDivisor limits connections to the state service to this fraction of the
 	// sockets (1/32).
@@ -36,27 +36,27 @@
 	apiIdleTimeout = 2 * time.Minute
 	apiReadTimeout = 15 * time.Second
 
-	// loopInterval is the least time between two turns of the connections' event loop, see
-	// transport.Loop.
+	// loopInterval is the minimum time between two batches of reads by the connections'
+	// event loop, see transport.Loop.
 	loopInterval = 70 * time.Millisecond
 	stopTimeout  = 5 * time.Second
 )
 
-// memoryLimitBytes is how much memory the process may use.
+// memoryLimitBytes returns how much memory the process may use.
 func memoryLimitBytes(file *settings.File) float64 {
 	return file.Settings.Limits.MemMB * float64(bytesPerMB)
 }
 
-// maxStateConns is how many connections to the state service may be open at once: enough
-// to use its request rate while every request takes as long as its timeout. With only as
-// many as a fast service needs, a service that became slow got so few requests that
+// maxStateConns returns how many connections to the state service may be open at once:
+// enough to use its request rate while every request takes as long as its timeout. With only
+// as many as a fast service needs, a service that became slow got so few requests that
 // requests of users were rejected. Connections are opened only when needed.
 func maxStateConns(file *settings.File, tuning settings.Tuning) int {
 	needed := int(math.Ceil(file.Settings.State.RPS * tuning.StateRateShare * tuning.RequestTimeout.Seconds()))
 	return max(minStateConns, min(needed, file.Settings.Limits.Sockets/stateConnsDivisor))
 }
 
-// maxAPIConns is how many connections users, workers and health checks may open: all
+// maxAPIConns returns how many connections users, machines and health checks may open: all
 // sockets that are not needed elsewhere.
 func maxAPIConns(file *settings.File, tuning settings.Tuning) int {
 	sockets := file.Settings.Limits.Sockets
@@ -64,15 +64,15 @@
 	return sockets - maxStateConns(file, tuning) - maxCloudConns - meshConnsPerPeer*len(file.Peers) - reserved
 }
 
-// maxPendingRequestBytes is how many bytes of requests may wait for their responses.
+// maxPendingRequestBytes returns how many bytes of requests may wait for their responses.
 func maxPendingRequestBytes(file *settings.File) int64 {
 	return int64(memoryLimitBytes(file)) / pendingRequestMemoryDivisor
 }
 
-// maxMeshBacklogBytes is how many bytes may wait to be written to one other controller. The
-// need grows with the number of machines: with what a leader sends to an owner that
-// registers its shard, and with the heartbeats that are forwarded when all workers send
-// theirs at once.
+// maxMeshBacklogBytes returns how many bytes may wait to be written to one other controller.
+// The need grows with the number of machines, because of what a leader sends to an owner that
+// registers its shard, and of the heartbeats that are forwarded when all machines send theirs
+// at once.
 func maxMeshBacklogBytes(file *settings.File) int {
 	allPeersBytes := memoryLimitBytes(file) / meshMemoryDivisor
 	return max(minMeshBacklogLimitBytes, int(allPeersBytes)/max(1, len(file.Peers)))
--- a/cmd/cobaltvale/quota_loopback_test.go
+++ b/cmd/cobaltvale/quota_loopback_test.go
@@ -166,7 +166,7 @@
 				return false
 			}
 		}
-		for i := range 30 { // the last jobs, two of three asked of a controller that did not accept them
+		for i := range 30 { // the last jobs; two of three queries go to another controller than the submission
 			j := jobs[len(jobs)-1-i]
 			if l.Status(l.ctx, l.Members[i%3], j.ID) != "done" {
 				return false
@@ -181,7 +181,7 @@
 	}
 	var out, errs bytes.Buffer
 	if code := run(append([]string{"audit", "verify"}, l.auditFiles()...), &out, &errs); code != auditClean {
-		t.Fatalf("audit verify: exit status %d: %s%s", code, out.String(), errs.String())
+		t.Fatalf("audit verify: exit status %d, want no findings: %s%s", code, out.String(), errs.String())
 	}
 	t.Log(out.String())
 	streams := l.readAuditStreams()
--- a/cmd/cobaltvale/serve.go
+++ b/cmd/cobaltvale/serve.go
@@ -103,8 +103,8 @@
 	defer stopDialing()
 	p.mesh.Start(dialCtx)
 	connectionsDone := make(chan error, 1)
-	// This goroutine ends with the connections' event loop; p.events.Run below returns when
-	// it stops the controller's.
+	// This goroutine ends with the connections' event loop, and then stops the controller's,
+	// so that p.events.Run below returns.
 	go func() {
 		connectionsDone <- p.connections.Run(p.server, p.mesh)
 		p.events.Stop()
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -3,10 +3,10 @@
 // cache of final job statuses, the pending queries to other members, and the timeouts of
 // requests.
 //
-// A submission is idempotent by its job's ID. Answers never go back in time: none is older than
-// one that was given before its request arrived. The package performs no I/O, has no clock of
-// its own, and changes jobs only through Owner. All calls are made on one goroutine, and each
-// reply function is called exactly once.
+// A submission is idempotent by its job's ID. Answers never go back in time: the answer to a
+// request reflects no older state than any answer given before the request arrived. The package
+// performs no I/O, has no clock of its own, and changes jobs only through Owner. All calls are
+// made on one goroutine, and each reply function is called exactly once.
 package api
 
 import (
@@ -80,7 +80,7 @@
 	Reachability() Reachability
 }
 
-// Reachability summarizes which other members this process is connected to.
+// Reachability summarizes the state of the other members as seen by this process.
 type Reachability struct {
 	Isolated                 bool // other members are configured, and none is connected
 	OtherReachesStateService bool // a connected member has a valid lease at the state service
@@ -185,8 +185,9 @@
 
 // Ready answers the health check of the load balancer. A process that may not act because it
 // cannot use the state service still reports ready for notReadyGracePeriod, and after that while
-// no connected member can use the service either. If it is connected to no member, it does not,
-// since it is then most likely partitioned from the others, together with its machines and users.
+// no connected member can use the service either. A process that is connected to no member
+// reports not ready after notReadyGracePeriod, since it is then most likely partitioned from the
+// others, together with its machines and users.
 func (api *API) Ready(reply func(Response)) {
 	now := api.now()
 	if api.mayActForOwnShard(now) {
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -11,9 +11,9 @@
 type Response struct {
 	Status      int // HTTP status code
 	Body        []byte
-	RetryAfterS int // seconds; 0: the response has no such header
-	// ValidUntil is the time on Config.Clock until which the response may be sent: this
-	// controller is not entitled to it after that. 0: no limit.
+	RetryAfterS int // Retry-After header in seconds; 0: none
+	// ValidUntil is the time on Config.Clock until which the response may be sent: after
+	// that, this controller may no longer be entitled to give it. 0: no limit.
 	ValidUntil time.Duration
 }
 
@@ -44,7 +44,7 @@
 type rejection struct {
 	httpStatus  int // HTTP status code
 	reason      string
-	retryAfterS int // 0: the response has no such header
+	retryAfterS int // Retry-After header in seconds; 0: none
 }
 
 // The rejections. Users rely on the texts, so they must not change.
--- a/internal/api/status_cache.go
+++ b/internal/api/status_cache.go
@@ -59,7 +59,8 @@
 	s.finalOrder = append(s.finalOrder, job)
 }
 
-// addRecord adds the record of an unfinished job. A full table is cleared.
+// addRecord adds the record of an unfinished job. If the table of records is full, it is
+// cleared first.
 func (s *StatusCache) addRecord(job string, record storage.VersionedJobRecord) {
 	if len(s.records) >= maxUnfinishedRecords {
 		clear(s.records)
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -8,8 +8,9 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// Submit handles the submission of a job. Submissions are idempotent: one for a known job is
-// answered with its status, before any check that could reject it.
+// Submit handles the submission of a job. Submissions are idempotent: a valid submission of a
+// known job is answered with the job's status, even if a new job would be rejected at present,
+// unless the state service is unavailable.
 func (api *API) Submit(body []byte, reply func(Response)) {
 	var submission protocol.Submission
 	if err := api.config.Codec.Decode(body, &submission); err != nil {
@@ -54,8 +55,8 @@
 	})
 }
 
-// checkRunnable returns why a job can never run, or cannot be accepted yet, or nil. It removes
-// from job.Types the machine types that the cloud does not offer.
+// checkRunnable returns the reason why a job can never run or cannot be accepted yet, or nil if
+// there is none. It removes from job.Types the machine types that the cloud does not offer.
 func (api *API) checkRunnable(job *protocol.Job) *rejection {
 	team := api.config.Catalog.Team(job.Team)
 	if team == nil {
--- a/internal/cloud/call_limiter.go
+++ b/internal/cloud/call_limiter.go
@@ -17,8 +17,8 @@
 	refilledAt   time.Duration
 }
 
-// newCallLimiter returns the limiter of this process's share of a call rate, in calls per second,
-// that it divides with its peers.
+// newCallLimiter returns the limiter for this process's share of a call rate. rate, in calls per
+// second, is what this process and its peers may use together.
 func newCallLimiter(rate float64, peers int) callLimiter {
 	return callLimiter{
 		leaderRate:   LeaderCallsPerSecond(rate),
--- a/internal/cloud/catalog.go
+++ b/internal/cloud/catalog.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// catalogInterval returns the time between reads of the catalog. It is shorter for the leader, which chooses
-// machines by their prices.
+// catalogInterval returns the time between reads of the catalog. It is shorter for the leader,
+// which chooses machines by their prices.
 func (i *Inventory) catalogInterval() time.Duration {
 	if i.observer != nil {
 		return leaderCatalogInterval
--- a/internal/cloud/inventory.go
+++ b/internal/cloud/inventory.go
@@ -52,7 +52,7 @@
 type Inventory struct {
 	config  Config
 	limiter callLimiter
-	// observer is the leader of this process, or nil while it is not the leader.
+	// observer receives the lists while this process is the leader; otherwise it is nil.
 	observer ListObserver
 
 	catalog         Catalog
--- a/internal/cloud/inventory_test.go
+++ b/internal/cloud/inventory_test.go
@@ -68,7 +68,7 @@
 func (f *fixture) answer(status int, body any) {
 	f.t.Helper()
 	if len(f.api.waiting) == 0 {
-		f.t.Fatal("every call has been answered")
+		f.t.Fatal("there is no unanswered call, want one")
 	}
 	done := f.api.waiting[0]
 	f.api.waiting = f.api.waiting[1:]
@@ -97,7 +97,7 @@
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}, {Name: "b"}}})
 	first := f.inventory.Catalog()
 	if f.inventory.Type("a") == nil || f.inventory.Type("c") != nil || len(first) != 2 {
-		t.Fatalf("catalog %v", first)
+		t.Fatalf("catalog %v, want the types a and b", first)
 	}
 	f.wantCalls(f.tick(catalogInterval - time.Second))
 	f.wantCalls(f.tick(time.Second), "GET /catalog")
@@ -126,13 +126,13 @@
 	f.wantCalls(f.tick(time.Second), "GET /hosts?limit=500&from=vm-1")
 	f.answer(200, machinePage(false, protocol.ListedMachine{ID: "vm-2", Status: StatusFailed}))
 	if got := fmt.Sprint(leader.lists); got != "[vm-1 vm-2]" {
-		t.Fatalf("the observer received %s", got)
+		t.Fatalf("the observer received %s, want [vm-1 vm-2]", got)
 	}
 	if f.inventory.ListedAt() != startedAt {
 		t.Fatalf("the list is of %v, want the start of its read, %v", f.inventory.ListedAt(), startedAt)
 	}
 	if entry, ok := f.inventory.Listed("vm-2"); !ok || entry.Status != StatusFailed {
-		t.Fatalf("vm-2 is listed as %+v", entry)
+		t.Fatalf("vm-2 is listed as %+v, want the status failed", entry)
 	}
 	f.inventory.StopLeading()
 	f.wantCalls(f.tick(leaderCatalogInterval), "GET /catalog") // not the machine list
@@ -179,12 +179,12 @@
 	f.wantCalls(f.tick(time.Second), "GET /catalog", "GET /hosts?limit=500")
 	f.answer(200, machinePage(false, runningMachine("vm-1"))) // response to the first leader's call
 	if len(first.lists)+len(second.lists) != 0 {
-		t.Fatalf("lists %v and %v", first.lists, second.lists)
+		t.Fatalf("the leaders received the lists %v and %v, want none", first.lists, second.lists)
 	}
 	f.answer(200, protocol.Catalog{Types: []protocol.MachineType{{Name: "a"}}})
 	f.answer(200, machinePage(false, runningMachine("vm-2")))
 	if got := fmt.Sprint(second.lists); len(first.lists) != 0 || got != "[vm-2]" {
-		t.Fatalf("lists %v and %s", first.lists, got)
+		t.Fatalf("the leaders received the lists %v and %s, want none and [vm-2]", first.lists, got)
 	}
 }
 
--- a/internal/cloud/machine_list.go
+++ b/internal/cloud/machine_list.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	machinesPerPage = 500 // the maximum of the cloud
+	machinesPerPage = 500 // the maximum that the cloud returns
 	maxPageFailures = 5   // consecutive failures after which a listing is started again
 	listCallShare   = 0.5 // of the leader's call rate, for the pages of a list
 	minListInterval = 2 * time.Second
 	listsPerLag     = 3 // lists read within Settings.ListLagS
 )
 
-// The statuses of a machine in the cloud's list that have a meaning here.
+// Statuses of a machine in the cloud's list. It contains others too, which are not distinguished.
 const (
 	StatusRunning = "running"
 	StatusFailed  = "failed"
--- a/internal/cloud/scaler_test.go
+++ b/internal/cloud/scaler_test.go
@@ -88,7 +88,7 @@
 				t.Errorf("sent again %v, want %v", got, test.retried)
 			}
 			if got := scaler.pendingMachines() == 2; got != test.retried {
-				t.Errorf("%d machines are pending", scaler.pendingMachines())
+				t.Errorf("%d machines are pending, want 2 only if the request is retried", scaler.pendingMachines())
 			}
 		})
 	}
--- a/internal/priority/priority.go
+++ b/internal/priority/priority.go
@@ -114,9 +114,10 @@
 // Before reports whether job a precedes job b. aShare and bShare are the fractions
 // of their guarantees that the jobs' teams use.
 //
-// Overdue jobs come first, the oldest first. Urgent jobs of any team follow, by
-// urgency, because they could preempt whatever is started in their place. Then the
-// order is by the share of the team, lowest first. Within a team it is by priority,
+// Overdue jobs come first, the oldest first. Urgent jobs of any team follow, because
+// they could preempt whatever is started in their place: by urgency, then those first
+// that can still meet an objective. Then the order is by the share of the team, lowest
+// first. Within a team it is by priority,
 // then by latest start, with jobs that can no longer meet any objective after those
 // that can.
 func (a Key) Before(aShare float64, b Key, bShare float64) bool {
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -19,11 +19,10 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: only where the wire changes on purpose")
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of the wire format")
 
-// Each frame between controllers, with all of its fields set, has the bytes that it
-// had when testdata/golden/mesh.json was written: fields may get other names, but
-// keep their numbers and types.
+// Each frame between controllers, with all of its fields set, must be encoded in the bytes
+// of testdata/golden/mesh.json: fields may be renamed, but must keep their numbers and types.
 func TestMeshEncodingMatchesGolden(t *testing.T) {
 	got := make(map[string]string)
 	body := (&meshpb.Frame{}).ProtoReflect().Descriptor().Oneofs().Get(0).Fields()
@@ -40,7 +39,7 @@
 	compareGolden(t, "mesh.json", got)
 }
 
-// fillMessage sets each field to a value that follows from its number.
+// fillMessage sets each field to a value derived from the field's number.
 func fillMessage(m protoreflect.Message) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -76,11 +75,11 @@
 	case protoreflect.BytesKind:
 		return protoreflect.ValueOfBytes([]byte(fmt.Sprint(n)))
 	}
-	panic(fmt.Sprintf("a field of kind %s", field.Kind()))
+	panic(fmt.Sprintf("unsupported field kind %s", field.Kind()))
 }
 
-// Every message to and from users, workers, the cloud and the state service has the
-// bytes that it had when testdata/golden/cbor.json was written.
+// Every message to and from users, machines, the cloud and the state service must be encoded
+// in the bytes of testdata/golden/cbor.json.
 func TestCBOREncodingMatchesGolden(t *testing.T) {
 	codec, err := NewCodec()
 	if err != nil {
@@ -102,7 +101,8 @@
 	compareGolden(t, "cbor.json", got)
 }
 
-// fillValue sets a value, and all within it, to what follows from its place.
+// fillValue sets v, and the values that it contains, to values derived from n and from their
+// positions in v.
 func fillValue(v reflect.Value, n int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -131,7 +131,7 @@
 	case reflect.Float64:
 		v.SetFloat(float64(n) + 0.25)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("unsupported field kind " + v.Kind().String())
 	}
 }
 
@@ -160,10 +160,10 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(want)) {
 		if got[key] != want[key] {
-			t.Errorf("%s is\n%s, was\n%s", key, got[key], want[key])
+			t.Errorf("%s: got\n%s, want\n%s", key, got[key], want[key])
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d messages, were %d", len(got), len(want))
+		t.Errorf("got %d messages, want %d", len(got), len(want))
 	}
 }
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -61,7 +61,7 @@
 
 // The exit reasons that a machine reports in a heartbeat.
 const (
-	ExitReasonNone        ExitReason = iota // the task has not exited, or the machine reported no known reason
+	ExitReasonNone        ExitReason = iota // not exited, or the machine reported no known reason
 	ExitReasonDone                          // completed
 	ExitReasonStopped                       // stopped by a command
 	ExitReasonError                         // failed
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -114,7 +114,7 @@
 }
 
 // checkAmounts checks the remaining names, resource amounts and durations. An invalid deadline is
-// the only error reported; otherwise all invalid fields are reported.
+// reported alone; otherwise all invalid fields are reported.
 func (s *Submission) checkAmounts() error {
 	if s.DeadlineS != nil {
 		if err := checkAmount("pressByS", s.DeadlineS); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -57,7 +57,7 @@
 	WithinS        float64 `toml:"within_s"`
 }
 
-// Workers contains the constants of the machines' protocol.
+// Workers contains the durations of the protocol between machines and controllers.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
 	LeaseS             float64 `toml:"lease_s"`  // a machine without a response for this long ends its tasks
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -52,7 +52,7 @@
 	return h.jobs[id]
 }
 
-// recordStart records that a task starts on a machine, and the violations that this makes.
+// recordStart records that a task starts on a machine, and any violations that this causes.
 func (h *History) recordStart(j *Job, task, machine string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,7 +95,7 @@
 	PeakCPUs     map[string]float64   // by team
 	StartDelays  []time.Duration      // from a job's submission to each of its tasks' starts
 	FirstStarts  map[string]time.Time // by job ID
-	Violations   []string             // at most maxViolations, for reading
+	Violations   []string             // texts, at most maxViolations
 }
 
 // Summary returns a copy of the present state.
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -15,7 +15,7 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// Entry is the stored value of a key.
+// Entry is what is stored for a key.
 type Entry struct {
 	Value   []byte
 	Version uint64 // the revision of the last write
@@ -46,7 +46,7 @@
 // Store is the data of one state service. All times that its methods take are readings of
 // one monotonic clock of the caller's choice.
 type Store struct {
-	Revision uint64 // incremented by each transaction with changes, other write and lease expiry
+	Revision uint64 // incremented by each transaction with changes, each other write and each expired lease
 	Keys     map[string]*Entry
 
 	leases    map[uint64]*lease
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -50,7 +50,7 @@
 	return s.store.ChangeCount(prefix), s.requests
 }
 
-// sweep ends leases that were not renewed.
+// expireLeases ends the leases that were not renewed in time, until Close.
 func (s *State) expireLeases() {
 	ticker := time.NewTicker(leaseSweepInterval)
 	defer ticker.Stop()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -135,7 +135,7 @@
 }
 
 // applyResponse executes the commands of a response and reports whether it did: a response
-// with a fencing token below the highest seen so far is rejected.
+// with a fencing token below the highest seen so far is dropped.
 func (w *worker) applyResponse(body []byte) bool {
 	var response protocol.HeartbeatResponse
 	if w.codec.Decode(body, &response) != nil || response.FencingToken < w.fencingToken {
--- a/internal/transport/loop.go
+++ b/internal/transport/loop.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Stop waits until the loop is ready, then stops it, closes its connections and waits for
-// that at most for timeout. It must not be called if Run has failed.
+// Stop waits until the loop is ready, then stops it and closes its connections. It returns
+// an error if that takes longer than timeout. It must not be called if Run has failed.
 func (l *Loop) Stop(timeout time.Duration) error {
 	<-l.ready
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
@@ -110,8 +110,8 @@
 }
 
 // dial opens a connection and registers it with the loop, which then owns it and calls
-// handler. The standard library's dialer is used because a dial with gnet's can't be
-// ended in time.
+// handler. The standard library's dialer is used because dialing with gnet's own can't be
+// aborted in time.
 func (l *Loop) dial(addr string, handler connection) (gnet.Conn, error) {
 	<-l.ready
 	conn, err := net.DialTimeout("tcp4", addr, dialTimeout)
@@ -196,9 +196,9 @@
 }
 
 // sleepUntilNextBatch sleeps until batchInterval has passed since the last batch began, and
-// returns the time after it. It blocks the operating system thread, which costs one wake-up;
-// a sleeping goroutine would cost several wake-ups of the runtime's threads. If a signal
-// ends the sleep early, the batch only starts early.
+// returns the current time after that. It blocks the operating system thread, which costs
+// one wake-up; a sleeping goroutine would cost several wake-ups of the runtime's threads. If
+// a signal ends the sleep early, the batch only starts early.
 func (l *Loop) sleepUntilNextBatch(now time.Time) time.Time {
 	left := l.batchInterval - now.Sub(l.lastBatchStart)
 	if left <= 0 {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -9,8 +9,8 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// overloadRetryAfterS is the Retry-After value, in seconds, of a request that was not
-// handled because too many were pending, or whose response was late.
+// overloadRetryAfterS is the Retry-After value, in seconds, for a request that was not
+// handled for lack of memory, or whose response was late.
 const overloadRetryAfterS = 1
 
 // Request is an HTTP request as passed to a Handler.
@@ -48,7 +48,7 @@
 	MaxConns               int
 	MaxPendingRequestBytes int64         // total size of requests without an answer yet
 	IdleTimeout            time.Duration // after which a connection without a request is closed
-	ReadTimeout            time.Duration // after which an incomplete request is given up
+	ReadTimeout            time.Duration // after which the connection of an incomplete request is closed
 }
 
 // Server answers HTTP requests on one address. The event loop to whose Run method it is
--- a/internal/transport/server_conn.go
+++ b/internal/transport/server_conn.go
@@ -97,8 +97,8 @@
 	return gnet.None
 }
 
-// awaitRemainder leaves an incomplete request of which the given number of bytes has
-// arrived in the buffer until more arrives.
+// awaitRemainder leaves an incomplete request in the buffer until more of it arrives. arrived
+// is the number of bytes in the buffer. If the client expects "100 Continue", it is sent once.
 func (sc *serverConn) awaitRemainder(c gnet.Conn, arrived int, expectsContinue bool) gnet.Action {
 	if expectsContinue && !sc.continueSent {
 		sc.continueSent = true
