--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -154,7 +154,7 @@
 		"a holder freezes in a transfer":             pauseHolderInTransfer,
 		"an owner and the leader crash together":     crashOwnerAndLeader,
 		"an outage while allocations are short":      outageWhileAllocationsAreShort,
-		"the state service refuses one controller":   refuseOneController,
+		"the state service refuses one controller":   rejectOneController,
 		"all controllers restart at once":            restartAllControllers,
 		"jobs are cancelled on silent machines":      cancelOnSilentMachines,
 		"machines fail, and their tasks start again": failBusyMachines,
@@ -276,7 +276,7 @@
 	}
 }
 
-func refuseOneController(scenario *faultScenario) func(int) {
+func rejectOneController(scenario *faultScenario) func(int) {
 	return func(s int) {
 		scenario.submitRedJobs(s)
 		clear(scenario.State.Unavailable)
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -36,18 +36,18 @@
 // makes no calls to the cloud: it returns how many machines of each kind to request and the
 // names of the machines to release, and a cloud.Scaler sends the requests.
 type autoscaler struct {
-	settings         *settings.Settings
-	tuning           *settings.Tuning
-	inventory        machineInventory
-	kinds            *kindSelector
-	machines         *machineTable
-	electedAt        time.Duration
-	schedulable      func(*machine, time.Duration) bool
-	leaseExpired     func(*machine, time.Duration) bool
-	missingFromCloud func(*machine, time.Duration) bool
-	runTime          func(*meshpb.JobSummary) time.Duration
-	silenceLimit     time.Duration
-	leaseTimeout     time.Duration
+	settings            *settings.Settings
+	tuning              *settings.Tuning
+	inventory           machineInventory
+	kinds               *kindSelector
+	machines            *machineTable
+	electedAt           time.Duration
+	schedulable         func(*machine, time.Duration) bool
+	leaseExpired        func(*machine, time.Duration) bool
+	missingFromCloud    func(*machine, time.Duration) bool
+	runTime             func(*meshpb.JobSummary) time.Duration
+	silenceLimit        time.Duration
+	machineLeaseTimeout time.Duration
 
 	counts fleetCounts
 }
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -53,14 +53,14 @@
 
 // The sequence described above, for several durations of the refusal, with each member as the
 // job's owner, with and without a broken stream between members, and for arrays and services.
-func TestCancellationBetweenLeaderRefusalAndOutage(t *testing.T) {
+func TestCancellationBetweenLeaderRejectionAndOutage(t *testing.T) {
 	for _, refused := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
 		for _, owns := range []string{"leader", "confirming", "third"} {
 			t.Run(fmt.Sprint(refused, " before, owner ", owns), func(t *testing.T) {
 				t.Parallel()
 				for _, mesh := range []string{"whole", "cut from the owner", "cut from the third"} {
 					for _, service := range []bool{false, true} {
-						cancelBetweenRefusalAndOutage(t, refused, owns, mesh, service)
+						cancelBetweenRejectionAndOutage(t, refused, owns, mesh, service)
 					}
 				}
 			})
@@ -68,7 +68,7 @@
 	}
 }
 
-func cancelBetweenRefusalAndOutage(t *testing.T, refused time.Duration, owns, mesh string, service bool) {
+func cancelBetweenRejectionAndOutage(t *testing.T, refused time.Duration, owns, mesh string, service bool) {
 	t.Helper()
 	scenario := newFaultScenario(t, uint64(refused), 4)
 	lead := scenario.Leader()
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -240,9 +240,9 @@
 	return nil
 }
 
-// workerLeaseTimeout returns how long after the arrival of a machine's heartbeat the
+// machineLeaseTimeout returns how long after the arrival of a machine's heartbeat the
 // machine's lease is guaranteed to have ended.
-func (c *Controller) workerLeaseTimeout() time.Duration {
+func (c *Controller) machineLeaseTimeout() time.Duration {
 	return seconds(c.cfg.Settings.Workers.LeaseS*election.ClockDriftFactor) + responseLifetime
 }
 
--- a/internal/coordination/fleet_scale_test.go
+++ b/internal/coordination/fleet_scale_test.go
@@ -27,7 +27,7 @@
 		f.Settings.Cloud.RPS = sim.Cloud.RPS
 		f.Settings.Workers.HeartbeatIntervalS, f.Settings.Workers.LeaseS, f.Settings.Workers.CancelS = largeFleetHeartbeatInterval.Seconds(), 40, 100
 	}
-	sim.ExpireLeases, sim.WorkerLease = true, 40*time.Second
+	sim.ExpireLeases, sim.MachineLeaseDuration = true, 40*time.Second
 	sim.StartAll()
 	return sim
 }
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -30,9 +30,9 @@
 	counts       *fleetCounts // the autoscaler's latest counts; read only
 	log          *zerolog.Logger
 
-	// imagesOf returns the images that this process last observed on a machine under an
+	// cachedImages returns the images that this process last observed on a machine under an
 	// earlier leader.
-	imagesOf func(machine string) []*meshpb.CachedImage
+	cachedImages func(machine string) []*meshpb.CachedImage
 	// countResponse counts a response event.
 	countResponse func(responseEvent)
 }
@@ -96,7 +96,7 @@
 	if machineType == nil {
 		return
 	}
-	for _, im := range h.imagesOf(m.name) {
+	for _, im := range h.cachedImages(m.name) {
 		m.recordImageUse(h.images.get(im.Name, im.SizeGb), machineType.CacheGB, h.electedAt)
 	}
 }
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -43,7 +43,7 @@
 		publisher: &statusPublisher{memberCount: 1}, deliveries: &deliveryTracker{},
 		quarantine: &quarantine{machines: &f.machines, jobs: jobs}, runTimes: &estimate.RunTimes{},
 		counts: &fleetCounts{reportedMachines: 10}, log: &log,
-		imagesOf: func(string) []*meshpb.CachedImage {
+		cachedImages: func(string) []*meshpb.CachedImage {
 			return []*meshpb.CachedImage{{Name: "old", SizeGb: 2}}
 		},
 		countResponse: func(e responseEvent) {
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -80,7 +80,7 @@
 		electedAt:    now,
 		deliveries:   deliveryTracker{lastProvenAt: now},
 		actingSince:  now,
-		leases:       machineLeases{electedAt: now, timeout: env.leaseTimeout},
+		leases:       machineLeases{electedAt: now, timeout: env.machineLeaseTimeout},
 		shards:       newShardRegistry(),
 	}
 	l.machines.init()
@@ -211,7 +211,7 @@
 		runTimes:      &l.runTimes,
 		counts:        &l.autoscaler.counts,
 		log:           l.env.log,
-		imagesOf:      l.env.imagesOf,
+		cachedImages:  l.env.cachedImages,
 		countResponse: l.countResponse,
 	}
 }
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -31,11 +31,11 @@
 // leaderEnvironment holds all that a leader uses of its controller. A leader accesses neither
 // the controller nor the shards that this process owns in any other way.
 type leaderEnvironment struct {
-	settings     *settings.Settings
-	tuning       *settings.Tuning
-	memberCount  int           // of the deployment
-	leaseTimeout time.Duration // from a heartbeat's arrival to the guaranteed end of the machine's lease
-	silenceLimit time.Duration // silence after which a machine gets no more offers; see leader.schedulable
+	settings            *settings.Settings
+	tuning              *settings.Tuning
+	memberCount         int           // of the deployment
+	machineLeaseTimeout time.Duration // from a heartbeat's arrival to the guaranteed end of the machine's lease
+	silenceLimit        time.Duration // silence after which a machine gets no more offers; see leader.schedulable
 
 	clock     storage.Clock
 	wallClock func() time.Time
@@ -46,9 +46,9 @@
 	authority authority
 	events    *eventcount.Counter // by responseEvent
 
-	// imagesOf returns the cached images of a machine, as the machine's latest status from the
+	// cachedImages returns the cached images of a machine, as the machine's latest status from the
 	// previous leader reported them.
-	imagesOf func(machine string) []*meshpb.CachedImage
+	cachedImages func(machine string) []*meshpb.CachedImage
 	// errorResponse builds a response that rejects a heartbeat.
 	errorResponse func(status int, text string, retryAfterS int) Response
 }
@@ -56,21 +56,21 @@
 // leaderEnvironment returns the environment of a leader on this process.
 func (c *Controller) leaderEnvironment() leaderEnvironment {
 	return leaderEnvironment{
-		settings:      &c.cfg.Settings,
-		tuning:        &c.tuning,
-		memberCount:   1 + len(c.peers),
-		leaseTimeout:  c.workerLeaseTimeout(),
-		silenceLimit:  c.silenceLimit(),
-		clock:         c.env.Clock,
-		wallClock:     c.env.Wall,
-		codec:         c.codec,
-		log:           &c.log,
-		store:         c.store,
-		cloud:         c.cloud,
-		authority:     c.election,
-		events:        &c.responseEvents,
-		imagesOf:      c.owner.CachedImages,
-		errorResponse: c.errorResponse,
+		settings:            &c.cfg.Settings,
+		tuning:              &c.tuning,
+		memberCount:         1 + len(c.peers),
+		machineLeaseTimeout: c.machineLeaseTimeout(),
+		silenceLimit:        c.silenceLimit(),
+		clock:               c.env.Clock,
+		wallClock:           c.env.Wall,
+		codec:               c.codec,
+		log:                 &c.log,
+		store:               c.store,
+		cloud:               c.cloud,
+		authority:           c.election,
+		events:              &c.responseEvents,
+		cachedImages:        c.owner.CachedImages,
+		errorResponse:       c.errorResponse,
 	}
 }
 
--- a/internal/coordination/leader_scheduling.go
+++ b/internal/coordination/leader_scheduling.go
@@ -15,18 +15,18 @@
 	env := &l.env
 	l.kinds = newKindSelector(env.cloud, &l.autoscaler.counts)
 	l.autoscaler = autoscaler{
-		settings:         env.settings,
-		tuning:           env.tuning,
-		inventory:        env.cloud,
-		kinds:            &l.kinds,
-		machines:         &l.machines,
-		electedAt:        l.electedAt,
-		schedulable:      l.schedulable,
-		leaseExpired:     l.leases.expired,
-		missingFromCloud: l.missingFromCloud,
-		runTime:          l.runTime,
-		silenceLimit:     env.silenceLimit,
-		leaseTimeout:     env.leaseTimeout,
+		settings:            env.settings,
+		tuning:              env.tuning,
+		inventory:           env.cloud,
+		kinds:               &l.kinds,
+		machines:            &l.machines,
+		electedAt:           l.electedAt,
+		schedulable:         l.schedulable,
+		leaseExpired:        l.leases.expired,
+		missingFromCloud:    l.missingFromCloud,
+		runTime:             l.runTime,
+		silenceLimit:        env.silenceLimit,
+		machineLeaseTimeout: env.machineLeaseTimeout,
 	}
 	l.scaler = env.cloud.NewScaler(l.fencingToken, &scaleOutcomes{
 		machines:       &l.machines,
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -101,7 +101,7 @@
 
 // The state service refuses a single member's requests. That member must stop acting before
 // another member claims its keys.
-func TestMemberRefusedByStateServiceStopsActing(t *testing.T) {
+func TestMemberRejectedByStateServiceStopsActing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
@@ -165,7 +165,7 @@
 // must continue in the outage, although the first leader has not seen it claim the key and
 // still has to grant it extensions. Without that extension no member would act until the
 // end of the outage, and tasks would not be cancelled in time.
-func TestOutageAfterStateServiceRefusedTheLeader(t *testing.T) {
+func TestOutageAfterStateServiceRejectedTheLeader(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
 	sim.Run(2 * time.Second)
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestShardIsReconciledOnceByAllMachines(t *testing.T) {
+func TestEachReconciliationIsDecidedOnce(t *testing.T) {
 	var machines machineTable
 	machines.init()
 	shards := newShardRegistry()
--- a/internal/coordination/scale_in.go
+++ b/internal/coordination/scale_in.go
@@ -114,7 +114,7 @@
 	if a.missingFromList(m) {
 		return true
 	}
-	leaseTimeout := a.leaseTimeout
+	leaseTimeout := a.machineLeaseTimeout
 	if now-m.lastHeartbeat <= a.silenceLimit {
 		// Its heartbeats arrive, but nothing shows that responses reach it. Most such
 		// machines are trying one controller after another and will soon get a response; one
--- a/internal/coordination/shard_wiring.go
+++ b/internal/coordination/shard_wiring.go
@@ -14,7 +14,7 @@
 func (c *Controller) newOwner() *shard.Owner {
 	return shard.NewOwner(shard.Config{
 		Member: c.cfg.Member, ProcessNonce: c.identity.Nonce, MemoryLimit: int64(c.cfg.Settings.Limits.MemMB * float64(1<<20) * memoryShareOfJobs),
-		MachineLeaseTimeout: c.workerLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
+		MachineLeaseTimeout: c.machineLeaseTimeout(), MachineTTL: tombstoneTTL, MaxMachines: maxMachines,
 		Clock: c.env.Clock, Log: c.log, Leader: shardLeaderStream{&c.subscription}, FinalStatuses: c.statuses, Admission: c.admission,
 		OpenRecords: func(name string, lease, version uint64, onLost func()) shard.Records {
 			return storage.NewShard(c.store, name, c.identity, lease, version, onLost)
--- a/internal/simtest/deployment.go
+++ b/internal/simtest/deployment.go
@@ -33,23 +33,23 @@
 // Deployment is a simulated site: controllers, agents on machines, and stand-ins for the
 // state service and the cloud.
 type Deployment struct {
-	T                testing.TB
-	Codec            *protocol.Codec // of requests, responses and stored values
-	Nodes            map[string]*Node
-	Members          []string
-	State            *State
-	Cloud            *Cloud
-	Agents           map[string]*Agent
-	PreviousVersion  map[string]bool                     // members that run the previous version
-	AdjustSettings   func(*settings.File)                // changes the settings of a process before it starts; may be nil
-	AuditStreams     []*audit.Stream                     // the audit records of each process, in order of start
-	Tuning           settings.Tuning                     // the operators' settings
-	ExpireLeases     bool                                // agents' leases expire after WorkerLease
-	WorkerLease      time.Duration                       // lease of machines; lease_s of the settings
-	OnTick           func()                              // called after every tick; may be nil
-	OnStart          func(agent *Agent, task *AgentTask) // called when an agent has started a replica; may be nil
-	RunsUntilStopped func(name string) bool              // reports whether a task never completes; nil: none
-	OnTaskDone       func(agent *Agent, name string)     // called when a heartbeat reports a completed task; may be nil
+	T                    testing.TB
+	Codec                *protocol.Codec // of requests, responses and stored values
+	Nodes                map[string]*Node
+	Members              []string
+	State                *State
+	Cloud                *Cloud
+	Agents               map[string]*Agent
+	PreviousVersion      map[string]bool                     // members that run the previous version
+	AdjustSettings       func(*settings.File)                // changes the settings of a process before it starts; may be nil
+	AuditStreams         []*audit.Stream                     // the audit records of each process, in order of start
+	Tuning               settings.Tuning                     // the operators' settings
+	ExpireLeases         bool                                // agents' leases expire after MachineLeaseDuration
+	MachineLeaseDuration time.Duration                       // lease of machines; lease_s of the settings
+	OnTick               func()                              // called after every tick; may be nil
+	OnStart              func(agent *Agent, task *AgentTask) // called when an agent has started a replica; may be nil
+	RunsUntilStopped     func(name string) bool              // reports whether a task never completes; nil: none
+	OnTaskDone           func(agent *Agent, name string)     // called when a heartbeat reports a completed task; may be nil
 
 	options             Options
 	now                 time.Duration
@@ -70,7 +70,7 @@
 	}
 	d := &Deployment{T: t, Codec: codec, options: options, now: time.Hour, Nodes: make(map[string]*Node), Members: options.Members,
 		Agents: make(map[string]*Agent), PreviousVersion: make(map[string]bool), agentsByStartedTask: make(map[string][]*Agent),
-		Tuning: settings.DefaultTuning(), WorkerLease: defaultWorkerLease}
+		Tuning: settings.DefaultTuning(), MachineLeaseDuration: defaultMachineLeaseDuration}
 	for _, name := range options.PreviousVersion {
 		d.PreviousVersion[name] = true
 	}
@@ -184,7 +184,7 @@
 		d.DeliverAll()
 		if d.ExpireLeases {
 			for _, agent := range d.Agents {
-				if d.now-agent.LeaseRenewedAt > d.WorkerLease {
+				if d.now-agent.LeaseRenewedAt > d.MachineLeaseDuration {
 					agent.ExpireLease()
 				}
 			}
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -49,8 +49,8 @@
 sockets = 500
 `
 
-// defaultWorkerLease is the lease of machines, lease_s of SettingsFormat.
-const defaultWorkerLease = 16 * time.Second
+// defaultMachineLeaseDuration is the lease of machines, lease_s of SettingsFormat.
+const defaultMachineLeaseDuration = 16 * time.Second
 
 // settingsFor returns the settings with which the next process of a member starts.
 func (d *Deployment) settingsFor(name string) *settings.File {
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -36,7 +36,7 @@
 
 // All kinds of records have the bytes, and all requests the form and order, that they had when
 // testdata/golden/requests.json was written, since processes of the previous version read them.
-func TestStoredBytesStayAsTheyAre(t *testing.T) {
+func TestStoredEncodingMatchesGolden(t *testing.T) {
 	s, store := newFakeStateService(t)
 	s.versions = make(map[string]uint64)
 	store.limits.TxnOps = 16
