--- a/docs/log_lines_test.go
+++ b/docs/log_lines_test.go
@@ -1,4 +1,4 @@
-// Package docs_test holds the tests that keep the documentation true to the code.
+// Package docs_test holds the tests which check that the documentation matches the code.
 package docs_test
 
 import (
@@ -25,12 +25,12 @@
 
 func (l logLine) String() string { return l.level + " " + strconv.Quote(l.message) }
 
-// documentedLevels are the levels whose lines the tables have to name. Debug lines
-// are for developers.
+// documentedLevels are the levels whose lines must be listed in the documentation. Debug
+// lines are for developers only.
 var documentedLevels = []string{"info", "warn", "error", "fatal", "panic"}
 
-// Every line that the program logs at info or above stands in the operators' table
-// with its level, and the table names no other.
+// The operators' table must list every message that the program logs at info or above,
+// with its level, and no other messages.
 func TestOperationsTableMatchesLogLines(t *testing.T) {
 	table := make(map[logLine]bool)
 	for _, row := range tableRows(t, "operations.md", "## Log lines") {
@@ -43,7 +43,7 @@
 	compare(t, "docs/operations.md", table, loggedLines(t))
 }
 
-// From each line the architecture page leads to the packages that write it.
+// The architecture page must name, for each log message, the packages that log it.
 func TestArchitectureTableMatchesLogLines(t *testing.T) {
 	inCode := make(map[string]bool)
 	for line, packages := range loggedLines(t) {
@@ -62,20 +62,20 @@
 	compare(t, "docs/architecture.md", inTable, inCode)
 }
 
-// compare fails for every key that only one of the two sets has.
+// compare fails the test for every key that is in only one of the two maps.
 func compare[K comparable, A, B any](t *testing.T, page string, table map[K]A, code map[K]B) {
 	t.Helper()
 	if len(table) == 0 || len(code) == 0 {
-		t.Fatalf("%s names %d log lines, the code has %d", page, len(table), len(code))
+		t.Fatalf("%s lists %d log lines and the code has %d, want at least one each", page, len(table), len(code))
 	}
 	for line := range code {
 		if _, ok := table[line]; !ok {
-			t.Errorf("the code logs %v, %s lacks it", line, page)
+			t.Errorf("the code logs %v, but %s does not list it", line, page)
 		}
 	}
 	for line := range table {
 		if _, ok := code[line]; !ok {
-			t.Errorf("%s names %v, nothing logs it", page, line)
+			t.Errorf("%s lists %v, but the code does not log it", page, line)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	return spans
 }
 
-// tableRows returns the cells of the first table below a heading, without its head.
+// tableRows returns the rows of the first table below a heading, as cells, without the header.
 func tableRows(t *testing.T, page, heading string) [][]string {
 	t.Helper()
 	text, err := os.ReadFile(page)
@@ -124,7 +124,7 @@
 }
 
 // loggedLines returns the lines that the program logs at a documented level, each with
-// the packages that log it.
+// the directories of the packages that log it.
 func loggedLines(t *testing.T) map[logLine]map[string]bool {
 	t.Helper()
 	lines := make(map[logLine]map[string]bool)
@@ -139,13 +139,14 @@
 	return lines
 }
 
-// sources are the program's files, tests left out, by directory below the root.
+// sources holds the program's parsed files, except tests. Directories are relative to
+// the root of the repository.
 type sources struct {
 	files  *token.FileSet
 	byDir  map[string][]*ast.File
-	consts map[string]string // "dir.Name" to the value of a string constant
+	consts map[string]string // values of string constants by "dir.Name"
 
-	tracing map[string]bool // the parameters and fields whose values are being looked for
+	tracing map[string]bool // parameters and fields whose values trace is looking for
 }
 
 func parseSources(t *testing.T) *sources {
@@ -180,7 +181,7 @@
 	return s
 }
 
-// addConstants notes a file's string constants of package scope.
+// addConstants records the string constants that a file declares at package level.
 func (s *sources) addConstants(dir string, file *ast.File) {
 	for _, declaration := range file.Decls {
 		group, ok := declaration.(*ast.GenDecl)
@@ -215,7 +216,7 @@
 	packageDir string
 }
 
-// scope is a function, and where it is declared.
+// scope is a function with the directory and the file that declare it.
 type scope struct {
 	dir      string
 	file     *ast.File
@@ -235,7 +236,7 @@
 	}
 }
 
-// calls calls visit with each call in a function, those in its closures included.
+// calls calls visit with each call in a function and in its closures.
 func calls(in scope, visit func(call *ast.CallExpr)) {
 	ast.Inspect(in.function.Body, func(n ast.Node) bool {
 		if call, ok := n.(*ast.CallExpr); ok {
@@ -245,8 +246,8 @@
 	})
 }
 
-// logCalls returns every line that is written through a zerolog event. It fails for a
-// line whose level or message can't be told, so that none is passed over.
+// logCalls returns every line that is written through a zerolog event. It fails
+// the test for a line whose level or message can't be determined, so that none is missed.
 func (s *sources) logCalls(t *testing.T) []loggedCall {
 	t.Helper()
 	var found []loggedCall
@@ -257,17 +258,17 @@
 				return
 			}
 			if method.Sel.Name == "Send" && len(call.Args) > 0 {
-				return // not an event's, which takes no argument
+				return // not the Send of an event, which has no parameters
 			}
 			levels := s.eventLevels(in, method.X)
 			if len(levels) == 0 {
 				if method.Sel.Name != "Send" {
-					t.Errorf("%s: the level of this line can't be told", s.files.Position(call.Pos()))
+					t.Errorf("%s: the level of this log line can't be determined", s.files.Position(call.Pos()))
 				}
 				return
 			}
 			if method.Sel.Name != "Msg" {
-				t.Errorf("%s: a log line needs a constant message, given to Msg", s.files.Position(call.Pos()))
+				t.Errorf("%s: a log line must pass a constant message to Msg", s.files.Position(call.Pos()))
 				return
 			}
 			messages, err := s.constantTexts(in, call.Args[0])
@@ -303,8 +304,8 @@
 	return nil
 }
 
-// namedLevels returns the zerolog levels that an expression names, or that functions of
-// the package name to which it is a call, whatever their receiver.
+// namedLevels returns the zerolog levels that an expression names. If the expression is a
+// call, it returns the levels named in the functions of the package that may be called.
 func (s *sources) namedLevels(in scope, e ast.Expr) []string {
 	if call, ok := e.(*ast.CallExpr); ok {
 		var levels []string
@@ -318,8 +319,8 @@
 	return unique(levelConstants(e))
 }
 
-// levelConstants returns the levels whose zerolog constants, as in zerolog.InfoLevel,
-// stand below a node.
+// levelConstants returns the levels whose zerolog constants, such as zerolog.InfoLevel,
+// occur in a node of the syntax tree.
 func levelConstants(n ast.Node) []string {
 	var levels []string
 	ast.Inspect(n, func(n ast.Node) bool {
@@ -339,8 +340,8 @@
 	return slices.Compact(texts)
 }
 
-// eventLevels returns the levels that an event may have: those of the call which begins
-// its chain, or of what is assigned to the variable that holds it.
+// eventLevels returns the levels that an event may have: those of the call that begins
+// its chain, or of the events that are assigned to its variable.
 func (s *sources) eventLevels(in scope, event ast.Expr) []string {
 	switch e := event.(type) {
 	case *ast.CallExpr:
@@ -378,12 +379,12 @@
 	return unique(levels)
 }
 
-// constantText is a text and the package that gives it.
+// constantText is a text and the directory of the package that supplies it.
 type constantText struct{ text, dir string }
 
-// constantTexts returns the texts that an expression can stand for: a literal, a
-// constant, what callers give for a parameter, or what a field is set to in
-// composite literals.
+// constantTexts returns the possible values of an expression that is a literal, a
+// constant, a parameter (the arguments of all callers) or a field (the values set in
+// composite literals).
 func (s *sources) constantTexts(in scope, e ast.Expr) ([]constantText, error) {
 	if text, ok := stringLiteral(e); ok {
 		return []constantText{{text, in.dir}}, nil
@@ -408,21 +409,21 @@
 			return s.fieldTexts(in.dir, e.Sel.Name)
 		})
 	}
-	return nil, errors.New("the message is no constant, nor a parameter or field that is given one")
+	return nil, errors.New("the message is neither a constant, nor a parameter or field that is set to one")
 }
 
-// trace looks for the values of a parameter or field, unless it is already doing so:
-// one that is set to itself has no constant text.
+// trace calls find to look for the values of a parameter or field. It returns an error if
+// it is already looking for them: one that is set to itself has no constant text.
 func (s *sources) trace(what string, find func() ([]constantText, error)) ([]constantText, error) {
 	if s.tracing[what] {
-		return nil, fmt.Errorf("%s is no constant", what)
+		return nil, fmt.Errorf("%s is not a constant", what)
 	}
 	s.tracing[what] = true
 	defer delete(s.tracing, what)
 	return find()
 }
 
-// parameterPosition returns where a function takes a parameter, or -1.
+// parameterPosition returns the index of a function's parameter, or -1.
 func parameterPosition(function *ast.FuncDecl, name string) int {
 	position := 0
 	for _, field := range function.Type.Params.List {
@@ -436,7 +437,7 @@
 	return -1
 }
 
-// argumentTexts returns what the callers of a function give for a parameter.
+// argumentTexts returns the texts that the callers of a function pass for a parameter.
 func (s *sources) argumentTexts(callee scope, position int) ([]constantText, error) {
 	var texts []constantText
 	var failure error
@@ -453,13 +454,13 @@
 		})
 	})
 	if failure == nil && len(texts) == 0 {
-		failure = fmt.Errorf("nothing calls %s, which logs what it is given", callee.function.Name.Name)
+		failure = fmt.Errorf("%s logs one of its parameters, but has no callers", callee.function.Name.Name)
 	}
 	return texts, failure
 }
 
-// isCallOf tells whether a call may be one of the given function: by its plain name
-// inside its package, by the package's name outside, and as a method on anything.
+// isCallOf reports whether a call may be a call of the given function: by its plain name
+// in its own package, by the package's name elsewhere, and for a method on any receiver.
 func isCallOf(in scope, call *ast.CallExpr, callee scope) bool {
 	name := callee.function.Name.Name
 	switch target := call.Fun.(type) {
@@ -469,7 +470,7 @@
 		if target.Sel.Name != name {
 			return false
 		}
-		if callee.function.Recv != nil { // the type is not known, only what it is given
+		if callee.function.Recv != nil { // the receiver's type is not known, so only the arguments are compared
 			return len(call.Args) == callee.function.Type.Params.NumFields()
 		}
 		base, ok := target.X.(*ast.Ident)
@@ -478,8 +479,8 @@
 	return false
 }
 
-// importedDir returns the directory below the root of the package that a file imports
-// by a name, or "".
+// importedDir returns the directory, relative to the root of the repository, of the
+// package that a file imports under a name, or "".
 func importedDir(file *ast.File, name string) string {
 	const module = "github.com/cobaltvale/cobaltvale/"
 	for _, imported := range file.Imports {
@@ -498,7 +499,7 @@
 	return ""
 }
 
-// fieldTexts returns what a package's composite literals set a field to.
+// fieldTexts returns the texts to which a package's composite literals set a field.
 func (s *sources) fieldTexts(dir, field string) ([]constantText, error) {
 	var texts []constantText
 	var failure error
@@ -520,7 +521,7 @@
 		})
 	})
 	if failure == nil && len(texts) == 0 {
-		failure = fmt.Errorf("field %s is set nowhere in %s", field, dir)
+		failure = fmt.Errorf("field %s is not set in any composite literal in %s", field, dir)
 	}
 	return texts, failure
 }
--- a/internal/audit/replay.go
+++ b/internal/audit/replay.go
@@ -153,7 +153,7 @@
 	delete(r.running, key)
 }
 
-// applyReplicaFound moves an earlier holder's replica to the present holder.
+// applyReplicaFound moves an earlier holder's replica to the current holder.
 func (r *replay) applyReplicaFound(event historyEvent, holder holderKey) {
 	key := taskKey{event.Job, event.Task}
 	if earlier, ok := r.running[key]; ok {
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -154,7 +154,7 @@
 		"a holder freezes in a transfer":             pauseHolderInTransfer,
 		"an owner and the leader crash together":     crashOwnerAndLeader,
 		"an outage while allocations are short":      outageWhileAllocationsAreShort,
-		"the state service refuses one controller":   rejectOneController,
+		"the state service rejects one controller":   rejectOneController,
 		"all controllers restart at once":            restartAllControllers,
 		"jobs are cancelled on silent machines":      cancelOnSilentMachines,
 		"machines fail, and their tasks start again": failBusyMachines,
--- a/internal/coordination/cancellation_test.go
+++ b/internal/coordination/cancellation_test.go
@@ -10,8 +10,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/storage"
 )
 
-// The tests of this file guard against a sequence of faults: the state service refuses only
-// the leader, another member confirms a cancellation, and then the state service is down for
+// The tests of this file guard against a sequence of faults: the state service rejects only
+// the leader's requests, another member confirms a cancellation, and then the state service is down for
 // all members for longer than cancel_s, while machines send heartbeats to any member that
 // answers. A member that answers heartbeats must then know of the cancellation, or stop
 // answering. checkInvariants fails a test if a task of the job is left after cancel_s.
@@ -51,16 +51,16 @@
 	scenario.recoverAndCheck()
 }
 
-// The sequence described above, for several durations of the refusal, with each member as the
+// The sequence described above, for several durations of the rejection, with each member as the
 // job's owner, with and without a broken stream between members, and for arrays and services.
 func TestCancellationBetweenLeaderRejectionAndOutage(t *testing.T) {
-	for _, refused := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
+	for _, rejectedFor := range []time.Duration{500 * time.Millisecond, 4 * time.Second, 10 * time.Second} {
 		for _, owns := range []string{"leader", "confirming", "third"} {
-			t.Run(fmt.Sprint(refused, " before, owner ", owns), func(t *testing.T) {
+			t.Run(fmt.Sprint(rejectedFor, " before, owner ", owns), func(t *testing.T) {
 				t.Parallel()
 				for _, mesh := range []string{"whole", "cut from the owner", "cut from the third"} {
 					for _, service := range []bool{false, true} {
-						cancelBetweenRejectionAndOutage(t, refused, owns, mesh, service)
+						cancelBetweenRejectionAndOutage(t, rejectedFor, owns, mesh, service)
 					}
 				}
 			})
@@ -68,9 +68,9 @@
 	}
 }
 
-func cancelBetweenRejectionAndOutage(t *testing.T, refused time.Duration, owns, mesh string, service bool) {
+func cancelBetweenRejectionAndOutage(t *testing.T, rejectedFor time.Duration, owns, mesh string, service bool) {
 	t.Helper()
-	scenario := newFaultScenario(t, uint64(refused), 4)
+	scenario := newFaultScenario(t, uint64(rejectedFor), 4)
 	lead := scenario.Leader()
 	confirming := scenario.Follower()
 	third := scenario.otherNode(lead, confirming)
@@ -89,14 +89,14 @@
 	case "cut from the third":
 		scenario.Disconnect(lead.Name, third.Name)
 	}
-	for end := scenario.Now() + refused; scenario.Now() < end; {
+	for end := scenario.Now() + rejectedFor; scenario.Now() < end; {
 		scenario.query(confirming, "ABORT", id)
 		scenario.Advance(100 * time.Millisecond)
 	}
 	if owns == "third" {
 		scenario.restart(third.Name) // its next process does not know of the cancellation
 	}
-	if refused >= 10*time.Second && owns != "third" && mesh == "whole" {
+	if rejectedFor >= 10*time.Second && owns != "third" && mesh == "whole" {
 		requireEqual(t, "confirmed before the outage", scenario.knownStatus[id], protocol.StatusCancelled)
 	}
 	scenario.State.Unavailable[""] = true
--- a/internal/coordination/heartbeat_intake.go
+++ b/internal/coordination/heartbeat_intake.go
@@ -30,8 +30,8 @@
 	counts       *fleetCounts // the autoscaler's latest counts; read only
 	log          *zerolog.Logger
 
-	// cachedImages returns the images that this process last observed on a machine under an
-	// earlier leader.
+	// cachedImages returns the images cached on a machine, as an earlier leader last reported
+	// them to this process.
 	cachedImages func(machine string) []*meshpb.CachedImage
 	// countResponse counts a response event.
 	countResponse func(responseEvent)
@@ -90,7 +90,7 @@
 	m.epoch, m.sequence, m.heartbeatSeen, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, true, now
 }
 
-// inheritImages adds the images that were observed on a machine under an earlier leader.
+// inheritImages adds the images that an earlier leader reported as cached on a machine.
 func (h *heartbeatIntake) inheritImages(m *machine) {
 	machineType := h.catalog.Type(m.typeName)
 	if machineType == nil {
--- a/internal/coordination/heartbeat_intake_test.go
+++ b/internal/coordination/heartbeat_intake_test.go
@@ -73,7 +73,7 @@
 	requireEqual(t, "heartbeat seen", f.machine.heartbeatSeen, true)
 	requireEqual(t, "last current heartbeat", f.machine.lastCurrentHeartbeat, 0)
 	requireEqual(t, "tasks", len(f.machine.tasks), 0)
-	requireEqual(t, "image observed under an earlier leader", f.machine.images[0].name, "old")
+	requireEqual(t, "image reported by an earlier leader", f.machine.images[0].name, "old")
 	requireEqual(t, "reachable with the token", f.heartbeat(intakeFencingToken, 1, now+time.Second, taskStatus(protocol.TaskRunning, 0)), true)
 	requireEqual(t, "tasks with the token", len(f.machine.tasks), 1)
 	requireEqual(t, "free CPUs", f.machine.free.cpus, 6)
--- a/internal/coordination/incomplete_status_test.go
+++ b/internal/coordination/incomplete_status_test.go
@@ -101,7 +101,7 @@
 }
 
 // For a moment after a shard has changed hands, the leader may still record the previous owner.
-// Its statuses to the present owner then lack the shard's tasks, and must not claim to be
+// Its statuses to the current owner then lack the shard's tasks, and must not claim to be
 // complete for the shard.
 func TestStatusIsCompleteOnlyForRegisteredShards(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
--- a/internal/coordination/job_lifecycle_test.go
+++ b/internal/coordination/job_lifecycle_test.go
@@ -139,7 +139,7 @@
 	requireEqual(t, "cancellation of an unknown job", code, 404)
 }
 
-// While the write of a job's end has no answer yet, another node may already report the end.
+// While the write of a job's end has no answer yet, another controller may already report the end.
 // The owner must not answer from memory then: its older status would contradict the one
 // that users have seen (rule went_back).
 func TestNoStaleStatusWhileTheEndIsWritten(t *testing.T) {
--- a/internal/coordination/leader_environment.go
+++ b/internal/coordination/leader_environment.go
@@ -46,8 +46,8 @@
 	authority authority
 	events    *eventcount.Counter // by responseEvent
 
-	// cachedImages returns the cached images of a machine, as the machine's latest status from the
-	// previous leader reported them.
+	// cachedImages returns the images cached on a machine, as an earlier leader last reported
+	// them to this process.
 	cachedImages func(machine string) []*meshpb.CachedImage
 	// errorResponse builds a response that rejects a heartbeat.
 	errorResponse func(status int, text string, retryAfterS int) Response
--- a/internal/coordination/leadership_test.go
+++ b/internal/coordination/leadership_test.go
@@ -99,7 +99,7 @@
 	requireEqual(t, "status query", code, 404)
 }
 
-// The state service refuses a single member's requests. That member must stop acting before
+// The state service rejects a single member's requests. That member must stop acting before
 // another member claims its keys.
 func TestMemberRejectedByStateServiceStopsActing(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
@@ -120,7 +120,7 @@
 		}
 	}
 	if sim.Leader() == lead {
-		t.Fatal("the member that the state service refuses still leads")
+		t.Fatal("the member whose requests the state service rejects still leads")
 	}
 	// The member knows the next leader and forwards heartbeats to it. It must not answer
 	// them itself.
@@ -161,10 +161,10 @@
 	requireEqual(t, "tasks that still run", sim.runningTasks(), 2)
 }
 
-// The state service first refuses only the leader, and then all members. The second leader
-// must continue in the outage, although the first leader has not seen it claim the key and
-// still has to grant it extensions. Without that extension no member would act until the
-// end of the outage, and tasks would not be cancelled in time.
+// The state service first rejects only the leader's requests, and then those of all
+// members. The second leader must continue in the outage, although the first leader has not
+// seen it claim the key and still has to grant it extensions. Without that extension no
+// member would act until the end of the outage, and tasks would not be cancelled in time.
 func TestOutageAfterStateServiceRejectedTheLeader(t *testing.T) {
 	sim := newSimulation(t, "a", "b", "c")
 	agent := sim.AddMachine("vm-1", "z1")
@@ -190,7 +190,7 @@
 	requireEqual(t, "the job is known to the first leader", fmt.Sprint(code, status.Status == "running" || status.Status == "pending"), "200 true")
 }
 
-// Under random refusals by the state service, restarts, disconnections and transactions
+// Under random rejections by the state service, restarts, disconnections and transactions
 // that are applied late, two processes never act on the same key at the same time.
 func TestKeyNeverHasTwoHolders(t *testing.T) {
 	for seed := range uint64(40) {
--- a/internal/coordination/liveness_test.go
+++ b/internal/coordination/liveness_test.go
@@ -64,8 +64,8 @@
 	requireEqual(t, "leader acts by the extension of an unregistered member", controllerOf(leader).election.MayAct(sim.Now()), false)
 }
 
-// Once all faults are over, every member answers requests about every accepted job, whoever owned
-// it, and the job's tasks complete.
+// Once all faults are over, every member answers requests about every accepted job, no
+// matter which member owned it, and the job's tasks complete.
 func TestAcceptedJobsStayKnown(t *testing.T) {
 	for seed := range uint64(25) {
 		random := rand.New(rand.NewPCG(seed, 11))
--- a/internal/coordination/reconciliation.go
+++ b/internal/coordination/reconciliation.go
@@ -6,8 +6,8 @@
 	"github.com/cobaltvale/cobaltvale/internal/protocol"
 )
 
-// machineProof is the reason why a machine can hold no replica of a shard's recovered tasks
-// that the shard's owner was not told of, so that the owner need not wait for the machine.
+// machineProof is the reason why a shard's owner need not wait for a machine: the owner was
+// told of every replica of the shard's recovered tasks that the machine can hold.
 type machineProof int
 
 const (
@@ -43,9 +43,9 @@
 // reconciliation is a decision that a shard is reconciled.
 type reconciliation struct {
 	shard *shardState
-	// noUnknownReplicas: no machine holds any replica of the shard that its owner does not
-	// know. If false, the decision says only that no replica of its recovered tasks can be
-	// left that the owner was not told of, and proofs counts the reasons.
+	// noUnknownReplicas is set if the owner knows every replica of the shard that a machine
+	// can hold. Otherwise the decision says only that the owner was told of every replica of
+	// the shard's recovered tasks, and proofs counts the machines by reason.
 	noUnknownReplicas bool
 	proofs            proofCounts
 }
@@ -63,13 +63,13 @@
 
 // updateReconciled marks the shards that have become reconciled, and returns each of these
 // decisions once.
-func (r *reconciler) updateReconciled(shards *shardRegistry, known recoveryProgress, now time.Duration) []reconciliation {
+func (r *reconciler) updateReconciled(shards *shardRegistry, progress recoveryProgress, now time.Duration) []reconciliation {
 	var decisions []reconciliation
 	for _, shard := range shards.byName {
 		switch {
 		case shard.owner == nil:
 		case !shard.reconciled:
-			if proofs, complete := r.proofsFor(shard, known, now); complete {
+			if proofs, complete := r.proofsFor(shard, progress, now); complete {
 				shard.reconciled = true
 				decisions = append(decisions, reconciliation{shard: shard, proofs: proofs})
 			}
@@ -83,13 +83,13 @@
 
 // proofsFor counts the machines by proof. It stops at the first that has none and then reports
 // complete as false.
-func (r *reconciler) proofsFor(shard *shardState, known recoveryProgress, now time.Duration) (proofs proofCounts, complete bool) {
-	if !known.machinesKnown && now-shard.registeredAt <= r.leases.timeout {
+func (r *reconciler) proofsFor(shard *shardState, progress recoveryProgress, now time.Duration) (proofs proofCounts, complete bool) {
+	if !progress.machinesKnown && now-shard.registeredAt <= r.leases.timeout {
 		// Machines that are not known yet may hold tasks until their leases have expired.
 		return proofs, false
 	}
 	for m := range r.machines.all {
-		proof := r.proofFor(m, shard, known, now)
+		proof := r.proofFor(m, shard, progress, now)
 		if proof == notProven {
 			return proofs, false
 		}
@@ -98,14 +98,14 @@
 	return proofs, true
 }
 
-// proofFor returns the proof that a shard's present owner was told of every replica that may be
-// on a machine: by a heartbeat since the registration, or by the last one before the
+// proofFor returns the proof that a shard's owner was told of every replica that may be on a
+// machine: by a heartbeat since the registration, or by the last one before the
 // registration if no start of the shard was sent to the machine after that heartbeat. A machine
 // that no earlier leader recorded, and that has not sent this leader's fencing token yet, holds
 // no replica. If the reconciler waited for such machines, a shard might never be reconciled,
 // because new machines boot all the time. Which machines earlier leaders recorded is known only
 // once their records have been read.
-func (r *reconciler) proofFor(m *machine, shard *shardState, known recoveryProgress, now time.Duration) machineProof {
+func (r *reconciler) proofFor(m *machine, shard *shardState, progress recoveryProgress, now time.Duration) machineProof {
 	switch {
 	case m.terminated:
 		return provenTerminated
@@ -113,7 +113,7 @@
 		return provenLeaseExpired
 	case m.lastCurrentHeartbeat > shard.registeredAt:
 		return provenByHeartbeat
-	case m.lastCurrentHeartbeat == 0 && known.machinesKnown && !m.recordedByEarlierLeader:
+	case m.lastCurrentHeartbeat == 0 && progress.machinesKnown && !m.recordedByEarlierLeader:
 		return provenEmpty
 	case m.lastCurrentHeartbeat == 0 || m.hasUnacknowledgedStartOf(shard):
 		return notProven
--- a/internal/coordination/reconciliation_test.go
+++ b/internal/coordination/reconciliation_test.go
@@ -20,10 +20,10 @@
 	}
 	const now = 120 * time.Second
 	for _, c := range []struct {
-		name    string
-		machine machine
-		known   recoveryProgress
-		want    machineProof
+		name     string
+		machine  machine
+		progress recoveryProgress
+		want     machineProof
 	}{
 		{"terminated", machine{terminated: true, recordedByEarlierLeader: true}, recoveryProgress{}, provenTerminated},
 		{"heartbeat since the registration", machine{lastHeartbeat: 111 * time.Second, lastCurrentHeartbeat: 111 * time.Second, sentStarts: start(shard)}, recoveryProgress{}, provenByHeartbeat},
@@ -36,10 +36,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newTestReconciler(&machineTable{})
-			requireEqual(t, "proof", r.proofFor(&c.machine, shard, c.known, now), c.want)
+			requireEqual(t, "proof", r.proofFor(&c.machine, shard, c.progress, now), c.want)
 			if !c.machine.terminated {
 				late := max(c.machine.lastHeartbeat, shard.registeredAt) + testLeaseTimeout
-				requireEqual(t, "proof after its lease", r.proofFor(&c.machine, shard, c.known, late+1), provenLeaseExpired)
+				requireEqual(t, "proof after its lease", r.proofFor(&c.machine, shard, c.progress, late+1), provenLeaseExpired)
 			}
 		})
 	}
--- a/internal/coordination/shard_registration.go
+++ b/internal/coordination/shard_registration.go
@@ -113,7 +113,7 @@
 	event.Bool("machines_known", l.records.machinesKnown()).Msg("all machines reconciled")
 }
 
-// recoveryProgress returns how much is known of the work that earlier leaders may have left.
+// recoveryProgress reports which records of the work of earlier leaders have been read.
 func (l *leader) recoveryProgress() recoveryProgress {
 	return recoveryProgress{jobsKnown: l.shards.allJobsKnown(), machinesKnown: l.records.machinesKnown()}
 }
--- a/internal/coordination/subscription.go
+++ b/internal/coordination/subscription.go
@@ -7,14 +7,14 @@
 	"github.com/cobaltvale/cobaltvale/internal/shard"
 )
 
-// The limits on the jobs and on the commands in one frame.
+// Limits on the numbers of job summaries and of commands in one frame.
 const (
 	maxSummariesPerFrame = 200
 	maxCommandsPerFrame  = 5000
 )
 
-// A frame may take at most 1 MB. The job summaries in one stay well below that, even if
-// each names as many machine types as is allowed.
+// A frame has at most 1 MB. Its job summaries stay well below that, even if each names as
+// many machine types as is allowed.
 const (
 	maxSummaryFrameBytes = 512 << 10
 	summaryBaseBytes     = 256 // allowance for a job's fields that are not strings
--- a/internal/coordination/team_usage.go
+++ b/internal/coordination/team_usage.go
@@ -167,18 +167,18 @@
 }
 
 // withinLimit reports whether a job's team stays within its limit with one more task,
-// even if everything runs that may run and that no owner accounts for. It returns false
+// even if all replicas do run that may run and that no owner accounts for. It returns false
 // for a limited resource while not all unfinished jobs are known, since the limit can't
 // be guaranteed then.
-func (u *usageAccounting) withinLimit(job *trackedJob, known recoveryProgress) bool {
+func (u *usageAccounting) withinLimit(job *trackedJob, progress recoveryProgress) bool {
 	within := func(limit, used, unreconciled, need float64) bool {
 		if limit <= 0 || need == 0 {
 			return true
 		}
-		if !known.jobsKnown {
+		if !progress.jobsKnown {
 			return false
 		}
-		if !known.machinesKnown {
+		if !progress.machinesKnown {
 			unreconciled += limit * unknownMachinesShare
 		}
 		return used+unreconciled+need <= limit+limitTolerance
--- a/internal/coordination/team_usage_test.go
+++ b/internal/coordination/team_usage_test.go
@@ -37,7 +37,7 @@
 		name         string
 		placed       int
 		unreconciled float64
-		known        recoveryProgress
+		progress     recoveryProgress
 		want         bool
 	}{
 		{"room for one more", 3, 0, all, true},
@@ -52,7 +52,7 @@
 			job.placed = c.placed
 			u.update(job)
 			u.unreconciled.cpus = c.unreconciled
-			requireEqual(t, "within the limit", u.withinLimit(job, c.known), c.want)
+			requireEqual(t, "within the limit", u.withinLimit(job, c.progress), c.want)
 		})
 	}
 }
--- a/internal/coordination/upgrade_scenarios_test.go
+++ b/internal/coordination/upgrade_scenarios_test.go
@@ -129,7 +129,7 @@
 // The state service lowers its limits while jobs are submitted, finish and are cancelled, and
 // while a shard is acquired. Nothing that this version writes may exceed the new limits, no
 // write that it has begun may get stuck, and no job may be lost to writes that the state
-// service refuses for their rate.
+// service rejects for their rate.
 func TestStateLimitsLoweredDuringOperation(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		for step := range 6 {
--- a/internal/election/claims.go
+++ b/internal/election/claims.go
@@ -173,10 +173,10 @@
 	})
 }
 
-// readKeyAfterClaim reads a key whose claim failed or was not answered, so that
-// this process may or may not hold it, and then calls finished. The next step
-// follows from the new observation. If the claim is applied later still, the view
-// then shows the key as held by this member.
+// readKeyAfterClaim reads a key after a claim that failed or got no answer, because
+// the claim may still have been applied. It then calls finished and records the
+// observation, which determines the next step. If the claim is applied only after
+// this read, a later observation shows the key as held by this member.
 func (e *Election) readKeyAfterClaim(key string, finished func()) {
 	lease := e.lease.id
 	e.env.State.Get(storage.Urgent, key, func(current storage.GetResult) {
--- a/internal/election/fake_test.go
+++ b/internal/election/fake_test.go
@@ -95,7 +95,7 @@
 	p.gets[0](storage.GetResult{})
 	p.answerOldestTxn(storage.TxnResult{Outcome: storage.Applied, Revision: 2})
 	if !p.Registered() || !p.ViewLoaded() || !p.LeaseValid(p.now) {
-		t.Fatalf("registered: %v, view loaded: %v, lease valid: %v, want all true", p.Registered(), p.ViewLoaded(), p.LeaseValid(p.now))
+		t.Fatal("the process is not registered, or has no loaded view or no valid lease")
 	}
 	return p
 }
--- a/internal/shard/circuit_breaker_test.go
+++ b/internal/shard/circuit_breaker_test.go
@@ -51,10 +51,10 @@
 		t.Errorf("%d tasks may start during the pause, want 0", n)
 	}
 	if change := b.update(0, b.retryAt-1); change != breakerUnchanged {
-		t.Errorf("an update during the pause returned %d, want %d", change, breakerUnchanged)
+		t.Errorf("an update during the pause returned %d, want breakerUnchanged", change)
 	}
 	if change := b.update(0, b.retryAt); change != breakerTrialAllowed {
-		t.Errorf("the update after the pause returned %d, want %d", change, breakerTrialAllowed)
+		t.Errorf("the update after the pause returned %d, want breakerTrialAllowed", change)
 	}
 	if n := b.allowedStarts(10, 0); n != 1 {
 		t.Errorf("%d tasks may start after the pause, want 1", n)
@@ -101,12 +101,12 @@
 	for failures := range 40 {
 		pause := failureBackOff(failures)
 		if pause < previous || pause > maxFailureBackOffSeconds*time.Second {
-			t.Errorf("the pause after %d failures is %v, want %v to %d s", failures, pause, previous, maxFailureBackOffSeconds)
+			t.Errorf("the pause after %d failures is %v, want at least the previous one, %v, and at most the limit", failures, pause, previous)
 		}
 		previous = pause
 	}
 	if previous != maxFailureBackOffSeconds*time.Second {
-		t.Errorf("the longest pause is %v, want %d s", previous, maxFailureBackOffSeconds)
+		t.Errorf("the longest pause is %v, want the limit", previous)
 	}
 	var b circuitBreaker
 	for range 40 {
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -19,7 +19,7 @@
 }
 
 // queueCommand queues a command about a replica on a machine for the leader. It drops the
-// command if the present leader has not named the machine.
+// command if the current leader has not named the machine.
 func (o *Owner) queueCommand(machine int32, job string, task uint32, replica uint64, command replicaCommand) {
 	if m := o.machines.entry(machine); m.hasLeaderIndex {
 		o.commands = append(o.commands, &meshpb.MachineCommand{MachineIndex: m.leaderIndex, Job: job, Task: task, Replica: replica, Reap: bool(command)})
--- a/internal/shard/doc.go
+++ b/internal/shard/doc.go
@@ -1,13 +1,13 @@
-// Package shard is the owner's side of supervision: it owns the unfinished jobs of the
+// Package shard implements the owner's side of supervision: it owns the unfinished jobs of the
 // shards that this process holds. A shard is the jobs of one member with their records;
 // its owner is the process that holds the shard's key, and its fencing token is the
 // version of the key at its acquisition.
 //
-// The package owns, for each task, its state, its replica number and its location (in
-// section 4.2 of the paper, OnNode is TaskPlaced and InTransition is TaskAssigned); the
+// The package owns, for each task, its state, its replica number and its location; the
 // table of machines as last reported on the leader's stream; the state of each shard's
 // registration with the leader; the circuit breakers and back-offs of jobs whose tasks
-// fail; and the orphaned replicas of jobs that have ended.
+// fail; and the orphaned replicas of jobs that have ended. In terms of section 4.2 of the
+// paper that docs/design.md names, TaskPlaced is OnNode and TaskAssigned is InTransition.
 //
 // It guarantees:
 //   - A task has at most one current replica, the one with the highest replica number.
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -28,7 +28,7 @@
 	ended           bool   // its end is durable, or its shard is no longer held
 	breaker         circuitBreaker
 	unpublished     bool // changed since its summary was last sent to the leader
-	specUnsent      bool // its specification has not been sent to the present leader
+	specUnsent      bool // its specification has not been sent to the current leader
 	onEnd           []func(status string, err error)
 	// publishedPending is the number of tasks that may start, as last sent to the leader.
 	publishedPending int
--- a/internal/shard/job_test.go
+++ b/internal/shard/job_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("%d distinct names of %d reasons, want one each", len(seen), int(notLost))
 	}
 	if got := TaskState(200).String(); got != "TaskState(200)" {
-		t.Errorf("an unknown state is named %q, want TaskState(200)", got)
+		t.Error(got)
 	}
 }
 
--- a/internal/shard/loss_proof.go
+++ b/internal/shard/loss_proof.go
@@ -10,7 +10,7 @@
 
 // An owner replaces a task's replica only once the replica is proven lost. This file
 // defines what a status that the leader passes on proves by not listing a replica, and the
-// reasons for which replicas are judged lost. Its functions depend on their arguments only.
+// reasons why replicas are judged lost. Its functions depend on their arguments only.
 
 // absenceProof is what the absence of a replica from a machine's status proves.
 type absenceProof uint8
@@ -68,9 +68,9 @@
 	return absenceProvesEnd
 }
 
-// proveLoss returns the reason for which an assigned or placed task's replica, which the
-// status does not list, is proven lost. It returns notLost or lossUnproven if there is no
-// proof.
+// proveLoss returns the reason why the status proves that the replica of an assigned or
+// placed task is lost, given that the status does not list the replica. It returns notLost
+// or lossUnproven if there is no proof.
 func (o *machineObservation) proveLoss(t *supervisedTask, r *registration) lossReason {
 	status := o.status
 	if status.Epoch > t.epoch {
--- a/internal/shard/machine_statuses.go
+++ b/internal/shard/machine_statuses.go
@@ -20,7 +20,7 @@
 
 // handleMachineStatus handles the status of a machine that the leader passes on. Only a
 // current status shows what is on the machine, as it was sent by an agent that follows the
-// present leader; machineObservation determines what the absence of a replica from it
+// current leader; machineObservation determines what the absence of a replica from it
 // proves. A status of a later epoch, however old, proves that everything that the machine
 // held before is gone.
 func (o *Owner) handleMachineStatus(machine int32, status *meshpb.MachineStatus) {
--- a/internal/shard/observed_machines.go
+++ b/internal/shard/observed_machines.go
@@ -101,7 +101,7 @@
 
 func (t *observedMachines) zoneOf(machine int32) string { return t.entry(machine).zone }
 
-// cachedImages returns the images that the last leader knew to be cached on a machine.
+// cachedImages returns the images cached on a machine, as a leader last reported them.
 func (t *observedMachines) cachedImages(name string) []*meshpb.CachedImage {
 	if machine, known := t.byName(name); known {
 		return t.entry(machine).images
--- a/internal/shard/orphaned_replicas.go
+++ b/internal/shard/orphaned_replicas.go
@@ -22,7 +22,7 @@
 	replica         uint64
 	epoch, sequence uint64
 	unacknowledged  bool // no status has listed it since its start was assigned
-	knownToLeader   bool // the present leader knew the job while it was unfinished, and reports its replicas
+	knownToLeader   bool // the current leader knew the job while it was unfinished, and reports its replicas
 }
 
 func (o *orphans) init(releaseClaim func(*orphanedReplica)) {
@@ -98,9 +98,9 @@
 	return found
 }
 
-// releaseReconciled releases what was left of jobs that had ended when the shard was
-// registered with the present leader. The leader has reported that no machine holds any of
-// it.
+// releaseReconciled releases the orphaned replicas of jobs that had ended when the shard
+// was registered with the current leader. The leader has reported that no machine holds any
+// of these replicas.
 func (o *orphans) releaseReconciled(shard string) {
 	for machine := range o.byMachine {
 		o.releaseWhere(machine, func(orphan *orphanedReplica) bool { return !orphan.knownToLeader && orphan.shard.name == shard })
@@ -190,7 +190,7 @@
 	}
 }
 
-// removeShard removes what is left of a shard that is no longer held.
+// removeShard removes the orphaned replicas of a shard that is no longer held.
 func (o *orphans) removeShard(shard string) {
 	for machine, list := range o.byMachine {
 		kept := list[:0]
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -37,7 +37,7 @@
 // LeaderStream sends an owner's messages to the leader. Without a leader it drops them: the
 // next leader receives the whole state when the shards are registered.
 type LeaderStream interface {
-	// RegisterShards sends the present leader the registrations that were not sent to it yet.
+	// RegisterShards sends the current leader the registrations that were not sent to it yet.
 	RegisterShards()
 	// RegisterShard registers a shard, possibly once more.
 	RegisterShard(shard *Shard)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// CachedImages returns the images that the last leader knew to be cached on a machine.
+// CachedImages returns the images cached on a machine, as a leader last reported them.
 func (o *Owner) CachedImages(machine string) []*meshpb.CachedImage {
 	return o.machines.cachedImages(machine)
 }
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -174,7 +174,7 @@
 	}
 	f.Tick(f.now)
 	if f.ended["wk-1"] != protocol.StatusDone || f.Job("wk-1") != nil {
-		t.Errorf("the job ended as %q, want %q; still known: %v", f.ended["wk-1"], protocol.StatusDone, f.Job("wk-1") != nil)
+		t.Errorf("the job ended as %q, want StatusDone and the job removed", f.ended["wk-1"])
 	}
 }
 
@@ -311,7 +311,7 @@
 	maxTasks := (1<<20 - bytesPerJob) / bytesPerTask
 	for tasks, want := range map[int]bool{maxTasks: false, maxTasks + 1: true} {
 		if got := f.MemoryFull(&protocol.Job{Tasks: tasks}); got != want {
-			t.Errorf("%d tasks: memory full is %v, want %v", tasks, got, want)
+			t.Errorf("%d tasks: memory full is %v, want the opposite", tasks, got)
 		}
 	}
 }
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -2,9 +2,9 @@
 
 import "github.com/cobaltvale/cobaltvale/internal/protocol/meshpb"
 
-// HandleReconciled handles the leader's message that no machine holds a replica of a
-// shard's recovered tasks that the leader has not reported. With NoUnknownReplicas set, no
-// machine holds any replica of the shard that this process does not know of.
+// HandleReconciled handles the leader's message that it has reported every replica of a
+// shard's recovered tasks that a machine may hold. With NoUnknownReplicas set, this process
+// knows every replica of the shard that a machine may hold.
 func (o *Owner) HandleReconciled(message *meshpb.Reconciled) {
 	shard := o.shards[message.Shard]
 	if shard == nil || !shard.registration.confirmed() {
@@ -19,9 +19,9 @@
 	}
 }
 
-// handleNoUnknownReplicas handles the leader's report that no machine holds a replica of a
-// shard that this process does not know of. If the report does not cover some jobs because
-// they ended meanwhile, the shard is registered again, for another report.
+// handleNoUnknownReplicas handles the leader's report that this process knows every replica
+// of a shard that a machine may hold. If the report does not cover some jobs because they
+// ended meanwhile, the shard is registered again, for another report.
 func (o *Owner) handleNoUnknownReplicas(shard *Shard) {
 	if !o.admission.Enabled() {
 		return
@@ -34,10 +34,10 @@
 	o.admission.MarkReconciled(shard.name)
 }
 
-// reconcileForOlderLeader reconciles the shards that a leader of an older version, which
-// does not say which statuses are complete, has reported as reconciled. Such a leader
-// reports that too early, so this waits until every machine has sent a heartbeat since the
-// shard was registered or has lost its lease.
+// reconcileForOlderLeader reconciles the shards that a leader of an older version has
+// reported as reconciled. Such a leader does not say which statuses are complete, and it
+// reports shards as reconciled too early. So this waits until every machine has sent a
+// heartbeat since the shard was registered, or has lost its lease.
 func (o *Owner) reconcileForOlderLeader(clockUs, timeoutUs int64) {
 	for _, shard := range o.shards {
 		if shard.registration.reconciledByOlderLeader && !shard.reconciled && o.allMachinesReportedSinceRegistration(clockUs, timeoutUs) {
--- a/internal/shard/registration.go
+++ b/internal/shard/registration.go
@@ -10,7 +10,7 @@
 // answers.
 const registrationRequested = -1
 
-// registration is the state of a shard's registration with the present leader.
+// registration is the state of a shard's registration with the current leader.
 type registration struct {
 	sent           bool   // the shard and its jobs were sent to the leader
 	registeredAtUs int64  // on the leader's clock; 0: not requested; see also registrationRequested
@@ -29,7 +29,7 @@
 }
 
 // UnregisteredShards yields the recovered shards whose registration was not sent to the
-// present leader.
+// current leader.
 func (o *Owner) UnregisteredShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
 		for _, shard := range o.shards {
@@ -40,7 +40,7 @@
 	}
 }
 
-// UnconfirmedShards yields the recovered shards for which the present leader has not
+// UnconfirmedShards yields the recovered shards for which the current leader has not
 // answered.
 func (o *Owner) UnconfirmedShards() iter.Seq[*Shard] {
 	return func(yield func(*Shard) bool) {
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -16,7 +16,7 @@
 	name                 string
 	records              Records
 	recovered            bool         // its unfinished jobs were read
-	registration         registration // with the present leader
+	registration         registration // with the current leader
 	jobs                 map[string]*Job
 	fencingToken         uint64                      // version of its key at the acquisition
 	lastReplica          uint64                      // highest replica number of the shard
@@ -41,10 +41,10 @@
 // Recovered reports whether the shard's unfinished jobs were read.
 func (shard *Shard) Recovered() bool { return shard.recovered }
 
-// Registered reports whether the shard's registration was sent to the present leader.
+// Registered reports whether the shard's registration was sent to the current leader.
 func (shard *Shard) Registered() bool { return shard.registration.sent }
 
-// RegistrationConfirmed reports whether the present leader has confirmed the registration
+// RegistrationConfirmed reports whether the current leader has confirmed the registration
 // of the shard.
 func (shard *Shard) RegistrationConfirmed() bool { return shard.registration.confirmed() }
 
--- a/internal/standin/kv/store.go
+++ b/internal/standin/kv/store.go
@@ -1,4 +1,4 @@
-// Package kv is the in-memory data of a state service: keys with versions, leases, and the
+// Package kv holds the in-memory data of a state service: keys with versions, leases, and the
 // history of changes, by the rules of the protocol. It decides what is stored and which
 // leases have expired. It has no clock, no limits and no simulated faults, is not safe for
 // concurrent use and never calls back; the server built on it adds these.
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,4 +1,4 @@
-// Package standin has stand-ins for the controllers' environment, served on loopback: a
+// Package standin provides stand-ins for the controllers' environment, served on loopback: a
 // state service, a cloud with a fixed set of machines, workers and users. Tests and
 // benchmarks run real controllers against them.
 package standin
